--- a/internal/app/cli/node.go
+++ b/internal/app/cli/node.go
@@ -46,7 +46,7 @@
 			*override.field = override.flag
 		}
 	}
-	return loaded, trace.Wrap(loaded.Check(), "flags")
+	return loaded, trace.Wrap(loaded.Validate(), "flags")
 }
 
 // Execute implements flags.Commander: it runs until a signal. SIGTERM or an
--- a/internal/app/eventually/eventually.go
+++ b/internal/app/eventually/eventually.go
@@ -14,19 +14,19 @@
 	interval = time.Millisecond
 )
 
-// That waits until the condition holds, and ends the test with what it waited
+// Require waits until the condition holds, and ends the test with what it waited
 // for and what was seen last if that never happens. It must be called from the
 // goroutine of the test.
-func That(t testing.TB, what string, condition func() bool, seen ...func() any) {
+func Require(t testing.TB, what string, condition func() bool, seen ...func() any) {
 	t.Helper()
-	if !Try(t, what, condition, seen...) {
+	if !Assert(t, what, condition, seen...) {
 		t.FailNow()
 	}
 }
 
-// Try is That for other goroutines: it marks the test as failed, and reports
+// Assert is Require for other goroutines: it marks the test as failed, and reports
 // whether the condition came to hold.
-func Try(t testing.TB, what string, condition func() bool, seen ...func() any) bool {
+func Assert(t testing.TB, what string, condition func() bool, seen ...func() any) bool {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !condition(); time.Sleep(interval) {
 		if time.Now().After(deadline) {
--- a/internal/app/kernel/context.go
+++ b/internal/app/kernel/context.go
@@ -32,11 +32,11 @@
 	return none, trace.NotFound("no module provides %v", reflect.TypeFor[T]())
 }
 
-// Need is one service a module cannot do without: a field to fill.
-type Need func(*Context) error
+// Resolver is one service a module cannot do without: a field to fill.
+type Resolver func(*Context) error
 
-// Into fills a field with the first service of its type.
-func Into[T any](field *T) Need {
+// Dependency fills a field with the first service of its type.
+func Dependency[T any](field *T) Resolver {
 	return func(c *Context) error {
 		found, err := Find[T](c)
 		*field = found
@@ -44,8 +44,8 @@
 	}
 }
 
-// Fill fills all fields, or says what is missing.
-func (c *Context) Fill(needs ...Need) error {
+// Resolve fills all fields, or says what is missing.
+func (c *Context) Resolve(needs ...Resolver) error {
 	for _, need := range needs {
 		if err := need(c); err != nil {
 			return trace.Wrap(err)
--- a/internal/app/kernel/kernel.go
+++ b/internal/app/kernel/kernel.go
@@ -42,8 +42,8 @@
 type Info struct {
 	// Name is "<namespace>.<module>", unique in the process.
 	Name string
-	// Needs names modules that are provisioned and started before this one.
-	Needs []string
+	// DependsOn names modules that are provisioned and started before this one.
+	DependsOn []string
 	// Roles lists the roles the module is part of; empty: of the plain node.
 	Roles []string
 	// New returns a fresh instance; a process may run several nodes.
@@ -219,7 +219,7 @@
 		return trace.NotFound("module %s is not registered", name)
 	}
 	s.state[name] = visiting
-	for _, need := range info.Needs {
+	for _, need := range info.DependsOn {
 		if !s.wanted[need] {
 			return trace.BadParameter("module %s needs %s, which is not in the set", name, need)
 		}
--- a/internal/app/kernel/kernel_test.go
+++ b/internal/app/kernel/kernel_test.go
@@ -47,7 +47,7 @@
 		for _, want := range wants {
 			prefixed = append(prefixed, prefix+want)
 		}
-		Register(Info{Name: full, Needs: prefixed, New: func() Module {
+		Register(Info{Name: full, DependsOn: prefixed, New: func() Module {
 			module := &recorder{name: name, log: log}
 			if at, step, found := strings.Cut(fail, " "); found && at == name {
 				module.fail = step
@@ -106,9 +106,9 @@
 	ctx := newContext([]any{"text", 7})
 	var number int
 	var text string
-	is.NoErr(ctx.Fill(Into(&number), Into(&text)))
+	is.NoErr(ctx.Resolve(Dependency(&number), Dependency(&text)))
 	is.Equal(number, 7)
 	is.Equal(text, "text")
 	var missing float64
-	is.True(ctx.Fill(Into(&missing)) != nil)
+	is.True(ctx.Resolve(Dependency(&missing)) != nil)
 }
--- a/internal/app/result/result.go
+++ b/internal/app/result/result.go
@@ -203,14 +203,14 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets when the caller should come back and returns the error.
-func (e *Error) After(delay time.Duration) *Error {
+// WithRetryAfter sets when the caller should come back and returns the error.
+func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	e.RetryAfter = delay
 	return e
 }
 
-// From finds the Error in err's chain; any other error becomes Internal.
-func From(err error) *Error {
+// FromError finds the Error in err's chain; any other error becomes Internal.
+func FromError(err error) *Error {
 	if err == nil {
 		return nil
 	}
@@ -226,7 +226,7 @@
 	if err == nil {
 		return OK
 	}
-	return From(err).Code
+	return FromError(err).Code
 }
 
 // Is reports whether err carries the code.
--- a/internal/batch/grants/grants.go
+++ b/internal/batch/grants/grants.go
@@ -154,7 +154,7 @@
 func (t *Table) Confirm(offers []Offer, started []*wirev1.ItemKey) []Offer {
 	recorded := map[Key]bool{}
 	for _, key := range started {
-		recorded[KeyOf(key)] = true
+		recorded[KeyFromProto(key)] = true
 	}
 	kept := offers[:0]
 	for _, offer := range offers {
--- a/internal/batch/grants/grants_test.go
+++ b/internal/batch/grants/grants_test.go
@@ -87,7 +87,7 @@
 	for _, offer := range offers {
 		if offer.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE && !offer.Restarted && !w.state.started[offer.Key] {
 			w.state.started[offer.Key] = true
-			started = append(started, offer.Key.Wire())
+			started = append(started, offer.Key.Proto())
 		}
 	}
 	if w.holding[session] == nil {
@@ -197,7 +197,7 @@
 		for _, offer := range offers {
 			if !w.state.started[offer.Key] {
 				w.state.started[offer.Key] = true
-				started = append(started, offer.Key.Wire())
+				started = append(started, offer.Key.Proto())
 			}
 		}
 		for _, offer := range w.table.Confirm(offers, started) {
--- a/internal/batch/grants/items.go
+++ b/internal/batch/grants/items.go
@@ -13,11 +13,11 @@
 	Offset  uint32
 }
 
-// KeyOf converts the wire form.
-func KeyOf(key *wirev1.ItemKey) Key { return Key{key.JobId, key.Segment, key.Offset} }
+// KeyFromProto converts the wire form.
+func KeyFromProto(key *wirev1.ItemKey) Key { return Key{key.JobId, key.Segment, key.Offset} }
 
-// Wire converts to the wire form.
-func (k Key) Wire() *wirev1.ItemKey {
+// Proto converts to the wire form.
+func (k Key) Proto() *wirev1.ItemKey {
 	return &wirev1.ItemKey{JobId: k.Job, Segment: k.Segment, Offset: k.Offset}
 }
 
--- a/internal/batch/logstore/logstore_test.go
+++ b/internal/batch/logstore/logstore_test.go
@@ -56,8 +56,8 @@
 	loaded, err := db.Shard(5).Load()
 	is.NoErr(err)
 	is.Equal(len(loaded.Epochs), 10)
-	is.Equal(loaded.Hard.Promised, uint64(7))
-	is.Equal(loaded.Config.Members, config.Members)
+	is.Equal(loaded.HardState.Promised, uint64(7))
+	is.Equal(loaded.MemberSet.Members, config.Members)
 }
 
 func TestConflictingTailIsReplaced(t *testing.T) {
@@ -231,5 +231,5 @@
 	loaded, err := after.Shard(0).Load()
 	is.NoErr(err)
 	is.Equal(len(loaded.Epochs), 1)
-	is.Equal(loaded.Hard.Promised, uint64(5))
+	is.Equal(loaded.HardState.Promised, uint64(5))
 }
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -40,18 +40,18 @@
 	BaseEpoch uint64            `json:"base_epoch"`
 }
 
-// Loaded is what a shard's disk holds at start.
-type Loaded struct {
-	Hard      replica.HardState
-	Config    replica.MemberSet
+// RecoveredState is what a shard's disk holds at start.
+type RecoveredState struct {
+	HardState replica.HardState
+	MemberSet replica.MemberSet
 	BaseIndex uint64
 	BaseEpoch uint64
 	// Epochs of the entries after the base.
 	Epochs []uint64
 	// Applied is the index of the last entry the state contains.
 	Applied uint64
-	// Known: the shard was here before.
-	Known bool
+	// Exists: the shard was here before.
+	Exists bool
 }
 
 var (
@@ -90,8 +90,8 @@
 
 // Load reads the shard and checks every entry's checksum. The log has to be
 // without gaps; entries behind a gap would be a defect and count as damage.
-func (s *ShardLog) Load() (*Loaded, error) {
-	loaded := &Loaded{}
+func (s *ShardLog) Load() (*RecoveredState, error) {
+	loaded := &RecoveredState{}
 	var stored meta
 	text, err := s.get(s.metaKey(metaRecord))
 	if err != nil {
@@ -101,9 +101,9 @@
 		if err := json.Unmarshal(text, &stored); err != nil {
 			return nil, trace.Wrap(err, "decoding shard %d", s.id)
 		}
-		loaded.Known = true
+		loaded.Exists = true
 	}
-	loaded.Hard, loaded.Config = stored.Hard, stored.Config
+	loaded.HardState, loaded.MemberSet = stored.Hard, stored.Config
 	loaded.BaseIndex, loaded.BaseEpoch = stored.BaseIndex, stored.BaseEpoch
 	if loaded.Applied, s.slot, err = s.loadApplied(); err != nil {
 		return nil, err
--- a/internal/batch/placement/placement.go
+++ b/internal/batch/placement/placement.go
@@ -83,8 +83,8 @@
 	return digest.Sum64()
 }
 
-// SameSet reports whether two member sets have the same members, in any order.
-func SameSet(a, b []string) bool { return len(a) == len(b) && len(Without(a, b)) == 0 }
+// SameMembers reports whether two member sets have the same members, in any order.
+func SameMembers(a, b []string) bool { return len(a) == len(b) && len(Without(a, b)) == 0 }
 
 // Without lists the members of a set that another does not have.
 func Without(set, other []string) []string {
--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -66,8 +66,8 @@
 
 func TestSets(t *testing.T) {
 	is := is.New(t)
-	is.True(SameSet([]string{"a", "b"}, []string{"b", "a"}))
-	is.True(!SameSet([]string{"a", "b"}, []string{"a", "b", "c"}))
-	is.True(!SameSet([]string{"a", "b"}, []string{"a", "c"}))
+	is.True(SameMembers([]string{"a", "b"}, []string{"b", "a"}))
+	is.True(!SameMembers([]string{"a", "b"}, []string{"a", "b", "c"}))
+	is.True(!SameMembers([]string{"a", "b"}, []string{"a", "c"}))
 	is.Equal(Without([]string{"a", "b", "c"}, []string{"b"}), []string{"a", "c"})
 }
--- a/internal/batch/queueclient/queueclient.go
+++ b/internal/batch/queueclient/queueclient.go
@@ -195,7 +195,7 @@
 	if unknown {
 		return result.New(result.CommitUnknown, "no storage node confirmed it: %v", last)
 	}
-	return result.New(result.StoreUnavailable, "no storage node could take it: %v", last).After(retryDelay)
+	return result.New(result.StoreUnavailable, "no storage node could take it: %v", last).WithRetryAfter(retryDelay)
 }
 
 // final reports whether another node or try would give the same answer.
--- a/internal/batch/queueclient/queueclient_test.go
+++ b/internal/batch/queueclient/queueclient_test.go
@@ -62,7 +62,7 @@
 		directory.Put(&wirev1.NodeRecord{NodeId: name, Address: address, DiskId: "disk-" + name, Incarnation: 1})
 	}
 	layouts := queuestore.NewLayouts()
-	layouts.Offer(queuestore.LayoutKey, []byte(layoutText), 1, "test")
+	layouts.UpdateIfNewer(queuestore.LayoutKey, []byte(layoutText), 1, "test")
 	pool := rpc.NewPool("edge", "c", nil, &rpc.Counters{})
 	t.Cleanup(pool.Close)
 	return New(directory, layouts, pool)
--- a/internal/batch/queueclient/submit_test.go
+++ b/internal/batch/queueclient/submit_test.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	go func() {
-		eventually.Try(t, "the leader has a submission", func() bool { return leader.submissions.Load() > 0 }, func() any { return leader.submissions.Load() })
+		eventually.Assert(t, "the leader has a submission", func() bool { return leader.submissions.Load() > 0 }, func() any { return leader.submissions.Load() })
 		leader.leads.Store(false) // it is lost right after
 	}()
 	_, err = client.Submit(ctx, &wirev1.QueueSubmitRequest{Job: &wirev1.QueueJob{Id: "j", Host: "h"}})
--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -172,7 +172,7 @@
 func (e *ItemExecutor) pick(route *catalog.Route, work *queuestore.Work, fingerprint quarantine.Fingerprint, now time.Time) runnerset.Choice {
 	excluded := e.paused(now)
 	if e.Quarantine != nil {
-		maps.Copy(excluded, e.Quarantine.Avoid(fingerprint))
+		maps.Copy(excluded, e.Quarantine.RunnersToAvoid(fingerprint))
 	}
 	return e.Runners.Pick(&runnerset.Criteria{
 		Service: route.ServiceFor(work.Item.Id), Zone: e.Zone, Prompt: promptOf(work.Item), Bytes: len(work.Item.Body),
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -44,11 +44,11 @@
 }
 
 // refused takes an answer other than 200.
-func (r *run) refused(answer *exchange.Answer) queuestore.Outcome {
-	outcome, runnerFailed := statusOutcome(answer.Status, answer.Stamped)
+func (r *run) refused(answer *exchange.Response) queuestore.Outcome {
+	outcome, runnerFailed := statusOutcome(answer.Status, answer.FromRunner)
 	outcome.Output = r.output
 	if runnerFailed {
-		r.runner.NoteFailure(time.Now())
+		r.runner.RecordFailure(time.Now())
 	}
 	return outcome
 }
@@ -59,7 +59,7 @@
 	var notRun *exchange.NotRunError
 	if errors.As(err, &notRun) {
 		outcome.Wait, outcome.Reason = notTakenDelay, "not run: "+notRun.Reason
-		r.runner.NoteLoad(notRun.Load, time.Now())
+		r.runner.RecordLoad(notRun.Load, time.Now())
 	}
 	if parent.Err() != nil {
 		outcome.Reason = "cancelled"
@@ -69,7 +69,7 @@
 		return outcome
 	}
 	if notRun == nil || notRun.Absent() {
-		r.runner.NoteFailure(time.Now())
+		r.runner.RecordFailure(time.Now())
 	}
 	if notRun == nil && !errors.Is(err, context.Canceled) {
 		r.noteEnding()
@@ -87,7 +87,7 @@
 	if errors.Is(err, context.Canceled) || r.executor.wasPreempted(r) {
 		return outcome
 	}
-	r.runner.NoteFailure(time.Now())
+	r.runner.RecordFailure(time.Now())
 	r.noteEnding()
 	klog.InfoS("item stream broken", "item", r.work.Item.Id, "runner", r.runner.ID, "after", r.output.Last,
 		"err", strings.TrimSpace(err.Error()))
--- a/internal/batch/queuerun/queuerun_test.go
+++ b/internal/batch/queuerun/queuerun_test.go
@@ -26,26 +26,26 @@
 // scripted is a runner that answers by a script, and records what it is sent.
 type scripted struct {
 	mutex  sync.Mutex
-	answer func(ctx context.Context, call *exchange.Call) (*exchange.Answer, error)
+	answer func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
 	calls  []*exchange.Call
 }
 
 // Do implements exchange.CallSender.
-func (s *scripted) Do(ctx context.Context, call *exchange.Call) (*exchange.Answer, error) {
+func (s *scripted) Do(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 	s.mutex.Lock()
 	s.calls = append(s.calls, call)
 	s.mutex.Unlock()
 	return s.answer(ctx, call)
 }
 
-func answers(status int, stamped bool, text string) func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-	return func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-		return &exchange.Answer{Status: status, Stamped: stamped, Length: -1, Body: io.NopCloser(strings.NewReader(text))}, nil
+func answers(status int, stamped bool, text string) func(context.Context, *exchange.Call) (*exchange.Response, error) {
+	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
+		return &exchange.Response{Status: status, FromRunner: stamped, Length: -1, Body: io.NopCloser(strings.NewReader(text))}, nil
 	}
 }
 
-func fails(err error) func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-	return func(context.Context, *exchange.Call) (*exchange.Answer, error) { return nil, err }
+func fails(err error) func(context.Context, *exchange.Call) (*exchange.Response, error) {
+	return func(context.Context, *exchange.Call) (*exchange.Response, error) { return nil, err }
 }
 
 const twoEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
@@ -57,12 +57,12 @@
 	runners.Replace([]runnerset.Record{{ID: "r1", Service: "s", Address: "127.0.0.1:1", Zone: "z", Slots: 4}}, 1, time.Now())
 	catalogs := catalog.NewHolder()
 	parsed, err := catalog.New(1, []*catalog.Route{{
-		Name: "jobs", Host: "h", PathPrefix: "/x/", Kind: catalog.Batch, Attempts: 3, Parts: []catalog.WeightedService{{Service: "s", Weight: 1}},
+		Name: "jobs", Host: "h", PathPrefix: "/x/", Kind: catalog.Batch, Attempts: 3, Services: []catalog.WeightedService{{Service: "s", Weight: 1}},
 	}}, []*catalog.Service{{Name: "s", Slots: 4}}, catalog.RequestLimits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	catalogs.Offer(parsed, nil, 1, time.Now())
+	catalogs.UpdateIfNewer(parsed, nil, 1, time.Now())
 	return New("z", catalogs, runners, client)
 }
 
@@ -88,7 +88,7 @@
 	begun := queue.ItemOutput{Last: 1, Text: []byte("a")}
 	for _, test := range []struct {
 		name               string
-		answer             func(context.Context, *exchange.Call) (*exchange.Answer, error)
+		answer             func(context.Context, *exchange.Call) (*exchange.Response, error)
 		from               queue.ItemOutput
 		done, dead, failed bool
 		text               string
@@ -105,9 +105,9 @@
 		{name: "the runner failed", answer: answers(500, true, ""), failed: true},
 		{name: "another's 500", answer: answers(500, false, "")},
 		{name: "a deadline", answer: answers(504, true, "")},
-		{name: "full", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonFull, Reached: true, Cause: errors.New("full")})},
-		{name: "another stands at the address", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonMisdirected, Reached: true, Cause: errors.New("421")})},
-		{name: "lost", answer: fails(&exchange.UnknownError{Cause: io.ErrUnexpectedEOF})},
+		{name: "full", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonFull, FromRunner: true, Cause: errors.New("full")})},
+		{name: "another stands at the address", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonMisdirected, FromRunner: true, Cause: errors.New("421")})},
+		{name: "lost", answer: fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF})},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -147,9 +147,9 @@
 // far is kept, and its runner is not ejected for it.
 func TestPreemption(t *testing.T) {
 	is := is.New(t)
-	silent := func(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
+	silent := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 		<-ctx.Done()
-		return nil, &exchange.UnknownError{Cause: ctx.Err()}
+		return nil, &exchange.OutcomeUnknownError{Cause: ctx.Err()}
 	}
 	executor := newExecutor(t, &scripted{answer: silent})
 	ended := make(chan string, 3)
@@ -167,9 +167,9 @@
 		}))
 	}
 	online := func(running int) {
-		executor.Runners.NotePeer("edge", "r1", runnerset.PeerReport{NodeLoad: runnerset.NodeLoad{Running: running}}, time.Now())
+		executor.Runners.RecordPeerReport("edge", "r1", runnerset.PeerReport{NodeLoad: runnerset.NodeLoad{Running: running}}, time.Now())
 	}
-	eventually.That(t, "three runs are registered", func() bool { return executor.running("r1") == 3 }, func() any { return executor.running("r1") })
+	eventually.Require(t, "three runs are registered", func() bool { return executor.running("r1") == 3 }, func() any { return executor.running("r1") })
 	online(1) // four slots hold the three and one
 	online(2)
 	is.Equal(<-ended, "late")
@@ -196,12 +196,12 @@
 }
 
 func (g *guard) Held(quarantine.Fingerprint) (time.Duration, bool) { return g.held, g.held > 0 }
-func (g *guard) Broke(string, quarantine.Fingerprint, string, string) {
+func (g *guard) RecordBrokenRun(string, quarantine.Fingerprint, string, string) {
 	g.broke++
 }
-func (g *guard) Completed(quarantine.Fingerprint)             { g.completed++ }
-func (g *guard) Avoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
-func (g *guard) Begin(quarantine.Fingerprint, string) func()  { return func() {} }
+func (g *guard) RecordCompletion(quarantine.Fingerprint)               { g.completed++ }
+func (g *guard) RunnersToAvoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
+func (g *guard) Begin(quarantine.Fingerprint, string) func()           { return func() {} }
 
 // An item under which runners end is not run, and not given up for it: it waits, and
 // what it had produced is kept.
@@ -223,13 +223,13 @@
 func TestBrokenRunsAreReported(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		answer           func(context.Context, *exchange.Call) (*exchange.Answer, error)
+		answer           func(context.Context, *exchange.Call) (*exchange.Response, error)
 		broke, completed int
 	}{
 		{"whole", answers(200, true, twoEvents), 0, 1},
 		{"breaks off", answers(200, true, "id: 1\ndata: a\n\nid: 2\nda"), 1, 0},
-		{"lost", fails(&exchange.UnknownError{Cause: io.ErrUnexpectedEOF}), 1, 0},
-		{"ended from here", fails(&exchange.UnknownError{Cause: context.Canceled}), 0, 0},
+		{"lost", fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF}), 1, 0},
+		{"ended from here", fails(&exchange.OutcomeUnknownError{Cause: context.Canceled}), 0, 0},
 		{"the runner failed", answers(500, true, ""), 0, 0},
 		{"not run", fails(&exchange.NotRunError{Reason: exchange.ReasonDial, Cause: errors.New("refused")}), 0, 0},
 	} {
@@ -257,9 +257,9 @@
 func TestWaitEndsWithTheRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		executor := newExecutor(t, &scripted{answer: func(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
+		executor := newExecutor(t, &scripted{answer: func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 			<-ctx.Done()
-			return nil, &exchange.UnknownError{Cause: ctx.Err()}
+			return nil, &exchange.OutcomeUnknownError{Cause: ctx.Err()}
 		}})
 		ctx, cancel := context.WithCancel(context.Background())
 		var ended, waited atomic.Bool
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -63,7 +63,7 @@
 	}
 	// Whatever closing reports, the answer was read whole or is given up.
 	defer func() { _ = answer.Body.Close() }()
-	r.runner.NoteLoad(answer.Load, time.Now())
+	r.runner.RecordLoad(answer.Load, time.Now())
 	if answer.Status != http.StatusOK {
 		return r.refused(answer)
 	}
@@ -74,7 +74,7 @@
 	call := &exchange.Call{
 		ID: r.work.Item.Id, Method: http.MethodPost, URI: r.work.Item.Path, Host: r.work.Host, Body: r.work.Item.Body,
 		RunnerID: r.runner.ID, Address: r.runner.Address, Service: r.runner.Service, Tenant: r.work.Tenant,
-		ResumeAfter: -1, Current: r.runner.Takes,
+		ResumeAfter: -1, MaySend: r.runner.AcceptsWork,
 	}
 	for _, header := range r.work.Item.Headers {
 		call.Headers = append(call.Headers, exchange.Header{Name: header.Name, Value: header.Value})
@@ -86,7 +86,7 @@
 }
 
 // follow reads events until the stream ends.
-func (r *run) follow(parent context.Context, answer *exchange.Answer, silenceTimer *time.Timer) queuestore.Outcome {
+func (r *run) follow(parent context.Context, answer *exchange.Response, silenceTimer *time.Timer) queuestore.Outcome {
 	events := eventstream.NewDecoder(answer.Body)
 	for {
 		silenceTimer.Reset(eventTimeout)
@@ -110,9 +110,9 @@
 	now := time.Now()
 	if r.output.Last == r.work.Output.Last {
 		r.firstEvent = now
-		r.inFlight.NoteFirstEvent(now)
+		r.inFlight.RecordFirstEvent(now)
 	} else {
-		r.inFlight.NoteEvent(now)
+		r.inFlight.RecordEvent(now)
 	}
 	r.output.Append(event.ID, event.Data)
 	if round := saveRound(now); round > r.savedRound {
@@ -137,15 +137,15 @@
 // noteEnding reports a run that broke off: if its runner has ended, that counts
 // against its item.
 func (r *run) noteEnding() {
-	if r.executor.Quarantine != nil && quarantine.Blames(r.firstEvent, time.Now()) {
-		r.executor.Quarantine.Broke(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
+	if r.executor.Quarantine != nil && quarantine.IsSuspectRun(r.firstEvent, time.Now()) {
+		r.executor.Quarantine.RecordBrokenRun(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
 	}
 }
 
 // noteCompleted records that a runner has completed the item.
 func (r *run) noteCompleted() {
 	if r.executor.Quarantine != nil {
-		r.executor.Quarantine.Completed(r.fingerprint)
+		r.executor.Quarantine.RecordCompletion(r.fingerprint)
 	}
 }
 
--- a/internal/batch/queuerun/save_test.go
+++ b/internal/batch/queuerun/save_test.go
@@ -41,8 +41,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		body := &pacedBody{every: 25 * time.Millisecond, events: 240}
-		executor := newExecutor(t, &scripted{answer: func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-			return &exchange.Answer{Status: 200, Stamped: true, Length: -1, Body: body}, nil
+		executor := newExecutor(t, &scripted{answer: func(context.Context, *exchange.Call) (*exchange.Response, error) {
+			return &exchange.Response{Status: 200, FromRunner: true, Length: -1, Body: body}, nil
 		}})
 		var mutex sync.Mutex
 		var saved []int64
--- a/internal/batch/queuestore/allotments.go
+++ b/internal/batch/queuestore/allotments.go
@@ -23,7 +23,7 @@
 // serveAllotment answers nodes that admit requests of tenants.
 func (n *StorageNode) serveAllotment(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.AllotmentRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	tenant := request.Tenant
@@ -36,7 +36,7 @@
 	}
 	reply := &wirev1.AllotmentReply{}
 	var refused error
-	if err := s.Ask(ctx, func() { refused = s.allot(&request, reply) }); err != nil {
+	if err := s.RunInLoop(ctx, func() { refused = s.allot(&request, reply) }); err != nil {
 		return err
 	}
 	if refused != nil {
--- a/internal/batch/queuestore/cluster_test.go
+++ b/internal/batch/queuestore/cluster_test.go
@@ -211,12 +211,12 @@
 	for i := range batch {
 		batch[i] = &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_End{End: "nobody"}}
 	}
-	_ = shard.Ask(context.Background(), func() { shard.Propose(batch...) })
+	_ = shard.RunInLoop(context.Background(), func() { shard.Propose(batch...) })
 	c.eventually("all have applied it", func() bool {
 		count := 0
 		for _, n := range c.nodes {
 			held := n.node.shard(0)
-			_ = held.Ask(context.Background(), func() {
+			_ = held.RunInLoop(context.Background(), func() {
 				if held.AppliedIndex() > 2*keepEntries {
 					count++
 				}
--- a/internal/batch/queuestore/disk_test.go
+++ b/internal/batch/queuestore/disk_test.go
@@ -126,7 +126,7 @@
 // applied returns how far the node's replica of the first shard has applied its log.
 func (n *testNode) applied() uint64 {
 	applied := uint64(0)
-	_ = n.node.shard(reportingShard).Ask(context.Background(), func() { applied = n.node.shard(reportingShard).AppliedIndex() })
+	_ = n.node.shard(reportingShard).RunInLoop(context.Background(), func() { applied = n.node.shard(reportingShard).AppliedIndex() })
 	return applied
 }
 
@@ -152,7 +152,7 @@
 	}
 	is.True(result.Is(refusal, result.StoreFull))
 	is.True(len(taken) > 0)
-	is.True(result.From(refusal).RetryAfter > 0)
+	is.True(result.FromError(refusal).RetryAfter > 0)
 	reply, err := c.read(fmt.Sprintf("big-%d", len(taken)))
 	is.NoErr(err)
 	is.True(!reply.Found)
@@ -203,7 +203,7 @@
 // freeSpaceOf returns what a member reported of its disk.
 func (s *shard) freeSpaceOf(member string) uint64 {
 	room := uint64(math.MaxUint64)
-	_ = s.Ask(context.Background(), func() {
+	_ = s.RunInLoop(context.Background(), func() {
 		if reported, known := s.freeSpace[member]; known {
 			room = reported
 		}
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -73,7 +73,7 @@
 		s.fenced++
 	}
 	for _, layouts := range s.follow {
-		layouts.Offer(value.Key, value.Value, value.Revision, "test")
+		layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "test")
 	}
 	return true, nil
 }
@@ -84,7 +84,7 @@
 	defer s.mutex.Unlock()
 	for key, value := range s.values {
 		if !s.down {
-			layouts.Offer(key, value.Value, value.Revision, "test")
+			layouts.UpdateIfNewer(key, value.Value, value.Revision, "test")
 		}
 	}
 }
@@ -256,7 +256,7 @@
 		for name, record := range c.records {
 			n.node.Directory.Put(record)
 			if c.nodes[name].running {
-				n.node.Directory.NoteContact(name, now)
+				n.node.Directory.RecordContact(name, now)
 			}
 		}
 	}
--- a/internal/batch/queuestore/home.go
+++ b/internal/batch/queuestore/home.go
@@ -24,12 +24,12 @@
 
 // home is a node that places items, and the runners that it knows.
 type home struct {
-	node string
-	draw *subset.Draw // nil for all
+	node   string
+	subset *subset.Subset // nil for all
 }
 
 func (h *home) knows(place subset.ServiceZone, position uint64) bool {
-	return h.draw == nil || h.draw.Knows(place, position)
+	return h.subset == nil || h.subset.Contains(place, position)
 }
 
 // homesLife is how long the live disks are taken to be the same.
@@ -68,7 +68,7 @@
 		if !list[i].knows(place, position) {
 			continue
 		}
-		if weight := ownership.PairWeight(runner, list[i].node); best == "" || weight > most {
+		if weight := ownership.NodeWeight(runner, list[i].node); best == "" || weight > most {
 			best, most = list[i].node, weight
 		}
 	}
@@ -98,7 +98,7 @@
 	for _, disk := range live {
 		one := home{node: disk.NodeId}
 		if totals != nil {
-			one.draw = subset.DrawOf(subset.InterestOf(disk.NodeId, disk.Zone, true), *totals)
+			one.subset = subset.Compute(subset.DefaultInterest(disk.NodeId, disk.Zone, true), *totals)
 		}
 		h.all = append(h.all, one)
 		h.zones[disk.Zone] = append(h.zones[disk.Zone], one)
@@ -118,5 +118,5 @@
 	if !n.Directory.Large() {
 		return n.liveDisks(now)
 	}
-	return slices.DeleteFunc(n.usableDisks(), func(disk *wirev1.NodeRecord) bool { return n.Directory.Silent(disk.NodeId) })
+	return slices.DeleteFunc(n.usableDisks(), func(disk *wirev1.NodeRecord) bool { return n.Directory.Unresponsive(disk.NodeId) })
 }
--- a/internal/batch/queuestore/layout.go
+++ b/internal/batch/queuestore/layout.go
@@ -64,7 +64,7 @@
 }
 
 func (s *shard) observe(config replica.MemberSet) {
-	s.askIfRunning(func() {
+	s.runIfRunning(func() {
 		before := s.Replica.MemberSet().Generation
 		s.Replica.Observe(time.Now(), config)
 		if after := s.Replica.MemberSet().Generation; after != before {
@@ -81,7 +81,7 @@
 
 // ready reports whether the known disks have been the same for long enough.
 func (f *founding) ready(disks []string, wanted, turn int, now time.Time) bool {
-	if f.since.IsZero() || !placement.SameSet(f.disks, disks) {
+	if f.since.IsZero() || !placement.SameMembers(f.disks, disks) {
 		f.disks, f.since = disks, now
 	}
 	wait := foundingWait
@@ -180,7 +180,7 @@
 // changes later.
 func (n *StorageNode) reread(ctx context.Context, key string) {
 	if value, found, err := n.Store.Get(ctx, key); err == nil && found {
-		n.Layouts.Offer(key, value.Value, value.Revision, "read")
+		n.Layouts.UpdateIfNewer(key, value.Value, value.Revision, "read")
 	}
 }
 
@@ -237,7 +237,7 @@
 		return false
 	}
 	leads := false
-	s.askIfRunning(func() {
+	s.runIfRunning(func() {
 		leads = s.leader != nil && s.leader.suspended.IsZero() && s.leader.aloneSince.IsZero() && s.Replica.Serving()
 	})
 	return leads
--- a/internal/batch/queuestore/layouts.go
+++ b/internal/batch/queuestore/layouts.go
@@ -91,26 +91,26 @@
 	return digest
 }
 
-// Takes reports whether a key is of the layout.
-func (l *Layouts) Takes(key string) bool {
+// HasKey reports whether a key is of the layout.
+func (l *Layouts) HasKey(key string) bool {
 	return key == LayoutKey || strings.HasPrefix(key, shardKeys)
 }
 
-// Offer takes a value of the layout if it is newer.
-func (l *Layouts) Offer(key string, value []byte, revision int64, source string) {
+// UpdateIfNewer takes a value of the layout if it is newer.
+func (l *Layouts) UpdateIfNewer(key string, value []byte, revision int64, source string) {
 	item := &wirev1.StoredItem{Key: key, Value: value, Revision: revision}
 	var err error
 	if key == LayoutKey {
-		err = l.offerFounded(item, source)
+		err = l.updateFounded(item, source)
 	} else {
-		err = l.offerOwn(item)
+		err = l.updateOwn(item)
 	}
 	if err != nil {
 		klog.ErrorS(err, "stored layout is unreadable", "key", key, "revision", revision)
 	}
 }
 
-func (l *Layouts) offerFounded(item *wirev1.StoredItem, source string) error {
+func (l *Layouts) updateFounded(item *wirev1.StoredItem, source string) error {
 	first := &Layout{}
 	if err := json.Unmarshal(item.Value, first); err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (l *Layouts) offerOwn(item *wirev1.StoredItem) error {
+func (l *Layouts) updateOwn(item *wirev1.StoredItem) error {
 	id, err := strconv.ParseUint(strings.TrimPrefix(item.Key, shardKeys), 10, 32)
 	if err != nil {
 		return err
--- a/internal/batch/queuestore/layouts_test.go
+++ b/internal/batch/queuestore/layouts_test.go
@@ -125,7 +125,7 @@
 		for _, holder := range holders {
 			seen := map[int]uint64{}
 			for _, place := range rapid.Permutation(items).Draw(t, "order") {
-				holder.Offer(place.Key, place.Value, place.Revision, "test")
+				holder.UpdateIfNewer(place.Key, place.Value, place.Revision, "test")
 				if layout := holder.Current(); layout != nil {
 					for id, config := range layout.Shards {
 						if config.Generation < seen[id] {
--- a/internal/batch/queuestore/limits.go
+++ b/internal/batch/queuestore/limits.go
@@ -56,7 +56,7 @@
 // reportWaiting reports what waits in a shard, if it is led here and has changed.
 func (s *shard) reportWaiting(ctx context.Context) {
 	var request *wirev1.QueueReserveRequest
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		l := s.leader
 		if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
 			return
@@ -72,7 +72,7 @@
 	}
 	reply, err := s.node.askLedger(ctx, request)
 	if err != nil || reply.Incomplete {
-		s.askIfRunning(s.reportAgain)
+		s.runIfRunning(s.reportAgain)
 	}
 }
 
@@ -178,7 +178,7 @@
 // serveReserve answers other leaders.
 func (n *StorageNode) serveReserve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReserveRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	reply, err := n.reserveHere(ctx, &request)
@@ -197,7 +197,7 @@
 	}
 	reply := &wirev1.QueueReserveReply{}
 	var refused error
-	if err := s.Ask(ctx, func() { refused = s.reserveInLedger(request, reply) }); err != nil {
+	if err := s.RunInLoop(ctx, func() { refused = s.reserveInLedger(request, reply) }); err != nil {
 		return nil, err
 	}
 	if refused != nil || !reply.Granted {
--- a/internal/batch/queuestore/members.go
+++ b/internal/batch/queuestore/members.go
@@ -19,7 +19,7 @@
 	swapTimeout      = 3 * time.Second
 )
 
-var handOverTimes = shardhost.HandOverTimes{Interval: handOverInterval, Timeout: handOverTimeout, Frozen: frozenTimeout, Swap: swapTimeout}
+var handOverTimes = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: frozenTimeout, SwapTimeout: swapTimeout}
 
 // NextMembers implements shardhost.MemberPolicy: members that are being emptied or
 // whose disk is gone are replaced, and spare disks added up to the number wanted. A
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -101,7 +101,7 @@
 	Directory        *peers.Directory
 	Layouts          *Layouts
 	Pool             *rpc.Pool
-	Store            ports.KeyValue
+	Store            ports.KeyValueStore
 	Contact          StoreContact
 	// Totals returns how many runners there are, if nodes know a part of them each;
 	// nil stands for not.
--- a/internal/batch/queuestore/placement.go
+++ b/internal/batch/queuestore/placement.go
@@ -68,13 +68,13 @@
 		return
 	}
 	disks := slices.DeleteFunc(n.usableDisks(), func(disk *wirev1.NodeRecord) bool {
-		return slices.Contains(members, disk.DiskId) || n.Directory.Silent(disk.NodeId)
+		return slices.Contains(members, disk.DiskId) || n.Directory.Unresponsive(disk.NodeId)
 	})
 	sort.Slice(disks, func(i, j int) bool {
 		return placement.Weight(shard, disks[i].DiskId) > placement.Weight(shard, disks[j].DiskId)
 	})
 	for _, disk := range disks[:min(sparesAsked, len(disks))] {
-		n.Directory.WantContact(disk.NodeId, now)
+		n.Directory.RequestProbe(disk.NodeId, now)
 	}
 }
 
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -63,11 +63,11 @@
 	work := &Work{Key: key, Host: record.Host, Route: record.Route, Tenant: record.Tenant, Item: item, Output: entry.Output, Due: entry.Due, Slack: l.table.Slack(entry, time.Now()), Failures: entry.Failures}
 	work.Save = func(output queue.ItemOutput) {
 		// A run that has ended meanwhile has nothing to keep: its outcome has all of it.
-		_ = s.Ask(ctx, func() { s.noteProgress(l, key, item.Id, output) })
+		_ = s.RunInLoop(ctx, func() { s.noteProgress(l, key, item.Id, output) })
 	}
 	if !s.node.Executor.TryStart(ctx, work, func(outcome Outcome) {
 		cancel()
-		s.askIfRunning(func() { s.ended(l, key, work, outcome) })
+		s.runIfRunning(func() { s.ended(l, key, work, outcome) })
 	}) {
 		cancel()
 		if entry.Service = work.FullService; entry.Service != "" {
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -40,7 +40,7 @@
 // serveSubmit takes a job. A job taken before is known whatever the limit is.
 func (n *StorageNode) serveSubmit(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueSubmitRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	s, err := n.serving(request.Job.Id)
@@ -85,7 +85,7 @@
 	}
 	job.AcceptedUnixMs = time.Now().UnixMilli()
 	command := &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Accept{Accept: job}}
-	applied, err := s.SubmitThen(ctx, command, func() { s.unreserve(&want) })
+	applied, err := s.ProposeWithCallback(ctx, command, func() { s.unreserve(&want) })
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 func (s *shard) reserve(ctx context.Context, job string, want *reservation) (bool, error) {
 	var known bool
 	var refused error
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		l := s.leader
 		if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
 			refused = result.New(result.NotLeader, "shard %d is not led here", s.ID)
@@ -126,7 +126,7 @@
 			return
 		}
 		if !s.fits(want.bytes + l.acceptingBytes) {
-			refused = result.New(result.StoreFull, "a disk of shard %d has no room: %d bytes come, the job has %d", s.ID, l.acceptingBytes, want.bytes).After(diskFullAfter)
+			refused = result.New(result.StoreFull, "a disk of shard %d has no room: %d bytes come, the job has %d", s.ID, l.acceptingBytes, want.bytes).WithRetryAfter(diskFullAfter)
 			return
 		}
 		want.holder = l
@@ -141,7 +141,7 @@
 }
 
 func tooManyTokens(want *reservation, waiting uint64) error {
-	return result.New(result.TenantTokens, "%d tokens wait on route %s of tenant %q, the job has %d, allowed are %d", waiting, want.account.Route, want.account.Tenant, want.tokens, want.limit).After(retryAfter)
+	return result.New(result.TenantTokens, "%d tokens wait on route %s of tenant %q, the job has %d, allowed are %d", waiting, want.account.Route, want.account.Tenant, want.tokens, want.limit).WithRetryAfter(retryAfter)
 }
 
 // reserveOverAll asks the ledger of waiting tokens whether a submission fits, and
@@ -168,7 +168,7 @@
 // took of the one before may be given back already.
 func (s *shard) askLedgerForTokens(ctx context.Context, want *reservation) (*wirev1.QueueReserveReply, error) {
 	var request *wirev1.QueueReserveRequest
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		if s.leader == want.holder {
 			request = s.report()
 		}
@@ -186,7 +186,7 @@
 
 // unreserve gives back what a submission that is applied or dropped had taken.
 func (s *shard) unreserve(want *reservation) {
-	s.askIfRunning(func() {
+	s.runIfRunning(func() {
 		want.holder.accepting[want.account] -= want.tokens
 		want.holder.acceptingBytes -= want.bytes
 	})
@@ -195,7 +195,7 @@
 // serveRead answers what a job has listed, for sure or not at all.
 func (n *StorageNode) serveRead(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReadRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	s, err := n.serving(request.JobId)
@@ -214,7 +214,7 @@
 	until := time.Now().Add(time.Duration(request.WaitMs) * time.Millisecond)
 	for {
 		var changed <-chan struct{}
-		err := s.Ask(ctx, func() {
+		err := s.RunInLoop(ctx, func() {
 			if s.leader != nil {
 				changed = s.leader.watch(request.JobId)
 			}
@@ -256,7 +256,7 @@
 
 func (n *StorageNode) serveItem(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueItemRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	s, err := n.serving(request.JobId)
@@ -295,14 +295,14 @@
 
 func (n *StorageNode) serveEnd(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueEndRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	s, err := n.serving(request.JobId)
 	if err != nil {
 		return err
 	}
-	applied, err := s.Submit(ctx, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_End{End: request.JobId}})
+	applied, err := s.ProposeAndWait(ctx, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_End{End: request.JobId}})
 	klog.InfoS("job end", "job", request.JobId, "shard", s.ID, "err", err)
 	if err != nil {
 		return err
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -52,18 +52,18 @@
 	options := shardhost.HostOptions{
 		DB: n.DB, Pool: n.Pool, Timing: timing(), Peer: n.peer, Send: n.sendReplica,
 		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTimes,
-		DeclineSnapshots: true, AskTogether: true,
+		DeclineSnapshots: true, BatchLoopCalls: true,
 	}
 	return shardhost.New(n.context, options, func(s *hosted) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
 		return &shard{hosted: s, node: n}
 	})
 }
 
-// askIfRunning runs a function on the shard's goroutine and waits for it, unless the
+// runIfRunning runs a function on the shard's goroutine and waits for it, unless the
 // shard or the node has stopped: what the function would change has ended then too. It
 // is for any other goroutine.
-func (s *shard) askIfRunning(question func()) {
-	_ = s.Ask(s.node.context, question) // fails only then
+func (s *shard) runIfRunning(question func()) {
+	_ = s.RunInLoop(s.node.context, question) // fails only then
 }
 
 // Apply implements shardhost.StateMachine.
@@ -103,9 +103,9 @@
 }
 
 // Started implements shardhost.Events.
-func (s *shard) Started(loaded *logstore.Loaded) {
-	klog.InfoS("queue replica started", "shard", s.ID, "disk", s.Disk, "generation", loaded.Config.Generation, "members", loaded.Config.Members,
-		"log", s.Replica.LastIndex(), "applied", loaded.Applied, "known", loaded.Known)
+func (s *shard) Started(loaded *logstore.RecoveredState) {
+	klog.InfoS("queue replica started", "shard", s.ID, "disk", s.Disk, "generation", loaded.MemberSet.Generation, "members", loaded.MemberSet.Members,
+		"log", s.Replica.LastIndex(), "applied", loaded.Applied, "known", loaded.Exists)
 }
 
 // Failed implements shardhost.Events.
--- a/internal/batch/queuestore/spread_test.go
+++ b/internal/batch/queuestore/spread_test.go
@@ -166,7 +166,7 @@
 	started := time.Now()
 	c.eventually("the first member was thought of", func() bool {
 		thought := false
-		_ = s.Ask(context.Background(), func() { thought = s.leader == nil || s.leader.preferred.After(started) })
+		_ = s.RunInLoop(context.Background(), func() { thought = s.leader == nil || s.leader.preferred.After(started) })
 		return thought
 	})
 	is.True(c.leader() != "")
@@ -188,10 +188,10 @@
 		directory := peers.NewDirectory(&wirev1.NodeRecord{NodeId: fmt.Sprint("n", self), DiskId: fmt.Sprint("disk-", self), Zone: fmt.Sprint("z", self%3), Incarnation: 1})
 		for i := range 7 {
 			directory.Put(&wirev1.NodeRecord{NodeId: fmt.Sprint("n", i), DiskId: fmt.Sprint("disk-", i), Zone: fmt.Sprint("z", i%3), Incarnation: 1})
-			directory.NoteContact(fmt.Sprint("n", i), now)
+			directory.RecordContact(fmt.Sprint("n", i), now)
 		}
 		layouts := NewLayouts()
-		layouts.Offer(LayoutKey, text, 1, "test")
+		layouts.UpdateIfNewer(LayoutKey, text, 1, "test")
 		name := fmt.Sprint("n", self)
 		nodes[name] = &StorageNode{NodeOptions: NodeOptions{Node: name, Directory: directory, Layouts: layouts}}
 	}
--- a/internal/batch/queuestore/stored_test.go
+++ b/internal/batch/queuestore/stored_test.go
@@ -41,17 +41,17 @@
 	first, err := db.Shard(0).Load()
 	is.NoErr(err)
 	const epoch = 1<<40 + 1<<8 + 1 // generation 1, first election, first member
-	is.Equal(first, &logstore.Loaded{
-		Hard: replica.HardState{Promised: epoch, Commit: 45, Generation: 1}, Config: replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1},
-		BaseIndex: 37, BaseEpoch: epoch, Epochs: slices.Repeat([]uint64{epoch}, 14), Applied: 51, Known: true,
+	is.Equal(first, &logstore.RecoveredState{
+		HardState: replica.HardState{Promised: epoch, Commit: 45, Generation: 1}, MemberSet: replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1},
+		BaseIndex: 37, BaseEpoch: epoch, Epochs: slices.Repeat([]uint64{epoch}, 14), Applied: 51, Exists: true,
 	})
 	second, err := db.Shard(1).Load()
 	is.NoErr(err)
 	const before = 4<<40 + 2<<8 + 2 // generation 4, second election, second member
-	is.Equal(second, &logstore.Loaded{
-		Hard:      replica.HardState{Promised: 4<<40 + 3<<8 + 1, Commit: 40, Frozen: true, FrozenAttempt: 2, Generation: 4},
-		Config:    replica.MemberSet{Generation: 4, Members: []string{storedDiskID, "disk-other"}, Attempt: 2, Copies: 2},
-		BaseIndex: 40, BaseEpoch: before, Epochs: []uint64{before, before, before}, Applied: 40, Known: true,
+	is.Equal(second, &logstore.RecoveredState{
+		HardState: replica.HardState{Promised: 4<<40 + 3<<8 + 1, Commit: 40, Frozen: true, FrozenAttempt: 2, Generation: 4},
+		MemberSet: replica.MemberSet{Generation: 4, Members: []string{storedDiskID, "disk-other"}, Attempt: 2, Copies: 2},
+		BaseIndex: 40, BaseEpoch: before, Epochs: []uint64{before, before, before}, Applied: 40, Exists: true,
 	})
 
 	documents, revision, err := db.LoadDocuments()
--- a/internal/batch/shardhost/application.go
+++ b/internal/batch/shardhost/application.go
@@ -84,7 +84,7 @@
 // methods for those that it takes.
 type Events interface {
 	// Started: the replica runs with what its disk holds.
-	Started(loaded *logstore.Loaded)
+	Started(loaded *logstore.RecoveredState)
 	// Failed: the replica stopped, because its disk can't be trusted. A restart of
 	// the node checks the disk, gives it a new identity, and the members replace it.
 	Failed(err error)
@@ -114,7 +114,7 @@
 type NoEvents struct{}
 
 // Started implements Events.
-func (NoEvents) Started(*logstore.Loaded) {}
+func (NoEvents) Started(*logstore.RecoveredState) {}
 
 // Failed implements Events.
 func (NoEvents) Failed(error) {}
--- a/internal/batch/shardhost/handover.go
+++ b/internal/batch/shardhost/handover.go
@@ -42,7 +42,7 @@
 		return
 	}
 	mayPlan := s.Replica.Serving() || !s.host.options.PlanWhileServing
-	if mayPlan && now.Sub(h.lastCheck) >= times.Interval {
+	if mayPlan && now.Sub(h.lastCheck) >= times.CheckInterval {
 		h.lastCheck = now
 		s.planHandOver(now, h)
 	}
@@ -52,7 +52,7 @@
 func (s *Shard[Command, Result]) planHandOver(now time.Time, h *handOver) {
 	config := s.Replica.MemberSet()
 	next := s.application.NextMembers(now, config)
-	if placement.SameSet(next, config.Members) {
+	if placement.SameMembers(next, config.Members) {
 		return
 	}
 	h.next = replica.MemberSet{Generation: config.Generation + 1, Members: next, Copies: config.Copies}
@@ -75,7 +75,7 @@
 
 // freezeWhenReady begins the sealed part.
 func (s *Shard[Command, Result]) freezeWhenReady(now time.Time, h *handOver) {
-	if now.Sub(h.began) > s.host.options.HandOver.Timeout {
+	if now.Sub(h.began) > s.host.options.HandOver.CatchUpTimeout {
 		s.Replica.SetLearners(now, nil)
 		s.endHandOver(h, "timed out")
 		return
@@ -96,11 +96,11 @@
 func (s *Shard[Command, Result]) swap(h *handOver) {
 	before, after := s.Replica.MemberSet(), h.next
 	h.swapping = s.host.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(s.host.context, s.host.options.HandOver.Swap)
+		ctx, cancel := context.WithTimeout(s.host.context, s.host.options.HandOver.SwapTimeout)
 		defer cancel()
 		committed, err := s.application.Swap(ctx, before, after)
 		s.application.SwapEnded(after, committed, err)
-		s.askWhileRunning(func() {
+		s.runWhileRunning(func() {
 			h.swapping = false
 			if committed {
 				s.Replica.Observe(time.Now(), after)
@@ -115,18 +115,18 @@
 	if h.frozenAt.IsZero() {
 		h.frozenAt = now
 	}
-	if h.fencing || now.Sub(h.frozenAt) < s.host.options.HandOver.Frozen {
+	if h.fencing || now.Sub(h.frozenAt) < s.host.options.HandOver.FreezeTimeout {
 		return
 	}
 	before := s.Replica.MemberSet()
 	h.fencing = s.host.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(s.host.context, s.host.options.HandOver.Swap)
+		ctx, cancel := context.WithTimeout(s.host.context, s.host.options.HandOver.SwapTimeout)
 		defer cancel()
 		after := before
 		after.Attempt++
 		committed, err := s.application.Fence(ctx, before, after)
 		s.application.FenceEnded(after, committed, err)
-		s.askWhileRunning(func() {
+		s.runWhileRunning(func() {
 			h.fencing = false
 			h.frozenAt = time.Time{}
 			if committed {
@@ -169,7 +169,7 @@
 func (s *Shard[Command, Result]) HandOnLeadership(ctx context.Context, preferred func(disk string) bool) {
 	for range handOnTries {
 		leading := false
-		err := s.Ask(ctx, func() {
+		err := s.RunInLoop(ctx, func() {
 			leading = s.Replica.Role() == replica.Leader
 			if leading {
 				s.Replica.TransferLeadership(time.Now(), preferred)
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -28,16 +28,16 @@
 // Peer is the node that has a disk.
 type Peer struct{ Node, Address string }
 
-// HandOverTimes bound the change of a member set.
-type HandOverTimes struct {
-	// Interval between two looks whether a change is wanted.
-	Interval time.Duration
-	// Timeout for new members to catch up.
-	Timeout time.Duration
-	// Frozen is how long a member stays frozen before it fences the hand-over.
-	Frozen time.Duration
-	// Swap bounds one change of the stored member set.
-	Swap time.Duration
+// HandOverTiming bounds the change of a member set.
+type HandOverTiming struct {
+	// CheckInterval between two looks whether a change is wanted.
+	CheckInterval time.Duration
+	// CatchUpTimeout for new members to catch up.
+	CatchUpTimeout time.Duration
+	// FreezeTimeout is how long a member stays frozen before it fences the hand-over.
+	FreezeTimeout time.Duration
+	// SwapTimeout bounds one change of the stored member set.
+	SwapTimeout time.Duration
 }
 
 // HostOptions are what differs between programs.
@@ -54,7 +54,7 @@
 	SnapshotTimeout time.Duration
 	// TruncateInterval is the time between two looks at the length of a log.
 	TruncateInterval time.Duration
-	HandOver         HandOverTimes
+	HandOver         HandOverTiming
 	// PlanWhileServing: only a leader that serves plans a change of members. Otherwise
 	// one that can't commit plans it too: it was elected by an election quorum, so its
 	// log has all that was acknowledged, and the seal needs no commit.
@@ -62,9 +62,9 @@
 	// DeclineSnapshots: a replica that needs no snapshot says from where the leader is
 	// to go on. Otherwise it does not answer the offer.
 	DeclineSnapshots bool
-	// AskTogether: questions of Ask are taken along with queued messages before the
+	// BatchLoopCalls: calls of RunInLoop are taken along with queued messages before the
 	// next durable write. Otherwise one is taken for each round of the loop.
-	AskTogether bool
+	BatchLoopCalls bool
 	// LogKeys come first in each log line.
 	LogKeys []any
 }
@@ -125,7 +125,7 @@
 	if err != nil {
 		return trace.Wrap(err, "loading")
 	}
-	if !loaded.Known {
+	if !loaded.Exists {
 		if created == nil {
 			return nil
 		}
@@ -143,20 +143,20 @@
 }
 
 // create writes the first member set of a shard.
-func create(store *logstore.ShardLog, loaded *logstore.Loaded, config replica.MemberSet) error {
-	loaded.Config = config
-	loaded.Hard.Generation = config.Generation
-	first := replica.Ready{HardState: &loaded.Hard}
+func create(store *logstore.ShardLog, loaded *logstore.RecoveredState, config replica.MemberSet) error {
+	loaded.MemberSet = config
+	loaded.HardState.Generation = config.Generation
+	first := replica.Ready{HardState: &loaded.HardState}
 	return store.Persist(&first, config, 0, 0)
 }
 
-func (h *Host[Command, Result]) newShard(id uint32, store *logstore.ShardLog, loaded *logstore.Loaded) *Shard[Command, Result] {
+func (h *Host[Command, Result]) newShard(id uint32, store *logstore.ShardLog, loaded *logstore.RecoveredState) *Shard[Command, Result] {
 	disk := h.options.DB.DiskID()
 	random := rand.New(rand.NewPCG(rand.Uint64(), uint64(id)))
 	s := &Shard[Command, Result]{
 		ID: id, Disk: disk, Store: store,
-		Replica: replica.Restore(id, disk, loaded.Config, h.options.Timing, random, store,
-			loaded.Hard, loaded.BaseIndex, loaded.BaseEpoch, loaded.Epochs, time.Now()),
+		Replica: replica.Restore(id, disk, loaded.MemberSet, h.options.Timing, random, store,
+			loaded.HardState, loaded.BaseIndex, loaded.BaseEpoch, loaded.Epochs, time.Now()),
 		host: h, applied: loaded.Applied,
 		messages:  make(chan *wirev1.ReplicaMessage, queueLength),
 		proposals: make(chan *proposal[Command, Result], queueLength),
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// Ask runs a function on the shard's goroutine and waits for it. The error says that
+// RunInLoop runs a function on the shard's goroutine and waits for it. The error says that
 // it was not run, or that the shard stopped meanwhile. It is for any other goroutine.
-func (s *Shard[Command, Result]) Ask(ctx context.Context, question func()) error {
+func (s *Shard[Command, Result]) RunInLoop(ctx context.Context, question func()) error {
 	finished := make(chan struct{})
 	wrapped := func() {
 		defer close(finished)
@@ -143,16 +143,16 @@
 	}
 }
 
-// Submit proposes a command and waits until it is applied. The error says NotLeader
+// ProposeAndWait proposes a command and waits until it is applied. The error says NotLeader
 // if it was not taken and CommitUnknown if its fate is not known. It is for any other
 // goroutine.
-func (s *Shard[Command, Result]) Submit(ctx context.Context, command Command) (Result, error) {
-	return s.SubmitThen(ctx, command, nil)
+func (s *Shard[Command, Result]) ProposeAndWait(ctx context.Context, command Command) (Result, error) {
+	return s.ProposeWithCallback(ctx, command, nil)
 }
 
-// SubmitThen is Submit, and calls settled (unless it is nil) once the command is
+// ProposeWithCallback is ProposeAndWait, and calls settled (unless it is nil) once the command is
 // applied or dropped, which may be after the context has ended.
-func (s *Shard[Command, Result]) SubmitThen(ctx context.Context, command Command, settled func()) (Result, error) {
+func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, settled func()) (Result, error) {
 	if settled == nil {
 		settled = func() {}
 	}
--- a/internal/batch/shardhost/read.go
+++ b/internal/batch/shardhost/read.go
@@ -19,7 +19,7 @@
 // applied all that was committed before it. It is for any other goroutine.
 func (s *Shard[Command, Result]) Confirm(ctx context.Context) error {
 	released := make(chan bool, 1)
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		if !s.Replica.Serving() {
 			released <- false
 			return
--- a/internal/batch/shardhost/shard.go
+++ b/internal/batch/shardhost/shard.go
@@ -17,7 +17,7 @@
 // Shard drives one replica. One goroutine takes messages, proposals and questions,
 // persists what the replica says, and applies what is committed. Exported fields and
 // methods are for the shard's goroutine (the application's methods, and functions passed
-// to Ask), unless they say otherwise.
+// to RunInLoop), unless they say otherwise.
 //
 // Invariant: nothing is sent in the replica's name before what it rests on is on
 // disk, and nothing is answered before it is applied.
@@ -113,7 +113,7 @@
 // drainQueues takes what else is queued, so that one fsync serves it all.
 func (s *Shard[Command, Result]) drainQueues() {
 	questions := s.questions
-	if !s.host.options.AskTogether {
+	if !s.host.options.BatchLoopCalls {
 		questions = nil
 	}
 	var batch []*proposal[Command, Result]
--- a/internal/batch/shardhost/shardhost_test.go
+++ b/internal/batch/shardhost/shardhost_test.go
@@ -81,7 +81,7 @@
 		DB: db, Pool: pool, Timing: replica.ElectionTiming{Heartbeat: 20 * time.Millisecond, Election: 60 * time.Millisecond},
 		Peer: func(string) (Peer, bool) { return Peer{}, false }, Send: func(*wirev1.ReplicaMessage) {},
 		SnapshotTimeout: testSnapshotTimeout, TruncateInterval: 10 * time.Millisecond,
-		HandOver: HandOverTimes{Interval: time.Second, Timeout: time.Second, Frozen: testFrozen, Swap: time.Second},
+		HandOver: HandOverTiming{CheckInterval: time.Second, CatchUpTimeout: time.Second, FreezeTimeout: testFrozen, SwapTimeout: time.Second},
 	}, func(*Shard[*wirev1.QueueCommand, int]) Application[*wirev1.QueueCommand, int] { return &counter{} })
 	t.Cleanup(func() {
 		host.Stop()
@@ -97,7 +97,7 @@
 func awaitLeader(t *testing.T, s *Shard[*wirev1.QueueCommand, int]) {
 	t.Helper()
 	var err error
-	eventually.That(t, "the shard is led", func() bool {
+	eventually.Require(t, "the shard is led", func() bool {
 		err = s.Confirm(t.Context())
 		return err == nil
 	}, func() any { return err })
@@ -115,19 +115,19 @@
 		s := startHost(t, folder).Shard(0)
 		awaitLeader(t, s)
 		for i := range commands {
-			count, err := s.Submit(t.Context(), anyCommand)
+			count, err := s.ProposeAndWait(t.Context(), anyCommand)
 			is.NoErr(err)
 			is.Equal(count, i+1)
 		}
-		eventually.That(t, "the log is truncated", func() bool {
+		eventually.Require(t, "the log is truncated", func() bool {
 			base := uint64(0)
-			is.NoErr(s.Ask(t.Context(), func() { base, _ = s.Replica.Base() }))
+			is.NoErr(s.RunInLoop(t.Context(), func() { base, _ = s.Replica.Base() }))
 			return base >= commands-2
 		})
 	})
 	s := startHost(t, folder).Shard(0)
 	awaitLeader(t, s)
-	count, err := s.Submit(t.Context(), anyCommand)
+	count, err := s.ProposeAndWait(t.Context(), anyCommand)
 	is.NoErr(err)
 	is.Equal(count, commands+1)
 }
@@ -139,7 +139,7 @@
 	s := host.Shard(0)
 	awaitLeader(t, s)
 	host.Stop()
-	_, err := s.Submit(t.Context(), anyCommand)
+	_, err := s.ProposeAndWait(t.Context(), anyCommand)
 	is.True(result.Is(err, result.NotLeader) || result.Is(err, result.CommitUnknown))
 	is.True(result.Is(s.Confirm(t.Context()), result.NotLeader))
 	is.True(host.Start(1, &replica.MemberSet{Generation: 1, Members: []string{s.Disk}, Copies: 1}) != nil)
@@ -162,7 +162,7 @@
 	s := startHost(t, t.TempDir()).Shard(0)
 	awaitLeader(t, s)
 	now := time.Now()
-	is.NoErr(s.Ask(t.Context(), func() {
+	is.NoErr(s.RunInLoop(t.Context(), func() {
 		s.handOver = handOver{frozenAt: now.Add(-2 * testFrozen)} // of a freeze that has ended
 		s.tickHandOver(now)
 		is.True(s.Replica.Freeze())
@@ -177,10 +177,10 @@
 	s := startHost(t, t.TempDir()).Shard(0)
 	awaitLeader(t, s)
 	for round := range 20 {
-		is.NoErr(s.Ask(t.Context(), func() { s.installing = true }))
+		is.NoErr(s.RunInLoop(t.Context(), func() { s.installing = true }))
 		s.fetchSnapshot(deadAddress, nil)
 		installing := true
-		is.NoErr(s.Ask(t.Context(), func() { installing = s.installing }))
+		is.NoErr(s.RunInLoop(t.Context(), func() { installing = s.installing }))
 		if installing {
 			t.Fatalf("round %d: the replica still waits for its snapshot", round)
 		}
--- a/internal/batch/shardhost/snapshot.go
+++ b/internal/batch/shardhost/snapshot.go
@@ -19,7 +19,7 @@
 // behind for its log.
 func (h *Host[Command, Result]) ServeSnapshot(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.SnapshotRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	s := h.Shard(request.Shard)
@@ -28,7 +28,7 @@
 	}
 	var view *logstore.StateView
 	var index, epoch uint64
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		if s.Replica.Role() == replica.Leader {
 			view = s.Store.Snapshot()
 			index = s.applied
@@ -83,7 +83,7 @@
 	index, epoch, err := s.receiveSnapshot(ctx, address, installer)
 	// Not bounded by the snapshot's timeout: a replica that does not learn of the end
 	// takes no messages any more.
-	s.askWhileRunning(func() {
+	s.runWhileRunning(func() {
 		s.installing = false
 		s.application.SnapshotReceived(index, err)
 		if err == nil {
--- a/internal/batch/shardhost/transport.go
+++ b/internal/batch/shardhost/transport.go
@@ -52,8 +52,8 @@
 	return h.Shard(message.Shard)
 }
 
-// askWhileRunning is Ask for the host's own tasks: a shard that has stopped needs no
+// runWhileRunning is RunInLoop for the host's own tasks: a shard that has stopped needs no
 // answer any more.
-func (s *Shard[Command, Result]) askWhileRunning(question func()) {
-	_ = s.Ask(context.Background(), question) // fails only when the shard has stopped
+func (s *Shard[Command, Result]) runWhileRunning(question func()) {
+	_ = s.RunInLoop(context.Background(), question) // fails only when the shard has stopped
 }
--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -16,10 +16,10 @@
 type View struct {
 	Self    *wirev1.MemberRecord
 	Members map[string]*wirev1.MemberRecord
-	// Place holds the members that may own runners: alive or suspect, not
+	// Rendezvous holds the members that may own runners: alive or suspect, not
 	// leaving.
-	Place *ownership.Place
-	// Candidates are the members in Place, ordered by id.
+	Rendezvous *ownership.Rendezvous
+	// Candidates are the members in Rendezvous, ordered by id.
 	Candidates []ownership.Node
 }
 
@@ -33,7 +33,7 @@
 		}
 	}
 	sort.Slice(v.Candidates, func(i, j int) bool { return v.Candidates[i].ID < v.Candidates[j].ID })
-	v.Place = ownership.NewPlace(v.Candidates)
+	v.Rendezvous = ownership.NewRendezvous(v.Candidates)
 	return v
 }
 
@@ -86,13 +86,13 @@
 	// Pools are, per service, the owners with runners of it, ordered by owner.
 	Pools map[string][]Pool
 
-	place *ownership.Place
+	rendezvous *ownership.Rendezvous
 }
 
 // NewRunners assigns owners by the view's place. What the previous table (or
 // nil) says of zones whose candidates have not changed is taken over.
 func NewRunners(view *View, listed []ports.RunnerEntry, previous *Runners) *Runners {
-	r := &Runners{ByID: make(map[string]*Runner, len(listed)), Pools: map[string][]Pool{}, place: view.Place}
+	r := &Runners{ByID: make(map[string]*Runner, len(listed)), Pools: map[string][]Pool{}, rendezvous: view.Rendezvous}
 	type poolKey struct{ service, owner, zone string }
 	pools := map[poolKey]*Pool{}
 	for _, item := range listed {
@@ -121,11 +121,11 @@
 func (r *Runners) assign(item ports.RunnerEntry, previous *Runners) *Runner {
 	if previous != nil {
 		known := previous.ByID[item.ID]
-		if known != nil && known.RunnerEntry == item && r.place.SameZone(previous.place, item.Zone) {
+		if known != nil && known.RunnerEntry == item && r.rendezvous.SameZone(previous.rendezvous, item.Zone) {
 			return known
 		}
 	}
-	owner := r.place.Owner(ownership.Runner{ID: item.ID, Zone: item.Zone, Region: item.Region})
+	owner := r.rendezvous.Owner(ownership.Runner{ID: item.ID, Zone: item.Zone, Region: item.Region})
 	return &Runner{RunnerEntry: item, Owner: owner}
 }
 
--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -15,7 +15,7 @@
 	if i.Directory.Large() {
 		request.RunnersRevision = math.MaxInt64
 	}
-	if i.Directory.Large() && i.Relayed() {
+	if i.Directory.Large() && i.UsesRelay() {
 		request.CatalogVersion, request.LayoutDigest = math.MaxUint64, i.Layouts.Digest()
 		request.LayoutKnown = true
 		return
@@ -47,7 +47,7 @@
 		i.offerConfig(reply.Catalog, reply.CatalogRevision, from)
 	}
 	for _, document := range reply.Layout {
-		i.Layouts.Offer(document.Key, document.Value, document.Revision, from)
+		i.Layouts.UpdateIfNewer(document.Key, document.Value, document.Revision, from)
 	}
 	i.Quarantine.ReceiveHolds(reply.Holds, from)
 	if !reply.HasRunners {
--- a/internal/cluster/informer/informer.go
+++ b/internal/cluster/informer/informer.go
@@ -30,7 +30,7 @@
 
 // StoreAPI is what a client of the platform's store offers.
 type StoreAPI interface {
-	ports.KeyValue
+	ports.KeyValueStore
 	listwatch.ListerWatcher
 }
 
@@ -38,13 +38,13 @@
 type Options struct {
 	Schema *Schema
 	Store  StoreAPI
-	// WatchWait is how long a watch of the store is held without a change.
-	WatchWait time.Duration
-	Contact   *listwatch.Contact
-	Catalogs  *catalog.Holder
-	Runners   *runnerset.Set
-	Layouts   *queuestore.Layouts
-	Directory *peers.Directory
+	// WatchTimeout is how long a watch of the store is held without a change.
+	WatchTimeout time.Duration
+	Contact      *listwatch.Contact
+	Catalogs     *catalog.Holder
+	Runners      *runnerset.Set
+	Layouts      *queuestore.Layouts
+	Directory    *peers.Directory
 	// Mirror is what a node with a disk passes on of the store; nil on others,
 	// which take it from such nodes through the pool.
 	Mirror *relay.Mirror
@@ -69,7 +69,7 @@
 
 	runners  *runnerCache
 	follower atomic.Pointer[relay.Follower]
-	merge    atomic.Pointer[relay.Merge]
+	merger   atomic.Pointer[relay.Merger]
 	// answered: another node has answered a question of this one.
 	answered atomic.Bool
 }
@@ -84,10 +84,10 @@
 	_ queuestore.Retirement = (*Informer)(nil)
 )
 
-// Relayed reports whether other nodes follow the store for this one.
-func (i *Informer) Relayed() bool {
+// UsesRelay reports whether other nodes follow the store for this one.
+func (i *Informer) UsesRelay() bool {
 	follower := i.follower.Load()
-	return follower != nil && follower.Relayed()
+	return follower != nil && follower.UsesRelay()
 }
 
 // Level returns how many hops from the store this node takes its changes in a large
@@ -111,7 +111,7 @@
 // storeRevision returns up to which revision of the store this node knows it; negative
 // before the first.
 func (i *Informer) storeRevision() int64 {
-	if merge := i.merge.Load(); merge != nil {
+	if merge := i.merger.Load(); merge != nil {
 		return merge.Revision()
 	}
 	return -1
@@ -127,10 +127,10 @@
 
 // Run follows the store until the context ends.
 func (i *Informer) Run(ctx context.Context) {
-	merge := relay.NewMerge(i.sinks())
-	i.merge.Store(merge)
+	merge := relay.NewMerger(i.sinks())
+	i.merger.Store(merge)
 	reflector := listwatch.New(listwatch.Options{
-		Store: i.Store, Prefix: everything, Contact: i.Contact, Merge: merge, WatchWait: i.WatchWait, Drain: i.Drain,
+		Store: i.Store, Prefix: everything, Contact: i.Contact, Merger: merge, WatchTimeout: i.WatchTimeout, Drain: i.Drain,
 	})
 	var running tasks.Group
 	if i.Mirror != nil && i.DiskCache != nil {
@@ -139,7 +139,7 @@
 	}
 	if i.Pool != nil {
 		follower := i.newFollower(merge)
-		reflector.Relays, reflector.NoteLarge = follower, i.Directory.NoteLarge
+		reflector.Relays, reflector.MarkLarge = follower, i.Directory.MarkLarge
 		if i.Mirror == nil { // a node with a disk may be the one that is to follow the store
 			reflector.PeerAnswered = i.answered.Load
 		}
@@ -151,8 +151,8 @@
 	running.Wait()
 }
 
-func (i *Informer) newFollower(merge *relay.Merge) *relay.Follower {
-	follower := &relay.Follower{Nodes: i.Directory, Pool: i.Pool, Merge: merge, Timing: i.Timing, Lost: i.Contact.Lost}
+func (i *Informer) newFollower(merger *relay.Merger) *relay.Follower {
+	follower := &relay.Follower{Nodes: i.Directory, Pool: i.Pool, Merger: merger, Timing: i.Timing, Lost: i.Contact.Lost}
 	if i.Interest != (subset.Interest{}) {
 		follower.Interest = i.runners.wanted
 	}
--- a/internal/cluster/informer/operator.go
+++ b/internal/cluster/informer/operator.go
@@ -65,7 +65,7 @@
 		klog.ErrorS(err, "configuration refused, the one in force stays", "revision", revision, "source", source)
 		return
 	}
-	if i.Catalogs.Offer(next, document, revision, time.Now()) {
+	if i.Catalogs.UpdateIfNewer(next, document, revision, time.Now()) {
 		klog.InfoS("configuration in force", "version", next.Version, "revision", revision, "routes", next.Routes(), "source", source)
 	}
 }
--- a/internal/cluster/informer/own.go
+++ b/internal/cluster/informer/own.go
@@ -43,8 +43,8 @@
 // take takes a value; it returns a node's record instead.
 func (s *ownSink) take(value ports.Value) *wirev1.NodeRecord {
 	switch {
-	case s.Layouts.Takes(value.Key):
-		s.Layouts.Offer(value.Key, value.Value, value.Revision, "store")
+	case s.Layouts.HasKey(value.Key):
+		s.Layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "store")
 	case value.Key == quarantine.DocumentKey:
 		s.Quarantine.ReceiveDocument(value.Value, value.Revision)
 	case strings.HasPrefix(value.Key, nodesPrefix):
--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -54,7 +54,7 @@
 
 func entryOf(record runnerset.Record) subset.ListedRunner[runnerset.Record] {
 	place := subset.ServiceZone{Service: record.Service, Zone: record.Zone}
-	return subset.ListedRunner[runnerset.Record]{ID: record.ID, Place: place, Value: record}
+	return subset.ListedRunner[runnerset.Record]{ID: record.ID, ServiceZone: place, Value: record}
 }
 
 func recordsOf(entries []subset.ListedRunner[runnerset.Record]) []runnerset.Record {
@@ -127,7 +127,7 @@
 func (c *runnerCache) handOn(change subset.DrawChange[runnerset.Record], revision int64, source string, now time.Time) {
 	if !change.Whole {
 		logRunners(change, revision)
-		c.set.Change(recordsOf(change.Put), change.Removed, revision, now)
+		c.set.ApplyChanges(recordsOf(change.Put), change.Removed, revision, now)
 		return
 	}
 	if c.set.Select(recordsOf(change.Put), c.selector.Totals(), revision, now) {
@@ -167,7 +167,7 @@
 	c.revision = revision
 	if c.selected {
 		logRunners(subset.DrawChange[runnerset.Record]{Put: put, Removed: removed}, revision)
-		c.set.Change(recordsOf(put), removed, revision, now)
+		c.set.ApplyChanges(recordsOf(put), removed, revision, now)
 		return
 	}
 	c.handOn(c.selectorOfAll().Apply(put, removed), revision, "store", now)
--- a/internal/cluster/informer/runners_test.go
+++ b/internal/cluster/informer/runners_test.go
@@ -39,7 +39,7 @@
 	cache.Apply([]ports.WatchEvent{entry("a", 4, true), entry("b", 5, true), entry("a", 6, false), entry("c", 7, false), entry("c", 8, true)}, 8)
 	var ids []string
 	for _, runner := range set.Service("s") {
-		if runner.Takes() {
+		if runner.AcceptsWork() {
 			ids = append(ids, runner.ID)
 		}
 	}
--- a/internal/cluster/listwatch/probe.go
+++ b/internal/cluster/listwatch/probe.go
@@ -21,7 +21,7 @@
 func (r *Reflector) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, probeInterval)
-		if r.Contact.Lost() || r.relayed() {
+		if r.Contact.Lost() || r.usesRelay() {
 			continue // the loop is trying already, or need not
 		}
 		err := r.probeOnce(ctx)
@@ -42,18 +42,18 @@
 }
 
 const (
-	// maxWatchWait is how long a watch is held without a change, at most historyShare
+	// maxWatchTimeout is how long a watch is held without a change, at most historyShare
 	// of the time for which the store keeps its history: a watch from a revision that
 	// is forgotten meanwhile ends in another list.
-	maxWatchWait = 25 * time.Second
-	historyShare = 0.85
+	maxWatchTimeout = 25 * time.Second
+	historyShare    = 0.85
 )
 
-// WatchWaitWithin returns how long a watch is held at a store that keeps its history
+// WatchTimeoutWithin returns how long a watch is held at a store that keeps its history
 // for a time; 0 if that is not known.
-func WatchWaitWithin(history time.Duration) time.Duration {
+func WatchTimeoutWithin(history time.Duration) time.Duration {
 	if history <= 0 {
-		return maxWatchWait
+		return maxWatchTimeout
 	}
-	return min(maxWatchWait, time.Duration(historyShare*float64(history)))
+	return min(maxWatchTimeout, time.Duration(historyShare*float64(history)))
 }
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -5,7 +5,7 @@
 //
 // It owns Contact and the Reflector's loop. It relies on a client of the store
 // (ListerWatcher) and, where there are relays, on relay.Follower; what it reads goes
-// to a relay.Merge. It runs on edges and storage nodes.
+// to a relay.Merger. It runs on edges and storage nodes.
 package listwatch
 
 import (
@@ -32,14 +32,14 @@
 }
 
 // ListerWatcher is a client of the platform's store. Its errors wrap
-// ports.ErrUnavailable or ports.ErrUnknown.
+// ports.ErrUnavailable or ports.ErrOutcomeUnknown.
 type ListerWatcher interface {
 	// FirstPage reads the first page of the values below a prefix, and ListFrom the
 	// rest of a list: it returns all values and the revision of the first page.
 	FirstPage(ctx context.Context, prefix string) (*Page, error)
 	ListFrom(ctx context.Context, prefix string, first *Page) ([]ports.Value, int64, error)
 	// Changes waits at most so long for changes after a revision. It returns them and
-	// the revision to go on from, or ports.ErrHistoryGone.
+	// the revision to go on from, or ports.ErrCompacted.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]ports.WatchEvent, int64, error)
 	// Probe makes the cheapest call there is. It returns nil if the store answers,
 	// with a refusal too.
@@ -52,16 +52,16 @@
 	// Prefix of the keys that are followed.
 	Prefix  string
 	Contact *Contact
-	// Merge takes what the store holds.
-	Merge *relay.Merge
-	// WatchWait is how long a watch is held without a change.
-	WatchWait time.Duration
+	// Merger takes what the store holds.
+	Merger *relay.Merger
+	// WatchTimeout is how long a watch is held without a change.
+	WatchTimeout time.Duration
 	// Drain is how long a leaving runner still takes requests; 0 if that is not known.
 	Drain time.Duration
 	// Relays may pass the changes on; nil if there are none.
 	Relays *relay.Follower
-	// NoteLarge takes that the store holds more than a small fleet's; may be nil.
-	NoteLarge func()
+	// MarkLarge takes that the store holds more than a small fleet's; may be nil.
+	MarkLarge func()
 	// PeerAnswered reports whether another node has answered this one; nil if none is
 	// asked before the first list.
 	PeerAnswered func() bool
@@ -103,7 +103,7 @@
 			pause.For(ctx, peerPause)
 			continue
 		}
-		if r.relayed() {
+		if r.usesRelay() {
 			r.Contact.Confirm()
 			r.lost = false
 			pause.For(ctx, r.Relays.HeartbeatInterval())
@@ -119,14 +119,14 @@
 			return
 		}
 		r.note(err)
-		if err != nil && !errors.Is(err, ports.ErrHistoryGone) {
+		if err != nil && !errors.Is(err, ports.ErrCompacted) {
 			pause.For(ctx, r.retryWait())
 		}
 	}
 }
 
 // relayed reports whether relays pass the changes on to this node.
-func (r *Reflector) relayed() bool { return r.Relays != nil && r.Relays.Relayed() }
+func (r *Reflector) usesRelay() bool { return r.Relays != nil && r.Relays.UsesRelay() }
 
 // waitsForSource reports whether this node leaves the store to others though none
 // relays changes to it at present: in a large fleet all nodes at once would be too
@@ -146,7 +146,7 @@
 // has said whether the fleet is large: a page of the store is 150 KB there, and a
 // thousand of these at once keep the store's link from the nodes that relay.
 func (r *Reflector) waitsForPeer(now time.Time) bool {
-	if r.PeerAnswered == nil || r.Merge.Revision() >= 0 {
+	if r.PeerAnswered == nil || r.Merger.Revision() >= 0 {
 		return false
 	}
 	return !r.PeerAnswered() && now.Sub(r.started) < peerTimeout
@@ -184,7 +184,7 @@
 
 // note records what came of a call, and logs contact lost and regained.
 func (r *Reflector) note(err error) {
-	revision := r.Merge.Revision()
+	revision := r.Merger.Revision()
 	switch {
 	case err == nil:
 		if r.lost {
@@ -193,7 +193,7 @@
 		r.lost = false
 	case errors.Is(err, errLarge):
 		klog.InfoS("list ended after a page", "reason", err.Error())
-	case errors.Is(err, ports.ErrHistoryGone):
+	case errors.Is(err, ports.ErrCompacted):
 		klog.InfoS("store history lost, listing again", "prefix", r.Prefix, "revision", revision)
 		r.relist = true
 	default:
@@ -209,13 +209,13 @@
 
 // once lists or watches once, and hands on what came.
 func (r *Reflector) once(ctx context.Context) error {
-	revision := r.Merge.Revision()
-	if revision < 0 || r.relist || r.Merge.Partial() {
+	revision := r.Merger.Revision()
+	if revision < 0 || r.relist || r.Merger.Partial() {
 		return r.listAll(ctx)
 	}
 	ctx, cancel := r.Contact.untilFailure(ctx)
 	defer cancel()
-	wait := r.WatchWait
+	wait := r.WatchTimeout
 	if r.Contact.Lost() {
 		wait = time.Millisecond // to know at once whether it answers again
 	}
@@ -224,7 +224,7 @@
 		return err
 	}
 	r.Contact.Confirm()
-	r.Merge.Apply(events, at)
+	r.Merger.Apply(events, at)
 	if len(events) > 0 {
 		pause.For(ctx, r.coalescer.pauseAfter(time.Now()))
 	}
@@ -242,8 +242,8 @@
 	if err != nil {
 		return err
 	}
-	if first.More && len(first.Values) >= largeList && r.NoteLarge != nil {
-		r.NoteLarge()
+	if first.More && len(first.Values) >= largeList && r.MarkLarge != nil {
+		r.MarkLarge()
 		if r.waitsForSource() {
 			return errLarge
 		}
@@ -254,6 +254,6 @@
 	}
 	r.Contact.Confirm()
 	r.relist = false
-	r.Merge.Reset(values, revision)
+	r.Merger.Reset(values, revision)
 	return nil
 }
--- a/internal/cluster/listwatch/reflector_test.go
+++ b/internal/cluster/listwatch/reflector_test.go
@@ -33,10 +33,10 @@
 // A watch never waits so long that the store forgets what came since.
 func TestWatchesEndWithinTheHistory(t *testing.T) {
 	is := is.New(t)
-	is.Equal(WatchWaitWithin(0), maxWatchWait)
-	is.Equal(WatchWaitWithin(time.Hour), maxWatchWait)
+	is.Equal(WatchTimeoutWithin(0), maxWatchTimeout)
+	is.Equal(WatchTimeoutWithin(time.Hour), maxWatchTimeout)
 	for _, history := range []time.Duration{time.Second, 10 * time.Second, 20 * time.Second} {
-		is.True(WatchWaitWithin(history) < history)
+		is.True(WatchTimeoutWithin(history) < history)
 	}
 }
 
@@ -51,7 +51,7 @@
 // while.
 func TestFirstListWaitsForAPeer(t *testing.T) {
 	is := is.New(t)
-	waiting := New(Options{Merge: relay.NewMerge(discard{}), PeerAnswered: func() bool { return false }})
+	waiting := New(Options{Merger: relay.NewMerger(discard{}), PeerAnswered: func() bool { return false }})
 	now := waiting.started
 	is.True(waiting.waitsForPeer(now))
 	is.True(!waiting.waitsForPeer(now.Add(peerTimeout))) // nobody answers: it asks the store
--- a/internal/cluster/notify/notify.go
+++ b/internal/cluster/notify/notify.go
@@ -18,8 +18,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Members knows the nodes.
-type Members interface {
+// NodeDirectory knows the nodes.
+type NodeDirectory interface {
 	Self() *wirev1.NodeRecord
 	Records() []*wirev1.NodeRecord
 }
@@ -53,8 +53,8 @@
 	return &Batcher{schedule: schedule, due: make(chan struct{}, 1)}
 }
 
-// Pending says that there is something to flush. It does not block.
-func (b *Batcher) Pending() {
+// Trigger says that there is something to flush. It does not block.
+func (b *Batcher) Trigger() {
 	select {
 	case b.due <- struct{}{}:
 	default: // it is signalled already
--- a/internal/cluster/notify/notify_test.go
+++ b/internal/cluster/notify/notify_test.go
@@ -23,7 +23,7 @@
 		synctest.Wait()
 		is.Equal(len(flushed), 0)
 		for range 5 {
-			batcher.Pending()
+			batcher.Trigger()
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -44,11 +44,11 @@
 		var batcher *Batcher
 		batcher = NewBatcher(Schedule{Flush: func(context.Context) {
 			if flushes++; flushes == 1 {
-				batcher.Pending()
+				batcher.Trigger()
 			}
 		}})
 		go batcher.Run(ctx)
-		batcher.Pending()
+		batcher.Trigger()
 		synctest.Wait()
 		is.Equal(flushes, 2)
 	})
@@ -84,7 +84,7 @@
 		ended := false
 		batcher := NewBatcher(Schedule{Delay: time.Minute, Flush: func(context.Context) { t.Error("it has ended") }})
 		go func() { batcher.Run(ctx); ended = true }()
-		batcher.Pending()
+		batcher.Trigger()
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
--- a/internal/cluster/ownership/ownership.go
+++ b/internal/cluster/ownership/ownership.go
@@ -32,8 +32,8 @@
 	Region string
 }
 
-// Place finds owners among a fixed set of nodes.
-type Place struct {
+// Rendezvous finds owners among a fixed set of nodes.
+type Rendezvous struct {
 	nodes    []Node
 	byZone   map[string][]Node
 	byRegion map[string][]Node
@@ -41,9 +41,9 @@
 	zoneHash map[string]uint64
 }
 
-// NewPlace indexes the candidates.
-func NewPlace(nodes []Node) *Place {
-	p := &Place{nodes: nodes, byZone: map[string][]Node{}, byRegion: map[string][]Node{}, zoneHash: map[string]uint64{}}
+// NewRendezvous indexes the candidates.
+func NewRendezvous(nodes []Node) *Rendezvous {
+	p := &Rendezvous{nodes: nodes, byZone: map[string][]Node{}, byRegion: map[string][]Node{}, zoneHash: map[string]uint64{}}
 	for _, node := range nodes {
 		p.byZone[node.Zone] = append(p.byZone[node.Zone], node)
 		p.zoneHash[node.Zone] ^= xxhash.Sum64String(node.ID)
@@ -55,13 +55,13 @@
 // SameZone reports whether a zone has the same candidates in another place, so
 // that its runners have the same owners. A zone without any is never the same,
 // because its owners stand elsewhere.
-func (p *Place) SameZone(other *Place, zone string) bool {
+func (p *Rendezvous) SameZone(other *Rendezvous, zone string) bool {
 	hash, has := p.zoneHash[zone]
 	return has && other != nil && len(p.byZone[zone]) == len(other.byZone[zone]) && hash == other.zoneHash[zone]
 }
 
 // Owner returns the id of the runner's owner, or "" if there is no node.
-func (p *Place) Owner(runner Runner) string {
+func (p *Rendezvous) Owner(runner Runner) string {
 	candidates := p.byZone[runner.Zone]
 	if len(candidates) == 0 {
 		candidates = p.byRegion[runner.Region]
@@ -73,10 +73,10 @@
 }
 
 // Zone returns the candidates of a zone.
-func (p *Place) Zone(zone string) []Node { return p.byZone[zone] }
+func (p *Rendezvous) Zone(zone string) []Node { return p.byZone[zone] }
 
 // Ranked returns the nodes of the zone in the order they would own the key.
-func (p *Place) Ranked(key, zone string) []Node {
+func (p *Rendezvous) Ranked(key, zone string) []Node {
 	return Ranked(key, p.byZone[zone])
 }
 
@@ -88,7 +88,7 @@
 	}
 	list := make([]weighed, len(nodes))
 	for i, node := range nodes {
-		list[i] = weighed{node, PairWeight(key, node.ID)}
+		list[i] = weighed{node, NodeWeight(key, node.ID)}
 	}
 	slices.SortFunc(list, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
 	ranked := make([]Node, len(list))
@@ -102,7 +102,7 @@
 	var owner string
 	var best uint64
 	for _, node := range candidates {
-		w := PairWeight(key, node.ID)
+		w := NodeWeight(key, node.ID)
 		if owner == "" || w > best || (w == best && node.ID < owner) {
 			owner = node.ID
 			best = w
@@ -111,8 +111,8 @@
 	return owner
 }
 
-// PairWeight is the rendezvous weight of a node for a key; the highest owns it.
-func PairWeight(key, node string) uint64 {
+// NodeWeight is the rendezvous weight of a node for a key; the highest owns it.
+func NodeWeight(key, node string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
--- a/internal/cluster/ownership/ownership_test.go
+++ b/internal/cluster/ownership/ownership_test.go
@@ -25,8 +25,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		lost := rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")
-		before := NewPlace(nodes)
-		after := NewPlace(append(append([]Node(nil), nodes[:lost]...), nodes[lost+1:]...))
+		before := NewRendezvous(nodes)
+		after := NewRendezvous(append(append([]Node(nil), nodes[:lost]...), nodes[lost+1:]...))
 		emptied := len(before.byZone[nodes[lost].Zone]) == 1
 		for i := range 50 {
 			runner := Runner{ID: fmt.Sprint("r", i), Zone: fmt.Sprint("z", i%6), Region: fmt.Sprint("r", i%2)}
@@ -44,7 +44,7 @@
 func TestOwnerStandsInTheRunnersZoneWhenItHasNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
-		place := NewPlace(nodes)
+		place := NewRendezvous(nodes)
 		zoneOf := map[string]string{}
 		for _, node := range nodes {
 			zoneOf[node.ID] = node.Zone
@@ -61,7 +61,7 @@
 }
 
 func TestNoNodesMeansNoOwner(t *testing.T) {
-	is.New(t).Equal(NewPlace(nil).Owner(Runner{ID: "r"}), "")
+	is.New(t).Equal(NewRendezvous(nil).Owner(Runner{ID: "r"}), "")
 }
 
 func BenchmarkOwner(b *testing.B) {
@@ -69,7 +69,7 @@
 	for i := range nodes {
 		nodes[i] = Node{ID: fmt.Sprint("node-", i), Zone: "z"}
 	}
-	place := NewPlace(nodes)
+	place := NewRendezvous(nodes)
 	runner := Runner{ID: "runner-17", Zone: "z"}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/cluster/peers/contacts.go
+++ b/internal/cluster/peers/contacts.go
@@ -17,31 +17,31 @@
 	wanted time.Time
 }
 
-// NoteContact records that a node answered, or asked.
-func (d *Directory) NoteContact(node string, now time.Time) {
+// RecordContact records that a node answered, or asked.
+func (d *Directory) RecordContact(node string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.noteContact(node, now)
+	d.recordContact(node, now)
 }
 
-// noteContact is NoteContact with the mutex held.
-func (d *Directory) noteContact(node string, now time.Time) {
+// recordContact is RecordContact with the mutex held.
+func (d *Directory) recordContact(node string, now time.Time) {
 	known := d.contacts[node]
 	known.last, known.silent = now, time.Time{}
 	d.contacts[node] = known
 }
 
-// NoteContactAt records that the node at an address answered.
-func (d *Directory) NoteContactAt(address string, now time.Time) {
+// RecordContactAt records that the node at an address answered.
+func (d *Directory) RecordContactAt(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if node, known := d.byAddress[address]; known {
-		d.noteContact(node, now)
+		d.recordContact(node, now)
 	}
 }
 
-// NoteSilent records that the node at an address did not answer a question.
-func (d *Directory) NoteSilent(address string, now time.Time) {
+// RecordUnresponsive records that the node at an address did not answer a question.
+func (d *Directory) RecordUnresponsive(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	node, found := d.byAddress[address]
@@ -54,8 +54,8 @@
 	}
 }
 
-// Silent reports whether a node left the last question of this one unanswered.
-func (d *Directory) Silent(node string) bool {
+// Unresponsive reports whether a node left the last question of this one unanswered.
+func (d *Directory) Unresponsive(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return !d.contacts[node].silent.IsZero()
@@ -72,8 +72,8 @@
 // wantedTime is how long a node is asked whether it answers after that was wanted.
 const wantedTime = 10 * time.Second
 
-// WantContact has the Syncer ask a node whether it answers, for a while.
-func (d *Directory) WantContact(node string, now time.Time) {
+// RequestProbe has the Syncer ask a node whether it answers, for a while.
+func (d *Directory) RequestProbe(node string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	known := d.contacts[node]
--- a/internal/cluster/peers/large.go
+++ b/internal/cluster/peers/large.go
@@ -44,8 +44,8 @@
 	return d.large
 }
 
-// NoteLarge takes that another node has found the fleet to be large.
-func (d *Directory) NoteLarge() {
+// MarkLarge takes that another node has found the fleet to be large.
+func (d *Directory) MarkLarge() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.large {
--- a/internal/cluster/peers/large_test.go
+++ b/internal/cluster/peers/large_test.go
@@ -58,7 +58,7 @@
 		directory := fleetDirectory(largeRecord("disk", 0, 5), 835*times, 150*times, 5)
 		watched := directory.Disks()[:4]
 		syncer := &Syncer{Directory: directory, Documents: noDocuments{}, Seeds: []string{"s1", "s2", "s3"}, Watched: func() []*wirev1.NodeRecord { return watched }}
-		directory.WantContact("disk-7", time.Now())
+		directory.RequestProbe("disk-7", time.Now())
 		calls, waited := 0, time.Duration(0)
 		for round := range 100 {
 			if syncer.asksPeer(round, true) {
@@ -82,7 +82,7 @@
 	var fleet []*testPeer
 	for number := range nodes {
 		p := startPeer(t, fmt.Sprint("n", number), "", 1)
-		p.Directory.NoteLarge()
+		p.Directory.MarkLarge()
 		fleet = append(fleet, p)
 	}
 	for number, p := range fleet { // each knows the next one
--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -66,15 +66,15 @@
 // Serve answers a peer's question.
 func (s *Syncer) Serve(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PeerStateRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	if request.Self != nil {
 		s.Directory.Put(request.Self)
-		s.Directory.NoteContact(request.Self.NodeId, time.Now())
+		s.Directory.RecordContact(request.Self.NodeId, time.Now())
 	}
 	if request.Large {
-		s.Directory.NoteLarge()
+		s.Directory.MarkLarge()
 	}
 	self, large := s.Directory.Self(), s.Directory.Large()
 	reply := &wirev1.PeerStateReply{Large: large}
@@ -220,7 +220,7 @@
 // askSelf asks a node with a disk whether it is still the one that is known.
 func (s *Syncer) askSelf(ctx context.Context, node *wirev1.NodeRecord) {
 	if s.call(ctx, node.Address, &wirev1.PeerStateRequest{PeerIncarnation: node.Incarnation}) == nil && ctx.Err() == nil {
-		s.Directory.NoteSilent(node.Address, time.Now())
+		s.Directory.RecordUnresponsive(node.Address, time.Now())
 	}
 }
 
@@ -236,10 +236,10 @@
 		return nil // whoever does not answer is known by the time of its last contact
 	}
 	if reply.Large {
-		s.Directory.NoteLarge()
+		s.Directory.MarkLarge()
 	}
 	s.Directory.PutAll(reply.Nodes, address)
-	s.Directory.NoteContactAt(address, time.Now())
+	s.Directory.RecordContactAt(address, time.Now())
 	s.Documents.Take(reply, address)
 	return reply
 }
--- a/internal/cluster/ports/ports.go
+++ b/internal/cluster/ports/ports.go
@@ -16,13 +16,13 @@
 // not made.
 var ErrUnavailable = errors.New("platform service unavailable")
 
-// ErrUnknown: the request was sent and its answer was lost. A change asked for
+// ErrOutcomeUnknown: the request was sent and its answer was lost. A change asked for
 // may have been made; the caller resolves it by reading.
-var ErrUnknown = errors.New("platform answer lost")
+var ErrOutcomeUnknown = errors.New("platform answer lost")
 
-// ErrHistoryGone: the changes after a revision can't be had any more; the caller
+// ErrCompacted: the changes after a revision can't be had any more; the caller
 // lists again.
-var ErrHistoryGone = errors.New("the store's history is gone")
+var ErrCompacted = errors.New("the store's history is gone")
 
 // Value is a stored value with the revision that wrote it.
 type Value struct {
@@ -49,14 +49,14 @@
 	Deleted bool
 }
 
-// KeyValue is the small, rate-limited key-value service.
-type KeyValue interface {
+// KeyValueStore is the small, rate-limited key-value service.
+type KeyValueStore interface {
 	// Get returns the value of a key; found is false if it is absent.
 	Get(ctx context.Context, key string) (value Value, found bool, err error)
 	// List returns the values below a prefix and the revision read at.
 	List(ctx context.Context, prefix string) ([]Value, int64, error)
 	// Commit makes all writes if every condition holds, else none. It returns
-	// whether they were made. On ErrUnknown they may have been.
+	// whether they were made. On ErrOutcomeUnknown they may have been.
 	Commit(ctx context.Context, conditions []Condition, puts []Put) (bool, error)
 	// Watch calls handle for each change below prefix after the revision until
 	// the context ends or the watch breaks; the caller then lists and compares.
@@ -84,8 +84,8 @@
 	Leaving bool
 }
 
-// Lists are the platform's lists of machines and runners; they lag.
-type Lists interface {
+// Discovery is the platform's lists of machines and runners; they lag.
+type Discovery interface {
 	Machines(ctx context.Context) ([]MachineEntry, error)
 	Runners(ctx context.Context) ([]RunnerEntry, error)
 }
--- a/internal/cluster/relay/diskcache.go
+++ b/internal/cluster/relay/diskcache.go
@@ -32,7 +32,7 @@
 
 // Restore hands what was kept to a merge, as what it was: everything, or everything
 // but the runners that were not selected.
-func Restore(cache DiskCache, classify Classifier, merge *Merge) {
+func Restore(cache DiskCache, classify Classifier, merger *Merger) {
 	kept, revision, err := cache.LoadDocuments()
 	klog.InfoS("documents kept on the disk taken", "documents", len(kept), "revision", revision, "err", err)
 	if err != nil || revision < 0 {
@@ -40,10 +40,10 @@
 	}
 	values, selection := splitKept(kept, classify)
 	if selection == nil {
-		merge.Reset(values, revision)
+		merger.Reset(values, revision)
 		return
 	}
-	merge.ResetToSelection(values, *selection, revision)
+	merger.ResetToSelection(values, *selection, revision)
 }
 
 // splitKept takes a selection out of what was kept; there is none if all runners were.
--- a/internal/cluster/relay/diskcache_test.go
+++ b/internal/cluster/relay/diskcache_test.go
@@ -62,28 +62,28 @@
 	is := is.New(t)
 	cache := &memoryCache{revision: -1}
 	mirror := NewMirror(classifyTest)
-	merge := NewMerge(mirror)
+	merge := NewMerger(mirror)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go Persist(ctx, cache, mirror)
 	totals := subset.Totals{{Service: "s", Zone: "z1"}: 2048}
 	config := ports.Value{Key: "config", Revision: 3}
 	merge.ResetToSelection([]ports.Value{config}, Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 4}}, Totals: totals}, 4)
-	eventually.That(t, "it is kept", func() bool { return cache.at() == 4 })
+	eventually.Require(t, "it is kept", func() bool { return cache.at() == 4 })
 
 	node := &selected{values: map[string]int64{}}
-	again := NewMerge(node)
+	again := NewMerger(node)
 	Restore(cache, classifyTest, again)
 	is.True(again.Partial())
 	is.True(node.partial)
 	is.Equal(node.values, map[string]int64{"config": 3, runnerKey(1): 4})
 	other := NewMirror(classifyTest)
-	Restore(cache, classifyTest, NewMerge(other))
+	Restore(cache, classifyTest, NewMerger(other))
 	is.True(other.Partial())
 	is.Equal(other.totals, totals)
 
 	merge.Reset([]ports.Value{config, {Key: runnerKey(1), Revision: 4}, {Key: runnerKey(2), Revision: 5}}, 5)
-	eventually.That(t, "the whole is kept", func() bool { return cache.at() == 5 })
+	eventually.Require(t, "the whole is kept", func() bool { return cache.at() == 5 })
 	Restore(cache, classifyTest, again)
 	is.True(!again.Partial())
 	is.Equal(len(node.values), 3)
@@ -100,7 +100,7 @@
 	for number := range 600 {
 		own = append(own, ports.Value{Key: runnerKey(number), Revision: 4})
 	}
-	NewMerge(mirror).ResetToSelection([]ports.Value{{Key: "config", Revision: 3}}, Selection{Values: own, Totals: totals}, 4)
+	NewMerger(mirror).ResetToSelection([]ports.Value{{Key: "config", Revision: 3}}, Selection{Values: own, Totals: totals}, 4)
 	server := &Source{Mirror: mirror, Lost: func() bool { return true }, Level: func() uint32 { return 1 }}
 	asks := func(after int64) error {
 		return server.refusal(&wirev1.FollowRequest{After: after, Level: leafLevel, Interest: &wirev1.RunnerInterest{}})
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -26,9 +26,9 @@
 	// Generation rises with each change of the nodes.
 	Generation() uint64
 	// InContactWithin reports whether a node answered this one, or asked it, within a
-	// time, and Silent whether it left the last question unanswered.
+	// time, and Unresponsive whether it left the last question unanswered.
 	InContactWithin(node string, now time.Time, within time.Duration) bool
-	Silent(node string) bool
+	Unresponsive(node string) bool
 }
 
 // Follower takes the changes that other nodes pass on. In a fleet of some hundred
@@ -43,9 +43,9 @@
 // two follow each other. A change is two hops from every node, of which one crosses
 // a zone's border where the zone's own source at level 0 has fallen out.
 type Follower struct {
-	Nodes Nodes
-	Pool  *rpc.Pool
-	Merge *Merge
+	Nodes  Nodes
+	Pool   *rpc.Pool
+	Merger *Merger
 	// Interest returns the runners that this node wants to know in a large fleet.
 	Interest func() subset.Interest
 	// Lost reports whether the store does not answer this node; nil stands for never.
@@ -109,7 +109,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			klog.InfoS("source of the store's changes left", "address", address, "revision", f.Merge.Revision(), "err", err)
+			klog.InfoS("source of the store's changes left", "address", address, "revision", f.Merger.Revision(), "err", err)
 			f.leave(slot, address, !errors.Is(err, errOtherInterest) && !errors.Is(err, errBehind))
 		}
 		wait = min(2*wait, maxRetry)
@@ -124,10 +124,10 @@
 // through others.
 func (f *Follower) Wanted() bool { return f.Nodes.Large() || f.Nodes.Count() > maxDirectNodes }
 
-// Relayed reports whether this node has no need to follow the store itself:
+// UsesRelay reports whether this node has no need to follow the store itself:
 // another one does so for its zone, and a source has said lately that the store
 // answers it.
-func (f *Follower) Relayed() bool { return f.Wanted() && !f.followsForZone() && f.Live() }
+func (f *Follower) UsesRelay() bool { return f.Wanted() && !f.followsForZone() && f.Live() }
 
 // InTree reports whether this node takes the store's changes from others in a large
 // fleet, or is to.
--- a/internal/cluster/relay/follower_test.go
+++ b/internal/cluster/relay/follower_test.go
@@ -19,7 +19,7 @@
 
 // edgeOf returns an edge of a large fleet whose only relay answers as given, by the
 // number of the stream.
-func edgeOf(t *testing.T, merge *Merge, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
+func edgeOf(t *testing.T, merge *Merger, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 	go func() { _ = server.Serve(listener, nil) }()
 	pool := rpc.NewPool("edge", "c", nil, &rpc.Counters{})
 	directory := peers.NewDirectory(&wirev1.NodeRecord{NodeId: "edge", Zone: "z0", Incarnation: 1})
-	directory.NoteLarge()
+	directory.MarkLarge()
 	directory.Put(&wirev1.NodeRecord{NodeId: "relay", Zone: "z0", Address: listener.Addr().String(), DiskId: "d", Incarnation: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
@@ -49,8 +49,8 @@
 		server.Close()
 	})
 	follower := &Follower{
-		Nodes: directory, Pool: pool, Merge: merge, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, Alive: time.Minute},
-		Interest: func() subset.Interest { return subset.InterestOf("edge", "z0", false) },
+		Nodes: directory, Pool: pool, Merger: merge, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, Alive: time.Minute},
+		Interest: func() subset.Interest { return subset.DefaultInterest("edge", "z0", false) },
 	}
 	go follower.Run(ctx)
 	return follower
@@ -62,7 +62,7 @@
 func TestSelectionThatComesTooLateIsAskedForAgain(t *testing.T) {
 	is := is.New(t)
 	node := &selected{values: map[string]int64{}}
-	merge := NewMerge(node)
+	merge := NewMerger(node)
 	merge.Reset([]ports.Value{{Key: "config", Revision: 4}}, 5)
 	follower := edgeOf(t, merge, func(stream int, send func(*wirev1.FollowReply)) {
 		if stream == 1 {
@@ -73,7 +73,7 @@
 		}
 		send(&wirev1.FollowReply{Selection: true, Revision: 22, Items: []*wirev1.StoredItem{{Key: "config", Revision: 21}}})
 	})
-	eventually.That(t, "the node takes its changes from the source", follower.Live)
+	eventually.Require(t, "the node takes its changes from the source", follower.Live)
 	is.True(merge.Partial())
 	is.Equal(merge.Revision(), int64(22))
 	is.Equal(node.values["config"], int64(21))
@@ -83,7 +83,7 @@
 // as one that keeps it up to date.
 func TestSourceThatIsBehindDoesNotCount(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerge(&selected{values: map[string]int64{}})
+	merge := NewMerger(&selected{values: map[string]int64{}})
 	merge.Reset(nil, 5)
 	caughtUp := make(chan struct{})
 	follower := edgeOf(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
@@ -98,7 +98,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	close(caughtUp)
-	eventually.That(t, "it counts", follower.Live)
+	eventually.Require(t, "it counts", follower.Live)
 }
 
 // While sources answer and say that the store does not answer them, a node leaves the
@@ -106,12 +106,12 @@
 // nothing is alone.
 func TestOutageOfTheStoreIsolatesNobody(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerge(&selected{values: map[string]int64{}})
+	merge := NewMerger(&selected{values: map[string]int64{}})
 	merge.Reset(nil, 5)
 	follower := edgeOf(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
 		send(&wirev1.FollowReply{Lost: true})
 	})
-	eventually.That(t, "the source was asked twice", func() bool {
+	eventually.Require(t, "the source was asked twice", func() bool {
 		follower.mutex.Lock()
 		defer follower.mutex.Unlock()
 		return follower.isolation.lost.After(follower.isolation.lostSince)
@@ -125,7 +125,7 @@
 	time.Sleep(time.Millisecond)
 	is.True(follower.IsolatedFor() > 0) // so long no outage lasts
 
-	silent := edgeOf(t, NewMerge(&selected{}), func(int, func(*wirev1.FollowReply)) {})
+	silent := edgeOf(t, NewMerger(&selected{}), func(int, func(*wirev1.FollowReply)) {})
 	_ = silent.IsolatedFor()
 	time.Sleep(time.Millisecond)
 	is.True(silent.IsolatedFor() > 0)
--- a/internal/cluster/relay/merge.go
+++ b/internal/cluster/relay/merge.go
@@ -7,14 +7,14 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// Merge hands to a sink what several sources send of the same store. A source
+// Merger hands to a sink what several sources send of the same store. A source
 // sends all that changed after a revision the merge had reached when the source
 // began; or it sends a selection of the runners, and all that changes of it. While
 // a selection is held only its source counts, and while all is held no source of a
 // selection does: neither knows what the other has sent.
 //
 // Invariant: its revision never falls, and the sink gets each change once.
-type Merge struct {
+type Merger struct {
 	mutex    sync.Mutex
 	sink     SelectiveSink
 	revision int64
@@ -22,13 +22,13 @@
 	partial bool
 }
 
-// NewMerge returns a merge that has reached no revision.
-func NewMerge(sink SelectiveSink) *Merge { return &Merge{sink: sink, revision: -1} }
+// NewMerger returns a merge that has reached no revision.
+func NewMerger(sink SelectiveSink) *Merger { return &Merger{sink: sink, revision: -1} }
 
-var _ Sink = (*Merge)(nil)
+var _ Sink = (*Merger)(nil)
 
 // Partial reports whether a selection of the runners is held, and not all.
-func (m *Merge) Partial() bool {
+func (m *Merger) Partial() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.partial
@@ -36,7 +36,7 @@
 
 // Select takes a selection with what else has changed; an older one changes nothing.
 // Selections come from one source at a time.
-func (m *Merge) Select(selection Selection, events []ports.WatchEvent, revision int64) {
+func (m *Merger) Select(selection Selection, events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.revision < 0 || revision < m.revision || selection.Kept != nil && !m.partial {
@@ -48,7 +48,7 @@
 }
 
 // ResetToSelection takes everything but the runners that are not selected.
-func (m *Merge) ResetToSelection(values []ports.Value, selection Selection, revision int64) {
+func (m *Merger) ResetToSelection(values []ports.Value, selection Selection, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if revision < m.revision {
@@ -60,7 +60,7 @@
 }
 
 // ApplySelected takes changes from the source of a selection.
-func (m *Merge) ApplySelected(events []ports.WatchEvent, revision int64) {
+func (m *Merger) ApplySelected(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.partial {
@@ -69,14 +69,14 @@
 }
 
 // Revision returns the revision reached; negative before the first.
-func (m *Merge) Revision() int64 {
+func (m *Merger) Revision() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
 }
 
 // Reset implements Sink; an older whole changes nothing.
-func (m *Merge) Reset(values []ports.Value, revision int64) {
+func (m *Merger) Reset(values []ports.Value, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if revision < m.revision {
@@ -87,7 +87,7 @@
 }
 
 // Apply implements Sink; changes that were taken already are left out.
-func (m *Merge) Apply(events []ports.WatchEvent, revision int64) {
+func (m *Merger) Apply(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.revision >= 0 && !m.partial {
@@ -96,7 +96,7 @@
 }
 
 // apply takes changes. The mutex is held.
-func (m *Merge) apply(events []ports.WatchEvent, revision int64) {
+func (m *Merger) apply(events []ports.WatchEvent, revision int64) {
 	fresh := make([]ports.WatchEvent, 0, len(events))
 	for _, event := range events {
 		if event.Value.Revision > m.revision {
--- a/internal/cluster/relay/mirror.go
+++ b/internal/cluster/relay/mirror.go
@@ -163,7 +163,7 @@
 	delete(m.gone, value.Key)
 	m.note(value.Revision, value.Key)
 	if id, place, isRunner := m.classify(value); isRunner {
-		m.runners.Put(subset.ListedRunner[string]{ID: id, Place: place, Value: value.Key})
+		m.runners.Put(subset.ListedRunner[string]{ID: id, ServiceZone: place, Value: value.Key})
 	}
 }
 
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -62,7 +62,7 @@
 	revision int64
 	mirrors  [2]*Mirror
 	streams  [2]int64 // up to where the follower has got the changes of each mirror
-	merge    *Merge
+	merge    *Merger
 	taken    *contents
 }
 
@@ -115,7 +115,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{values: map[string]int64{}, mirrors: [2]*Mirror{NewMirror(nil), NewMirror(nil)}, streams: [2]int64{-1, -1}}
 		m.taken = &contents{values: map[string]int64{}, fail: t.Fatalf}
-		m.merge = NewMerge(m.taken)
+		m.merge = NewMerger(m.taken)
 		for _, mirror := range m.mirrors {
 			m.list(mirror)
 		}
--- a/internal/cluster/relay/serve.go
+++ b/internal/cluster/relay/serve.go
@@ -19,10 +19,10 @@
 	Mirror *Mirror
 	// Lost reports whether the store does not answer this node.
 	Lost func() bool
-	// Relayed reports whether this node follows others itself; in a fleet that is
+	// UsesRelay reports whether this node follows others itself; in a fleet that is
 	// not large it is no source then, so that no two nodes follow each other. Nil
 	// stands for never.
-	Relayed func() bool
+	UsesRelay func() bool
 	// Level is how many hops from the store this node takes its changes in a large
 	// fleet (see Follower); nil stands for 0.
 	Level func() uint32
@@ -38,7 +38,7 @@
 // Serve answers METHOD_FOLLOW until the asker leaves.
 func (s *Source) Serve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.FollowRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	if s.Mirror == nil {
@@ -71,7 +71,7 @@
 // refusal says why this node is no source for a follower.
 func (s *Source) refusal(request *wirev1.FollowRequest) error {
 	if request.Level == 0 {
-		if s.Relayed != nil && s.Relayed() {
+		if s.UsesRelay != nil && s.UsesRelay() {
 			return result.New(result.NotReady, "this node does not follow the store at present")
 		}
 		return nil
@@ -181,24 +181,24 @@
 
 // deliver hands a reply to a merge. Interest is in the runners that were asked for; its
 // zero value stands for all.
-func deliver(reply *wirev1.FollowReply, merge *Merge, interest subset.Interest) {
+func deliver(reply *wirev1.FollowReply, merger *Merger, interest subset.Interest) {
 	selective := interest != (subset.Interest{})
 	selection := Selection{Values: decodeValues(reply.Selected), Totals: totalsOf(reply)}
 	if reply.Added {
-		selection.Kept = subset.DrawOf(interest, selection.Totals)
+		selection.Kept = subset.Compute(interest, selection.Totals)
 	}
 	switch {
 	case reply.Whole && selective:
-		merge.ResetToSelection(decodeValues(reply.Items), selection, reply.Revision)
+		merger.ResetToSelection(decodeValues(reply.Items), selection, reply.Revision)
 	case reply.Whole:
-		merge.Reset(decodeValues(reply.Items), reply.Revision)
+		merger.Reset(decodeValues(reply.Items), reply.Revision)
 	case reply.Selection:
-		merge.Select(selection, decodeEvents(reply.Items), reply.Revision)
+		merger.Select(selection, decodeEvents(reply.Items), reply.Revision)
 	case reply.Revision == 0: // only a heartbeat
 	case selective:
-		merge.ApplySelected(decodeEvents(reply.Items), reply.Revision)
+		merger.ApplySelected(decodeEvents(reply.Items), reply.Revision)
 	default:
-		merge.Apply(decodeEvents(reply.Items), reply.Revision)
+		merger.Apply(decodeEvents(reply.Items), reply.Revision)
 	}
 }
 
--- a/internal/cluster/relay/sink.go
+++ b/internal/cluster/relay/sink.go
@@ -21,12 +21,12 @@
 	// Kept: of the runners known so far those that this draw knows stay; nil for none.
 	// As runners become many the draws of all nodes shrink again and again, and only
 	// the totals have to be sent.
-	Kept *subset.Draw
+	Kept *subset.Subset
 }
 
 // keeps reports whether a runner that is known stays so.
 func (s *Selection) keeps(id string, place subset.ServiceZone) bool {
-	return s.Kept != nil && s.Kept.Knows(place, subset.PositionOf(id))
+	return s.Kept != nil && s.Kept.Contains(place, subset.PositionOf(id))
 }
 
 // Keeps reports whether a value that is known stays so, by a classifier.
--- a/internal/cluster/relay/stream.go
+++ b/internal/cluster/relay/stream.go
@@ -39,13 +39,13 @@
 
 // request is what this node asks a source for.
 func (f *Follower) request() (*wirev1.FollowRequest, subset.Interest) {
-	request := &wirev1.FollowRequest{After: f.Merge.Revision()}
+	request := &wirev1.FollowRequest{After: f.Merger.Revision()}
 	if !f.Nodes.Large() {
 		return request, subset.Interest{}
 	}
 	request.Level = f.Level()
 	if request.Level < leafLevel || f.Interest == nil {
-		if f.Merge.Partial() {
+		if f.Merger.Partial() {
 			request.After = -1 // all runners are wanted from now on
 		}
 		return request, subset.Interest{}
@@ -84,8 +84,8 @@
 			return err
 		}
 		selective := request.Interest != nil
-		deliver(reply, f.Merge, interest)
-		taken := f.Merge.Partial() == selective
+		deliver(reply, f.Merger, interest)
+		taken := f.Merger.Partial() == selective
 		switch {
 		case f.outdated(request, interest):
 			return errOtherInterest
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -26,7 +26,7 @@
 )
 
 // followWeight orders the nodes of a zone by who follows the store.
-func followWeight(node *wirev1.NodeRecord) uint64 { return ownership.PairWeight("store", node.NodeId) }
+func followWeight(node *wirev1.NodeRecord) uint64 { return ownership.NodeWeight("store", node.NodeId) }
 
 // inOrder returns nodes with disks in the order in which they follow the store.
 func inOrder(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
@@ -150,7 +150,7 @@
 }
 
 func (f *Follower) lives(node *wirev1.NodeRecord) bool {
-	return !f.Nodes.Silent(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().Alive)
+	return !f.Nodes.Unresponsive(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().Alive)
 }
 
 // Watched lists the nodes whose life this node has to know of, to know its level:
--- a/internal/cluster/relay/tree_test.go
+++ b/internal/cluster/relay/tree_test.go
@@ -43,7 +43,7 @@
 		return known
 	}
 	directory := peers.NewDirectory(f.records[address])
-	directory.NoteLarge()
+	directory.MarkLarge()
 	for _, record := range f.records {
 		directory.Put(record)
 	}
@@ -63,8 +63,8 @@
 		most = max(most, len(watched))
 		found := false
 		for _, node := range watched {
-			if f.dead[node.Address] && !directory.Silent(node.NodeId) {
-				directory.NoteSilent(node.Address, time.Now())
+			if f.dead[node.Address] && !directory.Unresponsive(node.NodeId) {
+				directory.RecordUnresponsive(node.Address, time.Now())
 				found = true
 			}
 		}
@@ -196,7 +196,7 @@
 	is.True(first.wantsSource(0))
 	chosen := first.choose(0)
 	is.True(slices.Contains(firsts[1:], chosen))
-	request, _ := (&Follower{Nodes: first.Nodes, Merge: NewMerge(nil), Lost: first.Lost}).request()
+	request, _ := (&Follower{Nodes: first.Nodes, Merger: NewMerger(nil), Lost: first.Lost}).request()
 	is.Equal((&Source{Mirror: NewMirror(nil), Level: f.follower(chosen).Level}).refusal(request), nil)
 	is.True(!first.outdated(request, subset.Interest{}))
 	lost = false
--- a/internal/cluster/relay/update.go
+++ b/internal/cluster/relay/update.go
@@ -22,7 +22,7 @@
 // FollowerView is what one follower gets: of the runners, those of its interest.
 type FollowerView struct {
 	Interest subset.Interest
-	draw     *subset.Draw // as it was sent last; nil before
+	subset   *subset.Subset // as it was sent last; nil before
 }
 
 // After returns what is new after a revision, negative for none; nil if nothing
@@ -55,21 +55,21 @@
 
 // redraw works out the draw of a view, and the one before it if that is another; nil
 // for none. The mutex is held.
-func (m *Mirror) redraw(view *FollowerView) (draw, before *subset.Draw, redrawn bool) {
+func (m *Mirror) redraw(view *FollowerView) (draw, before *subset.Subset, redrawn bool) {
 	if view == nil {
 		return nil, nil, false
 	}
-	draw, before = subset.DrawOf(view.Interest, m.runners.Totals()), view.draw
+	draw, before = subset.Compute(view.Interest, m.runners.Totals()), view.subset
 	if draw.Equal(before) {
 		return draw, nil, false
 	}
-	view.draw = draw
+	view.subset = draw
 	return draw, before, true
 }
 
 // selected returns the runners of a draw that the one before it did not know. The
 // mutex is held.
-func (m *Mirror) selected(draw, before *subset.Draw) *Selection {
+func (m *Mirror) selected(draw, before *subset.Subset) *Selection {
 	if m.partial { // all that there is, to a node that knows nothing
 		return &Selection{Values: m.runnerValues(), Totals: m.totals}
 	}
@@ -78,7 +78,7 @@
 		selection.Kept = draw
 	}
 	for _, entry := range m.runners.Select(draw) {
-		if before == nil || !before.Knows(entry.Place, subset.PositionOf(entry.ID)) {
+		if before == nil || !before.Contains(entry.ServiceZone, subset.PositionOf(entry.ID)) {
 			selection.Values = append(selection.Values, m.values[entry.Value])
 		}
 	}
@@ -110,7 +110,7 @@
 
 // eventsAfter lists what changed after a revision, of each key the last change, in
 // order. The mutex is held.
-func (m *Mirror) eventsAfter(revision int64, draw *subset.Draw) []ports.WatchEvent {
+func (m *Mirror) eventsAfter(revision int64, draw *subset.Subset) []ports.WatchEvent {
 	from := sort.Search(len(m.log), func(i int) bool { return m.log[i].revision > revision })
 	var events []ports.WatchEvent
 	for _, one := range m.log[from:] {
@@ -118,12 +118,12 @@
 			continue
 		}
 		if value, held := m.values[one.key]; held {
-			if id, place, isRunner := m.classify(value); draw == nil || !isRunner || draw.Knows(place, subset.PositionOf(id)) {
+			if id, place, isRunner := m.classify(value); draw == nil || !isRunner || draw.Contains(place, subset.PositionOf(id)) {
 				events = append(events, ports.WatchEvent{Value: value})
 			}
 			continue
 		}
-		if end := m.gone[one.key]; draw == nil || end.runner == "" || draw.Knows(end.place, subset.PositionOf(end.runner)) {
+		if end := m.gone[one.key]; draw == nil || end.runner == "" || draw.Contains(end.place, subset.PositionOf(end.runner)) {
 			events = append(events, ports.WatchEvent{Value: ports.Value{Key: one.key, Revision: one.revision}, Deleted: true})
 		}
 	}
--- a/internal/cluster/relay/view_test.go
+++ b/internal/cluster/relay/view_test.go
@@ -96,7 +96,7 @@
 		m := &treeModel{storeModel: storeModel{values: map[string]int64{}, mirrors: [2]*Mirror{NewMirror(classifyTest), NewMirror(classifyTest)}}}
 		m.interest = subset.Interest{Node: "edge", Zone: "z0", Near: 16, Far: 4}
 		m.node = &selected{values: map[string]int64{}}
-		m.merge = NewMerge(m.node)
+		m.merge = NewMerger(m.node)
 		for _, mirror := range m.mirrors {
 			m.list(mirror)
 		}
@@ -145,12 +145,12 @@
 		want := map[string]int64{}
 		for key, revision := range m.values {
 			if id, place, isRunner := classifyTest(ports.Value{Key: key}); isRunner {
-				index.Put(subset.ListedRunner[int64]{ID: id, Place: place, Value: revision})
+				index.Put(subset.ListedRunner[int64]{ID: id, ServiceZone: place, Value: revision})
 			} else {
 				want[key] = revision
 			}
 		}
-		for _, entry := range index.Select(subset.DrawOf(m.interest, index.Totals())) {
+		for _, entry := range index.Select(subset.Compute(m.interest, index.Totals())) {
 			want[entry.ID] = entry.Value
 		}
 		if !maps.Equal(m.node.values, want) {
@@ -164,7 +164,7 @@
 func TestSourcesOfAllAndOfSomeDoNotMix(t *testing.T) {
 	is := is.New(t)
 	node := &selected{values: map[string]int64{}}
-	merge := NewMerge(node)
+	merge := NewMerger(node)
 	merge.Reset([]ports.Value{{Key: runnerKey(1), Revision: 1}, {Key: runnerKey(2), Revision: 2}}, 2)
 	merge.ApplySelected([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(1), Revision: 4}, Deleted: true}}, 4)
 	is.Equal(merge.Revision(), int64(2)) // else the change at 3 would be taken for old
@@ -190,7 +190,7 @@
 }
 
 func edgeView(edge int) *FollowerView {
-	return &FollowerView{Interest: subset.InterestOf(fmt.Sprint("edge-", edge), fmt.Sprint("z", edge%5), false)}
+	return &FollowerView{Interest: subset.DefaultInterest(fmt.Sprint("edge-", edge), fmt.Sprint("z", edge%5), false)}
 }
 
 // What a node gets when it starts, and when half of all runners are released, does
--- a/internal/cluster/subset/index.go
+++ b/internal/cluster/subset/index.go
@@ -7,9 +7,9 @@
 
 // ListedRunner is a listed runner. Value is what else is kept of it.
 type ListedRunner[V any] struct {
-	ID    string
-	Place ServiceZone
-	Value V
+	ID          string
+	ServiceZone ServiceZone
+	Value       V
 }
 
 // Index holds listed runners so that those of a draw are found without reading the
@@ -48,14 +48,14 @@
 
 // Put takes an entry in the place of the one of the same id.
 func (i *Index[V]) Put(entry ListedRunner[V]) {
-	if known, listed := i.byID[entry.ID]; listed && known.Place != entry.Place {
+	if known, listed := i.byID[entry.ID]; listed && known.ServiceZone != entry.ServiceZone {
 		i.Remove(entry.ID)
 	}
 	if _, listed := i.byID[entry.ID]; !listed {
 		at := located{PositionOf(entry.ID), entry.ID}
-		ring := i.rings[entry.Place]
+		ring := i.rings[entry.ServiceZone]
 		where, _ := slices.BinarySearchFunc(ring, at, compareLocated)
-		i.rings[entry.Place] = slices.Insert(ring, where, at)
+		i.rings[entry.ServiceZone] = slices.Insert(ring, where, at)
 	}
 	i.byID[entry.ID] = entry
 }
@@ -67,11 +67,11 @@
 		return
 	}
 	delete(i.byID, id)
-	ring := i.rings[entry.Place]
+	ring := i.rings[entry.ServiceZone]
 	where, _ := slices.BinarySearchFunc(ring, located{PositionOf(id), id}, compareLocated)
-	i.rings[entry.Place] = slices.Delete(ring, where, where+1)
-	if len(i.rings[entry.Place]) == 0 {
-		delete(i.rings, entry.Place)
+	i.rings[entry.ServiceZone] = slices.Delete(ring, where, where+1)
+	if len(i.rings[entry.ServiceZone]) == 0 {
+		delete(i.rings, entry.ServiceZone)
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Select lists the entries of a draw, in no order that means anything.
-func (i *Index[V]) Select(draw *Draw) []ListedRunner[V] {
+func (i *Index[V]) Select(draw *Subset) []ListedRunner[V] {
 	var list []ListedRunner[V]
 	for place, ring := range i.rings {
 		for _, at := range within(ring, draw, place) {
@@ -96,7 +96,7 @@
 }
 
 // within returns the runners of a ring that a draw knows.
-func within(ring []located, draw *Draw, place ServiceZone) []located {
+func within(ring []located, draw *Subset, place ServiceZone) []located {
 	known, counted := draw.arcs[place]
 	if !counted || known.all {
 		return ring
--- a/internal/cluster/subset/selector.go
+++ b/internal/cluster/subset/selector.go
@@ -5,7 +5,7 @@
 type Selector[V any] struct {
 	interest Interest
 	index    *Index[V]
-	draw     *Draw
+	subset   *Subset
 }
 
 // DrawChange is what changes in what a node knows.
@@ -38,12 +38,12 @@
 	for _, id := range removed {
 		s.index.Remove(id)
 	}
-	if s.draw == nil || !DrawOf(s.interest, s.index.Totals()).Equal(s.draw) {
+	if s.subset == nil || !Compute(s.interest, s.index.Totals()).Equal(s.subset) {
 		return s.whole()
 	}
 	change := DrawChange[V]{Removed: removed}
 	for _, entry := range put {
-		if s.draw.Knows(entry.Place, PositionOf(entry.ID)) {
+		if s.subset.Contains(entry.ServiceZone, PositionOf(entry.ID)) {
 			change.Put = append(change.Put, entry)
 		}
 	}
@@ -63,6 +63,6 @@
 func (s *Selector[V]) Totals() Totals { return s.index.Totals() }
 
 func (s *Selector[V]) whole() DrawChange[V] {
-	s.draw = DrawOf(s.interest, s.index.Totals())
-	return DrawChange[V]{Whole: true, Put: s.index.Select(s.draw)}
+	s.subset = Compute(s.interest, s.index.Totals())
+	return DrawChange[V]{Whole: true, Put: s.index.Select(s.subset)}
 }
--- a/internal/cluster/subset/subset.go
+++ b/internal/cluster/subset/subset.go
@@ -52,8 +52,8 @@
 	farKnown = 16
 )
 
-// InterestOf returns the interest of a node as long as its choices find free slots.
-func InterestOf(node, zone string, hasDisk bool) Interest {
+// DefaultInterest returns the interest of a node as long as its choices find free slots.
+func DefaultInterest(node, zone string, hasDisk bool) Interest {
 	interest := Interest{Node: node, Zone: zone, Near: edgeNear, Far: farKnown}
 	if hasDisk {
 		interest.Near = diskNear
@@ -97,14 +97,14 @@
 
 func (a arc) has(position uint64) bool { return a.all || position-a.start < a.length }
 
-// Draw is which runners a node knows.
-type Draw struct {
+// Subset is which runners a node knows.
+type Subset struct {
 	arcs map[ServiceZone]arc
 }
 
-// DrawOf works out a draw from the numbers of runners.
-func DrawOf(interest Interest, totals Totals) *Draw {
-	d := &Draw{arcs: make(map[ServiceZone]arc, len(totals))}
+// Compute works out a draw from the numbers of runners.
+func Compute(interest Interest, totals Totals) *Subset {
+	d := &Subset{arcs: make(map[ServiceZone]arc, len(totals))}
 	near, far := xxhash.Sum64String(interest.Node), xxhash.Sum64String(interest.Node+"/far")
 	for service, sum := range byService(totals) {
 		own := totals[ServiceZone{service, interest.Zone}]
@@ -151,12 +151,12 @@
 	return sum
 }
 
-// Knows reports whether the node knows a runner. All know the runners of a place
+// Contains reports whether the node knows a runner. All know the runners of a place
 // that has not been counted yet.
-func (d *Draw) Knows(place ServiceZone, position uint64) bool {
+func (d *Subset) Contains(place ServiceZone, position uint64) bool {
 	known, counted := d.arcs[place]
 	return !counted || known.has(position)
 }
 
 // Equal reports whether two draws are the same.
-func (d *Draw) Equal(other *Draw) bool { return other != nil && maps.Equal(d.arcs, other.arcs) }
+func (d *Subset) Equal(other *Subset) bool { return other != nil && maps.Equal(d.arcs, other.arcs) }
--- a/internal/cluster/subset/subset_test.go
+++ b/internal/cluster/subset/subset_test.go
@@ -15,7 +15,7 @@
 func fleetIndex(runners, zones int) *Index[int] {
 	index := NewIndex[int]()
 	for i := range runners {
-		index.Put(ListedRunner[int]{ID: fmt.Sprint("i-", i), Place: ServiceZone{"s", fmt.Sprint("z", i%zones)}, Value: i})
+		index.Put(ListedRunner[int]{ID: fmt.Sprint("i-", i), ServiceZone: ServiceZone{"s", fmt.Sprint("z", i%zones)}, Value: i})
 	}
 	return index
 }
@@ -28,8 +28,8 @@
 		index := fleetIndex(size, 5)
 		most, least := 0, size
 		for node := range 200 {
-			interest := InterestOf(fmt.Sprint("edge-", node), "z1", false)
-			known := len(index.Select(DrawOf(interest, index.Totals())))
+			interest := DefaultInterest(fmt.Sprint("edge-", node), "z1", false)
+			known := len(index.Select(Compute(interest, index.Totals())))
 			most, least = max(most, known), min(least, known)
 		}
 		t.Logf("%d runners: a node knows %d to %d", size, least, most)
@@ -54,10 +54,10 @@
 		edges := edgesOfZone * size / 10_000
 		knownBy := map[string]int{}
 		for node := range edges {
-			draw := DrawOf(InterestOf(fmt.Sprint("edge-", node), "z0", false), index.Totals())
+			draw := Compute(DefaultInterest(fmt.Sprint("edge-", node), "z0", false), index.Totals())
 			left := 0
 			for _, entry := range index.Select(draw) {
-				if entry.Place.Zone == "z0" {
+				if entry.ServiceZone.Zone == "z0" {
 					knownBy[entry.ID]++
 				}
 				if entry.Value%10 != 0 {
@@ -68,7 +68,7 @@
 		}
 		alone := 0
 		for id := range index.byID {
-			if index.byID[id].Place.Zone == "z0" && knownBy[id] < 2 {
+			if index.byID[id].ServiceZone.Zone == "z0" && knownBy[id] < 2 {
 				alone++
 			}
 		}
@@ -85,21 +85,21 @@
 		index := NewIndex[int]()
 		for zone := range 4 {
 			for i := range rapid.IntRange(0, 900).Draw(t, "runners") {
-				index.Put(ListedRunner[int]{ID: fmt.Sprint("z", zone, "-", i), Place: ServiceZone{"s", fmt.Sprint("z", zone)}})
+				index.Put(ListedRunner[int]{ID: fmt.Sprint("z", zone, "-", i), ServiceZone: ServiceZone{"s", fmt.Sprint("z", zone)}})
 			}
 		}
 		for i := range 3 {
-			index.Put(ListedRunner[int]{ID: fmt.Sprint("rare-", i), Place: ServiceZone{"rare", "z3"}})
+			index.Put(ListedRunner[int]{ID: fmt.Sprint("rare-", i), ServiceZone: ServiceZone{"rare", "z3"}})
 		}
-		interest := InterestOf("edge-1", "z0", rapid.Bool().Draw(t, "disk"))
-		draw, wider := DrawOf(interest, index.Totals()), DrawOf(interest.Widened(2), index.Totals())
+		interest := DefaultInterest("edge-1", "z0", rapid.Bool().Draw(t, "disk"))
+		draw, wider := Compute(interest, index.Totals()), Compute(interest.Widened(2), index.Totals())
 		known, rare := 0, 0
 		for id, entry := range index.byID {
-			knows := draw.Knows(entry.Place, PositionOf(id))
-			if knows && !wider.Knows(entry.Place, PositionOf(id)) {
+			knows := draw.Contains(entry.ServiceZone, PositionOf(id))
+			if knows && !wider.Contains(entry.ServiceZone, PositionOf(id)) {
 				t.Fatalf("the wider draw lost %s", id)
 			}
-			if knows && entry.Place.Service == "rare" {
+			if knows && entry.ServiceZone.Service == "rare" {
 				rare++
 			}
 			if knows {
@@ -133,7 +133,7 @@
 			}
 		}
 		entry := func(i int) ListedRunner[int] {
-			return ListedRunner[int]{ID: fmt.Sprint("r", i), Place: ServiceZone{"s", fmt.Sprint("z", i%3)}, Value: rapid.Int().Draw(t, "value")}
+			return ListedRunner[int]{ID: fmt.Sprint("r", i), ServiceZone: ServiceZone{"s", fmt.Sprint("z", i%3)}, Value: rapid.Int().Draw(t, "value")}
 		}
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -167,11 +167,11 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				draw := DrawOf(interest, s.Totals())
+				draw := Compute(interest, s.Totals())
 				count := 0
 				for id, one := range listed {
 					value, knows := known[id]
-					if knows != draw.Knows(one.Place, PositionOf(id)) || knows && value != one.Value {
+					if knows != draw.Contains(one.ServiceZone, PositionOf(id)) || knows && value != one.Value {
 						t.Fatalf("%s is known: %v", id, knows)
 					}
 					if knows {
@@ -208,7 +208,7 @@
 		index := fleetIndex(size, 5)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				index.Select(DrawOf(InterestOf(fmt.Sprint("edge-", i), "z1", false), index.Totals()))
+				index.Select(Compute(DefaultInterest(fmt.Sprint("edge-", i), "z1", false), index.Totals()))
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("new-", i)
-				index.Put(ListedRunner[int]{ID: id, Place: ServiceZone{"s", "z1"}})
+				index.Put(ListedRunner[int]{ID: id, ServiceZone: ServiceZone{"s", "z1"}})
 				index.Remove(id)
 			}
 		})
--- a/internal/configuration/catalog/catalog_test.go
+++ b/internal/configuration/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 )
 
 func routeAt(host, prefix string, parts ...WeightedService) *Route {
-	return &Route{Name: host + prefix, Host: host, PathPrefix: prefix, Parts: append(parts, WeightedService{"s", 1})}
+	return &Route{Name: host + prefix, Host: host, PathPrefix: prefix, Services: append(parts, WeightedService{"s", 1})}
 }
 
 func TestLongestPrefixOfTheHost(t *testing.T) {
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			taken := holder.Offer(next, nil, 0, time.Now())
+			taken := holder.UpdateIfNewer(next, nil, 0, time.Now())
 			if taken != (version > highest) {
 				t.Fatalf("version %d after %d taken: %v", version, highest, taken)
 			}
@@ -51,7 +51,7 @@
 // Each part of a split gets its share, and a request always the same part.
 func TestSplitFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	route := &Route{Name: "r", Parts: []WeightedService{{"a", 70}, {"b", 30}, {"none", 0}}}
+	route := &Route{Name: "r", Services: []WeightedService{{"a", 70}, {"b", 30}, {"none", 0}}}
 	counts := map[string]int{}
 	for i := range 20000 {
 		id := fmt.Sprintf("%016x", i*7919)
@@ -74,9 +74,9 @@
 func TestUnservableRoutes(t *testing.T) {
 	is := is.New(t)
 	for _, route := range []*Route{
-		{Name: "no prefix", Parts: []WeightedService{{"s", 1}}},
+		{Name: "no prefix", Services: []WeightedService{{"s", 1}}},
 		{Name: "no service", PathPrefix: "/"},
-		{Name: "negative", PathPrefix: "/", Parts: []WeightedService{{"s", -1}}},
+		{Name: "negative", PathPrefix: "/", Services: []WeightedService{{"s", -1}}},
 	} {
 		_, err := New(1, []*Route{route}, nil, RequestLimits{})
 		is.True(err != nil)
--- a/internal/configuration/catalog/holder.go
+++ b/internal/configuration/catalog/holder.go
@@ -49,8 +49,8 @@
 	return nil, 0
 }
 
-// Offer puts a version in force if it is newer than the one in force.
-func (h *Holder) Offer(next *Catalog, document []byte, revision int64, now time.Time) bool {
+// UpdateIfNewer puts a version in force if it is newer than the one in force.
+func (h *Holder) UpdateIfNewer(next *Catalog, document []byte, revision int64, now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if held := h.current.Load(); held != nil && held.catalog.Version >= next.Version {
--- a/internal/configuration/catalog/route.go
+++ b/internal/configuration/catalog/route.go
@@ -49,8 +49,8 @@
 	Resumable bool
 	// Public requests need no key.
 	Public bool
-	// Parts are the services; weights are positive.
-	Parts []WeightedService
+	// Services are the services; weights are positive.
+	Services []WeightedService
 	// ResultTarget, GiveUp, MaxWaitingTokens are of batch routes: when results
 	// are due, when an item may be given up, and how many tokens may wait (0 is
 	// no limit).
@@ -66,11 +66,11 @@
 
 // ServiceFor picks the part of a request, the same for the same id.
 func (r *Route) ServiceFor(id string) string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	total := 0
-	for _, part := range r.Parts {
+	for _, part := range r.Services {
 		total += part.Weight
 	}
 	if total == 0 {
@@ -80,7 +80,7 @@
 	_, _ = digest.Write([]byte(r.Name))
 	_, _ = digest.Write([]byte(id))
 	at := int(mix(digest.Sum64()) % uint64(total))
-	for _, part := range r.Parts {
+	for _, part := range r.Services {
 		if at < part.Weight {
 			return part.Service
 		}
@@ -111,10 +111,10 @@
 	if !strings.HasPrefix(route.PathPrefix, "/") {
 		return &InvalidRouteError{route.Name, "path prefix", route.PathPrefix, "a text that begins with a slash"}
 	}
-	if len(route.Parts) == 0 {
+	if len(route.Services) == 0 {
 		return &InvalidRouteError{route.Name, "service", "", "at least one service"}
 	}
-	for _, part := range route.Parts {
+	for _, part := range route.Services {
 		if part.Weight < 0 {
 			return &InvalidRouteError{route.Name, "weight", fmt.Sprint(part.Weight), "0 or more"}
 		}
--- a/internal/configuration/catalog/tenants.go
+++ b/internal/configuration/catalog/tenants.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// Keyed reports whether requests carry keys in this version.
-func (c *Catalog) Keyed() bool { return len(c.tenants) > 0 }
+// RequiresKeys reports whether requests carry keys in this version.
+func (c *Catalog) RequiresKeys() bool { return len(c.tenants) > 0 }
 
 // TenantOf returns the tenant that holds a key, nil if none does.
 func (c *Catalog) TenantOf(key string) *Tenant { return c.keys[DigestKey(key)] }
--- a/internal/configuration/catalog/tenants_test.go
+++ b/internal/configuration/catalog/tenants_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	c, err := withTenants(tenant("a", secret, "k2"), tenant("b", "k3"))
 	is.NoErr(err)
-	is.True(c.Keyed())
+	is.True(c.RequiresKeys())
 	is.Equal(c.TenantOf(secret).Name, "a")
 	is.Equal(c.TenantOf("k3").Name, "b")
 	for _, wrong := range []string{"", "k", "k22", "K2", secret + " ", strings.ToUpper(secret)} {
@@ -35,7 +35,7 @@
 	}
 	none, err := withTenants()
 	is.NoErr(err)
-	is.True(!none.Keyed())
+	is.True(!none.RequiresKeys())
 }
 
 // A configuration whose tenants can't be told apart is refused, and the error
--- a/internal/configuration/settings/check.go
+++ b/internal/configuration/settings/check.go
@@ -31,8 +31,8 @@
 
 const nameAllowed = "1 to 63 letters, digits, dots, colons, dashes or underscores, starting with a letter or digit"
 
-// Check returns the first bad field as a *FieldError.
-func (s *Settings) Check() error {
+// Validate returns the first bad field as a *FieldError.
+func (s *Settings) Validate() error {
 	checks := []func() error{s.checkNames, s.checkAddresses, s.checkPlatform, s.checkNumbers, s.checkTLS}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -125,11 +125,11 @@
 		pair KeyPair
 	}{{"tls.api", s.TLS.API}, {"tls.nodes", s.TLS.Nodes}}
 	for _, item := range pairs {
-		if item.pair.Set() && (item.pair.Certificate == "" || item.pair.Key == "") {
+		if item.pair.IsSet() && (item.pair.Certificate == "" || item.pair.Key == "") {
 			return &FieldError{item.path, "one file", "both certificate and key, or neither"}
 		}
 	}
-	if s.TLS.Nodes.Set() && s.TLS.NodesAuthority == "" {
+	if s.TLS.Nodes.IsSet() && s.TLS.NodesAuthority == "" {
 		return &FieldError{"tls.nodes_authority", "", "the path of the nodes' certificate authority"}
 	}
 	return nil
--- a/internal/configuration/settings/settings.go
+++ b/internal/configuration/settings/settings.go
@@ -96,8 +96,8 @@
 	Key string `yaml:"key"`
 }
 
-// Set reports whether a pair is named.
-func (p KeyPair) Set() bool { return p.Certificate != "" || p.Key != "" }
+// IsSet reports whether a pair is named.
+func (p KeyPair) IsSet() bool { return p.Certificate != "" || p.Key != "" }
 
 // CallerLimits bound what the node takes from callers.
 type CallerLimits struct {
@@ -150,7 +150,7 @@
 		return nil, trace.BadParameter("%s", yaml.FormatError(err, false, true))
 	}
 	parsed.Complete()
-	if err := parsed.Check(); err != nil {
+	if err := parsed.Validate(); err != nil {
 		return nil, locate(text, err)
 	}
 	return &parsed, nil
--- a/internal/configuration/settings/settings_test.go
+++ b/internal/configuration/settings/settings_test.go
@@ -58,7 +58,7 @@
 	f.Add([]byte("node: 3"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		loaded, err := Parse(text)
-		if err == nil && loaded.Check() != nil {
+		if err == nil && loaded.Validate() != nil {
 			t.Fatal("accepted settings do not check")
 		}
 	})
--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -247,7 +247,7 @@
 	a.mutex.Unlock()
 	klog.InfoS("request not admitted", "id", id, "tenant", tenant.Name, "outcome", outcome,
 		"rate", tenant.RatePerSecond, "burst", tenant.Burst, "share", share, "credit", level, "demandHere", demand,
-		"shareAgeMs", age.Milliseconds(), "retryAfterMs", result.From(err).RetryAfter.Milliseconds())
+		"shareAgeMs", age.Milliseconds(), "retryAfterMs", result.FromError(err).RetryAfter.Milliseconds())
 }
 
 func (c *Controller) allowance(tenant string) *allowance {
--- a/internal/serving/admission/controller_test.go
+++ b/internal/serving/admission/controller_test.go
@@ -79,13 +79,13 @@
 			switch {
 			case err == nil:
 				admitted.Add(1)
-			case result.Is(err, result.TenantRate) && result.From(err).RetryAfter > 0:
+			case result.Is(err, result.TenantRate) && result.FromError(err).RetryAfter > 0:
 				refused.Add(1)
 			}
 		}()
 	}
 	send()
-	eventually.That(t, "the keeper holds the question of the first request", func() bool { return keepers.calls.Load() == 1 }, func() any { return keepers.calls.Load() })
+	eventually.Require(t, "the keeper holds the question of the first request", func() bool { return keepers.calls.Load() == 1 }, func() any { return keepers.calls.Load() })
 	for range 11 {
 		send()
 	}
@@ -95,7 +95,7 @@
 		defer allowance.mutex.Unlock()
 		return len(allowance.waiting)
 	}
-	eventually.That(t, "the other requests wait", func() bool { return waiting() == 11 }, func() any { return waiting() })
+	eventually.Require(t, "the other requests wait", func() bool { return waiting() == 11 }, func() any { return waiting() })
 	close(release)
 	group.Wait()
 	is.Equal(admitted.Load()+refused.Load(), int64(12))
@@ -131,7 +131,7 @@
 	_, err := controllerOf(keepers).Admit(context.Background(), "id", limited, time.Millisecond)
 	is.True(result.Is(err, result.NotReady))
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
-	is.True(result.From(err).RetryAfter >= noAnswerRetryAfter)
+	is.True(result.FromError(err).RetryAfter >= noAnswerRetryAfter)
 }
 
 // Renewals carry what is held, one message for all tenants of a keeper, and the
@@ -172,7 +172,7 @@
 		}
 		return ok
 	}
-	eventually.That(t, "credit comes together at the share's rate", hasCredit, func() any {
+	eventually.Require(t, "credit comes together at the share's rate", hasCredit, func() any {
 		allowance.mutex.Lock()
 		defer allowance.mutex.Unlock()
 		share, level := allowance.Share()
--- a/internal/serving/admission/refusal.go
+++ b/internal/serving/admission/refusal.go
@@ -33,12 +33,12 @@
 
 // noAnswer is the refusal of a request whose tenant's keeper does not answer.
 func noAnswer() error {
-	return result.New(result.NotReady, "the keeper of the tenant's limit does not answer").After(jittered(noAnswerRetryAfter))
+	return result.New(result.NotReady, "the keeper of the tenant's limit does not answer").WithRetryAfter(jittered(noAnswerRetryAfter))
 }
 
 // overLimit is the refusal of a request for which the keeper has no credit; wait is
 // when it may have one.
 func overLimit(tenant string, limit allotment.RateLimit, wait time.Duration) error {
 	refusal := result.New(result.TenantRate, "tenant %q has more than %g requests a second and a burst of %g", tenant, limit.Rate, limit.Burst)
-	return refusal.After(returnAfter(wait))
+	return refusal.WithRetryAfter(returnAfter(wait))
 }
--- a/internal/serving/authn/authn.go
+++ b/internal/serving/authn/authn.go
@@ -46,7 +46,7 @@
 // Authenticate returns the tenant that holds the key: nil where the configuration
 // has no tenants, or the route is public and nobody holds the key.
 func (a *Authenticator) Authenticate(held *catalog.Catalog, credentials Credentials, public bool) (*catalog.Tenant, error) {
-	if !held.Keyed() {
+	if !held.RequiresKeys() {
 		return nil, nil
 	}
 	problem := credentials.Problem
@@ -70,5 +70,5 @@
 		return tenant, nil
 	}
 	return nil, result.New(result.NotReady, "keys can't be checked: the configuration is not confirmed for %s, version %d is held",
-		age.Round(time.Millisecond), held.Version).After(staleRetryAfter)
+		age.Round(time.Millisecond), held.Version).WithRetryAfter(staleRetryAfter)
 }
--- a/internal/serving/engine/client.go
+++ b/internal/serving/engine/client.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	response, err := c.http.Do(ctx, &httpcall.Request{
-		Method: "POST", URL: "http://" + address + Path(request.Surface), Body: body, Fresh: request.Once,
+		Method: "POST", URL: "http://" + address + Path(request.Surface), Body: body, FreshConnection: request.Once,
 		Headers: [][2]string{{"Content-Type", "application/json"}, {"X-Request-Id", request.ID}},
 	})
 	if err != nil {
@@ -277,7 +277,7 @@
 	case statusNotFound:
 		return result.New(result.NotFound, "%s", message)
 	case statusTooManyRequests, statusUnavailable:
-		return result.New(result.EngineRefused, "%s", message).After(time.Duration(retryAfter * float64(time.Second)))
+		return result.New(result.EngineRefused, "%s", message).WithRetryAfter(time.Duration(retryAfter * float64(time.Second)))
 	default:
 		return result.New(result.EngineFailed, "%s", message)
 	}
--- a/internal/serving/exchange/exchange.go
+++ b/internal/serving/exchange/exchange.go
@@ -37,16 +37,16 @@
 	Remaining time.Duration
 	// ResumeAfter is the last event the caller has; negative to start anew.
 	ResumeAfter int64
-	// Current reports whether the call may still be sent. The client checks it right
+	// MaySend reports whether the call may still be sent. The client checks it right
 	// before it writes; nil allows every call.
-	Current func() bool
+	MaySend func() bool
 }
 
 // Load is a runner's own report of its requests.
 type Load struct{ Running, Waiting int }
 
-// Answer is a runner's answer. Body must be closed.
-type Answer struct {
+// Response is a runner's answer. Body must be closed.
+type Response struct {
 	Status  int
 	Headers []Header
 	// Length of the body, negative when it is not stated.
@@ -55,19 +55,19 @@
 	Body io.ReadCloser
 	// Load is nil when the runner reports none.
 	Load *Load
-	// Stamped: the answer carries the runner's mark, so it comes from the runner
+	// FromRunner: the answer carries the runner's mark, so it comes from the runner
 	// itself and not from something before it.
-	Stamped bool
+	FromRunner bool
 }
 
 // NotRunError says that the request has not run and will not.
 type NotRunError struct {
 	// Reason is one of the constants below.
 	Reason string
-	// Reached: the runner itself answered so.
-	Reached bool
-	Load    *Load
-	Cause   error
+	// FromRunner: the runner itself answered so.
+	FromRunner bool
+	Load       *Load
+	Cause      error
 }
 
 // Error implements error.
@@ -79,24 +79,24 @@
 // Absent reports whether the runner counts as failed: nothing answers at its
 // address, or another incarnation does.
 func (e *NotRunError) Absent() bool {
-	return e.Reason == ReasonMisdirected || e.Reason == ReasonDial && !e.Reached
+	return e.Reason == ReasonMisdirected || e.Reason == ReasonDial && !e.FromRunner
 }
 
-// UnknownError says that the request was sent and may have run.
-type UnknownError struct{ Cause error }
+// OutcomeUnknownError says that the request was sent and may have run.
+type OutcomeUnknownError struct{ Cause error }
 
 // Error implements error.
-func (e *UnknownError) Error() string { return fmt.Sprintf("outcome unknown: %v", e.Cause) }
+func (e *OutcomeUnknownError) Error() string { return fmt.Sprintf("outcome unknown: %v", e.Cause) }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // Reasons of NotRunError.
 const (
 	// ReasonDial: no connection could be opened.
 	ReasonDial = "dial"
-	// ReasonGone: Call.Current withdrew the call before its first byte.
-	ReasonGone = "gone"
+	// ReasonWithdrawn: Call.MaySend withdrew the call before its first byte.
+	ReasonWithdrawn = "gone"
 	// ReasonFull: the runner rejected it.
 	ReasonFull = "full"
 	// ReasonMisdirected: another incarnation answers at the address.
@@ -106,7 +106,7 @@
 // CallSender sends calls to runners.
 type CallSender interface {
 	// Do sends a call and reads the answer's head. The error is a *NotRunError
-	// or an *UnknownError. Ending the context closes the connection, by which
+	// or an *OutcomeUnknownError. Ending the context closes the connection, by which
 	// the runner drops the request.
-	Do(ctx context.Context, call *Call) (*Answer, error)
+	Do(ctx context.Context, call *Call) (*Response, error)
 }
--- a/internal/serving/health/health.go
+++ b/internal/serving/health/health.go
@@ -20,8 +20,8 @@
 	ejectedUntil time.Time
 }
 
-// Failed records a failure at a time.
-func (f *Failures) Failed(now time.Time) {
+// RecordFailure records a failure at a time.
+func (f *Failures) RecordFailure(now time.Time) {
 	ejection := maxEjection
 	if f.inRow < doublings {
 		ejection = min(maxEjection, firstEjection<<f.inRow)
@@ -30,8 +30,8 @@
 	f.ejectedUntil = now.Add(ejection)
 }
 
-// Succeeded ends the row of failures and the ejection.
-func (f *Failures) Succeeded() { *f = Failures{} }
+// RecordSuccess ends the row of failures and the ejection.
+func (f *Failures) RecordSuccess() { *f = Failures{} }
 
 // EjectedUntil returns the time until which the target is ejected.
 func (f *Failures) EjectedUntil() time.Time { return f.ejectedUntil }
--- a/internal/serving/health/health_test.go
+++ b/internal/serving/health/health_test.go
@@ -14,11 +14,11 @@
 	now := time.Unix(1000, 0)
 	is.True(!failures.EjectedUntil().After(now)) // nothing has failed
 	for _, seconds := range []float64{0.25, 0.5, 1, 2, 4, 8, 15, 15, 15} {
-		failures.Failed(now)
+		failures.RecordFailure(now)
 		is.Equal(failures.EjectedUntil().Sub(now).Seconds(), seconds)
 	}
-	failures.Succeeded()
+	failures.RecordSuccess()
 	is.True(!failures.EjectedUntil().After(now))
-	failures.Failed(now)
+	failures.RecordFailure(now)
 	is.Equal(failures.EjectedUntil().Sub(now), 250*time.Millisecond) // the row begins anew
 }
--- a/internal/serving/limits/limits.go
+++ b/internal/serving/limits/limits.go
@@ -86,14 +86,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if allowed := concurrentShare(t.limit.Concurrent, t.share); allowed > 0 && t.running >= allowed {
-		return result.New(result.TenantConcurrency, "%d requests are in flight here, allowed: %d", t.running, allowed).After(time.Second)
+		return result.New(result.TenantConcurrency, "%d requests are in flight here, allowed: %d", t.running, allowed).WithRetryAfter(time.Second)
 	}
 	if !t.tokens.AllowN(now, 0) || (t.tokens.Limit() != rate.Inf && t.tokens.TokensAt(now) <= 0) {
 		wait := waitFor(t.tokens, now)
-		return result.New(result.TenantTokens, "the tenant's tokens per minute are spent").After(wait)
+		return result.New(result.TenantTokens, "the tenant's tokens per minute are spent").WithRetryAfter(wait)
 	}
 	if !t.requests.AllowN(now, 1) {
-		return result.New(result.TenantRate, "more than %g requests per second", t.limit.RequestsPerSecond).After(waitFor(t.requests, now))
+		return result.New(result.TenantRate, "more than %g requests per second", t.limit.RequestsPerSecond).WithRetryAfter(waitFor(t.requests, now))
 	}
 	t.running++
 	return nil
--- a/internal/serving/limits/limits_test.go
+++ b/internal/serving/limits/limits_test.go
@@ -28,7 +28,7 @@
 			is := is.New(t)
 			tenant := NewTenantLimiter(c.limit, 1)
 			c.spend(tenant)
-			refused := result.From(tenant.Admit(now))
+			refused := result.FromError(tenant.Admit(now))
 			is.Equal(refused.Code, c.code)
 			is.True(refused.RetryAfter > 0)
 		})
--- a/internal/serving/loadshare/audience.go
+++ b/internal/serving/loadshare/audience.go
@@ -125,7 +125,7 @@
 	var list []weighed
 	for _, node := range nodes {
 		if node.knows(runner, position) {
-			list = append(list, weighed{node.id, ownership.PairWeight(runner.ID, node.id)})
+			list = append(list, weighed{node.id, ownership.NodeWeight(runner.ID, node.id)})
 		}
 	}
 	slices.SortFunc(list, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadshare/loadshare.go
@@ -31,7 +31,7 @@
 
 // VersionedMembers knows the nodes, and whether their records have changed.
 type VersionedMembers interface {
-	notify.Members
+	notify.NodeDirectory
 	// Generation rises with each change of the records.
 	Generation() uint64
 }
@@ -110,7 +110,7 @@
 	} else {
 		r.changedAt[runner] = time.Now()
 	}
-	r.batcher.Pending()
+	r.batcher.Trigger()
 }
 
 // encodeUse encodes what this node has at a runner now.
@@ -212,8 +212,8 @@
 	}
 }
 
-// Receive takes in a peer's notice.
-func (r *Reporter) Receive(from string, payload []byte) {
+// ReceiveNotice takes in a peer's notice.
+func (r *Reporter) ReceiveNotice(from string, payload []byte) {
 	var uses wirev1.RunnerUses
 	if err := proto.Unmarshal(payload, &uses); err != nil {
 		klog.ErrorS(err, "notice of a peer's use of runners is unreadable", "peer", from, "bytes", len(payload))
@@ -227,6 +227,6 @@
 			shared = append(shared, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 		}
 		load := runnerset.NodeLoad{Running: int(use.Running), Batch: int(use.Batch), Unread: int(use.UnreadTokens)}
-		r.runners.NotePeer(from, use.Runner, runnerset.PeerReport{NodeLoad: load, Shared: shared}, now)
+		r.runners.RecordPeerReport(from, use.Runner, runnerset.PeerReport{NodeLoad: load, Shared: shared}, now)
 	}
 }
--- a/internal/serving/loadshare/loadshare_test.go
+++ b/internal/serving/loadshare/loadshare_test.go
@@ -86,7 +86,7 @@
 		for _, runner := range runners.Service("s") {
 			before := box.count()
 			use := runners.Begin(runner, runnerset.Prompt{Tokens: 100}, false, time.Now())
-			use.NoteFirstEvent(time.Now())
+			use.RecordFirstEvent(time.Now())
 			reporter.flush()
 			use.End()
 			reporter.flush()
@@ -154,7 +154,7 @@
 		for _, message := range box.sent[address] {
 			payload, err := proto.Marshal(message)
 			is.NoErr(err)
-			to.Receive(from, payload)
+			to.ReceiveNotice(from, payload)
 		}
 	}
 	deliver(box, "e1", "edge-0", taker)
@@ -168,7 +168,7 @@
 	reporter.flush()
 	deliver(box, "d0", "edge-0", disk)
 	is.Equal(atDisk.Service("s")[0].RequestCounts(time.Now()).Running, 0.0)
-	disk.Receive("edge-0", []byte{0xff}) // what is no notice changes nothing
+	disk.ReceiveNotice("edge-0", []byte{0xff}) // what is no notice changes nothing
 }
 
 // The node whose items fill a runner receives a report of online work there at once,
@@ -189,7 +189,7 @@
 		}
 	}
 	is.True(outside != "")
-	runners.NotePeer(outside, runner.ID, runnerset.PeerReport{NodeLoad: runnerset.NodeLoad{Running: 7, Batch: 7}}, time.Now())
+	runners.RecordPeerReport(outside, runner.ID, runnerset.PeerReport{NodeLoad: runnerset.NodeLoad{Running: 7, Batch: 7}}, time.Now())
 	runners.Begin(runner, runnerset.Prompt{Tokens: 10}, false, time.Now())
 	is.Equal(len(box.sent["d"+outside[len("disk-"):]]), 1)
 }
@@ -219,7 +219,7 @@
 	reporter, runners, _ := f.node(0)
 	ranking := func() *ranking { return reporter.audiences.table().ranking(runners.Service("s")[0]) }
 	before := ranking()
-	runners.Change([]runnerset.Record{{ID: "runner-new", Service: "s", Zone: "z0", Slots: 8}}, []string{"runner-5"}, 2, time.Now())
+	runners.ApplyChanges([]runnerset.Record{{ID: "runner-new", Service: "s", Zone: "z0", Slots: 8}}, []string{"runner-5"}, 2, time.Now())
 	is.True(ranking() == before)
 	directory := reporter.directory.(*peers.Directory)
 	is.True(directory.Put(&wirev1.NodeRecord{NodeId: "edge-4", Address: "e4", Zone: "z0", Incarnation: 2}))
@@ -236,7 +236,7 @@
 	reporter, runners, _ := f.node(0)
 	for revision := range 2 * rankingsSpare {
 		old, next := fmt.Sprint("one-", revision), fmt.Sprint("one-", revision+1)
-		runners.Change([]runnerset.Record{{ID: next, Service: "s", Zone: "z0", Slots: 8}}, []string{old}, int64(revision+2), time.Now())
+		runners.ApplyChanges([]runnerset.Record{{ID: next, Service: "s", Zone: "z0", Slots: 8}}, []string{old}, int64(revision+2), time.Now())
 		for _, runner := range runners.Service("s") {
 			reporter.receivesReports(runner)
 		}
@@ -256,15 +256,15 @@
 	}
 	reporter, runners, _ := f.node(0)
 	load := func(i int) float64 { return runners.Service("s")[i].RequestCounts(time.Now()).Running }
-	reporter.Receive("disk-0", report(1, "runner-0", 5))
-	reporter.Receive("disk-1", report(1, "runner-0", 2))
+	reporter.ReceiveNotice("disk-0", report(1, "runner-0", 5))
+	reporter.ReceiveNotice("disk-1", report(1, "runner-0", 2))
 	is.Equal(load(0), 7.0)
 	reporter.PeerLost("disk-0")
 	is.Equal(load(0), 2.0) // the other's report stands
-	reporter.Receive("disk-0", report(2, "runner-1", 1))
+	reporter.ReceiveNotice("disk-0", report(2, "runner-1", 1))
 	is.Equal(load(0), 2.0)
-	reporter.Receive("disk-0", report(2, "runner-0", 4))
-	reporter.Receive("disk-0", report(3, "runner-1", 3)) // started again: it has nothing at the first
+	reporter.ReceiveNotice("disk-0", report(2, "runner-0", 4))
+	reporter.ReceiveNotice("disk-0", report(3, "runner-1", 3)) // started again: it has nothing at the first
 	is.Equal(load(0), 2.0)
 	is.Equal(load(1), 3.0)
 }
@@ -305,7 +305,7 @@
 			defer group.Done()
 			for range 200 {
 				use := runners.Begin(runner, runnerset.Prompt{Tokens: 10}, false, time.Now())
-				use.NoteFirstEvent(time.Now())
+				use.RecordFirstEvent(time.Now())
 				use.End()
 			}
 		}()
@@ -327,18 +327,18 @@
 func (f fleet) selectedNode(self int) (*Reporter, *runnerset.Set, *mailbox) {
 	records := f.records()
 	directory := peers.NewDirectory(records[self])
-	directory.NoteLarge()
+	directory.MarkLarge()
 	for _, record := range records {
 		directory.Put(record)
 	}
 	index := subset.NewIndex[runnerset.Record]()
 	for i := range f.runners {
 		record := runnerset.Record{ID: fmt.Sprint("runner-", i), Service: "s", Zone: fmt.Sprint("z", i%f.zones), Slots: 8}
-		index.Put(subset.ListedRunner[runnerset.Record]{ID: record.ID, Place: subset.ServiceZone{Service: "s", Zone: record.Zone}, Value: record})
+		index.Put(subset.ListedRunner[runnerset.Record]{ID: record.ID, ServiceZone: subset.ServiceZone{Service: "s", Zone: record.Zone}, Value: record})
 	}
-	interest := subset.InterestOf(records[self].NodeId, records[self].Zone, records[self].DiskId != "")
+	interest := subset.DefaultInterest(records[self].NodeId, records[self].Zone, records[self].DiskId != "")
 	var known []runnerset.Record
-	for _, entry := range index.Select(subset.DrawOf(interest, index.Totals())) {
+	for _, entry := range index.Select(subset.Compute(interest, index.Totals())) {
 		known = append(known, entry.Value)
 	}
 	runners := runnerset.New()
--- a/internal/serving/loadshare/rankings.go
+++ b/internal/serving/loadshare/rankings.go
@@ -59,11 +59,11 @@
 type member struct {
 	id, zone string
 	// draw is which runners it knows; nil for all.
-	draw *subset.Draw
+	subset *subset.Subset
 }
 
 func (m *member) knows(runner *runnerset.Runner, position uint64) bool {
-	return m.draw == nil || m.draw.Knows(subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}, position)
+	return m.subset == nil || m.subset.Contains(subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}, position)
 }
 
 func indexOf(directory VersionedMembers, totals *subset.Totals) *nodeIndex {
@@ -80,7 +80,7 @@
 	node := &member{id: record.NodeId, zone: record.Zone}
 	hasDisk := record.DiskId != ""
 	if totals != nil {
-		node.draw = subset.DrawOf(subset.InterestOf(record.NodeId, record.Zone, hasDisk), *totals)
+		node.subset = subset.Compute(subset.DefaultInterest(record.NodeId, record.Zone, hasDisk), *totals)
 	}
 	i.addresses[record.NodeId] = record.Address
 	if !hasDisk {
--- a/internal/serving/online/answer.go
+++ b/internal/serving/online/answer.go
@@ -17,9 +17,9 @@
 const maxWholeBytes = 256 << 10
 
 // passOn passes an answer on. It reports whether to try another runner.
-func (s *serving) passOn(ctx context.Context, answer *exchange.Answer) (bool, error) {
+func (s *serving) passOn(ctx context.Context, answer *exchange.Response) (bool, error) {
 	if s.history.mayReplace(s.request.Route, answer.Status) {
-		s.current.runner.NoteFailure(time.Now())
+		s.current.runner.RecordFailure(time.Now())
 		s.lastCause = fmt.Sprintf("runner answered %d", answer.Status)
 		return true, nil
 	}
@@ -33,14 +33,14 @@
 }
 
 // passWhole passes on an answer that is not a stream.
-func (s *serving) passWhole(ctx context.Context, answer *exchange.Answer) (bool, error) {
-	if !answer.Stamped && answer.Status < http.StatusMultipleChoices {
-		s.current.runner.NoteFailure(time.Now())
+func (s *serving) passWhole(ctx context.Context, answer *exchange.Response) (bool, error) {
+	if !answer.FromRunner && answer.Status < http.StatusMultipleChoices {
+		s.current.runner.RecordFailure(time.Now())
 		return s.broken(ctx, errors.New("a success without the runner's mark"))
 	}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeBytes))
 	if err != nil {
-		s.current.runner.NoteFailure(time.Now())
+		s.current.runner.RecordFailure(time.Now())
 		return s.broken(ctx, err)
 	}
 	s.noteFirstEvent()
@@ -60,7 +60,7 @@
 	return false, s.copyRest(ctx, answer)
 }
 
-func (s *serving) copyRest(ctx context.Context, answer *exchange.Answer) error {
+func (s *serving) copyRest(ctx context.Context, answer *exchange.Response) error {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := answer.Body.Read(buffer)
@@ -88,7 +88,7 @@
 		s.firstEventAfter = now.Sub(s.request.Received)
 		s.firstEvent.Observe(s.firstEventAfter.Seconds())
 	}
-	s.current.inFlight.NoteFirstEvent(now)
+	s.current.inFlight.RecordFirstEvent(now)
 }
 
 // broken takes an answer that broke off. It reports whether to try another runner.
--- a/internal/serving/online/attempt.go
+++ b/internal/serving/online/attempt.go
@@ -40,7 +40,7 @@
 	defer s.current.silenceTimer.Stop()
 	answer, err := s.Client.Do(attemptContext, s.call(runner))
 	if err != nil {
-		inFlight.NoteSlow(time.Now())
+		inFlight.RecordDelay(time.Now())
 		again, err := s.notAnswered(ctx, err)
 		s.logAttempt(choice, started, err, again)
 		return again, err
@@ -48,7 +48,7 @@
 	// Whatever closing reports, the answer was read whole or is given up.
 	defer func() { _ = answer.Body.Close() }()
 	s.noteRun()
-	runner.NoteLoad(answer.Load, time.Now())
+	runner.RecordLoad(answer.Load, time.Now())
 	again, err := s.passOn(ctx, answer)
 	s.logAttempt(choice, started, err, again)
 	return again, err
@@ -71,8 +71,8 @@
 }
 
 func (s *serving) call(runner *runnerset.Runner) *exchange.Call {
-	serves := runner.Takes
-	if !runner.Takes() {
+	serves := runner.AcceptsWork
+	if !runner.AcceptsWork() {
 		serves = runner.StillServes
 	}
 	admitted := s.admission
@@ -81,7 +81,7 @@
 		ID: s.request.ID, Method: s.request.Method, URI: s.request.URI, Host: s.request.Host,
 		Headers: s.request.Headers, Body: s.request.Body, Tenant: s.request.tenantName(),
 		RunnerID: runner.ID, Address: runner.Address, Service: runner.Service,
-		Remaining: time.Until(s.request.Deadline), ResumeAfter: s.request.ResumeAfter, Current: current,
+		Remaining: time.Until(s.request.Deadline), ResumeAfter: s.request.ResumeAfter, MaySend: current,
 	}
 	if s.history.answerBegun {
 		call.ResumeAfter = s.lastEvent
@@ -101,7 +101,7 @@
 	if ctx.Err() != nil {
 		return false, s.ended(ctx)
 	}
-	s.current.runner.NoteFailure(time.Now())
+	s.current.runner.RecordFailure(time.Now())
 	s.noteEnding(ctx)
 	if s.history.mayRunAgain(s.request.Route) {
 		return true, nil
@@ -113,9 +113,9 @@
 func (s *serving) notRun(ctx context.Context, notRun *exchange.NotRunError) (bool, error) {
 	runner := s.current.runner
 	s.history.notRun++
-	runner.NoteLoad(notRun.Load, time.Now())
+	runner.RecordLoad(notRun.Load, time.Now())
 	if notRun.Absent() {
-		runner.NoteFailure(time.Now())
+		runner.RecordFailure(time.Now())
 	}
 	if ctx.Err() != nil {
 		return false, s.ended(ctx)
--- a/internal/serving/online/crashes.go
+++ b/internal/serving/online/crashes.go
@@ -22,9 +22,9 @@
 	}
 	if s.history.mayHaveRun() {
 		return result.New(result.OutcomeUnknown,
-			"runners end under this request (fingerprint %v), and it is not sent to another", s.fingerprint).After(left)
+			"runners end under this request (fingerprint %v), and it is not sent to another", s.fingerprint).WithRetryAfter(left)
 	}
-	return result.New(result.Quarantined, "runners end under this request (fingerprint %v)", s.fingerprint).After(left)
+	return result.New(result.Quarantined, "runners end under this request (fingerprint %v)", s.fingerprint).WithRetryAfter(left)
 }
 
 // noteEnding reports an attempt that broke off, before the request is sent to another
@@ -32,16 +32,16 @@
 // was ended from here says nothing of its runner.
 func (s *serving) noteEnding(ctx context.Context) {
 	endedHere := ctx.Err() != nil || s.current.silenced.Load()
-	if s.Quarantine == nil || endedHere || !quarantine.Blames(s.current.firstEvent, time.Now()) {
+	if s.Quarantine == nil || endedHere || !quarantine.IsSuspectRun(s.current.firstEvent, time.Now()) {
 		return
 	}
-	s.Quarantine.Broke(s.request.ID, s.fingerprint, s.current.runner.ID, s.current.runner.Address)
+	s.Quarantine.RecordBrokenRun(s.request.ID, s.fingerprint, s.current.runner.ID, s.current.runner.Address)
 }
 
 // noteCompleted records that a runner has answered the whole request.
 func (s *serving) noteCompleted() {
 	if s.Quarantine != nil {
-		s.Quarantine.Completed(s.fingerprint)
+		s.Quarantine.RecordCompletion(s.fingerprint)
 	}
 }
 
@@ -52,7 +52,7 @@
 	if s.Quarantine == nil {
 		return s.Runners.Pick(criteria, now)
 	}
-	avoided := s.Quarantine.Avoid(s.fingerprint)
+	avoided := s.Quarantine.RunnersToAvoid(s.fingerprint)
 	if len(avoided) == 0 {
 		return s.Runners.Pick(criteria, now)
 	}
--- a/internal/serving/online/crashes_test.go
+++ b/internal/serving/online/crashes_test.go
@@ -29,16 +29,16 @@
 	return left, held
 }
 
-func (g *guard) Broke(_ string, fingerprint quarantine.Fingerprint, runner, _ string) {
+func (g *guard) RecordBrokenRun(_ string, fingerprint quarantine.Fingerprint, runner, _ string) {
 	g.broke = append(g.broke, runner)
 	if len(g.broke) == g.holdAfter {
 		g.held = map[quarantine.Fingerprint]time.Duration{fingerprint: time.Minute}
 	}
 }
 
-func (g *guard) Completed(quarantine.Fingerprint)             { g.completed++ }
-func (g *guard) Avoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
-func (g *guard) Begin(quarantine.Fingerprint, string) func()  { return func() {} }
+func (g *guard) RecordCompletion(quarantine.Fingerprint)               { g.completed++ }
+func (g *guard) RunnersToAvoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
+func (g *guard) Begin(quarantine.Fingerprint, string) func()           { return func() {} }
 
 // serveGuarded serves one request at runners r0 to r3.
 func serveGuarded(g *guard, client *fakeRunners, route *catalog.Route) error {
@@ -62,7 +62,7 @@
 	client := &fakeRunners{}
 	err := serveGuarded(&guard{held: map[quarantine.Fingerprint]time.Duration{fingerprint: time.Minute}}, client, routeOf(catalog.Streaming, true, 3))
 	is.Equal(result.CodeOf(err), result.Quarantined)
-	is.Equal(result.From(err).RetryAfter, time.Minute)
+	is.Equal(result.FromError(err).RetryAfter, time.Minute)
 	is.Equal(client.runs, 0)
 }
 
--- a/internal/serving/online/limits_test.go
+++ b/internal/serving/online/limits_test.go
@@ -95,7 +95,7 @@
 	forwarder := limitedForwarder(&fewCredits{}, runners, 2, longLived)
 	err := forwarder.Serve(context.Background(), limitedRequest(routeOf(catalog.Once, false, 1)), &recorder{})
 	is.True(result.Is(err, result.TenantRate))
-	is.True(result.From(err).RetryAfter >= 700*time.Millisecond)
+	is.True(result.FromError(err).RetryAfter >= 700*time.Millisecond)
 	is.Equal(runners.runs, 0)
 }
 
@@ -105,13 +105,13 @@
 	is := is.New(t)
 	brief := allotment.Tolerance{Window: time.Second} // its credits live for the shortest time
 	withdrawn := 0
-	client := clientFunc(func(_ context.Context, call *exchange.Call) (*exchange.Answer, error) {
+	client := clientFunc(func(_ context.Context, call *exchange.Call) (*exchange.Response, error) {
 		time.Sleep(2 * brief.CreditLife())
-		if call.Current() {
-			return nil, &exchange.UnknownError{Cause: errors.New("sent")}
+		if call.MaySend() {
+			return nil, &exchange.OutcomeUnknownError{Cause: errors.New("sent")}
 		}
 		withdrawn++
-		return nil, &exchange.NotRunError{Reason: exchange.ReasonGone, Cause: errors.New("withdrawn")}
+		return nil, &exchange.NotRunError{Reason: exchange.ReasonWithdrawn, Cause: errors.New("withdrawn")}
 	})
 	forwarder := limitedForwarder(&fewCredits{left: 2}, client, 4, brief)
 	err := forwarder.Serve(context.Background(), limitedRequest(routeOf(catalog.Once, false, 1)), &recorder{})
--- a/internal/serving/online/online_test.go
+++ b/internal/serving/online/online_test.go
@@ -50,7 +50,7 @@
 	resumes []int64
 }
 
-func (f *fakeRunners) Do(_ context.Context, call *exchange.Call) (*exchange.Answer, error) {
+func (f *fakeRunners) Do(_ context.Context, call *exchange.Call) (*exchange.Response, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	next := fateServes
@@ -59,7 +59,7 @@
 	}
 	switch next {
 	case fateFull:
-		return nil, &exchange.NotRunError{Reason: exchange.ReasonFull, Reached: true, Cause: errors.New("full")}
+		return nil, &exchange.NotRunError{Reason: exchange.ReasonFull, FromRunner: true, Cause: errors.New("full")}
 	case fateRefused:
 		return nil, &exchange.NotRunError{Reason: exchange.ReasonDial, Cause: errors.New("refused")}
 	}
@@ -68,11 +68,11 @@
 	f.resumes = append(f.resumes, call.ResumeAfter)
 	switch next {
 	case fateSilent:
-		return nil, &exchange.UnknownError{Cause: io.ErrUnexpectedEOF}
+		return nil, &exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF}
 	case fateFails:
-		return &exchange.Answer{Status: http.StatusInternalServerError, Stamped: true, Length: 4, Body: io.NopCloser(strings.NewReader("fail"))}, nil
+		return &exchange.Response{Status: http.StatusInternalServerError, FromRunner: true, Length: 4, Body: io.NopCloser(strings.NewReader("fail"))}, nil
 	}
-	return &exchange.Answer{Status: http.StatusOK, Stamped: next != fateUnmarked, Length: -1, Body: &fakeStream{next: max(0, call.ResumeAfter) + 1, fate: next}}, nil
+	return &exchange.Response{Status: http.StatusOK, FromRunner: next != fateUnmarked, Length: -1, Body: &fakeStream{next: max(0, call.ResumeAfter) + 1, fate: next}}, nil
 }
 
 // fakeStream is an event stream that may be spoilt.
@@ -144,7 +144,7 @@
 }
 
 func routeOf(kind catalog.RouteKind, resumable bool, attempts int) *catalog.Route {
-	return &catalog.Route{Name: "x", Kind: kind, Resumable: resumable, Attempts: attempts, Target: time.Minute, Parts: []catalog.WeightedService{{Service: "s", Weight: 1}}}
+	return &catalog.Route{Name: "x", Kind: kind, Resumable: resumable, Attempts: attempts, Target: time.Minute, Services: []catalog.WeightedService{{Service: "s", Weight: 1}}}
 }
 
 // Whatever runners do: what may not be repeated runs at most once; no request
@@ -212,10 +212,10 @@
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
-	client := clientFunc(func(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
+	client := clientFunc(func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 		<-ctx.Done()
 		close(left)
-		return nil, &exchange.UnknownError{Cause: ctx.Err()}
+		return nil, &exchange.OutcomeUnknownError{Cause: ctx.Err()}
 	})
 	set := runnerset.New()
 	set.Replace([]runnerset.Record{{ID: "r", Service: "s", Slots: 1}}, 1, time.Now())
@@ -235,12 +235,12 @@
 	set := runnerset.New()
 	set.Replace([]runnerset.Record{{ID: "stays", Service: "s", Slots: 1}, {ID: "leaves", Service: "s", Slots: 1}}, 1, time.Now())
 	revision := int64(1)
-	client := clientFunc(func(_ context.Context, call *exchange.Call) (*exchange.Answer, error) {
-		is.True(call.Current())
+	client := clientFunc(func(_ context.Context, call *exchange.Call) (*exchange.Response, error) {
+		is.True(call.MaySend())
 		revision++
-		set.Change([]runnerset.Record{{ID: call.RunnerID, Service: "s", Slots: 1, Leaving: true}}, nil, revision, time.Now())
-		is.True(!call.Current()) // what a client asks in the moment of writing
-		return nil, &exchange.NotRunError{Reason: exchange.ReasonGone, Cause: errors.New("withdrawn")}
+		set.ApplyChanges([]runnerset.Record{{ID: call.RunnerID, Service: "s", Slots: 1, Leaving: true}}, nil, revision, time.Now())
+		is.True(!call.MaySend()) // what a client asks in the moment of writing
+		return nil, &exchange.NotRunError{Reason: exchange.ReasonWithdrawn, Cause: errors.New("withdrawn")}
 	})
 	forwarder := New("z", set, client, prometheus.NewRegistry())
 	now := time.Now()
@@ -250,9 +250,9 @@
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
 }
 
-type clientFunc func(ctx context.Context, call *exchange.Call) (*exchange.Answer, error)
+type clientFunc func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
 
-func (f clientFunc) Do(ctx context.Context, call *exchange.Call) (*exchange.Answer, error) {
+func (f clientFunc) Do(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 	return f(ctx, call)
 }
 
--- a/internal/serving/online/refusal.go
+++ b/internal/serving/online/refusal.go
@@ -73,7 +73,7 @@
 	}
 	caller := retryafter.Caller{Left: s.request.Deadline.Sub(now), UsuallyStated: s.usuallyStated}
 	return result.New(result.Saturated, "all runners of service %s are full: the first event is expected in %d ms, allowed are %d ms",
-		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).After(s.planners.refuse(service, now, caller))
+		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).WithRetryAfter(s.planners.refuse(service, now, caller))
 }
 
 // planners are the return times of refused callers, by service.
--- a/internal/serving/online/refusal_test.go
+++ b/internal/serving/online/refusal_test.go
@@ -47,7 +47,7 @@
 		err := fullForwarder(runners, 5).Serve(context.Background(), targetedRequest(5*time.Second), &recorder{})
 		is.True(result.Is(err, result.Saturated))
 		is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
-		wait := result.From(err).RetryAfter
+		wait := result.FromError(err).RetryAfter
 		is.True(wait >= 50*time.Millisecond && wait <= 1500*time.Millisecond)
 		is.Equal(runners.runs, 0)
 	})
@@ -77,7 +77,7 @@
 	runners := &fakeRunners{}
 	forwarder := fullForwarder(runners, 5)
 	for _, runner := range forwarder.Runners.Service("s") {
-		runner.NoteFailure(time.Now())
+		runner.RecordFailure(time.Now())
 	}
 	is.NoErr(forwarder.Serve(context.Background(), targetedRequest(5*time.Second), &recorder{}))
 	is.Equal(runners.runs, 1)
@@ -96,7 +96,7 @@
 				request.Route.Timeout, request.Deadline = timeout, request.Received.Add(min(timeout, request.Stated))
 				err := forwarder.Serve(context.Background(), request, &recorder{})
 				is.True(result.Is(err, result.Saturated))
-				again := targetedRequest(4*time.Second - result.From(err).RetryAfter)
+				again := targetedRequest(4*time.Second - result.FromError(err).RetryAfter)
 				again.Route.Timeout = timeout
 				is.NoErr(forwarder.Serve(context.Background(), again, &recorder{}))
 				is.Equal(runners.runs, 1)
--- a/internal/serving/online/retry.go
+++ b/internal/serving/online/retry.go
@@ -64,7 +64,7 @@
 	if h.mayHaveRun() {
 		return result.New(result.OutcomeUnknown, "it may have run: "+format, args...)
 	}
-	return result.New(code, format, args...).After(retryDelay)
+	return result.New(code, format, args...).WithRetryAfter(retryDelay)
 }
 
 // deadlinePassed is what the caller learns when time is up.
--- a/internal/serving/online/stream.go
+++ b/internal/serving/online/stream.go
@@ -14,9 +14,9 @@
 // passStream passes on events as they come, only whole ones and only in order. The
 // head goes out with the first event, so that a run that breaks before it can
 // be replaced unseen; the head of the first runner stays.
-func (s *serving) passStream(ctx context.Context, answer *exchange.Answer) (bool, error) {
-	if !answer.Stamped {
-		s.current.runner.NoteFailure(time.Now())
+func (s *serving) passStream(ctx context.Context, answer *exchange.Response) (bool, error) {
+	if !answer.FromRunner {
+		s.current.runner.RecordFailure(time.Now())
 		return s.broken(ctx, errors.New("a success without the runner's mark"))
 	}
 	events := eventstream.NewDecoder(answer.Body)
@@ -34,7 +34,7 @@
 			return s.broken(ctx, err)
 		}
 		s.current.silenceTimer.Reset(maxSilence(s.request.Route.Target))
-		s.current.inFlight.NoteEvent(time.Now())
+		s.current.inFlight.RecordEvent(time.Now())
 		if first {
 			first = false
 			s.noteFirstEvent()
@@ -55,15 +55,15 @@
 func (s *serving) noteBroken(ctx context.Context, first bool) {
 	if ctx.Err() != nil {
 		if first {
-			s.current.inFlight.NoteSlow(time.Now())
+			s.current.inFlight.RecordDelay(time.Now())
 		}
 		return
 	}
-	s.current.runner.NoteFailure(time.Now())
+	s.current.runner.RecordFailure(time.Now())
 }
 
 // finished ends a stream whose body is whole.
-func (s *serving) finished(answer *exchange.Answer) (bool, error) {
+func (s *serving) finished(answer *exchange.Response) (bool, error) {
 	s.noteCompleted()
 	if !s.history.answerBegun {
 		s.history.answerBegun = true
--- a/internal/serving/quarantine/archive.go
+++ b/internal/serving/quarantine/archive.go
@@ -45,7 +45,7 @@
 
 // Archive writes holds to the platform's store. It implements HoldStore.
 type Archive struct {
-	store ports.KeyValue
+	store ports.KeyValueStore
 
 	mutex sync.Mutex
 	// wanted are holds that the store may be missing, by fingerprint.
@@ -56,7 +56,7 @@
 var _ HoldStore = (*Archive)(nil)
 
 // NewArchive returns an archive in a store.
-func NewArchive(store ports.KeyValue) *Archive {
+func NewArchive(store ports.KeyValueStore) *Archive {
 	a := &Archive{store: store, wanted: map[Fingerprint]Hold{}}
 	a.batcher = notify.NewBatcher(notify.Schedule{Flush: a.writeUntilKept})
 	return a
@@ -78,7 +78,7 @@
 	if known, found := a.wanted[hold.Fingerprint]; !found || hold.after(known) {
 		a.wanted[hold.Fingerprint] = hold
 	}
-	a.batcher.Pending()
+	a.batcher.Trigger()
 }
 
 // Run writes what is wanted until the context ends.
--- a/internal/serving/quarantine/attempts.go
+++ b/internal/serving/quarantine/attempts.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Avoid implements Guard. Suspects of other nodes are not known here: there are few,
+// RunnersToAvoid implements Guard. Suspects of other nodes are not known here: there are few,
 // and they are spread over the runners.
-func (c *Coordinator) Avoid(fingerprint Fingerprint) map[string]bool {
+func (c *Coordinator) RunnersToAvoid(fingerprint Fingerprint) map[string]bool {
 	if !c.table.Suspected(fingerprint) {
 		return nil
 	}
--- a/internal/serving/quarantine/coordinator.go
+++ b/internal/serving/quarantine/coordinator.go
@@ -22,13 +22,13 @@
 type Guard interface {
 	// Held reports whether a request must not be sent, and for how much longer.
 	Held(fingerprint Fingerprint) (time.Duration, bool)
-	// Broke records that a run broke that was not ended from here.
-	Broke(request string, fingerprint Fingerprint, runner, address string)
-	// Completed records that a runner has completed a request.
-	Completed(fingerprint Fingerprint)
-	// Avoid lists the runners that a request should not be sent to. It is nil for
+	// RecordBrokenRun records that a run broke that was not ended from here.
+	RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string)
+	// RecordCompletion records that a runner has completed a request.
+	RecordCompletion(fingerprint Fingerprint)
+	// RunnersToAvoid lists the runners that a request should not be sent to. It is nil for
 	// most requests.
-	Avoid(fingerprint Fingerprint) map[string]bool
+	RunnersToAvoid(fingerprint Fingerprint) map[string]bool
 	// Begin records that a request is sent to a runner; the result records that it
 	// is no longer there.
 	Begin(fingerprint Fingerprint, runner string) (end func())
@@ -43,7 +43,7 @@
 type Coordinator struct {
 	*Witness
 	table     *SuspectTable
-	directory notify.Members
+	directory notify.NodeDirectory
 	sender    notify.NoticeSender
 	store     HoldStore
 
@@ -69,7 +69,7 @@
 
 // NewCoordinator returns the coordinator of a node. The store may be nil.
 func NewCoordinator(
-	directory notify.Members, sender notify.NoticeSender, prober Prober, store HoldStore, registry prometheus.Registerer,
+	directory notify.NodeDirectory, sender notify.NoticeSender, prober Prober, store HoldStore, registry prometheus.Registerer,
 ) *Coordinator {
 	c := &Coordinator{
 		Witness: NewWitness(prober), table: NewSuspectTable(), directory: directory, sender: sender, store: store,
@@ -110,9 +110,9 @@
 	return left, held
 }
 
-// Broke implements Guard. It counts only if the runner has ended, and takes one
+// RecordBrokenRun implements Guard. It counts only if the runner has ended, and takes one
 // round trip to the runner's machine.
-func (c *Coordinator) Broke(request string, fingerprint Fingerprint, runner, address string) {
+func (c *Coordinator) RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string) {
 	if !c.HasEnded(runner, address) {
 		return
 	}
@@ -159,8 +159,8 @@
 		"until", time.UnixMilli(hold.Until).UTC(), "decided", time.UnixMilli(hold.Decided).UTC(), "source", source)
 }
 
-// Completed implements Guard.
-func (c *Coordinator) Completed(fingerprint Fingerprint) {
+// RecordCompletion implements Guard.
+func (c *Coordinator) RecordCompletion(fingerprint Fingerprint) {
 	if !c.table.Suspected(fingerprint) {
 		return
 	}
--- a/internal/serving/quarantine/coordinator_test.go
+++ b/internal/serving/quarantine/coordinator_test.go
@@ -25,7 +25,7 @@
 	looks int
 }
 
-func (g *gone) Refused(_ context.Context, address string) bool {
+func (g *gone) ConnectionRefused(_ context.Context, address string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.looks++
@@ -62,7 +62,7 @@
 	}
 	for _, address := range addresses {
 		if m.network.lost == nil || !m.network.lost(m.name, address) {
-			m.network.nodes[address].Receive(m.name, payload)
+			m.network.nodes[address].ReceiveNotice(m.name, payload)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		together := rapid.Bool().Draw(rt, "all at once")
 		for number := range EndingsToHold {
 			at := rapid.IntRange(0, 3).Draw(rt, "node")
-			n.nodes[fmt.Sprint("n", at)].Broke("id", 7, fmt.Sprint("r", number), fmt.Sprint("a", number))
+			n.nodes[fmt.Sprint("n", at)].RecordBrokenRun("id", 7, fmt.Sprint("r", number), fmt.Sprint("a", number))
 			if !together {
 				n.flush()
 			}
@@ -119,7 +119,7 @@
 	for number := range 3 * EndingsToHold {
 		address := fmt.Sprint("a", number)
 		prober.alive[address] = true
-		n.nodes["n0"].Broke("id", 7, fmt.Sprint("r", number), address)
+		n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), address)
 	}
 	is.True(!n.nodes["n0"].table.Suspected(7))
 }
@@ -133,7 +133,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			n.nodes["n0"].Broke("id", Fingerprint(number), "r", "a")
+			n.nodes["n0"].RecordBrokenRun("id", Fingerprint(number), "r", "a")
 		}()
 	}
 	group.Wait()
@@ -150,12 +150,12 @@
 		is := is.New(t)
 		n, _, kept := newNetwork(3)
 		for number := range EndingsToHold {
-			n.nodes["n0"].Broke("id", 7, fmt.Sprint("r", number), "a")
+			n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 		}
 		n.flush()
 		n.lost = func(_, to string) bool { return to == "n2" }
 		time.Sleep(time.Millisecond) // holds and releases are ordered by the millisecond
-		n.nodes["n1"].Completed(7)
+		n.nodes["n1"].RecordCompletion(7)
 		n.flush()
 		for _, name := range []string{"n0", "n1"} {
 			_, held := n.nodes[name].Held(7)
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	n, _, kept := newNetwork(2)
 	for number := range EndingsToHold {
-		n.nodes["n0"].Broke("id", 7, fmt.Sprint("r", number), "a")
+		n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 	}
 	fromPeer := NewCoordinator(member{n, "n2"}, member{n, "n2"}, &gone{}, nil, prometheus.NewRegistry())
 	fromPeer.ReceiveHolds(n.nodes["n0"].NewestHolds(), "n0")
@@ -206,22 +206,22 @@
 	is := is.New(t)
 	n, _, _ := newNetwork(1)
 	coordinator := n.nodes["n0"]
-	coordinator.Broke("id", 1, "r0", "a")
-	coordinator.Broke("id", 2, "r0", "a")
-	is.Equal(len(coordinator.Avoid(1)), 0)
+	coordinator.RecordBrokenRun("id", 1, "r0", "a")
+	coordinator.RecordBrokenRun("id", 2, "r0", "a")
+	is.Equal(len(coordinator.RunnersToAvoid(1)), 0)
 	endOne := coordinator.Begin(1, "r1")
-	is.Equal(coordinator.Avoid(2), map[string]bool{"r1": true})
-	is.Equal(len(coordinator.Avoid(1)), 0) // itself is no other
-	is.Equal(len(coordinator.Avoid(3)), 0) // who is not suspected goes anywhere
+	is.Equal(coordinator.RunnersToAvoid(2), map[string]bool{"r1": true})
+	is.Equal(len(coordinator.RunnersToAvoid(1)), 0) // itself is no other
+	is.Equal(len(coordinator.RunnersToAvoid(3)), 0) // who is not suspected goes anywhere
 	coordinator.Begin(3, "r2")()
 	endOne()
-	is.Equal(len(coordinator.Avoid(2)), 0)
+	is.Equal(len(coordinator.RunnersToAvoid(2)), 0)
 	is.Equal(len(coordinator.attempts), 0)
 }
 
 // fakeStore holds one value; faults are played in order.
 type fakeStore struct {
-	ports.KeyValue
+	ports.KeyValueStore
 	value    []byte
 	revision int64
 	faults   []string
@@ -255,7 +255,7 @@
 	f.value, f.revision = puts[0].Value, f.revision+1
 	f.commits++
 	if fault == "lost" {
-		return false, ports.ErrUnknown
+		return false, ports.ErrOutcomeUnknown
 	}
 	return true, nil
 }
--- a/internal/serving/quarantine/decision.go
+++ b/internal/serving/quarantine/decision.go
@@ -20,10 +20,10 @@
 	holdGrowth  = 12
 )
 
-// Blames decides whether the end of a runner may be laid to a run there: only to one
+// IsSuspectRun decides whether the end of a runner may be laid to a run there: only to one
 // that had hardly begun. FirstEvent is when the run's first event came, zero if none
 // has.
-func Blames(firstEvent, now time.Time) bool {
+func IsSuspectRun(firstEvent, now time.Time) bool {
 	return firstEvent.IsZero() || now.Sub(firstEvent) < blameTime
 }
 
--- a/internal/serving/quarantine/notices.go
+++ b/internal/serving/quarantine/notices.go
@@ -30,7 +30,7 @@
 		return // what is lost here is counted again at the next try
 	}
 	add(c.pending)
-	c.batcher.Pending()
+	c.batcher.Trigger()
 }
 
 // Run reports to other nodes until the context ends.
@@ -55,8 +55,8 @@
 	c.sender.NotifyAll(addresses, rpc.ClassControl, wirev1.Method_METHOD_QUARANTINE, notice)
 }
 
-// Receive takes in another node's notice.
-func (c *Coordinator) Receive(from string, payload []byte) {
+// ReceiveNotice takes in another node's notice.
+func (c *Coordinator) ReceiveNotice(from string, payload []byte) {
 	var notice wirev1.QuarantineNotice
 	if err := proto.Unmarshal(payload, &notice); err != nil {
 		klog.ErrorS(err, "notice of requests that crash runners is unreadable", "peer", from, "bytes", len(payload))
--- a/internal/serving/quarantine/sync.go
+++ b/internal/serving/quarantine/sync.go
@@ -70,7 +70,7 @@
 // ServeAdmin answers an operator who lists holds, or lifts one.
 func (c *Coordinator) ServeAdmin(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QuarantineAdminRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	reply := &wirev1.QuarantineAdminReply{}
--- a/internal/serving/quarantine/table_test.go
+++ b/internal/serving/quarantine/table_test.go
@@ -180,7 +180,7 @@
 // Only a run that may just have begun is blamed for its runner's end.
 func TestLongRunsAreNotBlamed(t *testing.T) {
 	is := is.New(t)
-	is.True(Blames(time.Time{}, start))
-	is.True(Blames(start, start.Add(blameTime/2)))
-	is.True(!Blames(start, start.Add(blameTime)))
+	is.True(IsSuspectRun(time.Time{}, start))
+	is.True(IsSuspectRun(start, start.Add(blameTime/2)))
+	is.True(!IsSuspectRun(start, start.Add(blameTime)))
 }
--- a/internal/serving/quarantine/witness.go
+++ b/internal/serving/quarantine/witness.go
@@ -10,9 +10,9 @@
 
 // Prober looks whether a process answers at a runner's address.
 type Prober interface {
-	// Refused reports whether the machine says that nothing listens there. No
+	// ConnectionRefused reports whether the machine says that nothing listens there. No
 	// answer within the context is not that.
-	Refused(ctx context.Context, address string) bool
+	ConnectionRefused(ctx context.Context, address string) bool
 }
 
 const (
@@ -56,7 +56,7 @@
 		// The look is for all who wait: no single request's end ends it.
 		ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 		defer cancel()
-		found := w.prober.Refused(ctx, address)
+		found := w.prober.ConnectionRefused(ctx, address)
 		w.keep(runner, found)
 		return found, nil
 	})
--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -21,10 +21,10 @@
 func drawn(count int) ([]Record, subset.Totals) {
 	index := subset.NewIndex[Record]()
 	for _, record := range fleetRecords(count) {
-		index.Put(subset.ListedRunner[Record]{ID: record.ID, Place: subset.ServiceZone{Service: "s", Zone: record.Zone}, Value: record})
+		index.Put(subset.ListedRunner[Record]{ID: record.ID, ServiceZone: subset.ServiceZone{Service: "s", Zone: record.Zone}, Value: record})
 	}
 	var known []Record
-	for _, entry := range index.Select(subset.DrawOf(subset.InterestOf("edge-1", "z0", false), index.Totals())) {
+	for _, entry := range index.Select(subset.Compute(subset.DefaultInterest("edge-1", "z0", false), index.Totals())) {
 		known = append(known, entry.Value)
 	}
 	return known, index.Totals()
@@ -62,8 +62,8 @@
 	sets(b, func(b *testing.B, s *Set) {
 		record := Record{ID: "new", Service: "s", Zone: "z0", Slots: 8}
 		for revision := int64(2); b.Loop(); revision += 2 {
-			s.Change([]Record{record}, nil, revision, time.Now())
-			s.Change(nil, []string{"new"}, revision+1, time.Now())
+			s.ApplyChanges([]Record{record}, nil, revision, time.Now())
+			s.ApplyChanges(nil, []string{"new"}, revision+1, time.Now())
 		}
 	})
 }
--- a/internal/serving/runnerset/choice.go
+++ b/internal/serving/runnerset/choice.go
@@ -45,8 +45,8 @@
 // none if none may be used. Online requests of a service of which no listed runner
 // takes work may go to one removed lately.
 func (s *Set) Pick(criteria *Criteria, now time.Time) Choice {
-	choice := s.pickAmong(criteria, now, (*Runner).Takes)
-	if choice.Runner == nil && criteria.Batch == nil && !slices.ContainsFunc(s.Service(criteria.Service), (*Runner).Takes) {
+	choice := s.pickAmong(criteria, now, (*Runner).AcceptsWork)
+	if choice.Runner == nil && criteria.Batch == nil && !slices.ContainsFunc(s.Service(criteria.Service), (*Runner).AcceptsWork) {
 		choice = s.pickAmong(criteria, now, (*Runner).StillServes)
 	}
 	if choice.Runner == nil || choice.Load+1 > choice.Runner.slots() {
--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -54,12 +54,12 @@
 	return f
 }
 
-// NoteEvent records that an event has come, the first or a later one.
-func (f *InFlight) NoteEvent(now time.Time) { f.runner.lastEvent.Store(int64(now.Sub(processStart))) }
+// RecordEvent records that an event has come, the first or a later one.
+func (f *InFlight) RecordEvent(now time.Time) { f.runner.lastEvent.Store(int64(now.Sub(processStart))) }
 
-// NoteFirstEvent records that the first event, or the answer, has come.
-func (f *InFlight) NoteFirstEvent(now time.Time) {
-	f.NoteEvent(now)
+// RecordFirstEvent records that the first event, or the answer, has come.
+func (f *InFlight) RecordFirstEvent(now time.Time) {
+	f.RecordEvent(now)
 	took := now.Sub(f.sent)
 	switch {
 	case !f.queued:
@@ -79,8 +79,8 @@
 	f.set.notifyOwnLoad(f.runner, nil)
 }
 
-// NoteSlow records that the request waited until now without a first event.
-func (f *InFlight) NoteSlow(now time.Time) {
+// RecordDelay records that the request waited until now without a first event.
+func (f *InFlight) RecordDelay(now time.Time) {
 	f.runner.mutex.Lock()
 	defer f.runner.mutex.Unlock()
 	if sample := float64(now.Sub(f.sent)) / float64(f.expected); sample > f.runner.slowness {
--- a/internal/serving/runnerset/neighbourhood.go
+++ b/internal/serving/runnerset/neighbourhood.go
@@ -105,7 +105,7 @@
 		if means[runner.neighbourhood] == nil {
 			means[runner.neighbourhood] = &mean{}
 		}
-		if runner.Takes() && s.receivesReports(runner) {
+		if runner.AcceptsWork() && s.receivesReports(runner) {
 			utilization := runner.reportedUtilization(now)
 			means[runner.neighbourhood].add(utilization)
 			all.add(utilization)
--- a/internal/serving/runnerset/record.go
+++ b/internal/serving/runnerset/record.go
@@ -11,7 +11,7 @@
 	Zone    string
 	// Slots is how many requests the runner works on at once; 0 if not stated.
 	Slots int
-	// Leaving, as it was when the runner was first listed; see Runner.Takes.
+	// Leaving, as it was when the runner was first listed; see Runner.AcceptsWork.
 	Leaving bool
 	// ColdUntil is when the runner is at full speed.
 	ColdUntil time.Time
--- a/internal/serving/runnerset/reports.go
+++ b/internal/serving/runnerset/reports.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// NotePeer takes a report of another node's requests at a runner.
-func (s *Set) NotePeer(peer, runner string, report PeerReport, now time.Time) {
+// RecordPeerReport takes a report of another node's requests at a runner.
+func (s *Set) RecordPeerReport(peer, runner string, report PeerReport, now time.Time) {
 	s.mutex.Lock()
 	known := s.byID[runner]
 	s.mutex.Unlock()
 	if known == nil {
 		return
 	}
-	known.notePeer(peer, report, now)
+	known.recordPeerReport(peer, report, now)
 	if changed := s.onPeerLoad.Load(); changed != nil {
 		(*changed)(known)
 	}
--- a/internal/serving/runnerset/runner.go
+++ b/internal/serving/runnerset/runner.go
@@ -60,8 +60,8 @@
 // processStart anchors times kept in atomics to the monotonic clock.
 var processStart = time.Now()
 
-// Takes reports whether the runner may be sent new work.
-func (r *Runner) Takes() bool { return !r.gone.Load() }
+// AcceptsWork reports whether the runner may be sent new work.
+func (r *Runner) AcceptsWork() bool { return !r.gone.Load() }
 
 // StillServes reports whether the runner was removed from the list only lately,
 // without having said that it leaves.
@@ -86,15 +86,15 @@
 	r.slowness += slownessWeight * (sample - r.slowness)
 }
 
-// NoteFailure records a failure of the runner, which ejects it for a while.
-func (r *Runner) NoteFailure(now time.Time) {
+// RecordFailure records a failure of the runner, which ejects it for a while.
+func (r *Runner) RecordFailure(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ejection.fail(now)
 }
 
-// NoteLoad takes the load that the runner reported in an answer; nil if none.
-func (r *Runner) NoteLoad(reported *exchange.Load, now time.Time) {
+// RecordLoad takes the load that the runner reported in an answer; nil if none.
+func (r *Runner) RecordLoad(reported *exchange.Load, now time.Time) {
 	if reported == nil {
 		return
 	}
@@ -104,8 +104,8 @@
 	r.neighbourhood.observe(r.report.others/r.slots(), now)
 }
 
-// notePeer takes a report of another node's requests at the runner.
-func (r *Runner) notePeer(peer string, report PeerReport, now time.Time) {
+// recordPeerReport takes a report of another node's requests at the runner.
+func (r *Runner) recordPeerReport(peer string, report PeerReport, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.peers == nil {
--- a/internal/serving/runnerset/runnerset.go
+++ b/internal/serving/runnerset/runnerset.go
@@ -146,8 +146,8 @@
 	s.publish(revision, now)
 }
 
-// Change takes changes of a revision: records put, and ids removed.
-func (s *Set) Change(put []Record, removed []string, revision int64, now time.Time) {
+// ApplyChanges takes changes of a revision: records put, and ids removed.
+func (s *Set) ApplyChanges(put []Record, removed []string, revision int64, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if revision <= s.revision {
@@ -213,7 +213,7 @@
 	if known == nil {
 		return
 	}
-	if known.Takes() {
+	if known.AcceptsWork() {
 		known.removed.Store(int64(time.Since(processStart)))
 		s.departed = append(s.departed, known)
 	}
@@ -256,7 +256,7 @@
 	for _, list := range s.snapshot.Load().services {
 		listed += len(list)
 		for _, runner := range list {
-			if runner.Takes() {
+			if runner.AcceptsWork() {
 				taking++
 			}
 		}
