--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -47,12 +47,12 @@
 					taking = map[string]bool{id: !leaving}
 				}
 			case 1:
-				s.Change([]Record{next}, nil, revision, time.Now())
+				s.ApplyChanges([]Record{next}, nil, revision, time.Now())
 				if revision > newest {
 					taking[id] = !leaving
 				}
 			case 2:
-				s.Change(nil, []string{id}, revision, time.Now())
+				s.ApplyChanges(nil, []string{id}, revision, time.Now())
 				if revision > newest {
 					delete(taking, id)
 				}
@@ -63,8 +63,8 @@
 				t.Fatalf("revision %d, want %d", held, newest)
 			}
 			for _, runner := range s.Service("s") {
-				if runner.Takes() != taking[runner.ID] {
-					t.Fatalf("runner %s takes work: %v", runner.ID, runner.Takes())
+				if runner.AcceptsWork() != taking[runner.ID] {
+					t.Fatalf("runner %s takes work: %v", runner.ID, runner.AcceptsWork())
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 	use := s.Begin(first, big, false, now)
 	second := pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now)
 	is.True(second != first.ID) // the other has nothing to read
-	use.NoteFirstEvent(now)
+	use.RecordFirstEvent(now)
 	use.End()
 
 	shared := Prompt{Tokens: 9000, Shared: []PromptPart{{ID: 7, Tokens: 8000}}}
@@ -102,12 +102,12 @@
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"))
-	s.NotePeer("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 4, Batch: 1, Unread: 9000}}, now)
+	s.RecordPeerReport("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 4, Batch: 1, Unread: 9000}}, now)
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "b")
 	a := s.byID["a"]
 	is.Equal(a.RequestCounts(now), RequestCounts{Running: 4, Batch: 1})
 	is.Equal(a.BatchHolders(now), []string{"p"})
-	s.NotePeer("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now)
+	s.RecordPeerReport("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now)
 	is.Equal(a.RequestCounts(now).Running, 1.0)
 	is.Equal(a.RequestCounts(now.Add(time.Hour)).Running, 0.0)
 }
@@ -130,7 +130,7 @@
 		a := s.byID["a"]
 		for range test.places {
 			is.Equal(pick(s, criteria, now), "a")
-			s.Begin(a, Prompt{Tokens: 10}, true, now).NoteFirstEvent(now)
+			s.Begin(a, Prompt{Tokens: 10}, true, now).RecordFirstEvent(now)
 		}
 		is.Equal(pick(s, criteria, now), "")
 	}
@@ -142,15 +142,15 @@
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"))
-	s.byID["a"].NoteFailure(now)
+	s.byID["a"].RecordFailure(now)
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "b")
 	is.Equal(pick(s, Criteria{Zone: "z", Excluded: map[string]bool{"b": true}}, now), "a")
 	for range 30 {
 		use := s.Begin(s.byID["a"], Prompt{Tokens: 100}, false, now)
-		use.NoteFirstEvent(now.Add(800 * time.Millisecond))
+		use.RecordFirstEvent(now.Add(800 * time.Millisecond))
 		use.End()
 		use = s.Begin(s.byID["b"], Prompt{Tokens: 100}, false, now)
-		use.NoteFirstEvent(now.Add(15 * time.Millisecond))
+		use.RecordFirstEvent(now.Add(15 * time.Millisecond))
 		use.End()
 	}
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "b")
@@ -178,10 +178,10 @@
 	now := time.Now()
 	s := setOf(record("a", "z"))
 	use := s.Begin(s.byID["a"], Prompt{Tokens: 500}, true, now)
-	use.NoteFirstEvent(now)
+	use.RecordFirstEvent(now)
 	use.End()
 	use.End()
-	use.NoteFirstEvent(now)
+	use.RecordFirstEvent(now)
 	is.Equal(s.byID["a"].own, NodeLoad{})
 }
 
@@ -191,17 +191,17 @@
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"))
-	s.Change(nil, []string{"a"}, 2, now)
+	s.ApplyChanges(nil, []string{"a"}, 2, now)
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "b") // there is another
-	s.Change(nil, []string{"b"}, 3, now)
+	s.ApplyChanges(nil, []string{"b"}, 3, now)
 	is.True(pick(s, Criteria{Zone: "z"}, now) != "")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{MaxUnread: 1000}}, now), "")
-	s.Change([]Record{record("a", "z")}, nil, 4, now) // it is listed again
+	s.ApplyChanges([]Record{record("a", "z")}, nil, 4, now) // it is listed again
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "a")
 	leaving := record("a", "z")
 	leaving.Leaving = true
-	s.Change([]Record{leaving}, nil, 5, now)
-	s.Change(nil, []string{"a", "b"}, 6, now)
+	s.ApplyChanges([]Record{leaving}, nil, 5, now)
+	s.ApplyChanges(nil, []string{"a", "b"}, 6, now)
 	for _, runner := range s.Service("s") {
 		is.True(runner.ID != "a") // it had said that it leaves
 	}
@@ -219,19 +219,19 @@
 	is.Equal(pick(s, Criteria{Zone: "z"}, began.Add(20*time.Millisecond)), "mute") // nothing is late yet
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "far")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}, Excluded: map[string]bool{"far": true}}, later), "")
-	use.NoteFirstEvent(later)
+	use.RecordFirstEvent(later)
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "mute")
 	use.End()
 
 	// A runner that goes on with what it runs is full, not mute.
 	running := s.Begin(mute, prompt, false, later)
-	running.NoteFirstEvent(later)
+	running.RecordFirstEvent(later)
 	s.Begin(mute, prompt, false, later)
-	running.NoteEvent(later.Add(2 * time.Second))
+	running.RecordEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "mute")
 	// One that has begun with a later request has dropped the one that waits.
 	overtaking := s.Begin(mute, prompt, false, later.Add(time.Second))
-	overtaking.NoteFirstEvent(later.Add(2 * time.Second))
+	overtaking.RecordFirstEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "far")
 
 }
@@ -245,7 +245,7 @@
 	s := setOf(record("busy", "z"))
 	for range 50 {
 		now = now.Add(60 * time.Millisecond)
-		s.NotePeer("peer", "busy", PeerReport{NodeLoad: NodeLoad{Running: 1, Unread: 100}}, now)
+		s.RecordPeerReport("peer", "busy", PeerReport{NodeLoad: NodeLoad{Running: 1, Unread: 100}}, now)
 	}
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{MaxUnread: 1000}}, now), "busy")
 }
@@ -280,10 +280,10 @@
 	}
 	is.Equal(load("unreported", now), 0.0)
 	later := now.Add(time.Second)
-	s.NotePeer("p", "reported", PeerReport{NodeLoad: NodeLoad{Running: 4}}, later)
+	s.RecordPeerReport("p", "reported", PeerReport{NodeLoad: NodeLoad{Running: 4}}, later)
 	is.Equal(load("unreported", later), 4.0)
 	is.Equal(load("far", later), 4.0)
-	s.byID["asked"].NoteLoad(&exchange.Load{Running: 4, Waiting: 1}, later)
+	s.byID["asked"].RecordLoad(&exchange.Load{Running: 4, Waiting: 1}, later)
 	is.Equal(load("far", later), 5.0) // its neighbour has reported how full it is
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "reported")
 	is.Equal(load("far", later.Add(answeredLifetime)), 4.0) // that is too old, and the mean of the reported ones holds
@@ -299,8 +299,8 @@
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"), record("unreported", "z"))
 	s.SetReporting(func(runner *Runner) bool { return runner.ID != "unreported" })
-	s.NotePeer("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now)
-	s.NotePeer("p", "b", PeerReport{NodeLoad: NodeLoad{Running: 4}}, now)
+	s.RecordPeerReport("p", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now)
+	s.RecordPeerReport("p", "b", PeerReport{NodeLoad: NodeLoad{Running: 4}}, now)
 	for range 50 {
 		is.Equal(pick(s, Criteria{Zone: "z"}, now), "a")
 	}
@@ -327,10 +327,10 @@
 	s := setOf(record("a", "z"))
 	a := s.byID["a"]
 	s.Begin(a, Prompt{Tokens: 10}, false, now)
-	s.NotePeer("old", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now.Add(-2*time.Second))
-	s.NotePeer("new", "a", PeerReport{NodeLoad: NodeLoad{Running: 2}}, now)
-	s.NotePeer("gone", "a", PeerReport{NodeLoad: NodeLoad{Running: 3}}, now.Add(-peerReportLifetime))
-	a.NoteLoad(&exchange.Load{Running: 5}, now.Add(-100*time.Millisecond))
+	s.RecordPeerReport("old", "a", PeerReport{NodeLoad: NodeLoad{Running: 1}}, now.Add(-2*time.Second))
+	s.RecordPeerReport("new", "a", PeerReport{NodeLoad: NodeLoad{Running: 2}}, now)
+	s.RecordPeerReport("gone", "a", PeerReport{NodeLoad: NodeLoad{Running: 3}}, now.Add(-peerReportLifetime))
+	a.RecordLoad(&exchange.Load{Running: 5}, now.Add(-100*time.Millisecond))
 	sources := s.Pick(&Criteria{Service: "s", Zone: "z"}, now).Sources
 	is.Equal(sources, LoadSources{Own: 1, Peers: 3, OldestPeer: 2 * time.Second, Reported: 4, ReportAge: 100 * time.Millisecond, ReceivesReports: true})
 }
--- a/internal/transport/httpcall/client.go
+++ b/internal/transport/httpcall/client.go
@@ -40,16 +40,16 @@
 	URL     string
 	Headers [][2]string
 	Body    []byte
-	// Fresh forbids a kept connection, so a stale one cannot blur the outcome.
-	Fresh bool
+	// FreshConnection forbids a kept connection, so a stale one cannot blur the outcome.
+	FreshConnection bool
 	// Target is the request target exactly as it is to be written; empty takes
 	// the URL's.
 	Target string
 	// Host replaces the address in the Host header; empty keeps the address.
 	Host string
-	// Mine tells an answer to this request from one that came too late for an
+	// Matches tells an answer to this request from one that came too late for an
 	// earlier one, which is read and dropped; nil takes any.
-	Mine func(*fasthttp.ResponseHeader) bool
+	Matches func(*fasthttp.ResponseHeader) bool
 	// Proceed is asked once a connection is there, right before the first byte
 	// is written; false ends the call as not sent. nil asks nothing.
 	Proceed func() bool
@@ -62,7 +62,7 @@
 	if err != nil || parsed.Host == "" {
 		return nil, &NotSentError{fmt.Errorf("bad URL %q", request.URL)}
 	}
-	connection, err := c.connect(ctx, parsed, request.Fresh)
+	connection, err := c.connect(ctx, parsed, request.FreshConnection)
 	if err != nil {
 		return nil, &NotSentError{err}
 	}
--- a/internal/transport/httpcall/client_test.go
+++ b/internal/transport/httpcall/client_test.go
@@ -134,7 +134,7 @@
 	})
 	client := NewClient(nil)
 	for _, fresh := range []bool{false, false, true} {
-		response, err := client.Do(context.Background(), &Request{Method: "GET", URL: url, Fresh: fresh})
+		response, err := client.Do(context.Background(), &Request{Method: "GET", URL: url, FreshConnection: fresh})
 		is.NoErr(err)
 		_, err = response.ReadAll(10)
 		is.NoErr(err)
@@ -245,13 +245,13 @@
 	is.NoErr(err)
 	address := "http://" + listener.Addr().String() + "/"
 	client := NewClient(nil)
-	is.True(!client.Refused(t.Context(), address))
+	is.True(!client.ConnectionRefused(t.Context(), address))
 	is.Equal(len(client.idle["http://"+listener.Addr().String()]), 1)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(!client.Refused(ended, address)) // no answer says nothing
+	is.True(!client.ConnectionRefused(ended, address)) // no answer says nothing
 	client.CloseIdle()
 	is.NoErr(listener.Close())
-	is.True(client.Refused(t.Context(), address))
-	is.True(!client.Refused(t.Context(), "http://"))
+	is.True(client.ConnectionRefused(t.Context(), address))
+	is.True(!client.ConnectionRefused(t.Context(), "http://"))
 }
--- a/internal/transport/httpcall/connections.go
+++ b/internal/transport/httpcall/connections.go
@@ -82,9 +82,9 @@
 	return dialer.DialContext(ctx, "tcp", target.Host)
 }
 
-// Refused dials a URL's address, and reports whether its machine says that nothing
+// ConnectionRefused dials a URL's address, and reports whether its machine says that nothing
 // listens there. A connection that comes up is kept for a later call.
-func (c *Client) Refused(ctx context.Context, address string) bool {
+func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	target, err := url.Parse(address)
 	if err != nil || target.Host == "" {
 		return false
--- a/internal/transport/httpcall/response.go
+++ b/internal/transport/httpcall/response.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if request.Mine == nil || request.Mine(response.Header) {
+		if request.Matches == nil || request.Matches(response.Header) {
 			return response, nil
 		}
 		if response.Header.ContentLength() < 0 {
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -97,7 +97,7 @@
 	address, pool := serve(t, func(s *Server) {
 		s.Handle(method, func(_ context.Context, stream *ServerStream) error {
 			var request wirev1.DispatchRequest
-			if err := stream.Request(&request); err != nil {
+			if err := stream.DecodeRequest(&request); err != nil {
 				return err
 			}
 			for i := range uint32(50) {
@@ -105,7 +105,7 @@
 					return err
 				}
 			}
-			return result.New(result.Saturated, "full").After(time.Second)
+			return result.New(result.Saturated, "full").WithRetryAfter(time.Second)
 		})
 	})
 	var streams []*ClientStream
@@ -124,7 +124,7 @@
 		}
 		err := stream.Receive(context.Background(), event(0))
 		is.Equal(result.CodeOf(err), result.Saturated) // the typed error crosses the wire
-		is.Equal(result.From(err).RetryAfter, time.Second)
+		is.Equal(result.FromError(err).RetryAfter, time.Second)
 	}
 }
 
@@ -347,7 +347,7 @@
 			is.NoErr(pool.Call(context.Background(), address, ClassControl, wirev1.Method_METHOD_PEER_STATE, &wirev1.PeerStateRequest{}, &wirev1.PeerStateReply{}))
 		}
 	}
-	eventually.That(t, "no link is left", func() bool { return counters.Links.Load() == 0 }, func() any { return counters.Links.Load() })
+	eventually.Require(t, "no link is left", func() bool { return counters.Links.Load() == 0 }, func() any { return counters.Links.Load() })
 	is.NoErr(pool.Call(context.Background(), addresses[0], ClassControl, wirev1.Method_METHOD_PEER_STATE, &wirev1.PeerStateRequest{}, &wirev1.PeerStateReply{}))
 }
 
@@ -438,5 +438,5 @@
 			return false
 		}
 	}
-	eventually.That(t, "the pool is closed", ended)
+	eventually.Require(t, "the pool is closed", ended)
 }
--- a/internal/transport/rpc/serverstream.go
+++ b/internal/transport/rpc/serverstream.go
@@ -18,7 +18,7 @@
 }
 
 // Request decodes the opening message.
-func (s *ServerStream) Request(message proto.Message) error {
+func (s *ServerStream) DecodeRequest(message proto.Message) error {
 	if err := proto.Unmarshal(s.payload, message); err != nil {
 		return result.New(result.InvalidRequest, "decoding request: %v", err)
 	}
@@ -33,7 +33,7 @@
 func (s *ServerStream) end(err error) {
 	status := &wirev1.Status{}
 	if err != nil {
-		failure := result.From(err)
+		failure := result.FromError(err)
 		status.Code = uint32(failure.Code)
 		status.Message = failure.Message
 		status.RetryAfterMs = uint32(failure.RetryAfter.Milliseconds())
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -54,7 +54,7 @@
 func intakeAt(client *load.BatchClient, count int, seed uint64) (*IntakeReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	file, _ := load.Items(model, load.BatchShape{Items: count, PromptWords: 20, AnswerTokens: 20, Seed: seed})
+	file, _ := load.Items(model, load.BatchWorkload{Items: count, PromptWords: 20, AnswerTokens: 20, Seed: seed})
 	form, contentType, err := load.Form(file)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -35,11 +35,11 @@
 	}
 	fmt.Println(tally.Summary())
 	fmt.Println("settings, data and logs:", folder)
-	for _, broken := range tally.Broken {
+	for _, broken := range tally.Violations {
 		fmt.Println("broken:", broken)
 	}
-	if len(tally.Broken) > 0 {
-		return trace.BadParameter("%d promises were broken", len(tally.Broken))
+	if len(tally.Violations) > 0 {
+		return trace.BadParameter("%d promises were broken", len(tally.Violations))
 	}
 	return nil
 }
--- a/lab/cli/soak.go
+++ b/lab/cli/soak.go
@@ -83,11 +83,11 @@
 		return false
 	}
 	fmt.Printf("seed %d: %s\n", seed, tally.Summary())
-	for _, broken := range tally.Broken {
+	for _, broken := range tally.Violations {
 		fmt.Printf("seed %d: broken: %s\n", seed, broken)
 	}
-	if len(tally.Broken) == 0 {
+	if len(tally.Violations) == 0 {
 		_ = os.RemoveAll(own) // a folder that stays does no harm
 	}
-	return len(tally.Broken) == 0
+	return len(tally.Violations) == 0
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -163,7 +163,7 @@
 	defer stopOnline()
 	var online tasks.Group
 	online.Go(func() {
-		load.Online(onlineCtx, target, load.Shape{Rate: options.Rate, PromptWords: 80, AnswerTokens: 60, Prefixes: 8, Seed: 1}, recorder)
+		load.RunOnline(onlineCtx, target, load.OnlineWorkload{Rate: options.Rate, PromptWords: 80, AnswerTokens: 60, Prefixes: 8, Seed: 1}, recorder)
 	})
 	kill := time.AfterFunc(time.Duration(options.Seconds)*time.Second/3, func() {
 		if !options.KillNode {
@@ -188,7 +188,7 @@
 	defer cancel()
 	client := load.NewBatchClient(target)
 	began := time.Now()
-	job, err := client.Submit(ctx, load.BatchShape{Items: options.Items, PromptWords: 60, AnswerTokens: 40, Seed: 2})
+	job, err := client.Submit(ctx, load.BatchWorkload{Items: options.Items, PromptWords: 60, AnswerTokens: 40, Seed: 2})
 	if err != nil {
 		return trace.Wrap(err, "submitting the job")
 	}
@@ -198,7 +198,7 @@
 		return trace.Wrap(err)
 	}
 	report.BatchSeconds = time.Since(began).Seconds()
-	audit, err := client.Check(ctx, job, status)
+	audit, err := client.AuditJob(ctx, job, status)
 	if err != nil {
 		return trace.Wrap(err, "reading results")
 	}
@@ -209,7 +209,7 @@
 
 func recordOnline(report *Report, recorder *load.Recorder) {
 	report.OnlineRequests, report.OnlineFailed = recorder.Requests.Load(), recorder.Failed.Load()
-	report.OnlineCut, report.OnlineWrong, report.OnlineResent = recorder.Cut.Load(), recorder.Wrong.Load(), recorder.Resent.Load()
+	report.OnlineCut, report.OnlineWrong, report.OnlineResent = recorder.Truncated.Load(), recorder.Wrong.Load(), recorder.Resent.Load()
 	report.TTFTP50Ms, report.TTFTP95Ms, report.TTFTP99Ms = ms(recorder.FirstToken(50)), ms(recorder.FirstToken(95)), ms(recorder.FirstToken(99))
 	report.GapP95Ms = ms(recorder.TokenGap(95))
 	report.errors = recorder.Errors()
--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -77,7 +77,7 @@
 		stream := api.Chat.Completions.NewStreaming(ctx, question("a question with a long answer one two", 64))
 		is.True(stream.Next())
 		cancel()
-		eventually.That(t, "the engine sees the cancel", func() bool { return running.Ledger.Totals().Cancels > before })
+		eventually.Require(t, "the engine sees the cancel", func() bool { return running.Ledger.Totals().Cancels > before })
 	})
 	t.Run("models", func(t *testing.T) {
 		is := is.New(t)
@@ -143,7 +143,7 @@
 		InputFileID: file.ID, Endpoint: openai.BatchNewParamsEndpointV1ChatCompletions, CompletionWindow: openai.BatchNewParamsCompletionWindow24h,
 	})
 	is.NoErr(err)
-	eventually.That(t, "the batch completes", func() bool {
+	eventually.Require(t, "the batch completes", func() bool {
 		job, err = api.Batches.Get(timeLimited(t), job.ID)
 		return err == nil && job.Status == openai.BatchStatusCompleted
 	})
@@ -177,7 +177,7 @@
 	is.NoErr(err)
 	_, err = api.Batches.Cancel(timeLimited(t), job.ID)
 	is.NoErr(err)
-	eventually.That(t, "the batch is cancelled", func() bool {
+	eventually.Require(t, "the batch is cancelled", func() bool {
 		job, err = api.Batches.Get(timeLimited(t), job.ID)
 		return err == nil && job.Status == openai.BatchStatusCancelled
 	})
@@ -224,7 +224,7 @@
 	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
 	is.NoErr(running.AwaitReady(timeLimited(t), 2))
 	api := client(running, 0)
-	eventually.That(t, "the adapter answers", func() bool {
+	eventually.Require(t, "the adapter answers", func() bool {
 		params := question("draft for founders", 10)
 		params.Model = "founders"
 		answer, err := api.Chat.Completions.New(timeLimited(t), params)
@@ -247,7 +247,7 @@
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\n", 1)
 	recorder := under(running, running.APIAddresses(), 20, func() {
 		is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-		eventually.That(t, "all engines have the new version", func() bool {
+		eventually.Require(t, "all engines have the new version", func() bool {
 			for _, loaded := range running.Engines {
 				if loaded.Version() != "2" {
 					return false
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -23,9 +23,9 @@
 	is := is.New(t)
 	t.Logf("%d requests, %d resent, errors %v", recorder.Requests.Load(), recorder.Resent.Load(), recorder.Errors())
 	is.True(recorder.Requests.Load() > 0)
-	is.Equal(recorder.Failed.Load(), int64(0)) // failed
-	is.Equal(recorder.Cut.Load(), int64(0))    // cut
-	is.Equal(recorder.Wrong.Load(), int64(0))  // wrong text
+	is.Equal(recorder.Failed.Load(), int64(0))    // failed
+	is.Equal(recorder.Truncated.Load(), int64(0)) // cut
+	is.Equal(recorder.Wrong.Load(), int64(0))     // wrong text
 }
 
 // under runs online load while the action runs.
@@ -38,7 +38,7 @@
 	aim.Addresses = addresses
 	go func() {
 		defer group.Done()
-		load.Online(ctx, aim, load.Shape{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
+		load.RunOnline(ctx, aim, load.OnlineWorkload{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
 	}()
 	action()
 	cancel()
@@ -154,11 +154,11 @@
 	running.Platform.SetDown(true)
 	recorder := under(running, running.APIAddresses(), 20, func() {
 		batches := load.NewBatchClient(target(running))
-		job, err := batches.Submit(timeLimited(t), load.BatchShape{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
+		job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
 		is.NoErr(err)
 		status, err := batches.Await(timeLimited(t), job.ID)
 		is.NoErr(err)
-		audit, err := batches.Check(timeLimited(t), job, status)
+		audit, err := batches.AuditJob(timeLimited(t), job, status)
 		is.NoErr(err)
 		is.Equal(audit.Completed, 200)
 		is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
@@ -219,7 +219,7 @@
 	crashed := make(chan struct{})
 	go func() {
 		defer close(crashed)
-		eventually.Try(t, "an engine has started the request", func() bool { return running.Ledger.Totals().Starts > 0 }, func() any { return running.Ledger.Totals() })
+		eventually.Assert(t, "an engine has started the request", func() bool { return running.Ledger.Totals().Starts > 0 }, func() any { return running.Ledger.Totals() })
 		for _, victim := range running.Engines {
 			victim.Crash()
 		}
@@ -235,7 +235,7 @@
 		is.NoErr(revived.Restart())
 	}
 	other := client(running, 1)
-	eventually.That(t, "a resend says unknown", func() bool {
+	eventually.Require(t, "a resend says unknown", func() bool {
 		_, err = other.Chat.Completions.New(timeLimited(t), params, once...)
 		return errors.As(err, &failure) && failure.Code == "1301"
 	})
@@ -249,7 +249,7 @@
 	is := is.New(t)
 	running := start(t, topology(5, 4))
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchShape{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
+	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
 	is.NoErr(err)
 	for _, index := range []int{0, 1} {
 		running.KillNode(index)
@@ -261,7 +261,7 @@
 	}
 	status, err := batches.Await(timeLimited(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.Check(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(timeLimited(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed, 1500)
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
@@ -303,9 +303,9 @@
 	}
 	leaver := running.Engines[0]
 	recorder := under(running, running.APIAddresses(), 10, func() {
-		eventually.That(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
-		running.ListRunner(leaver, running.ZoneOf(0), "leaving")
-		eventually.That(t, "the runner is quiet", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
+		eventually.Require(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
+		running.RegisterRunner(leaver, running.ZoneOf(0), "leaving")
+		eventually.Require(t, "the runner is quiet", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
 		time.Sleep(time.Second)
 		online, batch := leaver.Running()
 		is.Equal(online+batch, 0) // still quiet under load
@@ -321,14 +321,14 @@
 	is := is.New(t)
 	running := start(t, topology(5, 4))
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchShape{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
+	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
 	is.NoErr(err)
-	eventually.That(t, "items run", func() bool { return running.Ledger.Totals().Starts > 100 })
+	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 100 })
 	running.Engines[0].Crash()
 	running.KillNode(4)
 	status, err := batches.Await(timeLimited(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.Check(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(timeLimited(t), job, status)
 	is.NoErr(err)
 	t.Logf("%d completed, %d failed %v, lost %d", audit.Completed, audit.Failed, audit.ErrorCodes, audit.Lost)
 	is.Equal(audit.Completed+audit.Failed, 600)
@@ -349,9 +349,9 @@
 		slowed.SetSlow(10)
 	}
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchShape{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
+	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
 	is.NoErr(err)
-	eventually.That(t, "items run", func() bool { return running.Ledger.Totals().Starts > 20 })
+	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 20 })
 	is.NoErr(batches.Cancel(timeLimited(t), job.ID))
 	status, err := batches.Await(timeLimited(t), job.ID)
 	is.NoErr(err)
@@ -359,7 +359,7 @@
 	before := running.Ledger.Totals().Starts
 	time.Sleep(2 * time.Second)
 	is.Equal(running.Ledger.Totals().Starts, before)
-	audit, err := batches.Check(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(timeLimited(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed+audit.Failed, 2000) // every item has one outcome
 	is.Equal(audit.Duplicates+audit.Lost, 0)
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -41,7 +41,7 @@
 	once := func(name string) []option.RequestOption {
 		return []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", name)}
 	}
-	eventually.That(t, "a claim in the home region is made from far", func() bool {
+	eventually.Require(t, "a claim in the home region is made from far", func() bool {
 		answer, err := far.Chat.Completions.New(timeLimited(t), question("file from far", 8), once("k1")...)
 		return err == nil && answer.Choices[0].Message.Content == expected("file from far", 8)
 	})
@@ -53,7 +53,7 @@
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused, provably not run
-	eventually.That(t, "plain calls are served without the home region", func() bool {
+	eventually.Require(t, "plain calls are served without the home region", func() bool {
 		answer, err := far.Chat.Completions.New(timeLimited(t), question("is it free?", 8))
 		return err == nil && answer.Choices[0].Message.Content == expected("is it free?", 8)
 	})
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -73,8 +73,8 @@
 // Node returns the running node, nil if it is down.
 func (m *Member) Node() *node.Node { return m.node }
 
-// ListRunner puts an engine on the platform's runner list with a state.
-func (f *Fleet) ListRunner(listed *engine.Engine, zone Zone, state string) {
+// RegisterRunner puts an engine on the platform's runner list with a state.
+func (f *Fleet) RegisterRunner(listed *engine.Engine, zone Zone, state string) {
 	f.Platform.SetRunner(platform.Target{Address: listed.Address(), Labels: map[string]string{
 		"id": listed.ID, "zone": zone.Name, "region": zone.Region, "service": f.Topology.Service, "state": state,
 	}})
--- a/lab/fleet/start.go
+++ b/lab/fleet/start.go
@@ -54,7 +54,7 @@
 				return trace.Wrap(err)
 			}
 			f.Engines = append(f.Engines, started)
-			f.ListRunner(started, zone, "live")
+			f.RegisterRunner(started, zone, "live")
 		}
 	}
 	return nil
@@ -134,5 +134,5 @@
 		}
 	}
 	loaded.Complete()
-	return loaded, trace.Wrap(loaded.Check())
+	return loaded, trace.Wrap(loaded.Validate())
 }
--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -18,8 +18,8 @@
 	ErrorCodes                                        map[string]int
 }
 
-// Check downloads a job's results and counts each item.
-func (b *BatchClient) Check(ctx context.Context, job *Job, status Status) (*Audit, error) {
+// AuditJob downloads a job's results and counts each item.
+func (b *BatchClient) AuditJob(ctx context.Context, job *Job, status Status) (*Audit, error) {
 	audit := &Audit{Items: len(job.Bodies), ErrorCodes: map[string]int{}}
 	seen := map[string]int{}
 	for _, file := range []string{status.OutputFile, status.ErrorFile} {
--- a/lab/load/batch.go
+++ b/lab/load/batch.go
@@ -15,8 +15,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// BatchShape is the form of a batch job's items.
-type BatchShape struct {
+// BatchWorkload is the form of a batch job's items.
+type BatchWorkload struct {
 	Items        int    `yaml:"items"`
 	PromptWords  int    `yaml:"prompt_words"`
 	AnswerTokens int    `yaml:"answer_tokens"`
@@ -106,7 +106,7 @@
 }
 
 // Items writes a job's input file.
-func Items(model string, shape BatchShape) ([]byte, map[string][]byte) {
+func Items(model string, shape BatchWorkload) ([]byte, map[string][]byte) {
 	random := rand.New(rand.NewPCG(shape.Seed, 9))
 	var file bytes.Buffer
 	bodies := make(map[string][]byte, shape.Items)
@@ -125,7 +125,7 @@
 }
 
 // Submit uploads a file and makes a job of it.
-func (b *BatchClient) Submit(ctx context.Context, shape BatchShape) (*Job, error) {
+func (b *BatchClient) Submit(ctx context.Context, shape BatchWorkload) (*Job, error) {
 	file, bodies := Items(b.target.Model, shape)
 	fileID, err := b.Upload(ctx, file)
 	if err != nil {
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -31,8 +31,8 @@
 	MaxAnswer int
 }
 
-// Shape is the form of online requests.
-type Shape struct {
+// OnlineWorkload is the form of online requests.
+type OnlineWorkload struct {
 	// Rate is the mean number of requests per second (Poisson arrivals).
 	Rate float64 `yaml:"rate"`
 	// PromptWords and AnswerTokens are means; each request draws around them.
@@ -44,9 +44,9 @@
 	Seed uint64 `yaml:"seed"`
 }
 
-// Online sends requests until the context ends, then waits for the answers of
+// RunOnline sends requests until the context ends, then waits for the answers of
 // those under way.
-func Online(ctx context.Context, target Target, shape Shape, recorder *Recorder) {
+func RunOnline(ctx context.Context, target Target, shape OnlineWorkload, recorder *Recorder) {
 	random := rand.New(rand.NewPCG(shape.Seed, 3))
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
@@ -140,7 +140,7 @@
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				o.recorder.Cut.Add(1)
+				o.recorder.Truncated.Add(1)
 				return errors.New("stream ended without an end")
 			}
 			return errNodeLost
--- a/lab/load/prompts.go
+++ b/lab/load/prompts.go
@@ -37,7 +37,7 @@
 	Stream    bool          `json:"stream,omitempty"`
 }
 
-func chatBody(random *rand.Rand, model string, shape Shape, number int) []byte {
+func chatBody(random *rand.Rand, model string, shape OnlineWorkload, number int) []byte {
 	var messages []chatMessage
 	if shape.Prefixes > 0 {
 		prefix := rand.New(rand.NewPCG(uint64(random.IntN(shape.Prefixes)), shape.Seed))
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -13,12 +13,12 @@
 	mutex sync.Mutex
 	first *hdrhistogram.Histogram // microseconds
 	gap   *hdrhistogram.Histogram
-	// Requests that were made; Failed of them got no whole right answer; Cut
+	// Requests that were made; Failed of them got no whole right answer; Truncated
 	// ended without an error or an end; Wrong had other text; Resent lost
 	// their accepting node and were sent again; Refused got "not run".
-	Requests, Failed, Cut, Wrong, Resent, Refused atomic.Int64
-	errors                                        map[string]int
-	series                                        []Sample
+	Requests, Failed, Truncated, Wrong, Resent, Refused atomic.Int64
+	errors                                              map[string]int
+	series                                              []Sample
 }
 
 // Sample is one request's time to first token, for plots.
--- a/lab/platformday/nodeseries.go
+++ b/lab/platformday/nodeseries.go
@@ -72,7 +72,7 @@
 	select {
 	case <-p.life.ended:
 		if err := s.start(p); err != nil {
-			s.tally.Broke("%s does not start: %v", p.name, err)
+			s.tally.RecordViolation("%s does not start: %v", p.name, err)
 		}
 	default: // it still runs
 	}
@@ -94,7 +94,7 @@
 	select {
 	case <-current.ended:
 	case <-time.After(stopTime):
-		s.tally.Broke("%s still runs %v after it was asked to stop", p.name, stopTime)
+		s.tally.RecordViolation("%s still runs %v after it was asked to stop", p.name, stopTime)
 		s.signal(p, syscall.SIGKILL)
 	}
 }
@@ -169,7 +169,7 @@
 	s.onFreeNode("storage", random, func(p *process) {
 		s.signal(p, syscall.SIGKILL)
 		if err := s.start(p); err != nil {
-			s.tally.Broke("%s does not start: %v", p.name, err)
+			s.tally.RecordViolation("%s does not start: %v", p.name, err)
 			return
 		}
 		wait(ctx, random, time.Second)
@@ -183,7 +183,7 @@
 		s.signal(p, syscall.SIGKILL)
 		s.say("%s loses its disk", p.name)
 		if err := os.RemoveAll(p.data); err != nil {
-			s.tally.Broke("%s: %v", p.name, err)
+			s.tally.RecordViolation("%s: %v", p.name, err)
 		}
 	})
 }
--- a/lab/platformday/platformday_test.go
+++ b/lab/platformday/platformday_test.go
@@ -18,8 +18,8 @@
 		Program: build(t, folder), Folder: folder, Seed: 1, Length: 12 * time.Second, PerSecond: 20, Progress: os.Stderr,
 	})
 	is.NoErr(err)
-	if len(tally.Broken) > 0 {
-		t.Fatalf("%v\n%s", tally.Broken, lastLines(folder))
+	if len(tally.Violations) > 0 {
+		t.Fatalf("%v\n%s", tally.Violations, lastLines(folder))
 	}
 	is.True(tally.Served > 0)
 	is.True(tally.JobsTaken > 0)
--- a/lab/platformday/process.go
+++ b/lab/platformday/process.go
@@ -62,7 +62,7 @@
 		asked := next.asked
 		p.mutex.Unlock()
 		if !asked {
-			d.tally.Broke("%s ended by itself: %v", p.name, err)
+			d.tally.RecordViolation("%s ended by itself: %v", p.name, err)
 		}
 		close(next.ended)
 	})
--- a/lab/platformday/soak.go
+++ b/lab/platformday/soak.go
@@ -100,10 +100,10 @@
 
 func (s *soak) check(batch *standin.BatchClient, crashes bool) {
 	if open := batch.Open(); open > 0 {
-		s.tally.Broke("%d taken items have no result", open)
+		s.tally.RecordViolation("%d taken items have no result", open)
 	}
 	if ended := s.ledger.Crashes(crashBody); crashes && ended > standin.CrashesAllowed {
-		s.tally.Broke("%d runners ended under one request, allowed are %d", ended, standin.CrashesAllowed)
+		s.tally.RecordViolation("%d runners ended under one request, allowed are %d", ended, standin.CrashesAllowed)
 	}
 	once := &standin.Callers{Ledger: s.ledger, Tally: s.tally, Prefix: standin.OncePrefix, Once: true}
 	once.CheckRuns()
--- a/lab/platformday/soak_test.go
+++ b/lab/platformday/soak_test.go
@@ -22,8 +22,8 @@
 				Kept:    12, Disturbers: 3,
 			})
 			is.NoErr(err)
-			if len(tally.Broken) > 0 {
-				t.Fatalf("%v\n%s", tally.Broken, lastLines(folder))
+			if len(tally.Violations) > 0 {
+				t.Fatalf("%v\n%s", tally.Violations, lastLines(folder))
 			}
 			is.True(tally.Served > 0)
 			is.True(tally.JobsTaken > 0)
--- a/lab/platformday/traffic.go
+++ b/lab/platformday/traffic.go
@@ -35,7 +35,7 @@
 	}
 	d.say("%s", d.tally.Summary())
 	if open := batch.Open(); open > 0 {
-		d.tally.Broke("%d taken items have no result", open)
+		d.tally.RecordViolation("%d taken items have no result", open)
 	}
 	return nil
 }
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -24,7 +24,7 @@
 	"slow_engine":    always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetSlow(fault.Factor) }),
 	"disorder":       always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetDisorder(true) }),
 	"runner_leaving": always(func(f *fleet.Fleet, fault Fault) {
-		f.ListRunner(f.Engines[fault.Index], f.ZoneOf(fault.Index), "leaving")
+		f.RegisterRunner(f.Engines[fault.Index], f.ZoneOf(fault.Index), "leaving")
 	}),
 	"platform_down": always(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(true) }),
 	"platform_up":   always(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(false) }),
--- a/lab/scenario/outcome.go
+++ b/lab/scenario/outcome.go
@@ -85,7 +85,7 @@
 	o := &Outcome{
 		Policy: r.policy, Seed: r.seed, Seconds: elapsed.Seconds(),
 		OnlineRequests: r.recorder.Requests.Load(), OnlineFailed: r.recorder.Failed.Load(), OnlineRefused: r.recorder.Refused.Load(),
-		OnlineCut: r.recorder.Cut.Load(), OnlineWrong: r.recorder.Wrong.Load(), OnlineResent: r.recorder.Resent.Load(),
+		OnlineCut: r.recorder.Truncated.Load(), OnlineWrong: r.recorder.Wrong.Load(), OnlineResent: r.recorder.Resent.Load(),
 		FirstP50Ms: ms(r.recorder.FirstToken(50)), FirstP95Ms: ms(r.recorder.FirstToken(95)), FirstP99Ms: ms(r.recorder.FirstToken(99)),
 		GapP95Ms: ms(r.recorder.TokenGap(95)), GapP99Ms: ms(r.recorder.TokenGap(99)), Errors: r.recorder.Errors(),
 		BatchTokens:   after.BatchTokens - before.BatchTokens,
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -128,7 +128,7 @@
 		shape.Rate = phase.Rate
 		shape.Seed = r.seed*1000 + uint64(number)
 		if phase.Rate > 0 {
-			load.Online(phaseCtx, r.target(), shape, r.recorder)
+			load.RunOnline(phaseCtx, r.target(), shape, r.recorder)
 		} else {
 			<-phaseCtx.Done()
 		}
@@ -220,7 +220,7 @@
 		if status, err = client.Await(ctx, job.ID); err != nil {
 			return trace.Wrap(err)
 		}
-		audit, err := client.Check(ctx, job, status)
+		audit, err := client.AuditJob(ctx, job, status)
 		if err != nil {
 			return trace.Wrap(err)
 		}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -32,7 +32,7 @@
 	// Online load, phase after phase.
 	Online []Phase `yaml:"online"`
 	// Shape of online requests; its rate is set by the phases.
-	OnlineShape load.Shape `yaml:"online_shape"`
+	OnlineShape load.OnlineWorkload `yaml:"online_shape"`
 	// Heaps of batch jobs.
 	Heaps Heaps `yaml:"heaps"`
 	// Faults at their times.
@@ -53,9 +53,9 @@
 
 // Heaps are batch jobs that arrive in heaps.
 type Heaps struct {
-	Every time.Duration   `yaml:"every"`
-	Jobs  int             `yaml:"jobs"`
-	Shape load.BatchShape `yaml:"shape"`
+	Every time.Duration      `yaml:"every"`
+	Jobs  int                `yaml:"jobs"`
+	Shape load.BatchWorkload `yaml:"shape"`
 }
 
 // Fault is something that goes wrong at a time after the load began.
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -77,7 +77,7 @@
 	body := "prompt of " + id
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Prefix+"x?y=1", strings.NewReader(body))
 	if err != nil {
-		c.Tally.Broke("request %s: %v", id, err)
+		c.Tally.RecordViolation("request %s: %v", id, err)
 		return false
 	}
 	request.Host = c.Host
@@ -96,11 +96,11 @@
 		return false
 	case response.StatusCode == http.StatusOK:
 		if !strings.HasPrefix(wholeText(id), string(text)) {
-			c.Tally.Broke("request %s: %q is not the beginning of its stream", id, text)
+			c.Tally.RecordViolation("request %s: %q is not the beginning of its stream", id, text)
 		}
 	case response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable:
 		if c.Once && len(c.Ledger.Runs(id)) > 0 {
-			c.Tally.Broke("request %s: refused as not run, and it ran", id)
+			c.Tally.RecordViolation("request %s: refused as not run, and it ran", id)
 		}
 		c.Tally.count(&c.Tally.Refused)
 		return true
@@ -127,10 +127,10 @@
 
 func (c *Callers) checkWhole(id string, header http.Header, text string) {
 	if header.Get("Cobaltramp-Server-Seal") != "seal-"+id {
-		c.Tally.Broke("request %s: an answer with the mark %q", id, header.Get("Cobaltramp-Server-Seal"))
+		c.Tally.RecordViolation("request %s: an answer with the mark %q", id, header.Get("Cobaltramp-Server-Seal"))
 	}
 	if text != wholeText(id) {
-		c.Tally.Broke("request %s: an answer that is not its whole stream: %q", id, text)
+		c.Tally.RecordViolation("request %s: an answer that is not its whole stream: %q", id, text)
 	}
 }
 
@@ -139,7 +139,7 @@
 	for _, id := range c.Ledger.IDs() {
 		runs := c.Ledger.Runs(id)
 		if c.Once && strings.HasPrefix(runs[0].Path, c.Prefix) && len(runs) > 1 {
-			c.Tally.Broke("request %s: ran %d times", id, len(runs))
+			c.Tally.RecordViolation("request %s: ran %d times", id, len(runs))
 		}
 	}
 }
--- a/lab/standin/jobs.go
+++ b/lab/standin/jobs.go
@@ -75,7 +75,7 @@
 	}
 	body, err := json.Marshal(map[string]any{"items": list})
 	if err != nil {
-		b.Tally.Broke("job %s: %v", id, err)
+		b.Tally.RecordViolation("job %s: %v", id, err)
 		return
 	}
 	for ctx.Err() == nil {
@@ -103,14 +103,14 @@
 func (b *BatchClient) Read(ctx context.Context, job *Job, since int) {
 	status, text := b.do(ctx, http.MethodGet, fmt.Sprintf("/-/lots/%s?since_rev=%d", job.ID, since), "", nil)
 	if status == http.StatusNotFound {
-		b.Tally.Broke("job %s: 404 after it was taken", job.ID)
+		b.Tally.RecordViolation("job %s: 404 after it was taken", job.ID)
 	}
 	if status != http.StatusOK {
 		return
 	}
 	var results wireResults
 	if json.Unmarshal(text, &results) != nil || results.Total != len(job.Items) || results.Next != since+len(results.Results) {
-		b.Tally.Broke("job %s: an answer that does not add up: %s", job.ID, text)
+		b.Tally.RecordViolation("job %s: an answer that does not add up: %s", job.ID, text)
 		return
 	}
 	for i, item := range results.Results {
@@ -121,13 +121,13 @@
 func (b *BatchClient) take(job *Job, position int, result seenResult) {
 	if position < len(job.Seen) {
 		if job.Seen[position] != result {
-			b.Tally.Broke("job %s position %d: %v was %v", job.ID, position, result, job.Seen[position])
+			b.Tally.RecordViolation("job %s position %d: %v was %v", job.ID, position, result, job.Seen[position])
 		}
 		return
 	}
 	for _, seen := range job.Seen {
 		if seen.id == result.id {
-			b.Tally.Broke("job %s: item %s stands twice", job.ID, result.id)
+			b.Tally.RecordViolation("job %s: item %s stands twice", job.ID, result.id)
 		}
 	}
 	var texts []string
@@ -135,7 +135,7 @@
 		texts = append(texts, EventData(result.id, number))
 	}
 	if result.state == "completed" && result.text != strings.Join(texts, "\n") {
-		b.Tally.Broke("job %s item %s: the text is not its whole output: %q", job.ID, result.id, result.text)
+		b.Tally.RecordViolation("job %s item %s: the text is not its whole output: %q", job.ID, result.id, result.text)
 	}
 	job.Seen = append(job.Seen, result)
 	b.Tally.count(&b.Tally.ItemsDone)
--- a/lab/standin/kept.go
+++ b/lab/standin/kept.go
@@ -80,14 +80,14 @@
 	began := time.Now()
 	request, err := http.NewRequest(http.MethodPost, "http://"+k.address+k.Prefix+"kept", strings.NewReader("prompt of "+id))
 	if err != nil {
-		k.Tally.Broke("request %s: %v", id, err)
+		k.Tally.RecordViolation("request %s: %v", id, err)
 		return
 	}
 	request.Host = k.Host
 	setCallerHeaders(request, id)
 	var wire bytes.Buffer
 	if err := request.Write(&wire); err != nil {
-		k.Tally.Broke("request %s: %v", id, err)
+		k.Tally.RecordViolation("request %s: %v", id, err)
 		return
 	}
 	_ = k.conn.SetDeadline(began.Add(callerDeadline + time.Second))
@@ -119,7 +119,7 @@
 		k.Tally.count(&k.Tally.Served)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if runs := k.Ledger.Runs(id); len(runs) > 0 && k.Once {
-			k.Tally.Broke("request %s: refused as not run, and it ran", id)
+			k.Tally.RecordViolation("request %s: refused as not run, and it ran", id)
 		}
 		k.Tally.count(&k.Tally.Refused)
 	default:
@@ -134,7 +134,7 @@
 	k.close()
 	k.Tally.count(&k.Tally.Failed)
 	if runs := k.Ledger.Runs(id); len(runs) > 0 && !k.outOfTime(began) && !k.Excused(k.address, began) {
-		k.Tally.Broke("request %s: passed on by %s, and its connection ended without an answer after %v: %v", id, k.address, time.Since(began).Round(time.Millisecond), err)
+		k.Tally.RecordViolation("request %s: passed on by %s, and its connection ended without an answer after %v: %v", id, k.address, time.Since(began).Round(time.Millisecond), err)
 	}
 }
 
@@ -154,13 +154,13 @@
 	k.close()
 	k.Tally.count(&k.Tally.Failed)
 	if response.StatusCode == http.StatusOK && !strings.HasPrefix(wholeText(id), text) {
-		k.Tally.Broke("request %s: %q is not the beginning of its stream", id, text)
+		k.Tally.RecordViolation("request %s: %q is not the beginning of its stream", id, text)
 	}
 	runs := k.Ledger.Runs(id)
 	if len(runs) == 0 || k.outOfTime(began) || k.Excused(k.address, began) {
 		return
 	}
 	if last := runs[len(runs)-1]; (last.Whole || last.Left) && !k.Ledger.Ended(last.Runner) {
-		k.Tally.Broke("request %s: %s cut an answer that runner %s had not broken (whole %v) after %d bytes: %v", id, k.address, last.Runner, last.Whole, len(text), err)
+		k.Tally.RecordViolation("request %s: %s cut an answer that runner %s had not broken (whole %v) after %d bytes: %v", id, k.address, last.Runner, last.Whole, len(text), err)
 	}
 }
--- a/lab/standin/store_test.go
+++ b/lab/standin/store_test.go
@@ -25,7 +25,7 @@
 		_, err := http.DefaultClient.Do(request) //nolint:bodyclose // there is never an answer
 		done <- err
 	}()
-	eventually.That(t, "the store has the call", func() bool { return store.Calls("txn") > 0 }, func() any { return store.Calls("txn") })
+	eventually.Require(t, "the store has the call", func() bool { return store.Calls("txn") > 0 }, func() any { return store.Calls("txn") })
 	cancel()
 	is.True(<-done != nil)
 	store.Close()
--- a/lab/standin/tally.go
+++ b/lab/standin/tally.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// Tally counts what callers saw; Broken lists promises that were not kept.
+// Tally counts what callers saw; Violations lists promises that were not kept.
 type Tally struct {
 	mutex                   sync.Mutex
 	Served, Refused, Failed int
 	JobsTaken, ItemsDone    int
-	Broken                  []string
+	Violations              []string
 }
 
 // Summary is the tally as text.
@@ -18,14 +18,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return fmt.Sprintf("served %d, refused %d, failed %d; jobs taken %d, items done %d; broken promises %d",
-		t.Served, t.Refused, t.Failed, t.JobsTaken, t.ItemsDone, len(t.Broken))
+		t.Served, t.Refused, t.Failed, t.JobsTaken, t.ItemsDone, len(t.Violations))
 }
 
-// Broke records a promise that was not kept.
-func (t *Tally) Broke(format string, args ...any) {
+// RecordViolation records a promise that was not kept.
+func (t *Tally) RecordViolation(format string, args ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.Broken = append(t.Broken, fmt.Sprintf(format, args...))
+	t.Violations = append(t.Violations, fmt.Sprintf(format, args...))
 }
 
 func (t *Tally) count(counter *int) {
--- a/modules/batch/directory/directory.go
+++ b/modules/batch/directory/directory.go
@@ -34,7 +34,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{membership.ModuleName},
+		Name: ModuleName, DependsOn: []string{membership.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -70,8 +70,8 @@
 
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
-	if err := ctx.Fill(
-		kernel.Into(&m.views), kernel.Into(&m.pool),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.views), kernel.Dependency(&m.pool),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -231,13 +231,13 @@
 
 func (m *Module) giveUp(shard uint32, delivered bool, last error) error {
 	if delivered {
-		return result.New(result.CommitUnknown, "shard %d did not confirm in time", shard).After(time.Second)
+		return result.New(result.CommitUnknown, "shard %d did not confirm in time", shard).WithRetryAfter(time.Second)
 	}
 	code := result.StoreUnavailable
 	if regions := m.Map().Regions; int(shard) < len(regions) && regions[shard] != m.views.View().Self.Region {
 		code = result.HomeUnreachable
 	}
-	return result.New(code, "no leader of shard %d could be reached: %s", shard, result.From(last).Message).After(time.Second)
+	return result.New(code, "no leader of shard %d could be reached: %s", shard, result.FromError(last).Message).WithRetryAfter(time.Second)
 }
 
 // Propose carries a command to its shard. Errors are result codes: that of the
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -32,7 +32,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Roles: []string{role.Storage}, Needs: []string{cluster.ModuleName},
+		Name: ModuleName, Roles: []string{role.Storage}, DependsOn: []string{cluster.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -63,13 +63,13 @@
 	var catalogs *catalog.Holder
 	var runners *runnerset.Set
 	var client exchange.CallSender
-	var store ports.KeyValue
+	var store ports.KeyValueStore
 	var follower *informer.Informer
 	var guard *quarantine.Coordinator
-	err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&server), kernel.Into(&catalogs), kernel.Into(&runners), kernel.Into(&client),
-		kernel.Into(&store), kernel.Into(&follower), kernel.Into(&guard), kernel.Into(&options.Directory), kernel.Into(&options.Layouts), kernel.Into(&options.Pool),
-		kernel.Into(&options.Contact), kernel.Into(&options.Retirement), kernel.Into(&options.Registry),
+	err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&server), kernel.Dependency(&catalogs), kernel.Dependency(&runners), kernel.Dependency(&client),
+		kernel.Dependency(&store), kernel.Dependency(&follower), kernel.Dependency(&guard), kernel.Dependency(&options.Directory), kernel.Dependency(&options.Layouts), kernel.Dependency(&options.Pool),
+		kernel.Dependency(&options.Contact), kernel.Dependency(&options.Retirement), kernel.Dependency(&options.Registry),
 	)
 	if err != nil {
 		return trace.Wrap(err)
--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -14,7 +14,7 @@
 
 func (m *Module) serveShardMap(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.ShardMapRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	reply := &wirev1.ShardMapReply{}
@@ -32,7 +32,7 @@
 	}
 	for _, held := range m.allReplicas() {
 		// A shard that has stopped or is too busy to answer is not listed as led here.
-		_ = held.Ask(ctx, func() {
+		_ = held.RunInLoop(ctx, func() {
 			if held.table == nil {
 				return
 			}
@@ -55,7 +55,7 @@
 
 func (m *Module) servePropose(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.ProposeRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	answer, err := m.Propose(ctx, request.Shard, request.Command)
@@ -77,7 +77,7 @@
 			return nil, err
 		}
 	}
-	answer, err := held.Submit(ctx, command)
+	answer, err := held.ProposeAndWait(ctx, command)
 	m.metrics.proposals.WithLabelValues(result.CodeOf(err).String()).Inc()
 	return answer, err
 }
@@ -104,7 +104,7 @@
 		return err
 	}
 	if live < replica.CopiesWanted {
-		return result.New(result.StoreUnavailable, "%d disks of shard %d answer, needed: %d", live, s.ID, replica.CopiesWanted).After(storeRetryAfter)
+		return result.New(result.StoreUnavailable, "%d disks of shard %d answer, needed: %d", live, s.ID, replica.CopiesWanted).WithRetryAfter(storeRetryAfter)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 
 func (m *Module) servePull(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PullRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	held, err := m.leaderReplica(request.Shard)
@@ -129,7 +129,7 @@
 
 func (m *Module) serveComplete(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.CompleteRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	held, err := m.leaderReplica(request.Shard)
@@ -145,7 +145,7 @@
 
 func (m *Module) serveRead(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.ReadRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	reply, err := m.read(ctx, &request)
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -78,7 +78,7 @@
 	keys := make([]grants.Key, len(command.Results))
 	jobs := map[string]bool{}
 	for i, item := range command.Results {
-		keys[i] = grants.KeyOf(item.Item)
+		keys[i] = grants.KeyFromProto(item.Item)
 		jobs[item.Item.JobId] = true
 	}
 	s.table.Completed(keys)
@@ -139,7 +139,7 @@
 	command := &wirev1.CompleteItems{AtUnixMs: at}
 	for _, key := range keys {
 		command.Results = append(command.Results, &wirev1.ItemResult{
-			Item: key.Wire(), Code: uint32(result.OutcomeUnknown), Message: "the node that ran the item was lost; it may or may not have run",
+			Item: key.Proto(), Code: uint32(result.OutcomeUnknown), Message: "the node that ran the item was lost; it may or may not have run",
 		})
 	}
 	return command
@@ -209,14 +209,14 @@
 		if err != nil || int(key.Offset) >= len(items) {
 			continue
 		}
-		table.Hold(now, session, grants.KeyOf(key), items[key.Offset])
+		table.Hold(now, session, grants.KeyFromProto(key), items[key.Offset])
 	}
 }
 
 // askTable runs a function on the table if this replica serves.
 func (s *shardReplica) askTable(ctx context.Context, use func(*grants.Table, time.Time) error) error {
 	var useErr error
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		if s.table == nil {
 			useErr = s.notServing()
 			return
@@ -234,13 +234,13 @@
 	var starting []*wirev1.ItemKey
 	for _, offer := range offers {
 		if offer.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE && !offer.Restarted {
-			starting = append(starting, offer.Key.Wire())
+			starting = append(starting, offer.Key.Proto())
 		}
 	}
 	if len(starting) == 0 {
 		return offers, nil
 	}
-	answer, err := s.Submit(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starting, Holder: session.Node}}})
+	answer, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starting, Holder: session.Node}}})
 	if err != nil {
 		// Their start may be recorded: they are not handed out, and end as
 		// unknown unless a later leader finds them unstarted.
@@ -256,7 +256,7 @@
 func keysOf(wire []*wirev1.ItemKey) []grants.Key {
 	keys := make([]grants.Key, len(wire))
 	for i, key := range wire {
-		keys[i] = grants.KeyOf(key)
+		keys[i] = grants.KeyFromProto(key)
 	}
 	return keys
 }
@@ -271,7 +271,7 @@
 
 func grantOf(offer grants.Offer) *wirev1.Grant {
 	return &wirev1.Grant{
-		Key: offer.Key.Wire(), Item: offer.Item, Attempt: offer.Attempt, Tenant: offer.Tenant,
+		Key: offer.Key.Proto(), Item: offer.Item, Attempt: offer.Attempt, Tenant: offer.Tenant,
 		CustomId: offer.Item.CustomId, DeadlineUnixMs: offer.Deadline.UnixMilli(),
 	}
 }
@@ -297,7 +297,7 @@
 	if len(final) == 0 {
 		return &wirev1.CompleteReply{}, nil
 	}
-	answer, err := s.Submit(ctx, &wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: &wirev1.CompleteItems{Results: final, AtUnixMs: time.Now().UnixMilli()}}})
+	answer, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: &wirev1.CompleteItems{Results: final, AtUnixMs: time.Now().UnixMilli()}}})
 	if err != nil {
 		return nil, err
 	}
@@ -310,7 +310,7 @@
 	if !retryable(result.Code(item.Code)) {
 		return false
 	}
-	key := grants.KeyOf(item.Item)
+	key := grants.KeyFromProto(item.Item)
 	attempt := table.Attempt(session, key)
 	if attempt == 0 {
 		return true // not this session's any more: whoever holds it decides
--- a/modules/batch/store/members.go
+++ b/modules/batch/store/members.go
@@ -19,7 +19,7 @@
 	swapTimeout      = 5 * time.Second
 )
 
-var handOverTimes = shardhost.HandOverTimes{Interval: handOverInterval, Timeout: handOverTimeout, Frozen: frozenTimeout, Swap: swapTimeout}
+var handOverTimes = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: frozenTimeout, SwapTimeout: swapTimeout}
 
 // NextMembers implements shardhost.MemberPolicy: members whose disk is gone for long
 // are replaced, and spare disks are added up to the wanted number.
--- a/modules/batch/store/replica.go
+++ b/modules/batch/store/replica.go
@@ -159,7 +159,7 @@
 
 // observe gives a replica its member set. It is for any other goroutine.
 func (s *shardReplica) observe(config replica.MemberSet) {
-	_ = s.Ask(context.Background(), func() { s.Replica.Observe(time.Now(), config) }) // fails only when it has stopped
+	_ = s.RunInLoop(context.Background(), func() { s.Replica.Observe(time.Now(), config) }) // fails only when it has stopped
 }
 
 // statusTimeout bounds the wait for a busy shard's status.
@@ -171,7 +171,7 @@
 	var status *wirev1.ShardStatus
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	err := s.Ask(ctx, func() {
+	err := s.RunInLoop(ctx, func() {
 		config := s.Replica.MemberSet()
 		status = &wirev1.ShardStatus{
 			Shard: s.ID, Leader: s.Replica.Leader(), Epoch: s.Replica.Epoch(), Commit: s.Replica.Commit(),
--- a/modules/batch/store/store.go
+++ b/modules/batch/store/store.go
@@ -33,9 +33,9 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name:  ModuleName,
-		Needs: []string{disk.ModuleName, membership.ModuleName, bundles.ModuleName, etcdgateway.ModuleName},
-		New:   func() kernel.Module { return &Module{} },
+		Name:      ModuleName,
+		DependsOn: []string{disk.ModuleName, membership.ModuleName, bundles.ModuleName, etcdgateway.ModuleName},
+		New:       func() kernel.Module { return &Module{} },
 	})
 }
 
@@ -51,7 +51,7 @@
 	db        *logstore.DB
 	views     Views
 	snapshots Snapshots
-	platform  ports.KeyValue
+	platform  ports.KeyValueStore
 	pool      *rpc.Pool
 	metrics   *metrics
 
@@ -86,7 +86,7 @@
 	if m.snapshots, err = kernel.Find[Snapshots](ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	if m.platform, err = kernel.Find[ports.KeyValue](ctx); err != nil {
+	if m.platform, err = kernel.Find[ports.KeyValueStore](ctx); err != nil {
 		return trace.Wrap(err)
 	}
 	if m.pool, err = kernel.Find[*rpc.Pool](ctx); err != nil {
--- a/modules/batch/store/stored_test.go
+++ b/modules/batch/store/stored_test.go
@@ -47,17 +47,17 @@
 	first, err := db.Shard(3).Load()
 	is.NoErr(err)
 	const epoch = 1<<40 + 1<<8 + 1 // generation 1, first election, first member
-	is.Equal(first, &logstore.Loaded{
-		Hard: replica.HardState{Promised: epoch, Commit: 20, Generation: 1}, Config: replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1},
-		BaseIndex: 12, BaseEpoch: epoch, Epochs: slices.Repeat([]uint64{epoch}, 12), Applied: 24, Known: true,
+	is.Equal(first, &logstore.RecoveredState{
+		HardState: replica.HardState{Promised: epoch, Commit: 20, Generation: 1}, MemberSet: replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1},
+		BaseIndex: 12, BaseEpoch: epoch, Epochs: slices.Repeat([]uint64{epoch}, 12), Applied: 24, Exists: true,
 	})
 	second, err := db.Shard(7).Load()
 	is.NoErr(err)
 	const before = 4<<40 + 2<<8 + 2 // generation 4, second election, second member
-	is.Equal(second, &logstore.Loaded{
-		Hard:      replica.HardState{Promised: 4<<40 + 3<<8 + 1, Commit: 41, Frozen: true, FrozenAttempt: 2, Generation: 4},
-		Config:    replica.MemberSet{Generation: 4, Members: []string{storedDiskID, "disk-other", "disk-third"}, Attempt: 2},
-		BaseIndex: 40, BaseEpoch: before, Epochs: []uint64{before, before, before}, Applied: 40, Known: true,
+	is.Equal(second, &logstore.RecoveredState{
+		HardState: replica.HardState{Promised: 4<<40 + 3<<8 + 1, Commit: 41, Frozen: true, FrozenAttempt: 2, Generation: 4},
+		MemberSet: replica.MemberSet{Generation: 4, Members: []string{storedDiskID, "disk-other", "disk-third"}, Attempt: 2},
+		BaseIndex: 40, BaseEpoch: before, Epochs: []uint64{before, before, before}, Applied: 40, Exists: true,
 	})
 	for _, id := range shards {
 		stored := db.Shard(id)
@@ -215,7 +215,7 @@
 	t.Helper()
 	var reply *wirev1.ReadReply
 	var err error
-	eventually.That(t, "shard 3 is led", func() bool {
+	eventually.Require(t, "shard 3 is led", func() bool {
 		reply, err = m.read(t.Context(), &wirev1.ReadRequest{Shard: 3, Kind: kind, Id: id, Tenant: storedTenant})
 		return !result.Is(err, result.NotLeader)
 	}, func() any { return err })
--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -14,7 +14,7 @@
 
 // begin runs a granted item in the background.
 func (m *Module) begin(shard uint32, granted *wirev1.Grant) {
-	key := grants.KeyOf(granted.Key)
+	key := grants.KeyFromProto(granted.Key)
 	ctx, cancel := context.WithCancel(m.context)
 	m.mutex.Lock()
 	if m.held[key] != nil {
@@ -90,7 +90,7 @@
 		ended.Body = encodeAnswer(granted, request, answer)
 		return ended
 	}
-	failure := result.From(err)
+	failure := result.FromError(err)
 	ended.Code, ended.Message = uint32(finalCode(failure.Code, request.Once)), failure.Message
 	ended.HttpStatus = uint32(result.Code(ended.Code).Entry().HTTPStatus)
 	return ended
@@ -229,7 +229,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, ended := range batch {
-		delete(m.held, grants.KeyOf(ended.Item))
+		delete(m.held, grants.KeyFromProto(ended.Item))
 	}
 	m.metrics.running.Set(float64(len(m.held)))
 }
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -31,7 +31,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{owner.ModuleName, directory.ModuleName},
+		Name: ModuleName, DependsOn: []string{owner.ModuleName, directory.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -97,9 +97,9 @@
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var registry prometheus.Registerer
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.owner), kernel.Into(&m.shards),
-		kernel.Into(&registry),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.owner), kernel.Dependency(&m.shards),
+		kernel.Dependency(&registry),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -240,7 +240,7 @@
 	}
 	for key, item := range m.held {
 		if item.shard == shard {
-			request.Held = append(request.Held, key.Wire())
+			request.Held = append(request.Held, key.Proto())
 		}
 	}
 	return request
--- a/modules/callers/openai/api.go
+++ b/modules/callers/openai/api.go
@@ -35,7 +35,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{router.ModuleName, directory.ModuleName, quota.ModuleName},
+		Name: ModuleName, DependsOn: []string{router.ModuleName, directory.ModuleName, quota.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -87,15 +87,15 @@
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var registry prometheus.Registerer
-	err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.snapshots), kernel.Into(&m.router),
-		kernel.Into(&m.leaver), kernel.Into(&m.batch), kernel.Into(&m.claims),
-		kernel.Into(&m.shares), kernel.Into(&registry),
+	err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.snapshots), kernel.Dependency(&m.router),
+		kernel.Dependency(&m.leaver), kernel.Dependency(&m.batch), kernel.Dependency(&m.claims),
+		kernel.Dependency(&m.shares), kernel.Dependency(&registry),
 	)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if m.settings.TLS.API.Set() {
+	if m.settings.TLS.API.IsSet() {
 		if m.tls, err = tlskeys.LoadPair(m.settings.TLS.API.Certificate, m.settings.TLS.API.Key); err != nil {
 			return trace.Wrap(err, "tls.api")
 		}
@@ -245,5 +245,5 @@
 			return result.New(result.InvalidRequest, "%s", fiberError.Message)
 		}
 	}
-	return result.From(err)
+	return result.FromError(err)
 }
--- a/modules/callers/openai/auth.go
+++ b/modules/callers/openai/auth.go
@@ -26,11 +26,11 @@
 func (m *Module) authenticated(next handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		if m.draining.Load() {
-			return result.New(result.Draining, "this node is stopping; use another").After(time.Second)
+			return result.New(result.Draining, "this node is stopping; use another").WithRetryAfter(time.Second)
 		}
 		snapshot := m.snapshots.Snapshot()
 		if snapshot == nil {
-			return result.New(result.NotReady, "no bundle is in force on this node yet").After(time.Second)
+			return result.New(result.NotReady, "no bundle is in force on this node yet").WithRetryAfter(time.Second)
 		}
 		header := c.Get(fiber.HeaderAuthorization)
 		key, found := strings.CutPrefix(header, bearer)
--- a/modules/callers/openai/once.go
+++ b/modules/callers/openai/once.go
@@ -41,7 +41,7 @@
 	}
 	shards := m.batch.HomeShards(request.who.tenant.HomeRegion)
 	if len(shards) == 0 {
-		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").After(time.Second)
+		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").WithRetryAfter(time.Second)
 	}
 	tenant, err := m.admit(request.who)
 	if err != nil {
@@ -79,7 +79,7 @@
 	}}})
 	if result.Is(err, result.CommitUnknown) {
 		m.resolveLater(request, shard, &wirev1.ResolveClaim{State: wirev1.ClaimState_CLAIM_STATE_NOT_RUN})
-		return nil, false, result.New(result.StoreUnavailable, "the idempotency key could not be recorded").After(time.Second)
+		return nil, false, result.New(result.StoreUnavailable, "the idempotency key could not be recorded").WithRetryAfter(time.Second)
 	}
 	if err != nil {
 		return nil, false, err
@@ -100,7 +100,7 @@
 	case wirev1.ClaimState_CLAIM_STATE_UNKNOWN:
 		return result.New(result.OutcomeUnknown, "the request under this key was dispatched and its outcome is not known")
 	default:
-		return result.New(result.InProgress, "the request under this key is running").After(time.Second)
+		return result.New(result.InProgress, "the request under this key is running").WithRetryAfter(time.Second)
 	}
 }
 
@@ -112,7 +112,7 @@
 	collected, err := m.collect(ctx, request)
 	tenant.Release(time.Now(), collected.usage.CompletionTokens)
 	if err != nil {
-		failure := result.From(err)
+		failure := result.FromError(err)
 		m.resolveLater(request, shard, resolutionOf(failure))
 		return failure
 	}
--- a/modules/callers/openai/stream.go
+++ b/modules/callers/openai/stream.go
@@ -138,7 +138,7 @@
 
 func (w *eventWriter) finish(end *outcome) {
 	if end.err != nil {
-		w.flush("data: " + string(encodeError(result.From(end.err))) + "\n\n")
+		w.flush("data: " + string(encodeError(result.FromError(end.err))) + "\n\n")
 		return
 	}
 	if w.request.withUsage {
--- a/modules/callers/openai/upload.go
+++ b/modules/callers/openai/upload.go
@@ -94,7 +94,7 @@
 	}
 	shards := m.batch.HomeShards(who.tenant.HomeRegion)
 	if len(shards) == 0 {
-		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").After(time.Second)
+		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").WithRetryAfter(time.Second)
 	}
 	digest := sha256.New()
 	reader := jsonl.NewReader(io.TeeReader(part, digest), jsonl.Rules{Model: modelRule(who), DefaultClass: class})
--- a/modules/callers/quota/quota.go
+++ b/modules/callers/quota/quota.go
@@ -28,7 +28,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{membership.ModuleName},
+		Name: ModuleName, DependsOn: []string{membership.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -69,8 +69,8 @@
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
-	if err := ctx.Fill(
-		kernel.Into(&m.views), kernel.Into(&m.pool), kernel.Into(&server),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.views), kernel.Dependency(&m.pool), kernel.Dependency(&server),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -173,7 +173,7 @@
 			delete(m.tenants, tenant)
 			continue
 		}
-		divider := view.Place.Owner(ownership.Runner{ID: "quota/" + tenant, Region: view.Self.Region})
+		divider := view.Rendezvous.Owner(ownership.Runner{ID: "quota/" + tenant, Region: view.Self.Region})
 		byDivider[divider] = append(byDivider[divider], &wirev1.QuotaEntry{Tenant: tenant, Value: known.demand})
 		known.demand = 0
 	}
@@ -202,7 +202,7 @@
 // serve answers another node's report.
 func (m *Module) serve(_ context.Context, stream *rpc.ServerStream) error {
 	var message wirev1.QuotaMessage
-	if err := stream.Request(&message); err != nil {
+	if err := stream.DecodeRequest(&message); err != nil {
 		return err
 	}
 	now := time.Now()
--- a/modules/config/bundles/bundles.go
+++ b/modules/config/bundles/bundles.go
@@ -44,7 +44,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{membership.ModuleName, etcdgateway.ModuleName},
+		Name: ModuleName, DependsOn: []string{membership.ModuleName, etcdgateway.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -59,7 +59,7 @@
 // Module provides the snapshot in force.
 type Module struct {
 	settings *settings.Settings
-	store    ports.KeyValue
+	store    ports.KeyValueStore
 	members  Membership
 	pool     *rpc.Pool
 	metrics  *metrics
@@ -89,9 +89,9 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
 	var registry prometheus.Registerer
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.store), kernel.Into(&m.members),
-		kernel.Into(&m.pool), kernel.Into(&server), kernel.Into(&registry),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.store), kernel.Dependency(&m.members),
+		kernel.Dependency(&m.pool), kernel.Dependency(&server), kernel.Dependency(&registry),
 	); err != nil {
 		return trace.Wrap(err)
 	}
--- a/modules/config/bundles/change.go
+++ b/modules/config/bundles/change.go
@@ -128,7 +128,7 @@
 }
 
 func unavailable(err error) error {
-	return result.New(result.PlatformUnavailable, "the platform's key-value service does not answer: %v", trace.UserMessage(err)).After(time.Second)
+	return result.New(result.PlatformUnavailable, "the platform's key-value service does not answer: %v", trace.UserMessage(err)).WithRetryAfter(time.Second)
 }
 
 // Operation returns the head an operation wrote, nil if it took no effect. It
@@ -160,7 +160,7 @@
 			return next, nil
 		case err == nil:
 			return m.lostRace(ctx, next)
-		case !errors.Is(err, ports.ErrUnknown):
+		case !errors.Is(err, ports.ErrOutcomeUnknown):
 			return nil, unavailable(err)
 		}
 		// The answer was lost. The same commit again is safe: the condition
--- a/modules/config/bundles/content.go
+++ b/modules/config/bundles/content.go
@@ -115,7 +115,7 @@
 // serveFetch answers a peer with the head and the difference from what it has.
 func (m *Module) serveFetch(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.BundleFetchRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	head := m.head.Load()
--- a/modules/fleet/links/links.go
+++ b/modules/fleet/links/links.go
@@ -52,14 +52,14 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var loaded *settings.Settings
 	var registry prometheus.Registerer
-	err := ctx.Fill(
-		kernel.Into(&loaded), kernel.Into(&registry),
+	err := ctx.Resolve(
+		kernel.Dependency(&loaded), kernel.Dependency(&registry),
 	)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	m.settings = loaded
-	if loaded.TLS.Nodes.Set() {
+	if loaded.TLS.Nodes.IsSet() {
 		m.keys, err = tlskeys.LoadMutual(loaded.TLS.Nodes.Certificate, loaded.TLS.Nodes.Key, loaded.TLS.NodesAuthority)
 		if err != nil {
 			return trace.Wrap(err, "tls.nodes")
--- a/modules/fleet/membership/membership.go
+++ b/modules/fleet/membership/membership.go
@@ -35,7 +35,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{links.ModuleName, httpsd.ModuleName, disk.ModuleName},
+		Name: ModuleName, DependsOn: []string{links.ModuleName, httpsd.ModuleName, disk.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -46,10 +46,10 @@
 
 // Module provides fleet views.
 type Module struct {
-	settings *settings.Settings
-	pool     *rpc.Pool
-	lists    ports.Lists
-	metrics  *metrics
+	settings  *settings.Settings
+	pool      *rpc.Pool
+	discovery ports.Discovery
+	metrics   *metrics
 
 	mutex sync.Mutex
 	state *membership.State
@@ -75,9 +75,9 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
 	var registry prometheus.Registerer
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.pool), kernel.Into(&m.lists),
-		kernel.Into(&server), kernel.Into(&registry),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.pool), kernel.Dependency(&m.discovery),
+		kernel.Dependency(&server), kernel.Dependency(&registry),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -170,7 +170,7 @@
 // seedLoop reads the machine list, which seeds the detector.
 func (m *Module) seedLoop(ctx context.Context) {
 	for {
-		machines, err := m.lists.Machines(ctx)
+		machines, err := m.discovery.Machines(ctx)
 		if err == nil {
 			m.seed(machines)
 		} else {
--- a/modules/fleet/runners/runners.go
+++ b/modules/fleet/runners/runners.go
@@ -27,7 +27,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{membership.ModuleName},
+		Name: ModuleName, DependsOn: []string{membership.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -40,9 +40,9 @@
 
 // Module provides the runner table.
 type Module struct {
-	settings *settings.Settings
-	lists    ports.Lists
-	views    Views
+	settings  *settings.Settings
+	discovery ports.Discovery
+	views     Views
 
 	mutex     sync.Mutex
 	listed    []ports.RunnerEntry
@@ -61,8 +61,8 @@
 
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.lists), kernel.Into(&m.views),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.discovery), kernel.Dependency(&m.views),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -121,7 +121,7 @@
 
 func (m *Module) listLoop(ctx context.Context) {
 	for {
-		listed, err := m.lists.Runners(ctx)
+		listed, err := m.discovery.Runners(ctx)
 		if err == nil {
 			m.rebuild(listed)
 		} else {
--- a/modules/operators/admin/admin.go
+++ b/modules/operators/admin/admin.go
@@ -38,7 +38,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{openai.ModuleName, owner.ModuleName, bundles.ModuleName},
+		Name: ModuleName, DependsOn: []string{openai.ModuleName, owner.ModuleName, bundles.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -88,10 +88,10 @@
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.views), kernel.Into(&m.bundles),
-		kernel.Into(&m.runners), kernel.Into(&m.ready), kernel.Into(&m.pool),
-		kernel.Into(&m.gatherer), kernel.Into(&server),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.views), kernel.Dependency(&m.bundles),
+		kernel.Dependency(&m.runners), kernel.Dependency(&m.ready), kernel.Dependency(&m.pool),
+		kernel.Dependency(&m.gatherer), kernel.Dependency(&server),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -148,7 +148,7 @@
 }
 
 func handleError(c fiber.Ctx, err error) error {
-	failure := result.From(err)
+	failure := result.FromError(err)
 	return c.Status(failure.Code.Entry().HTTPStatus).JSON(ErrorBody{uint32(failure.Code), failure.Code.String(), failure.Message})
 }
 
@@ -167,7 +167,7 @@
 		State: "ready",
 	}
 	if err := m.ready.Ready(); err != nil {
-		reply.State = result.From(err).Message
+		reply.State = result.FromError(err).Message
 	}
 	if snapshot := m.bundles.Snapshot(); snapshot != nil {
 		reply.BundleGeneration = snapshot.Generation
--- a/modules/platform/etcdgateway/etcdgateway.go
+++ b/modules/platform/etcdgateway/etcdgateway.go
@@ -1,5 +1,5 @@
 // Package etcdgateway is the key-value adapter for the published JSON gateway of the
-// etcd v3 API (range, txn and watch). It implements ports.KeyValue, owns its client
+// etcd v3 API (range, txn and watch). It implements ports.KeyValueStore, owns its client
 // and the limit on its calls a second, and keeps no state. The plain node runs it.
 package etcdgateway
 
@@ -26,13 +26,13 @@
 	kernel.Register(kernel.Info{Name: ModuleName, New: func() kernel.Module { return &Module{} }})
 }
 
-// Module provides ports.KeyValue.
+// Module provides ports.KeyValueStore.
 type Module struct{ client *Client }
 
 var (
-	_ kernel.Module  = (*Module)(nil)
-	_ kernel.Cleaner = (*Module)(nil)
-	_ ports.KeyValue = (*Client)(nil)
+	_ kernel.Module       = (*Module)(nil)
+	_ kernel.Cleaner      = (*Module)(nil)
+	_ ports.KeyValueStore = (*Client)(nil)
 )
 
 // Provision implements kernel.Module.
@@ -74,7 +74,7 @@
 	}
 }
 
-// Get implements ports.KeyValue.
+// Get implements ports.KeyValueStore.
 func (c *Client) Get(ctx context.Context, key string) (ports.Value, bool, error) {
 	var reply rangeResponse
 	if err := c.call(ctx, "/v3/kv/range", rangeRequest{Key: []byte(key)}, &reply); err != nil {
@@ -86,7 +86,7 @@
 	return toValue(reply.KVs[0]), true, nil
 }
 
-// List implements ports.KeyValue.
+// List implements ports.KeyValueStore.
 func (c *Client) List(ctx context.Context, prefix string) ([]ports.Value, int64, error) {
 	var reply rangeResponse
 	request := rangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)}
@@ -100,7 +100,7 @@
 	return values, reply.Header.Revision, nil
 }
 
-// Commit implements ports.KeyValue.
+// Commit implements ports.KeyValueStore.
 func (c *Client) Commit(ctx context.Context, conditions []ports.Condition, puts []ports.Put) (bool, error) {
 	var request txnRequest
 	for _, condition := range conditions {
@@ -134,7 +134,7 @@
 	}
 	answer, err := response.ReadAll(maxAnswerBytes)
 	if err != nil {
-		return trace.Wrap(ports.ErrUnknown, "reading answer: %v", err)
+		return trace.Wrap(ports.ErrOutcomeUnknown, "reading answer: %v", err)
 	}
 	return decode(response.Status, answer, reply)
 }
@@ -146,7 +146,7 @@
 	if errors.As(err, &notSent) {
 		return trace.Wrap(ports.ErrUnavailable, "%v", err)
 	}
-	return trace.Wrap(ports.ErrUnknown, "%v", err)
+	return trace.Wrap(ports.ErrOutcomeUnknown, "%v", err)
 }
 
 // Statuses by which a gateway says that it did nothing.
@@ -163,11 +163,11 @@
 	case statusTooManyRequests, statusUnavailable:
 		return trace.Wrap(ports.ErrUnavailable, "status %d", status)
 	default:
-		return trace.Wrap(ports.ErrUnknown, "status %d: %s", status, answer)
+		return trace.Wrap(ports.ErrOutcomeUnknown, "status %d: %s", status, answer)
 	}
 }
 
-// Watch implements ports.KeyValue.
+// Watch implements ports.KeyValueStore.
 func (c *Client) Watch(ctx context.Context, prefix string, after int64, handle func(ports.WatchEvent)) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return trace.Wrap(err)
@@ -177,7 +177,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.base + "/v3/watch", Body: body, Headers: jsonHeaders, Fresh: true})
+	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.base + "/v3/watch", Body: body, Headers: jsonHeaders, FreshConnection: true})
 	if err != nil {
 		return classify(err)
 	}
--- a/modules/platform/httpsd/httpsd.go
+++ b/modules/platform/httpsd/httpsd.go
@@ -1,7 +1,7 @@
 // Package httpsd is the adapter for machine and runner lists in the published JSON
 // of Prometheus HTTP service discovery: groups of targets with labels. Labels used:
 // zone, region, state ("live" or "leaving"), and for runners id and service. It
-// implements ports.Lists, owns its client and keeps no state. The plain node runs it.
+// implements ports.Discovery, owns its client and keeps no state. The plain node runs it.
 package httpsd
 
 import (
@@ -24,7 +24,7 @@
 	kernel.Register(kernel.Info{Name: ModuleName, New: func() kernel.Module { return &Module{} }})
 }
 
-// Module provides ports.Lists.
+// Module provides ports.Discovery.
 type Module struct {
 	machines string
 	runners  string
@@ -32,9 +32,9 @@
 }
 
 var (
-	_ kernel.Module  = (*Module)(nil)
-	_ kernel.Cleaner = (*Module)(nil)
-	_ ports.Lists    = (*Module)(nil)
+	_ kernel.Module   = (*Module)(nil)
+	_ kernel.Cleaner  = (*Module)(nil)
+	_ ports.Discovery = (*Module)(nil)
 )
 
 // Provision implements kernel.Module.
@@ -66,7 +66,7 @@
 	stateLeaving   = "leaving"
 )
 
-// Machines implements ports.Lists.
+// Machines implements ports.Discovery.
 func (m *Module) Machines(ctx context.Context) ([]ports.MachineEntry, error) {
 	groups, err := m.fetch(ctx, m.machines)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return machines, nil
 }
 
-// Runners implements ports.Lists.
+// Runners implements ports.Discovery.
 func (m *Module) Runners(ctx context.Context) ([]ports.RunnerEntry, error) {
 	groups, err := m.fetch(ctx, m.runners)
 	if err != nil {
--- a/modules/roles/cluster/cluster.go
+++ b/modules/roles/cluster/cluster.go
@@ -40,7 +40,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Roles: []string{role.Edge, role.Storage}, Needs: []string{links.ModuleName, AdapterName},
+		Name: ModuleName, Roles: []string{role.Edge, role.Storage}, DependsOn: []string{links.ModuleName, AdapterName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -70,9 +70,9 @@
 	var schema *informer.Schema
 	var store informer.StoreAPI
 	var prober quarantine.Prober
-	err := ctx.Fill(
-		kernel.Into(&loaded), kernel.Into(&registry), kernel.Into(&pool), kernel.Into(&server),
-		kernel.Into(&schema), kernel.Into(&store), kernel.Into(&prober),
+	err := ctx.Resolve(
+		kernel.Dependency(&loaded), kernel.Dependency(&registry), kernel.Dependency(&pool), kernel.Dependency(&server),
+		kernel.Dependency(&schema), kernel.Dependency(&store), kernel.Dependency(&prober),
 	)
 	if err != nil {
 		return trace.Wrap(err)
@@ -82,29 +82,29 @@
 		Incarnation: uint64(time.Now().UnixMilli()),
 	})
 	m.informer = informer.New(informer.Options{
-		Schema: schema, Store: store, WatchWait: listwatch.WatchWaitWithin(loaded.Store.History()), Contact: listwatch.NewContact(),
+		Schema: schema, Store: store, WatchTimeout: listwatch.WatchTimeoutWithin(loaded.Store.History()), Contact: listwatch.NewContact(),
 		Catalogs: catalog.NewHolder(), Runners: runnerset.New(), Layouts: queuestore.NewLayouts(), Directory: directory,
 		Pool: pool, Drain: loaded.DrainTime(),
-		Interest: subset.InterestOf(loaded.Node, loaded.Zone, loaded.DataFolder != ""), Timing: relay.TimingWithin(loaded.DrainTime()),
+		Interest: subset.DefaultInterest(loaded.Node, loaded.Zone, loaded.DataFolder != ""), Timing: relay.TimingWithin(loaded.DrainTime()),
 	})
 	m.syncer = &peers.Syncer{Directory: directory, Documents: m.informer, Pool: pool, Seeds: loaded.Seeds, Watched: m.informer.Watched}
 	if loaded.DataFolder != "" {
 		m.informer.Mirror = relay.NewMirror(schema.Classify)
 	}
 	source := &relay.Source{
-		Mirror: m.informer.Mirror, Lost: m.informer.Contact.Lost, Relayed: m.informer.Relayed,
+		Mirror: m.informer.Mirror, Lost: m.informer.Contact.Lost, UsesRelay: m.informer.UsesRelay,
 		Level: m.informer.Level, Timing: m.informer.Timing,
 	}
 	server.Handle(wirev1.Method_METHOD_FOLLOW, source.Serve)
 	m.informer.RegisterMetrics(registry, source)
 	server.Handle(wirev1.Method_METHOD_PEER_STATE, m.syncer.Serve)
 	m.reporter = loadshare.New(directory, m.informer.Runners, pool, registry)
-	server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, m.reporter.Receive)
+	server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, m.reporter.ReceiveNotice)
 	server.OnLost(m.reporter.PeerLost)
 	m.archive = quarantine.NewArchive(store)
 	m.quarantine = quarantine.NewCoordinator(directory, pool, prober, m.archive, registry)
 	m.informer.Quarantine = m.quarantine
-	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.quarantine.Receive)
+	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.quarantine.ReceiveNotice)
 	server.Handle(wirev1.Method_METHOD_QUARANTINE_ADMIN, m.quarantine.ServeAdmin)
 	for _, service := range []any{
 		m.informer, m.informer.Contact, m.informer.Catalogs, m.informer.Runners, m.informer.Layouts, directory, m.quarantine,
--- a/modules/roles/links/links.go
+++ b/modules/roles/links/links.go
@@ -47,7 +47,7 @@
 
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
-	if err := ctx.Fill(kernel.Into(&m.settings)); err != nil {
+	if err := ctx.Resolve(kernel.Dependency(&m.settings)); err != nil {
 		return trace.Wrap(err)
 	}
 	m.counters = &rpc.Counters{}
--- a/modules/roles/metrics/metrics.go
+++ b/modules/roles/metrics/metrics.go
@@ -46,7 +46,7 @@
 
 // Provision implements kernel.Module.
 func (m *Module) Provision(ctx *kernel.Context) error {
-	return ctx.Fill(kernel.Into(&m.settings), kernel.Into(&m.registry))
+	return ctx.Resolve(kernel.Dependency(&m.settings), kernel.Dependency(&m.registry))
 }
 
 const headerTimeout = 3 * time.Second
--- a/modules/serving/crashes/crashes.go
+++ b/modules/serving/crashes/crashes.go
@@ -29,7 +29,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{membership.ModuleName},
+		Name: ModuleName, DependsOn: []string{membership.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -39,7 +39,7 @@
 
 // Module provides *quarantine.Coordinator.
 type Module struct {
-	store       ports.KeyValue
+	store       ports.KeyValueStore
 	archive     *quarantine.Archive
 	coordinator *quarantine.Coordinator
 
@@ -58,15 +58,15 @@
 	var pool *rpc.Pool
 	var server *rpc.Server
 	var registry prometheus.Registerer
-	err := ctx.Fill(
-		kernel.Into(&m.store), kernel.Into(&views), kernel.Into(&pool), kernel.Into(&server), kernel.Into(&registry),
+	err := ctx.Resolve(
+		kernel.Dependency(&m.store), kernel.Dependency(&views), kernel.Dependency(&pool), kernel.Dependency(&server), kernel.Dependency(&registry),
 	)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	m.archive = quarantine.NewArchive(m.store)
 	m.coordinator = quarantine.NewCoordinator(members{views}, pool, prober{httpcall.NewClient(nil)}, m.archive, registry)
-	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.coordinator.Receive)
+	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.coordinator.ReceiveNotice)
 	server.Handle(wirev1.Method_METHOD_QUARANTINE_ADMIN, m.coordinator.ServeAdmin)
 	ctx.Provide(m.coordinator)
 	return nil
@@ -119,12 +119,12 @@
 // members presents the fleet's view as node records.
 type members struct{ views Views }
 
-var _ notify.Members = members{}
+var _ notify.NodeDirectory = members{}
 
-// Self implements notify.Members.
+// Self implements notify.NodeDirectory.
 func (m members) Self() *wirev1.NodeRecord { return recordOf(m.views.View().Self) }
 
-// Records implements notify.Members.
+// Records implements notify.NodeDirectory.
 func (m members) Records() []*wirev1.NodeRecord {
 	view := m.views.View()
 	var records []*wirev1.NodeRecord
@@ -143,7 +143,7 @@
 
 var _ quarantine.Prober = prober{}
 
-// Refused implements quarantine.Prober.
-func (p prober) Refused(ctx context.Context, address string) bool {
-	return p.http.Refused(ctx, "http://"+address+"/")
+// ConnectionRefused implements quarantine.Prober.
+func (p prober) ConnectionRefused(ctx context.Context, address string) bool {
+	return p.http.ConnectionRefused(ctx, "http://"+address+"/")
 }
--- a/modules/serving/owner/dispatch.go
+++ b/modules/serving/owner/dispatch.go
@@ -32,7 +32,7 @@
 
 func (m *Module) serveDispatch(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.DispatchRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	return m.Dispatch(ctx, &request, func(event *wirev1.DispatchEvent) error { return stream.Send(event) })
@@ -40,7 +40,7 @@
 
 func (m *Module) serveReattach(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.ReattachRequest
-	if err := stream.Request(&request); err != nil {
+	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
 	return m.Reattach(ctx, &request, func(event *wirev1.DispatchEvent) error { return stream.Send(event) })
@@ -104,12 +104,12 @@
 	wanted := &framework.Request{PrefixHash: request.PrefixHash, Excluded: excluded, Now: now}
 	chosen, found := m.scheduler.Choose(wanted, candidates, m.random)
 	if !found {
-		return nil, result.New(result.Saturated, "all runners of model %s at node %s are full", model, m.settings.Node.ID).After(time.Second)
+		return nil, result.New(result.Saturated, "all runners of model %s at node %s are full", model, m.settings.Node.ID).WithRetryAfter(time.Second)
 	}
 	r := m.runners[chosen.ID]
 	admitted, preempted := r.arbiter.AdmitOnline()
 	if !admitted {
-		return nil, result.New(result.Saturated, "runner %s is full", r.id).After(time.Second)
+		return nil, result.New(result.Saturated, "runner %s is full", r.id).WithRetryAfter(time.Second)
 	}
 	m.preempt(r, preempted)
 	return &admission{id: r.id, address: r.address, runner: r, model: model}, nil
@@ -316,8 +316,8 @@
 	defer m.mutex.Unlock()
 	switch code {
 	case result.OK:
-		r.health.Succeeded()
+		r.health.RecordSuccess()
 	case result.NoRunner, result.EngineRefused, result.OutcomeUnknown, result.RunnerLost, result.EngineFailed:
-		r.health.Failed(time.Now())
+		r.health.RecordFailure(time.Now())
 	}
 }
--- a/modules/serving/owner/orders.go
+++ b/modules/serving/owner/orders.go
@@ -195,7 +195,7 @@
 	}
 	if r.orders.boot != boot {
 		r.orders.boot = boot
-		r.health.Succeeded()
+		r.health.RecordSuccess()
 	}
 	r.orders.loaded, r.orders.stale = true, false
 	m.signalFreed()
@@ -209,7 +209,7 @@
 		return
 	}
 	if err != nil {
-		r.health.Failed(time.Now())
+		r.health.RecordFailure(time.Now())
 		return
 	}
 	r.orders.loaded, r.orders.stale = false, false
--- a/modules/serving/owner/owner.go
+++ b/modules/serving/owner/owner.go
@@ -38,7 +38,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{runners.ModuleName, bundles.ModuleName},
+		Name: ModuleName, DependsOn: []string{runners.ModuleName, bundles.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -90,9 +90,9 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
 	var registry prometheus.Registerer
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.tables), kernel.Into(&m.snapshots),
-		kernel.Into(&server), kernel.Into(&registry),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.tables), kernel.Dependency(&m.snapshots),
+		kernel.Dependency(&server), kernel.Dependency(&registry),
 	); err != nil {
 		return trace.Wrap(err)
 	}
--- a/modules/serving/router/crashes.go
+++ b/modules/serving/router/crashes.go
@@ -24,17 +24,17 @@
 	if g.dispatched {
 		return g.broken(result.New(result.OutcomeUnknown, "engines end under this request (fingerprint %v)", g.fingerprint))
 	}
-	return result.New(result.Quarantined, "engines end under this request (fingerprint %v)", g.fingerprint).After(left)
+	return result.New(result.Quarantined, "engines end under this request (fingerprint %v)", g.fingerprint).WithRetryAfter(left)
 }
 
 // noteEnding counts a lost stream against the request if its engine has ended. A
 // lost link between nodes says nothing of the engine.
 func (g *generation) noteEnding(cause error) {
 	g.dispatched = true
-	if errors.Is(cause, rpc.ErrLinkLost) || !quarantine.Blames(g.firstEvent, time.Now()) {
+	if errors.Is(cause, rpc.ErrLinkLost) || !quarantine.IsSuspectRun(g.firstEvent, time.Now()) {
 		return
 	}
 	if listed, known := g.module.tables.Table().ByID[g.runner]; known {
-		g.module.guard.Broke(g.request.ID, g.fingerprint, g.runner, listed.Address)
+		g.module.guard.RecordBrokenRun(g.request.ID, g.fingerprint, g.runner, listed.Address)
 	}
 }
--- a/modules/serving/router/generate.go
+++ b/modules/serving/router/generate.go
@@ -103,7 +103,7 @@
 		}
 		err := g.dispatch(ctx)
 		if err == nil {
-			g.module.guard.Completed(g.fingerprint)
+			g.module.guard.RecordCompletion(g.fingerprint)
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/modules/serving/router/outcome.go
+++ b/modules/serving/router/outcome.go
@@ -72,7 +72,7 @@
 	if errors.Is(cause, rpc.ErrLinkLost) {
 		cause = result.New(result.RunnerLost, "the owner node was lost")
 	}
-	message := result.From(cause).Message
+	message := result.FromError(cause).Message
 	if g.tokens == 0 {
 		return result.New(result.OutcomeUnknown, "lost after dispatch: %s", message)
 	}
@@ -82,7 +82,7 @@
 // noOwner is the refusal when no owner has a free slot.
 func (g *generation) noOwner() error {
 	if len(g.module.tables.Table().Pools[g.request.Model.Service]) == 0 {
-		return result.New(result.NoRunner, "no runner serves model %s", g.request.Model.Name).After(time.Second)
+		return result.New(result.NoRunner, "no runner serves model %s", g.request.Model.Name).WithRetryAfter(time.Second)
 	}
-	return result.New(result.Saturated, "every runner of model %s is full", g.request.Model.Name).After(time.Second)
+	return result.New(result.Saturated, "every runner of model %s is full", g.request.Model.Name).WithRetryAfter(time.Second)
 }
--- a/modules/serving/router/router.go
+++ b/modules/serving/router/router.go
@@ -37,7 +37,7 @@
 
 func init() {
 	kernel.Register(kernel.Info{
-		Name: ModuleName, Needs: []string{owner.ModuleName, crashes.ModuleName},
+		Name: ModuleName, DependsOn: []string{owner.ModuleName, crashes.ModuleName},
 		New: func() kernel.Module { return &Module{} },
 	})
 }
@@ -95,10 +95,10 @@
 func (m *Module) Provision(ctx *kernel.Context) error {
 	var server *rpc.Server
 	var registry prometheus.Registerer
-	if err := ctx.Fill(
-		kernel.Into(&m.settings), kernel.Into(&m.views), kernel.Into(&m.tables),
-		kernel.Into(&m.snapshots), kernel.Into(&m.local), kernel.Into(&m.pool),
-		kernel.Into(&server), kernel.Into(&registry), kernel.Into(&m.guard),
+	if err := ctx.Resolve(
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.views), kernel.Dependency(&m.tables),
+		kernel.Dependency(&m.snapshots), kernel.Dependency(&m.local), kernel.Dependency(&m.pool),
+		kernel.Dependency(&server), kernel.Dependency(&registry), kernel.Dependency(&m.guard),
 	); err != nil {
 		return trace.Wrap(err)
 	}
@@ -130,13 +130,13 @@
 func (s *ownerState) failed() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.health.Failed(time.Now())
+	s.health.RecordFailure(time.Now())
 }
 
 func (s *ownerState) succeeded() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.health.Succeeded()
+	s.health.RecordSuccess()
 }
 
 func (s *ownerState) ejectedUntil() time.Time {
--- a/modules/serving/router/stream.go
+++ b/modules/serving/router/stream.go
@@ -41,7 +41,7 @@
 func (g *generation) successors(zone string) []string {
 	view := g.module.views.View()
 	var nodes []string
-	for _, ranked := range view.Place.Ranked(g.runner, zone) {
+	for _, ranked := range view.Rendezvous.Ranked(g.runner, zone) {
 		if ranked.ID != g.ownerID && len(nodes) < maxSuccessors {
 			nodes = append(nodes, ranked.ID)
 		}
