--- a/internal/batch/logstore/db.go
+++ b/internal/batch/logstore/db.go
@@ -30,10 +30,10 @@
 
 // DiskLimits bound what a database takes of its disk; zero values bound nothing.
 type DiskLimits struct {
-	// Reserve is how many bytes of the file system stay free.
-	Reserve int64
-	// Disk is how many bytes the database may take.
-	Disk int64
+	// ReservedBytes is how many bytes of the file system stay free.
+	ReservedBytes int64
+	// MaxBytes is how many bytes the database may take.
+	MaxBytes int64
 }
 
 // DB is the database of one data folder.
@@ -107,11 +107,11 @@
 	options := &pebble.Options{
 		FS:           d.fs,
 		Logger:       quietLogger{},
-		MemTableSize: memTableBytes(d.limits.Disk),
+		MemTableSize: memTableBytes(d.limits.MaxBytes),
 		// Values are small records and segments that are read once or twice.
 		MaxOpenFiles: 256,
 	}
-	if d.limits.Disk > 0 {
+	if d.limits.MaxBytes > 0 {
 		// Most of what is written is soon dropped: it is merged early, so that it
 		// takes little of the disk.
 		options.L0CompactionThreshold = 2
@@ -280,7 +280,7 @@
 // HasFreeSpace reports whether more than the reserve is free under the data folder.
 func (d *DB) HasFreeSpace() bool {
 	usage, err := d.fs.GetDiskUsage(d.folder)
-	return err == nil && int64(usage.AvailBytes) > d.limits.Reserve
+	return err == nil && int64(usage.AvailBytes) > d.limits.ReservedBytes
 }
 
 // usablePart of the disk may be taken when something is accepted: what is accepted has
@@ -297,10 +297,10 @@
 // FreeBytes returns how many bytes may be written before nothing is accepted any
 // more.
 func (d *DB) FreeBytes() uint64 {
-	if d.limits.Disk <= 0 {
+	if d.limits.MaxBytes <= 0 {
 		return math.MaxUint64 >> 1
 	}
-	full := uint64(usablePart * float64(d.limits.Disk))
+	full := uint64(usablePart * float64(d.limits.MaxBytes))
 	return full - min(full, d.Used())
 }
 
--- a/internal/batch/logstore/documents_test.go
+++ b/internal/batch/logstore/documents_test.go
@@ -93,7 +93,7 @@
 // errors and takes nothing: no goroutine that still reads ends the process.
 func TestClosedDatabase(t *testing.T) {
 	is := is.New(t)
-	db, err := Open(t.TempDir(), DiskLimits{Disk: 100 << 20})
+	db, err := Open(t.TempDir(), DiskLimits{MaxBytes: 100 << 20})
 	is.NoErr(err)
 	is.True(db.Fits(10))
 	is.NoErr(db.Close())
--- a/internal/batch/placement/placement.go
+++ b/internal/batch/placement/placement.go
@@ -20,8 +20,8 @@
 
 // Rule says how many members a shard has and how they lie in zones.
 type Rule struct {
-	// Members wanted.
-	Members int
+	// MemberCount is how many members are wanted.
+	MemberCount int
 	// ZoneRank orders zones by how many of the shard's members they have: the next
 	// member comes from the zone of the lowest rank.
 	ZoneRank func(members int) int
@@ -45,7 +45,7 @@
 	}
 	ranked := slices.Clone(disks)
 	sort.Slice(ranked, func(i, j int) bool { return Weight(shard, ranked[i].ID) > Weight(shard, ranked[j].ID) })
-	for len(chosen) < r.Members {
+	for len(chosen) < r.MemberCount {
 		best, found := r.next(ranked, chosen, perZone)
 		if !found {
 			break
--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -25,7 +25,7 @@
 			zoneOf[disk.ID] = disk.Zone
 		}
 		known := func(disk string) (string, bool) { zone, ok := zoneOf[disk]; return zone, ok }
-		rule := Rule{Members: rapid.IntRange(1, 5).Draw(t, "members"), ZoneRank: FewestFirst}
+		rule := Rule{MemberCount: rapid.IntRange(1, 5).Draw(t, "members"), ZoneRank: FewestFirst}
 		shard := rapid.Uint32().Draw(t, "shard")
 		kept := []string{"disk-gone"}[:rapid.IntRange(0, 1).Draw(t, "kept")]
 		chosen := rule.Choose(shard, disks, kept, known)
@@ -33,7 +33,7 @@
 		if !slices.Equal(chosen[:len(kept)], kept) {
 			t.Fatalf("%v does not begin with %v", chosen, kept)
 		}
-		if want := max(len(kept), min(rule.Members, len(kept)+len(disks))); len(chosen) != want {
+		if want := max(len(kept), min(rule.MemberCount, len(kept)+len(disks))); len(chosen) != want {
 			t.Fatalf("%v has %d members, want %d", chosen, len(chosen), want)
 		}
 		if unique := slices.Compact(slices.Sorted(slices.Values(chosen))); len(unique) != len(chosen) {
--- a/internal/batch/queue/order.go
+++ b/internal/batch/queue/order.go
@@ -51,7 +51,7 @@
 	var ready []*ItemEntry
 	for _, entry := range t.entries {
 		if !entry.running && !now.Before(entry.NotBefore) {
-			entry.rank = rankOf(entry.Output.Last > 0, t.Slack(entry, now), t.pace.remaining(entry))
+			entry.rank = rankOf(entry.Output.LastEventID > 0, t.Slack(entry, now), t.pace.remaining(entry))
 			ready = append(ready, entry)
 		}
 	}
--- a/internal/batch/queue/pace.go
+++ b/internal/batch/queue/pace.go
@@ -35,7 +35,7 @@
 		p.perEvent, p.perToken = assumedPerEvent, assumedPerToken
 	}
 	p.perEvent += paceWeight * (took.Seconds()/float64(events) - p.perEvent)
-	if entry.Output.Last > 0 {
+	if entry.Output.LastEventID > 0 {
 		return // the run was a part of the item
 	}
 	if p.events == 0 {
@@ -61,6 +61,6 @@
 	if p.events > 0 {
 		expected = min(max(expected, minEvents*p.events), maxEvents*p.events)
 	}
-	left := max(expected-float64(entry.Output.Last), 1)
+	left := max(expected-float64(entry.Output.LastEventID), 1)
 	return time.Duration(left * perEvent * float64(time.Second))
 }
--- a/internal/batch/queue/queue_test.go
+++ b/internal/batch/queue/queue_test.go
@@ -241,7 +241,7 @@
 		&wirev1.QueueItemInfo{Id: "long", OutputTokens: 6_000_000},
 	)
 	table.Start(ItemKey{"j", 1})
-	table.Return(ItemKey{"j", 1}, ItemOutput{Last: 3, Text: []byte("x")}, false, now)
+	table.Return(ItemKey{"j", 1}, ItemOutput{LastEventID: 3, Text: []byte("x")}, false, now)
 	is.Equal(ids(table.Ready(now)), []string{"begun", "fresh", "long"})
 	table.Start(ItemKey{"j", 0})
 	is.Equal(ids(table.Ready(now)), []string{"begun", "long"})
@@ -286,7 +286,7 @@
 		check(t, err == nil, "accept fails")
 		key := ItemKey{"j", 0}
 		for last := int64(1); last <= itemEvents; last++ {
-			output := ItemOutput{Last: last, Text: lines("j-0", last)}
+			output := ItemOutput{LastEventID: last, Text: lines("j-0", last)}
 			from, text := table.Unsaved(key, output)
 			part := &wirev1.QueueResult{JobId: "j", ItemId: "j-0", From: from, Last: last, Text: text}
 			if last < itemEvents {
--- a/internal/batch/queue/saves.go
+++ b/internal/batch/queue/saves.go
@@ -32,7 +32,7 @@
 	if len(s.byKey) == 0 {
 		s.since = now
 	}
-	if known, found := s.byKey[key]; !found || output.Last >= known.output.Last {
+	if known, found := s.byKey[key]; !found || output.LastEventID >= known.output.LastEventID {
 		s.byKey[key] = savedOutput{item, output}
 	}
 }
@@ -65,8 +65,8 @@
 		return nil
 	}
 	from, text := table.Unsaved(key, s.output)
-	if from == s.output.Last {
+	if from == s.output.LastEventID {
 		return nil
 	}
-	return &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: s.item, From: from, Last: s.output.Last, Text: text}
+	return &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: s.item, From: from, Last: s.output.LastEventID, Text: text}
 }
--- a/internal/batch/queue/saves_test.go
+++ b/internal/batch/queue/saves_test.go
@@ -28,7 +28,7 @@
 	table := waitingTable(50, now)
 	var saves Saves
 	for i := range 50 {
-		saves.Note(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{Last: 3, Text: []byte("a\nb\nc")}, now)
+		saves.Note(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{LastEventID: 3, Text: []byte("a\nb\nc")}, now)
 		is.Equal(saves.Due(table, now.Add(saveBatchDelay-1)), nil)
 	}
 	is.Equal(len(saves.Due(table, now.Add(saveBatchDelay)).Results), 50)
@@ -55,14 +55,14 @@
 				if over[part.Item] {
 					t.Fatalf("item %d is saved after its result", part.Item)
 				}
-				if part.From != kept[part.Item].Last {
-					t.Fatalf("item %d: a part after event %d follows event %d", part.Item, part.From, kept[part.Item].Last)
+				if part.From != kept[part.Item].LastEventID {
+					t.Fatalf("item %d: a part after event %d follows event %d", part.Item, part.From, kept[part.Item].LastEventID)
 				}
 				text := part.Text
 				if part.From > 0 {
 					text = JoinTexts(kept[part.Item].Text, part.Text)
 				}
-				kept[part.Item] = ItemOutput{Last: part.Last, Text: text}
+				kept[part.Item] = ItemOutput{LastEventID: part.Last, Text: text}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -71,9 +71,9 @@
 			key := ItemKey{"j", uint32(i)}
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
-				outputs[i].Append(outputs[i].Last+1, fmt.Append(nil, "e", outputs[i].Last+1))
+				outputs[i].Append(outputs[i].LastEventID+1, fmt.Append(nil, "e", outputs[i].LastEventID+1))
 				if !over[i] {
-					saves.Note(key, "i", ItemOutput{Last: outputs[i].Last, Text: append([]byte(nil), outputs[i].Text...)}, now)
+					saves.Note(key, "i", ItemOutput{LastEventID: outputs[i].LastEventID, Text: append([]byte(nil), outputs[i].Text...)}, now)
 				}
 			case 2:
 				take()
@@ -101,7 +101,7 @@
 	now := time.Now()
 	table := waitingTable(1, now)
 	var saves Saves
-	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{Last: 2, Text: []byte("a\nb")}, now)
-	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{Last: 1, Text: []byte("a")}, now)
+	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 2, Text: []byte("a\nb")}, now)
+	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 1, Text: []byte("a")}, now)
 	is.Equal(saves.Due(table, now.Add(time.Second)).Results[0].Last, int64(2))
 }
--- a/internal/batch/queue/table.go
+++ b/internal/batch/queue/table.go
@@ -46,19 +46,19 @@
 
 // ItemOutput is the part of an item's output that is known.
 type ItemOutput struct {
-	// Last is the id of the last event; 0 before the first.
-	Last int64
-	// Text is the data of the events up to Last, joined by line feeds.
+	// LastEventID is the id of the last event; 0 before the first.
+	LastEventID int64
+	// Text is the data of the events up to LastEventID, joined by line feeds.
 	Text []byte
 }
 
 // Append adds the data of the next event.
 func (o *ItemOutput) Append(id int64, data []byte) {
-	if o.Last > 0 {
+	if o.LastEventID > 0 {
 		o.Text = append(o.Text, '\n')
 	}
 	o.Text = append(o.Text, data...)
-	o.Last = id
+	o.LastEventID = id
 }
 
 // ItemTable is what the leader of a shard knows of unfinished items. It is rebuilt
@@ -204,7 +204,7 @@
 func (t *ItemTable) Restore(key ItemKey, output ItemOutput) {
 	if entry := t.entries[key]; entry != nil {
 		entry.Output = output
-		entry.saved = mark{output.Last, len(output.Text)}
+		entry.saved = mark{output.LastEventID, len(output.Text)}
 	}
 }
 
@@ -212,9 +212,9 @@
 // its way: the event it follows, and the text.
 func (t *ItemTable) Unsaved(key ItemKey, output ItemOutput) (from int64, text []byte) {
 	entry := t.entries[key]
-	if entry == nil || entry.saved.last == 0 || entry.saved.last > output.Last || entry.saved.bytes > len(output.Text) {
+	if entry == nil || entry.saved.last == 0 || entry.saved.last > output.LastEventID || entry.saved.bytes > len(output.Text) {
 		if entry != nil {
-			entry.saved = mark{output.Last, len(output.Text)}
+			entry.saved = mark{output.LastEventID, len(output.Text)}
 		}
 		return 0, output.Text
 	}
@@ -223,7 +223,7 @@
 	if len(text) > 0 && text[0] == '\n' {
 		text = text[1:]
 	}
-	entry.saved = mark{output.Last, len(output.Text)}
+	entry.saved = mark{output.LastEventID, len(output.Text)}
 	return from, text
 }
 
--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -128,7 +128,7 @@
 		outcome := one.run(ctx)
 		one.inFlight.End()
 		outcome.Attempts = one.route.Attempts
-		outcome.Events, outcome.Took = one.output.Last-one.work.Output.Last, time.Since(one.began)
+		outcome.Events, outcome.Took = one.output.LastEventID-one.work.Output.LastEventID, time.Since(one.began)
 		one.logEnd(choice, catalogVersion, outcome.Reason)
 		done(outcome)
 	})
@@ -163,7 +163,7 @@
 	for i, part := range item.Prompt {
 		prompt.Tokens += int(part.Tokens)
 		if i < len(item.Prompt)-1 {
-			prompt.Shared = append(prompt.Shared, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
+			prompt.SharedParts = append(prompt.SharedParts, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 		}
 	}
 	return prompt
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -89,7 +89,7 @@
 	}
 	r.runner.RecordFailure(time.Now())
 	r.noteEnding()
-	klog.InfoS("item stream broken", "item", r.work.Item.Id, "runner", r.runner.ID, "after", r.output.Last,
+	klog.InfoS("item stream broken", "item", r.work.Item.Id, "runner", r.runner.ID, "after", r.output.LastEventID,
 		"err", strings.TrimSpace(err.Error()))
 	return outcome
 }
--- a/internal/batch/queuerun/queuerun_test.go
+++ b/internal/batch/queuerun/queuerun_test.go
@@ -85,7 +85,7 @@
 // What comes of a run, for each kind of answer: only the runner's own answer ends
 // an item for good or counts as an attempt, and only a whole output is done.
 func TestOutcomes(t *testing.T) {
-	begun := queue.ItemOutput{Last: 1, Text: []byte("a")}
+	begun := queue.ItemOutput{LastEventID: 1, Text: []byte("a")}
 	for _, test := range []struct {
 		name               string
 		answer             func(context.Context, *exchange.Call) (*exchange.Response, error)
@@ -124,8 +124,8 @@
 			is.Equal(string(call.Body), "body")
 			is.Equal(call.Headers, []exchange.Header{{Name: "Model", Value: "m"}})
 			resume := int64(-1)
-			if test.from.Last > 0 {
-				resume = test.from.Last
+			if test.from.LastEventID > 0 {
+				resume = test.from.LastEventID
 			}
 			is.Equal(call.ResumeAfter, resume)
 		})
@@ -157,7 +157,7 @@
 		id    string
 		slack time.Duration
 	}{{"tight", time.Second}, {"late", -time.Second}, {"spare", time.Minute}} {
-		work := workOf(queue.ItemOutput{Last: 1, Text: []byte("a")})
+		work := workOf(queue.ItemOutput{LastEventID: 1, Text: []byte("a")})
 		work.Item.Id, work.Slack = item.id, item.slack
 		is.True(executor.TryStart(context.Background(), work, func(outcome queuestore.Outcome) {
 			if string(outcome.Output.Text) != "a" || outcome.Failed || outcome.Dead {
@@ -210,7 +210,7 @@
 	client := &scripted{answer: answers(200, true, twoEvents)}
 	executor := newExecutor(t, client)
 	executor.Quarantine = &guard{held: time.Hour}
-	begun := queue.ItemOutput{Last: 1, Text: []byte("a")}
+	begun := queue.ItemOutput{LastEventID: 1, Text: []byte("a")}
 	outcome := runOnce(t, executor, workOf(begun))
 	is.Equal(len(client.calls), 0)
 	is.True(!outcome.Dead && !outcome.Done && !outcome.Failed)
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -79,8 +79,8 @@
 	for _, header := range r.work.Item.Headers {
 		call.Headers = append(call.Headers, exchange.Header{Name: header.Name, Value: header.Value})
 	}
-	if r.output.Last > 0 {
-		call.ResumeAfter = r.output.Last
+	if r.output.LastEventID > 0 {
+		call.ResumeAfter = r.output.LastEventID
 	}
 	return call
 }
@@ -91,11 +91,11 @@
 	for {
 		silenceTimer.Reset(eventTimeout)
 		event, err := events.Next()
-		if errors.Is(err, io.EOF) && r.output.Last > 0 {
+		if errors.Is(err, io.EOF) && r.output.LastEventID > 0 {
 			r.noteCompleted()
 			return queuestore.Outcome{Done: true, Output: r.output, Reason: "completed"}
 		}
-		if err == nil && (!event.HasID || event.ID != r.output.Last+1) {
+		if err == nil && (!event.HasID || event.ID != r.output.LastEventID+1) {
 			err = &eventstream.BrokenError{Reason: "event out of order"}
 		}
 		if err != nil {
@@ -108,7 +108,7 @@
 // take adds an event to the output, and saves that when it is time to.
 func (r *run) take(event *eventstream.StreamEvent) {
 	now := time.Now()
-	if r.output.Last == r.work.Output.Last {
+	if r.output.LastEventID == r.work.Output.LastEventID {
 		r.firstEvent = now
 		r.inFlight.RecordFirstEvent(now)
 	} else {
@@ -130,7 +130,7 @@
 // save keeps what the run has produced, without holding it up. Once the executor is
 // ending nothing is saved any more: the shard that would keep it has stopped.
 func (r *run) save() {
-	output := queue.ItemOutput{Last: r.output.Last, Text: append([]byte(nil), r.output.Text...)}
+	output := queue.ItemOutput{LastEventID: r.output.LastEventID, Text: append([]byte(nil), r.output.Text...)}
 	r.executor.tasks.Go(func() { r.work.Save(output) })
 }
 
@@ -159,7 +159,7 @@
 		choice.Sources.LogFields(),
 		[]any{
 			"catalog", catalogVersion, "slackMs", r.work.Slack.Milliseconds(),
-			"from", r.work.Output.Last, "to", r.output.Last,
+			"from", r.work.Output.LastEventID, "to", r.output.LastEventID,
 			"outcome", outcome, "ms", time.Since(r.began).Milliseconds(),
 		},
 	)...)
--- a/internal/batch/queuerun/save_test.go
+++ b/internal/batch/queuerun/save_test.go
@@ -50,7 +50,7 @@
 		work.Save = func(output queue.ItemOutput) {
 			mutex.Lock()
 			defer mutex.Unlock()
-			saved = append(saved, output.Last)
+			saved = append(saved, output.LastEventID)
 		}
 		outcome := runOnce(t, executor, work)
 		is.True(outcome.Done)
--- a/internal/batch/queuestore/disk_test.go
+++ b/internal/batch/queuestore/disk_test.go
@@ -134,7 +134,7 @@
 // known after; the jobs taken before run to their end.
 func TestFullDiskRefusesJobs(t *testing.T) {
 	is := is.New(t)
-	c := newClusterOf(t, logstore.DiskLimits{Disk: 4 << 20}, "a", "b", "c")
+	c := newClusterOf(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
 	c.executor.setHold(true)
 	c.submit("small", 1)
 	var refusal error
@@ -169,7 +169,7 @@
 // member that is full would stop, and all it holds would have to be copied.
 func TestFullMemberRefusesJobs(t *testing.T) {
 	is := is.New(t)
-	c := newClusterOf(t, logstore.DiskLimits{Disk: 4 << 20}, "a", "b", "c")
+	c := newClusterOf(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
 	c.executor.setHold(true)
 	c.submit("small", 1)
 	const size = 400 << 10
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -129,7 +129,7 @@
 	e.runs[work.Item.Id]++
 	go func() {
 		output := work.Output
-		for id := output.Last + 1; id <= 2; id++ {
+		for id := output.LastEventID + 1; id <= 2; id++ {
 			output.Append(id, fmt.Appendf(nil, "%s/%d", work.Item.Body, id))
 		}
 		done(Outcome{Done: ctx.Err() == nil, Output: output, Reason: "test"})
--- a/internal/batch/queuestore/placement.go
+++ b/internal/batch/queuestore/placement.go
@@ -16,7 +16,7 @@
 	for _, disk := range disks {
 		candidates = append(candidates, placement.Disk{ID: disk.DiskId, Zone: disk.Zone, Shards: held[disk.DiskId]})
 	}
-	rule := placement.Rule{Members: n.membersWanted(), ZoneRank: n.zoneRank}
+	rule := placement.Rule{MemberCount: n.membersWanted(), ZoneRank: n.zoneRank}
 	return rule.Choose(shard, candidates, keep, n.zoneOf)
 }
 
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -123,7 +123,7 @@
 // on its way did not come there.
 func (s *shard) list(key queue.ItemKey, item string, dead bool, output queue.ItemOutput) {
 	l := s.leader
-	whole := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.Last, Text: output.Text}
+	whole := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.LastEventID, Text: output.Text}
 	if dead {
 		whole.Text, whole.Last = nil, 0
 	}
@@ -134,7 +134,7 @@
 	}
 	result := whole
 	if from, text := l.table.Unsaved(key, output); !dead && from > 0 {
-		result = &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, From: from, Last: output.Last, Text: text}
+		result = &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, From: from, Last: output.LastEventID, Text: text}
 	}
 	s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{result}}}})
 }
--- a/internal/cluster/informer/informer.go
+++ b/internal/cluster/informer/informer.go
@@ -40,7 +40,7 @@
 	Store  StoreAPI
 	// WatchTimeout is how long a watch of the store is held without a change.
 	WatchTimeout time.Duration
-	Contact      *listwatch.Contact
+	Contact      *listwatch.StoreContact
 	Catalogs     *catalog.Holder
 	Runners      *runnerset.Set
 	Layouts      *queuestore.Layouts
--- a/internal/cluster/listwatch/contact.go
+++ b/internal/cluster/listwatch/contact.go
@@ -9,12 +9,12 @@
 	"cobaltramp.example/cobaltramp/internal/app/boottime"
 )
 
-// Contact is what a node knows of its contact with the platform's store, direct or
+// StoreContact is what a node knows of its contact with the platform's store, direct or
 // through the nodes that relay its changes.
 //
 // Invariant: a probe that is answered renews the age, but only who follows the store
 // ends a loss.
-type Contact struct {
+type StoreContact struct {
 	last  atomic.Int64 // when it was renewed last, after processStart, in nanoseconds
 	lost  atomic.Bool
 	mutex sync.Mutex
@@ -27,9 +27,9 @@
 // the machine was suspended: keys may have been revoked meanwhile.
 var processStart = boottime.Now()
 
-// NewContact returns a contact that was not made yet.
-func NewContact() *Contact {
-	contact := &Contact{}
+// NewStoreContact returns a contact that was not made yet.
+func NewStoreContact() *StoreContact {
+	contact := &StoreContact{}
 	contact.answering, contact.endAnswering = context.WithCancel(context.Background())
 	contact.lost.Store(true)
 	return contact
@@ -37,27 +37,27 @@
 
 // Lost reports whether the node has no contact: the store's last answer due did not
 // come, and no other node relays the store's changes.
-func (c *Contact) Lost() bool { return c.lost.Load() }
+func (c *StoreContact) Lost() bool { return c.lost.Load() }
 
 // Age returns the time since the contact was renewed last.
-func (c *Contact) Age() time.Duration {
+func (c *StoreContact) Age() time.Duration {
 	return boottime.Since(processStart) - time.Duration(c.last.Load())
 }
 
 // Confirm records that the node is up to date with the store.
-func (c *Contact) Confirm() {
+func (c *StoreContact) Confirm() {
 	c.renew()
 	c.lost.Store(false)
 }
 
 // renew records that the store answered.
-func (c *Contact) renew() { c.last.Store(int64(boottime.Since(processStart))) }
+func (c *StoreContact) renew() { c.last.Store(int64(boottime.Since(processStart))) }
 
 // lose records that neither the store nor a relay keeps this node up to date.
-func (c *Contact) lose() { c.lost.Store(true) }
+func (c *StoreContact) lose() { c.lost.Store(true) }
 
 // fail records that the store did not answer, and ends the calls that wait.
-func (c *Contact) fail() {
+func (c *StoreContact) fail() {
 	c.lost.Store(true)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -66,7 +66,7 @@
 }
 
 // untilFailure returns a context that ends when the store is found not to answer.
-func (c *Contact) untilFailure(parent context.Context) (context.Context, context.CancelFunc) {
+func (c *StoreContact) untilFailure(parent context.Context) (context.Context, context.CancelFunc) {
 	c.mutex.Lock()
 	answering := c.answering
 	c.mutex.Unlock()
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -3,7 +3,7 @@
 // retries, how long it coalesces changes, when it leaves the store to the nodes that
 // relay its changes, and when it counts as in contact with the store.
 //
-// It owns Contact and the Reflector's loop. It relies on a client of the store
+// It owns StoreContact and the Reflector's loop. It relies on a client of the store
 // (ListerWatcher) and, where there are relays, on relay.Follower; what it reads goes
 // to a relay.Merger. It runs on edges and storage nodes.
 package listwatch
@@ -51,7 +51,7 @@
 	Store ListerWatcher
 	// Prefix of the keys that are followed.
 	Prefix  string
-	Contact *Contact
+	Contact *StoreContact
 	// Merger takes what the store holds.
 	Merger *relay.Merger
 	// WatchTimeout is how long a watch is held without a change.
@@ -125,7 +125,7 @@
 	}
 }
 
-// relayed reports whether relays pass the changes on to this node.
+// usesRelay reports whether relays pass the changes on to this node.
 func (r *Reflector) usesRelay() bool { return r.Relays != nil && r.Relays.UsesRelay() }
 
 // waitsForSource reports whether this node leaves the store to others though none
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadshare/loadshare.go
@@ -227,6 +227,6 @@
 			shared = append(shared, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 		}
 		load := runnerset.NodeLoad{Running: int(use.Running), Batch: int(use.Batch), Unread: int(use.UnreadTokens)}
-		r.runners.RecordPeerReport(from, use.Runner, runnerset.PeerReport{NodeLoad: load, Shared: shared}, now)
+		r.runners.RecordPeerReport(from, use.Runner, runnerset.PeerReport{NodeLoad: load, SharedParts: shared}, now)
 	}
 }
--- a/internal/serving/loadshare/loadshare_test.go
+++ b/internal/serving/loadshare/loadshare_test.go
@@ -147,7 +147,7 @@
 	f := fleet{edges: 3, disks: 2, runners: 2, zones: 1}
 	reporter, runners, box := f.node(0)
 	runner := runners.Service("s")[0]
-	use := runners.Begin(runner, runnerset.Prompt{Tokens: 100, Shared: []runnerset.PromptPart{{ID: 7, Tokens: 60}}}, false, time.Now())
+	use := runners.Begin(runner, runnerset.Prompt{Tokens: 100, SharedParts: []runnerset.PromptPart{{ID: 7, Tokens: 60}}}, false, time.Now())
 	reporter.flush()
 	taker, other, _ := f.node(1)
 	deliver := func(box *mailbox, address, from string, to *Reporter) {
--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -48,9 +48,9 @@
 	if batch {
 		runner.own.Batch++
 	}
-	runner.kept.touch(prompt.Shared, now)
+	runner.kept.touch(prompt.SharedParts, now)
 	runner.mutex.Unlock()
-	s.notifyOwnLoad(runner, prompt.Shared)
+	s.notifyOwnLoad(runner, prompt.SharedParts)
 	return f
 }
 
--- a/internal/serving/runnerset/kept.go
+++ b/internal/serving/runnerset/kept.go
@@ -26,7 +26,7 @@
 // missing returns how many tokens of a prompt have to be read.
 func (k *keptParts) missing(prompt Prompt) int {
 	missing := prompt.Tokens
-	for _, part := range prompt.Shared {
+	for _, part := range prompt.SharedParts {
 		if _, kept := k.parts[part.ID]; !kept {
 			break
 		}
--- a/internal/serving/runnerset/load.go
+++ b/internal/serving/runnerset/load.go
@@ -14,8 +14,8 @@
 // PeerReport is what another node reports of its requests at a runner.
 type PeerReport struct {
 	NodeLoad
-	// Shared parts of the prompt that was just sent.
-	Shared []PromptPart
+	// SharedParts of the prompt that was just sent.
+	SharedParts []PromptPart
 }
 
 // peerLoad is the last report of a peer.
--- a/internal/serving/runnerset/record.go
+++ b/internal/serving/runnerset/record.go
@@ -33,6 +33,6 @@
 type Prompt struct {
 	// Tokens of the whole prompt.
 	Tokens int
-	// Shared are the leading parts that other requests may have as well.
-	Shared []PromptPart
+	// SharedParts are the leading parts that other requests may have as well.
+	SharedParts []PromptPart
 }
--- a/internal/serving/runnerset/runner.go
+++ b/internal/serving/runnerset/runner.go
@@ -111,7 +111,7 @@
 	if r.peers == nil {
 		r.peers = map[string]peerLoad{}
 	}
-	r.kept.touch(report.Shared, now)
+	r.kept.touch(report.SharedParts, now)
 	if report.Running == 0 && report.Unread == 0 {
 		delete(r.peers, peer) // every choice reads all of them
 		return
--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -85,7 +85,7 @@
 	use.RecordFirstEvent(now)
 	use.End()
 
-	shared := Prompt{Tokens: 9000, Shared: []PromptPart{{ID: 7, Tokens: 8000}}}
+	shared := Prompt{Tokens: 9000, SharedParts: []PromptPart{{ID: 7, Tokens: 8000}}}
 	s.Begin(first, shared, false, now).End()
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: shared}, now), first.ID) // it keeps the shared part
 
@@ -166,10 +166,10 @@
 		kept.touch([]PromptPart{{ID: id, Tokens: 10_000}}, now.Add(time.Duration(id)*time.Second))
 	}
 	is.True(kept.tokens <= 60_000)
-	is.Equal(kept.missing(Prompt{Tokens: 15_000, Shared: []PromptPart{{ID: 49, Tokens: 10_000}}}), 5_000)
-	is.Equal(kept.missing(Prompt{Tokens: 15_000, Shared: []PromptPart{{ID: 1, Tokens: 10_000}}}), 15_000)
+	is.Equal(kept.missing(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 49, Tokens: 10_000}}}), 5_000)
+	is.Equal(kept.missing(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}}}), 15_000)
 	// A part counts only if every part before it is kept.
-	is.Equal(kept.missing(Prompt{Tokens: 25_000, Shared: []PromptPart{{ID: 1, Tokens: 10_000}, {ID: 49, Tokens: 10_000}}}), 25_000)
+	is.Equal(kept.missing(Prompt{Tokens: 25_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}, {ID: 49, Tokens: 10_000}}}), 25_000)
 }
 
 // A count ends once, whatever is called how often.
--- a/internal/transport/rpc/serverstream.go
+++ b/internal/transport/rpc/serverstream.go
@@ -17,7 +17,7 @@
 	payload []byte
 }
 
-// Request decodes the opening message.
+// DecodeRequest decodes the opening message.
 func (s *ServerStream) DecodeRequest(message proto.Message) error {
 	if err := proto.Unmarshal(s.payload, message); err != nil {
 		return result.New(result.InvalidRequest, "decoding request: %v", err)
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -36,7 +36,7 @@
 	return fleet.Topology{
 		Cluster: cluster, Service: model, DiskNodes: nodes, Shards: shards,
 		Zones:  []fleet.Zone{{Name: "z", Region: "r", Nodes: nodes, Runners: 4}},
-		Engine: engine.Parameters{Slots: slots, MaxAnswer: 64, StepBase: 10 * time.Millisecond, StepPerSequence: time.Microsecond, StepPerPrefillToken: time.Microsecond, WeightBytes: 1 << 16},
+		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: 64, StepBase: 10 * time.Millisecond, StepPerSequence: time.Microsecond, StepPerPrefillToken: time.Microsecond, WeightBytes: 1 << 16},
 	}
 }
 
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -39,7 +39,7 @@
 		return nil, trace.Wrap(err)
 	}
 	defer running.Close()
-	target := load.Target{Addresses: running.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswer: 64}
+	target := load.Target{Addresses: running.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
 	var reports []IntakeReport
 	for number, count := range counts {
 		report, err := intakeAt(load.NewBatchClient(target), count, uint64(number))
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -82,7 +82,7 @@
 			{Name: "gdl-centro", Region: "occidente", Nodes: 2, Runners: 4},
 			{Name: "zapopan", Region: "occidente", Nodes: 1, Runners: 4},
 		},
-		Engine: engine.Parameters{Slots: 16, MaxAnswer: maxAnswer},
+		Engine: engine.Parameters{Slots: 16, MaxAnswerTokens: maxAnswer},
 	}
 }
 
@@ -157,7 +157,7 @@
 
 func drive(options Options, running *fleet.Fleet, out io.Writer) (*Report, error) {
 	report := &Report{}
-	target := load.Target{Addresses: running.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswer: maxAnswer}
+	target := load.Target{Addresses: running.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswer}
 	recorder := load.NewRecorder()
 	onlineCtx, stopOnline := context.WithTimeout(context.Background(), time.Duration(options.Seconds)*time.Second)
 	defer stopOnline()
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -48,7 +48,7 @@
 			{Name: "braam-hall", Region: "gauteng", Nodes: (nodes + 1) / 2, Runners: (runners + 1) / 2},
 			{Name: "rosebank-hall", Region: "gauteng", Nodes: nodes / 2, Runners: runners / 2},
 		},
-		Engine: engine.Parameters{Slots: slots, MaxAnswer: maxAnswer, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
+		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: maxAnswer, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
 	}
 }
 
@@ -68,7 +68,7 @@
 }
 
 func target(running *fleet.Fleet) load.Target {
-	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswer: maxAnswer}
+	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswer}
 }
 
 // client is the published OpenAI client pointed at a node.
--- a/lab/engine/parameters.go
+++ b/lab/engine/parameters.go
@@ -32,8 +32,8 @@
 	ReaderGrace time.Duration `yaml:"orphan_grace"`
 	// KeepFinished is how long a finished stream can be resumed (default 30s).
 	KeepFinished time.Duration `yaml:"keep_finished"`
-	// MaxAnswer bounds the natural length of an answer in tokens (default 512).
-	MaxAnswer int `yaml:"max_answer"`
+	// MaxAnswerTokens bounds the natural length of an answer in tokens (default 512).
+	MaxAnswerTokens int `yaml:"max_answer"`
 	// WeightBytes is the size of a model's weights (default 64 MiB).
 	WeightBytes int64 `yaml:"weight_bytes"`
 	// WeightStore is the base URL weights are read from; empty loads at once.
@@ -56,7 +56,7 @@
 	setDefault(&p.CacheBlocks, 512)
 	setDefault(&p.ReaderGrace, 2*time.Second)
 	setDefault(&p.KeepFinished, 30*time.Second)
-	setDefault(&p.MaxAnswer, 512)
+	setDefault(&p.MaxAnswerTokens, 512)
 	setDefault(&p.WeightBytes, 64<<20)
 }
 
--- a/lab/engine/server.go
+++ b/lab/engine/server.go
@@ -152,7 +152,7 @@
 
 func (e *Engine) newSequence(id, model string, body []byte, chat bool) *sequence {
 	prompt := ParsePrompt(body)
-	length, cut := AnswerLength(body, prompt, e.parameters.MaxAnswer)
+	length, cut := AnswerLength(body, prompt, e.parameters.MaxAnswerTokens)
 	return &sequence{
 		id: id, model: model, prompt: prompt, chat: chat, length: length, cut: cut,
 		first: prompt.Generated, produced: prompt.Generated,
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -27,8 +27,8 @@
 	Addresses []string
 	Key       string
 	Model     string
-	// MaxAnswer is the engines' natural answer bound, to know what is right.
-	MaxAnswer int
+	// MaxAnswerTokens is the engines' natural answer bound, to know what is right.
+	MaxAnswerTokens int
 }
 
 // OnlineWorkload is the form of online requests.
@@ -172,7 +172,7 @@
 }
 
 func (o *onlineRequest) check(text string) error {
-	want := engine.ExpectedAnswer(o.body, o.target.MaxAnswer)
+	want := engine.ExpectedAnswer(o.body, o.target.MaxAnswerTokens)
 	if text == want {
 		return nil
 	}
--- a/lab/platformday/runners.go
+++ b/lab/platformday/runners.go
@@ -10,7 +10,7 @@
 func (d *Day) startRunner(number, life int) error {
 	runner, err := standin.StartRunner(standin.RunnerOptions{
 		ID: fmt.Sprintf("r%d-%d", number, life), Service: "s", Zone: fmt.Sprintf("z%d", number%zones), Address: "127.0.0.1:0",
-		Slots: 8, Queue: 32, EventTime: 15 * time.Millisecond, Store: d.store, Ledger: d.ledger,
+		Slots: 8, QueueLimit: 32, EventInterval: 15 * time.Millisecond, Store: d.store, Ledger: d.ledger,
 		Crashes: d.Crashes, OnCrash: func(crashed *standin.Runner) { d.replace(crashed, number, life) },
 	})
 	if err != nil {
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -94,7 +94,7 @@
 func (r *run) target() load.Target {
 	return load.Target{
 		Addresses: r.fleet.APIAddresses(), Key: tenant.Key, Model: r.scenario.Topology.Service,
-		MaxAnswer: r.scenario.Topology.Engine.MaxAnswer,
+		MaxAnswerTokens: r.scenario.Topology.Engine.MaxAnswerTokens,
 	}
 }
 
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -18,12 +18,12 @@
 type RunnerOptions struct {
 	ID, Service, Zone string
 	// Address is IP:port; port 0 takes a free one.
-	Address   string
-	Slots     int
-	Queue     int
-	EventTime time.Duration
-	Store     *Store
-	Ledger    *Ledger
+	Address       string
+	Slots         int
+	QueueLimit    int
+	EventInterval time.Duration
+	Store         *Store
+	Ledger        *Ledger
 	// Crashes reports whether a request, by its body, ends the runner as it begins
 	// to run it; nil for none. OnCrash is called then, once.
 	Crashes func(body []byte) bool
@@ -155,7 +155,7 @@
 
 // admit waits for a slot, in the order of arrival as far as a channel keeps it.
 func (r *Runner) admit(ctx context.Context, writer http.ResponseWriter, id string) bool {
-	if int(r.waiting.Load()) >= r.Queue {
+	if int(r.waiting.Load()) >= r.QueueLimit {
 		r.notRun(writer, id, http.StatusServiceUnavailable)
 		return false
 	}
--- a/lab/standin/runneranswer.go
+++ b/lab/standin/runneranswer.go
@@ -61,7 +61,7 @@
 	}
 	for number := from + 1; number <= EventsOf(id); number++ {
 		select {
-		case <-time.After(r.EventTime):
+		case <-time.After(r.EventInterval):
 		case <-request.Context().Done():
 			return false
 		}
--- a/modules/batch/disk/disk.go
+++ b/modules/batch/disk/disk.go
@@ -37,7 +37,7 @@
 	if loaded.Data.Folder == "" {
 		return nil
 	}
-	if m.db, err = logstore.Open(loaded.Data.Folder, logstore.DiskLimits{Reserve: loaded.Data.ReserveBytes}); err != nil {
+	if m.db, err = logstore.Open(loaded.Data.Folder, logstore.DiskLimits{ReservedBytes: loaded.Data.ReserveBytes}); err != nil {
 		return trace.Wrap(err, "data.folder")
 	}
 	ctx.Provide(m.db)
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -77,7 +77,7 @@
 	if m.settings.DataFolder == "" {
 		return &settings.FieldError{Path: "data_folder", Found: "", Allowed: "a folder on the node's disk"}
 	}
-	if m.db, err = logstore.Open(m.settings.DataFolder, logstore.DiskLimits{Disk: int64(m.settings.Machine.DiskMegabytes) * mebibyte}); err != nil {
+	if m.db, err = logstore.Open(m.settings.DataFolder, logstore.DiskLimits{MaxBytes: int64(m.settings.Machine.DiskMegabytes) * mebibyte}); err != nil {
 		return trace.Wrap(err)
 	}
 	klog.InfoS("disk opened", "folder", m.settings.DataFolder, "disk", m.db.DiskID())
--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -203,7 +203,7 @@
 		zone, known := zones[disk]
 		return zone, known
 	}
-	rule := placement.Rule{Members: maxReplicas, ZoneRank: placement.FewestFirst}
+	rule := placement.Rule{MemberCount: maxReplicas, ZoneRank: placement.FewestFirst}
 	return rule.Choose(shard, candidates, keep, zoneOf)
 }
 
