--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -62,8 +62,8 @@
 // runIfRunning runs a function on the shard's goroutine and waits for it, unless the
 // shard or the node has stopped: what the function would change has ended then too. It
 // is for any other goroutine.
-func (s *shard) runIfRunning(question func()) {
-	_ = s.RunInLoop(s.node.context, question) // fails only then
+func (s *shard) runIfRunning(call func()) {
+	_ = s.RunInLoop(s.node.context, call) // fails only then
 }
 
 // Apply implements shardhost.StateMachine.
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -160,7 +160,7 @@
 		host: h, applied: loaded.Applied,
 		messages:  make(chan *wirev1.ReplicaMessage, queueLength),
 		proposals: make(chan *proposal[Command, Result], queueLength),
-		questions: make(chan func(), queueLength),
+		loopCalls: make(chan func(), queueLength),
 		quit:      make(chan struct{}), done: make(chan struct{}),
 		waiting: map[uint64]*proposal[Command, Result]{},
 	}
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -101,8 +101,8 @@
 		select {
 		case p := <-s.proposals:
 			p.refuse(result.New(result.NotLeader, "shard %d stopped here", s.ID))
-		case question := <-s.questions:
-			question()
+		case call := <-s.loopCalls:
+			call()
 		default:
 			return
 		}
@@ -111,14 +111,14 @@
 
 // RunInLoop runs a function on the shard's goroutine and waits for it. The error says that
 // it was not run, or that the shard stopped meanwhile. It is for any other goroutine.
-func (s *Shard[Command, Result]) RunInLoop(ctx context.Context, question func()) error {
+func (s *Shard[Command, Result]) RunInLoop(ctx context.Context, call func()) error {
 	finished := make(chan struct{})
 	wrapped := func() {
 		defer close(finished)
-		question()
+		call()
 	}
 	select {
-	case s.questions <- wrapped:
+	case s.loopCalls <- wrapped:
 	case <-s.done:
 		return result.New(result.NotLeader, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
@@ -134,9 +134,9 @@
 
 // Post runs a function on the shard's goroutine if not much is queued there, and
 // does not wait. It is for any goroutine.
-func (s *Shard[Command, Result]) Post(question func()) bool {
+func (s *Shard[Command, Result]) Post(call func()) bool {
 	select {
-	case s.questions <- question:
+	case s.loopCalls <- call:
 		return true
 	default:
 		return false
--- a/internal/batch/shardhost/shard.go
+++ b/internal/batch/shardhost/shard.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// Shard drives one replica. One goroutine takes messages, proposals and questions,
+// Shard drives one replica. One goroutine takes messages, proposals and calls,
 // persists what the replica says, and applies what is committed. Exported fields and
 // methods are for the shard's goroutine (the application's methods, and functions passed
 // to RunInLoop), unless they say otherwise.
@@ -34,7 +34,7 @@
 
 	messages  chan *wirev1.ReplicaMessage
 	proposals chan *proposal[Command, Result]
-	questions chan func()
+	loopCalls chan func()
 	quit      chan struct{}
 	done      chan struct{}
 	quitOnce  sync.Once
@@ -50,7 +50,7 @@
 }
 
 const (
-	// queueLength of messages, proposals and questions each.
+	// queueLength of messages, proposals and calls each.
 	queueLength = 1024
 	// maxBatch is how many of these one durable write serves at the most.
 	maxBatch = 256
@@ -94,8 +94,8 @@
 			s.step(message)
 		case p := <-s.proposals:
 			s.propose(p)
-		case question := <-s.questions:
-			question()
+		case call := <-s.loopCalls:
+			call()
 		case <-ticker.C:
 			s.tick(time.Now())
 		}
@@ -112,9 +112,9 @@
 
 // drainQueues takes what else is queued, so that one fsync serves it all.
 func (s *Shard[Command, Result]) drainQueues() {
-	questions := s.questions
+	calls := s.loopCalls
 	if !s.host.options.BatchLoopCalls {
-		questions = nil
+		calls = nil
 	}
 	var batch []*proposal[Command, Result]
 	for range maxBatch {
@@ -123,8 +123,8 @@
 			s.step(message)
 		case p := <-s.proposals:
 			batch = append(batch, p)
-		case question := <-questions:
-			question()
+		case call := <-calls:
+			call()
 		default:
 			s.propose(batch...)
 			return
--- a/internal/batch/shardhost/transport.go
+++ b/internal/batch/shardhost/transport.go
@@ -54,6 +54,6 @@
 
 // runWhileRunning is RunInLoop for the host's own tasks: a shard that has stopped needs no
 // answer any more.
-func (s *Shard[Command, Result]) runWhileRunning(question func()) {
-	_ = s.RunInLoop(context.Background(), question) // fails only when the shard has stopped
+func (s *Shard[Command, Result]) runWhileRunning(call func()) {
+	_ = s.RunInLoop(context.Background(), call) // fails only when the shard has stopped
 }
