--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -128,7 +128,7 @@
 		outcome := one.run(ctx)
 		one.inFlight.End()
 		outcome.Attempts = one.route.Attempts
-		outcome.Events, outcome.Took = one.output.Last-one.work.Output.Last, time.Since(one.began)
+		outcome.Events, outcome.Took = one.output.LastEventID-one.work.Output.LastEventID, time.Since(one.began)
 		one.logEnd(choice, catalogVersion, outcome.Reason)
 		done(outcome)
 	})
@@ -163,7 +163,7 @@
 	for i, part := range item.Prompt {
 		prompt.Tokens += int(part.Tokens)
 		if i < len(item.Prompt)-1 {
-			prompt.Shared = append(prompt.Shared, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
+			prompt.SharedParts = append(prompt.SharedParts, runnerset.PromptPart{ID: part.Id, Tokens: int(part.Tokens)})
 		}
 	}
 	return prompt
@@ -172,7 +172,7 @@
 func (e *ItemExecutor) pick(route *catalog.Route, work *queuestore.Work, fingerprint quarantine.Fingerprint, now time.Time) runnerset.Choice {
 	excluded := e.paused(now)
 	if e.Quarantine != nil {
-		maps.Copy(excluded, e.Quarantine.Avoid(fingerprint))
+		maps.Copy(excluded, e.Quarantine.RunnersToAvoid(fingerprint))
 	}
 	return e.Runners.Pick(&runnerset.Criteria{
 		Service: route.ServiceFor(work.Item.Id), Zone: e.Zone, Prompt: promptOf(work.Item), Bytes: len(work.Item.Body),
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -63,7 +63,7 @@
 	}
 	// Whatever closing reports, the answer was read whole or is given up.
 	defer func() { _ = answer.Body.Close() }()
-	r.runner.NoteLoad(answer.Load, time.Now())
+	r.runner.RecordLoad(answer.Load, time.Now())
 	if answer.Status != http.StatusOK {
 		return r.refused(answer)
 	}
@@ -74,28 +74,28 @@
 	call := &exchange.Call{
 		ID: r.work.Item.Id, Method: http.MethodPost, URI: r.work.Item.Path, Host: r.work.Host, Body: r.work.Item.Body,
 		RunnerID: r.runner.ID, Address: r.runner.Address, Service: r.runner.Service, Tenant: r.work.Tenant,
-		ResumeAfter: -1, Current: r.runner.Takes,
+		ResumeAfter: -1, MaySend: r.runner.AcceptsWork,
 	}
 	for _, header := range r.work.Item.Headers {
 		call.Headers = append(call.Headers, exchange.Header{Name: header.Name, Value: header.Value})
 	}
-	if r.output.Last > 0 {
-		call.ResumeAfter = r.output.Last
+	if r.output.LastEventID > 0 {
+		call.ResumeAfter = r.output.LastEventID
 	}
 	return call
 }
 
 // follow reads events until the stream ends.
-func (r *run) follow(parent context.Context, answer *exchange.Answer, silenceTimer *time.Timer) queuestore.Outcome {
+func (r *run) follow(parent context.Context, answer *exchange.Response, silenceTimer *time.Timer) queuestore.Outcome {
 	events := eventstream.NewDecoder(answer.Body)
 	for {
 		silenceTimer.Reset(eventTimeout)
 		event, err := events.Next()
-		if errors.Is(err, io.EOF) && r.output.Last > 0 {
+		if errors.Is(err, io.EOF) && r.output.LastEventID > 0 {
 			r.noteCompleted()
 			return queuestore.Outcome{Done: true, Output: r.output, Reason: "completed"}
 		}
-		if err == nil && (!event.HasID || event.ID != r.output.Last+1) {
+		if err == nil && (!event.HasID || event.ID != r.output.LastEventID+1) {
 			err = &eventstream.BrokenError{Reason: "event out of order"}
 		}
 		if err != nil {
@@ -108,11 +108,11 @@
 // take adds an event to the output, and saves that when it is time to.
 func (r *run) take(event *eventstream.StreamEvent) {
 	now := time.Now()
-	if r.output.Last == r.work.Output.Last {
+	if r.output.LastEventID == r.work.Output.LastEventID {
 		r.firstEvent = now
-		r.inFlight.NoteFirstEvent(now)
+		r.inFlight.RecordFirstEvent(now)
 	} else {
-		r.inFlight.NoteEvent(now)
+		r.inFlight.RecordEvent(now)
 	}
 	r.output.Append(event.ID, event.Data)
 	if round := saveRound(now); round > r.savedRound {
@@ -130,22 +130,22 @@
 // save keeps what the run has produced, without holding it up. Once the executor is
 // ending nothing is saved any more: the shard that would keep it has stopped.
 func (r *run) save() {
-	output := queue.ItemOutput{Last: r.output.Last, Text: append([]byte(nil), r.output.Text...)}
+	output := queue.ItemOutput{LastEventID: r.output.LastEventID, Text: append([]byte(nil), r.output.Text...)}
 	r.executor.tasks.Go(func() { r.work.Save(output) })
 }
 
 // noteEnding reports a run that broke off: if its runner has ended, that counts
 // against its item.
 func (r *run) noteEnding() {
-	if r.executor.Quarantine != nil && quarantine.Blames(r.firstEvent, time.Now()) {
-		r.executor.Quarantine.Broke(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
+	if r.executor.Quarantine != nil && quarantine.IsSuspectRun(r.firstEvent, time.Now()) {
+		r.executor.Quarantine.RecordBrokenRun(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
 	}
 }
 
 // noteCompleted records that a runner has completed the item.
 func (r *run) noteCompleted() {
 	if r.executor.Quarantine != nil {
-		r.executor.Quarantine.Completed(r.fingerprint)
+		r.executor.Quarantine.RecordCompletion(r.fingerprint)
 	}
 }
 
@@ -159,7 +159,7 @@
 		choice.Sources.LogFields(),
 		[]any{
 			"catalog", catalogVersion, "slackMs", r.work.Slack.Milliseconds(),
-			"from", r.work.Output.Last, "to", r.output.Last,
+			"from", r.work.Output.LastEventID, "to", r.output.LastEventID,
 			"outcome", outcome, "ms", time.Since(r.began).Milliseconds(),
 		},
 	)...)
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -73,7 +73,7 @@
 		s.fenced++
 	}
 	for _, layouts := range s.follow {
-		layouts.Offer(value.Key, value.Value, value.Revision, "test")
+		layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "test")
 	}
 	return true, nil
 }
@@ -84,7 +84,7 @@
 	defer s.mutex.Unlock()
 	for key, value := range s.values {
 		if !s.down {
-			layouts.Offer(key, value.Value, value.Revision, "test")
+			layouts.UpdateIfNewer(key, value.Value, value.Revision, "test")
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	e.runs[work.Item.Id]++
 	go func() {
 		output := work.Output
-		for id := output.Last + 1; id <= 2; id++ {
+		for id := output.LastEventID + 1; id <= 2; id++ {
 			output.Append(id, fmt.Appendf(nil, "%s/%d", work.Item.Body, id))
 		}
 		done(Outcome{Done: ctx.Err() == nil, Output: output, Reason: "test"})
@@ -256,7 +256,7 @@
 		for name, record := range c.records {
 			n.node.Directory.Put(record)
 			if c.nodes[name].running {
-				n.node.Directory.NoteContact(name, now)
+				n.node.Directory.RecordContact(name, now)
 			}
 		}
 	}
--- a/internal/serving/runnerset/record.go
+++ b/internal/serving/runnerset/record.go
@@ -11,7 +11,7 @@
 	Zone    string
 	// Slots is how many requests the runner works on at once; 0 if not stated.
 	Slots int
-	// Leaving, as it was when the runner was first listed; see Runner.Takes.
+	// Leaving, as it was when the runner was first listed; see Runner.AcceptsWork.
 	Leaving bool
 	// ColdUntil is when the runner is at full speed.
 	ColdUntil time.Time
@@ -33,6 +33,6 @@
 type Prompt struct {
 	// Tokens of the whole prompt.
 	Tokens int
-	// Shared are the leading parts that other requests may have as well.
-	Shared []PromptPart
+	// SharedParts are the leading parts that other requests may have as well.
+	SharedParts []PromptPart
 }
