--- a/internal/serving/quarantine/archive.go
+++ b/internal/serving/quarantine/archive.go
@@ -15,15 +15,16 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// DocumentKey is where holds lie in the platform's store, below the product's own
-// keys: one value, changed by compare-and-swap. Holds are rare, so one value is
-// the least that all nodes have to follow.
+// DocumentKey is the key of all holds in the platform's store, which are a single
+// value that is changed by compare-and-swap. Holds are rare, so one value is enough
+// and all nodes watch only one key.
 const DocumentKey = "cobaltramp/quarantine"
 
-// document is the stored form, holds by fingerprint.
+// document is the stored form of the holds, by fingerprint.
 type document map[string]Hold
 
-// parseDocument reads a stored document; entries that can't be read are left out.
+// parseDocument decodes a stored document. It skips entries whose fingerprint is
+// invalid and returns their errors joined.
 func parseDocument(text []byte) ([]Hold, error) {
 	var stored document
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -43,50 +44,50 @@
 	return holds, unreadable
 }
 
-// Archive writes holds to the platform's store. It implements HoldStore.
+// Archive writes holds to the platform's store and implements HoldStore.
 type Archive struct {
 	store ports.KeyValueStore
 
 	mutex sync.Mutex
-	// wanted are holds that the store may be missing, by fingerprint.
-	wanted  map[Fingerprint]Hold
+	// unsaved contains the holds that may be missing in the store, by fingerprint.
+	unsaved map[Fingerprint]Hold
 	batcher *notify.Batcher
 }
 
 var _ HoldStore = (*Archive)(nil)
 
-// NewArchive returns an archive in a store.
+// NewArchive returns an archive that writes to the store.
 func NewArchive(store ports.KeyValueStore) *Archive {
-	a := &Archive{store: store, wanted: map[Fingerprint]Hold{}}
-	a.batcher = notify.NewBatcher(notify.Schedule{Flush: a.writeUntilKept})
+	a := &Archive{store: store, unsaved: map[Fingerprint]Hold{}}
+	a.batcher = notify.NewBatcher(notify.Schedule{Flush: a.writeWithRetry})
 	return a
 }
 
 const (
-	// minWritePause and maxWritePause bound the pause between tries while the store
-	// does not take a write; each is drawn, so that nodes do not write together.
-	minWritePause = 200 * time.Millisecond
-	maxWritePause = 8 * time.Second
-	// maxArchived bounds the stored value: 120 bytes each.
-	maxArchived = 512
+	// minRetryDelay and maxRetryDelay bound the exponential backoff between failed
+	// writes. Each delay is jittered, so that nodes do not write at the same time.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 8 * time.Second
+	// maxStoredHolds bounds the stored value at about 120 bytes per hold.
+	maxStoredHolds = 512
 )
 
-// Keep implements HoldStore.
-func (a *Archive) Keep(hold Hold) {
+// Save implements HoldStore.
+func (a *Archive) Save(hold Hold) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if known, found := a.wanted[hold.Fingerprint]; !found || hold.after(known) {
-		a.wanted[hold.Fingerprint] = hold
+	if known, found := a.unsaved[hold.Fingerprint]; !found || hold.supersedes(known) {
+		a.unsaved[hold.Fingerprint] = hold
 	}
 	a.batcher.Trigger()
 }
 
-// Run writes what is wanted until the context ends.
+// Run writes unsaved holds until the context ends.
 func (a *Archive) Run(ctx context.Context) { a.batcher.Run(ctx) }
 
-// writeUntilKept tries until the store has what is wanted, or the context ends.
-func (a *Archive) writeUntilKept(ctx context.Context) {
-	for pause := minWritePause; !a.write(ctx) && ctx.Err() == nil; pause = min(2*pause, maxWritePause) {
+// writeWithRetry retries until the store has all holds or the context ends.
+func (a *Archive) writeWithRetry(ctx context.Context) {
+	for pause := minRetryDelay; !a.write(ctx) && ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
 		timer := time.NewTimer(pause/2 + rand.N(pause/2))
 		select {
 		case <-ctx.Done():
@@ -96,66 +97,68 @@
 	}
 }
 
-// write brings the stored document in line with what is wanted, and reports whether
-// it is. A write whose answer was lost is resolved by reading.
+// write adds the unsaved holds to the stored document and reports whether the
+// document contains them. If the outcome of a commit is unknown, the next call reads
+// the document again.
 func (a *Archive) write(ctx context.Context) bool {
 	stored, _, err := a.store.Get(ctx, DocumentKey)
 	if err != nil {
-		klog.InfoS("request quarantine not kept in the store yet", "err", err)
+		klog.InfoS("reading the stored quarantine failed; retrying later", "err", err)
 		return false
 	}
 	held, err := parseDocument(stored.Value)
 	if err != nil && len(stored.Value) > 0 {
-		klog.ErrorS(err, "stored quarantine is unreadable in part, and is written anew", "revision", stored.Revision)
+		klog.ErrorS(err, "stored quarantine has unreadable entries and is overwritten", "revision", stored.Revision)
 	}
-	wanted := a.wantedNow()
-	merged, missing := merge(held, wanted, time.Now())
+	unsaved := a.unsavedHolds()
+	merged, missing := merge(held, unsaved, time.Now())
 	if missing == 0 {
-		a.forget(wanted)
+		a.removeSaved(unsaved)
 		return true
 	}
 	text, err := json.Marshal(documentOf(merged))
 	if err != nil {
-		klog.ErrorS(err, "quarantine cannot be encoded", "holds", len(merged))
+		klog.ErrorS(err, "encoding the quarantine failed", "holds", len(merged))
 		return true
 	}
 	unchanged := []ports.Condition{{Key: DocumentKey, Revision: stored.Revision}}
 	done, err := a.store.Commit(ctx, unchanged, []ports.Put{{Key: DocumentKey, Value: text}})
-	klog.InfoS("request quarantine kept in the store", "holds", len(merged), "new", missing, "done", done, "err", err)
+	klog.InfoS("request quarantine written to the store", "holds", len(merged), "new", missing, "done", done, "err", err)
 	if done && err == nil {
-		a.forget(wanted)
+		a.removeSaved(unsaved)
 		return true
 	}
 	return false
 }
 
-func (a *Archive) wantedNow() map[Fingerprint]Hold {
+func (a *Archive) unsavedHolds() map[Fingerprint]Hold {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return maps.Clone(a.wanted)
+	return maps.Clone(a.unsaved)
 }
 
-// merge returns what the document is to hold, and how many of the wanted holds are
-// not stored.
-func merge(stored []Hold, wanted map[Fingerprint]Hold, now time.Time) (merged []Hold, missing int) {
+// merge returns the holds of the new document and how many of the unsaved holds are
+// missing in the stored one.
+func merge(stored []Hold, unsaved map[Fingerprint]Hold, now time.Time) (merged []Hold, missing int) {
 	table := NewSuspectTable()
 	for _, hold := range stored {
-		table.Take(hold)
+		table.ApplyHold(hold)
 	}
-	for _, hold := range wanted {
-		if table.Take(hold) {
+	for _, hold := range unsaved {
+		if table.ApplyHold(hold) {
 			missing++
 		}
 	}
 	merged = table.Holds(now)
-	return merged[:min(len(merged), maxArchived)], missing
+	return merged[:min(len(merged), maxStoredHolds)], missing
 }
 
-// forget drops what was written from what is wanted.
-func (a *Archive) forget(written map[Fingerprint]Hold) {
+// removeSaved removes written holds from the unsaved ones, except holds that were
+// replaced while the write was running.
+func (a *Archive) removeSaved(written map[Fingerprint]Hold) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	maps.DeleteFunc(a.wanted, func(fingerprint Fingerprint, hold Hold) bool { return written[fingerprint] == hold })
+	maps.DeleteFunc(a.unsaved, func(fingerprint Fingerprint, hold Hold) bool { return written[fingerprint] == hold })
 }
 
 func documentOf(holds []Hold) document {
--- a/internal/serving/quarantine/attempts.go
+++ b/internal/serving/quarantine/attempts.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// RunnersToAvoid implements Guard. Suspects of other nodes are not known here: there are few,
-// and they are spread over the runners.
+// RunnersToAvoid implements Guard. It covers the suspects of this node only: other
+// nodes have few, and these are spread over the runners.
 func (c *Coordinator) RunnersToAvoid(fingerprint Fingerprint) map[string]bool {
 	if !c.table.Suspected(fingerprint) {
 		return nil
--- a/internal/serving/quarantine/coordinator.go
+++ b/internal/serving/quarantine/coordinator.go
@@ -12,67 +12,67 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/notify"
 )
 
-// HoldStore keeps holds where they outlast all processes.
+// HoldStore saves holds durably.
 type HoldStore interface {
-	// Keep takes a hold that was decided or lifted here. It does not block.
-	Keep(hold Hold)
+	// Save stores a hold that this node decided or lifted. It does not block.
+	Save(hold Hold)
 }
 
-// Guard is what those who send requests to runners ask and report.
+// Guard is used by senders of requests to check a request against the quarantine and
+// to report its outcome.
 type Guard interface {
-	// Held reports whether a request must not be sent, and for how much longer.
+	// Held reports whether a request is held, and for how much longer.
 	Held(fingerprint Fingerprint) (time.Duration, bool)
-	// RecordBrokenRun records that a run broke that was not ended from here.
+	// RecordBrokenRun records that a run broke which this node did not end itself.
 	RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string)
 	// RecordCompletion records that a runner has completed a request.
 	RecordCompletion(fingerprint Fingerprint)
-	// RunnersToAvoid lists the runners that a request should not be sent to. It is nil for
-	// most requests.
+	// RunnersToAvoid returns the runners that a request should not be sent to; nil
+	// for a request that is not suspected.
 	RunnersToAvoid(fingerprint Fingerprint) map[string]bool
-	// Begin records that a request is sent to a runner; the result records that it
-	// is no longer there.
+	// Begin records the start of an attempt at a runner; the returned function
+	// records its end.
 	Begin(fingerprint Fingerprint, runner string) (end func())
 }
 
 var _ Guard = (*Coordinator)(nil)
 
-// Coordinator is one node's part in the quarantine: its table, what it reports to other
-// nodes and what it has kept in the store. What it reports are single endings; all the
-// ends of one runner's requests within coalesceInterval make one notice to each other
-// node.
+// Coordinator runs the quarantine on one node: it maintains the node's table, reports
+// to other nodes and saves holds in the store. Endings that are recorded within
+// coalesceInterval are sent to each other node in one notice.
 type Coordinator struct {
-	*Witness
+	*CrashDetector
 	table     *SuspectTable
 	directory notify.NodeDirectory
 	sender    notify.NoticeSender
 	store     HoldStore
 
 	mutex sync.Mutex
-	// pending is the next notice; nil if there is nothing to report.
+	// pending is the next notice to send; nil if there is nothing to report.
 	pending *wirev1.QuarantineNotice
 	batcher *notify.Batcher
-	// attempts are this node's suspects at runners: how many attempts of which, by
-	// runner.
+	// attempts counts the running attempts of this node's suspects, by runner.
 	attempts map[string]map[Fingerprint]int
 
 	events *prometheus.CounterVec
 }
 
-// Kinds of events in the counter.
+// Values of the counter's event label.
 const (
-	eventEnding   = "runner_ended"
-	eventHold     = "held"
-	eventLift     = "lifted"
-	eventAbsolved = "absolved"
-	eventRefused  = "refused"
+	eventEnding  = "runner_ended"
+	eventHold    = "held"
+	eventLift    = "lifted"
+	eventCleared = "absolved"
+	eventRefused = "refused"
 )
 
-// NewCoordinator returns the coordinator of a node. The store may be nil.
+// NewCoordinator returns the coordinator of a node. With a nil store, holds are not
+// saved.
 func NewCoordinator(
 	directory notify.NodeDirectory, sender notify.NoticeSender, prober Prober, store HoldStore, registry prometheus.Registerer,
 ) *Coordinator {
 	c := &Coordinator{
-		Witness: NewWitness(prober), table: NewSuspectTable(), directory: directory, sender: sender, store: store,
+		CrashDetector: NewCrashDetector(prober), table: NewSuspectTable(), directory: directory, sender: sender, store: store,
 		attempts: map[string]map[Fingerprint]int{},
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cobaltramp_quarantine_events_total",
@@ -110,46 +110,46 @@
 	return left, held
 }
 
-// RecordBrokenRun implements Guard. It counts only if the runner has ended, and takes one
-// round trip to the runner's machine.
+// RecordBrokenRun implements Guard. It counts the run only if the runner has ended,
+// which takes up to one round trip to the runner's machine.
 func (c *Coordinator) RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string) {
 	if !c.HasEnded(runner, address) {
 		return
 	}
-	c.ended(request, fingerprint, runner)
+	c.recordEnding(request, fingerprint, runner)
 }
 
-func (c *Coordinator) ended(request string, fingerprint Fingerprint, runner string) {
-	verdict := c.table.Ended(fingerprint, runner, true, time.Now())
+func (c *Coordinator) recordEnding(request string, fingerprint Fingerprint, runner string) {
+	outcome := c.table.RecordEnding(fingerprint, runner, true, time.Now())
 	klog.InfoS("runner ended under a request", "id", request, "fingerprint", fingerprint, "runner", runner,
-		"counted", verdict.Fresh, "held", verdict.Hold != nil)
-	if !verdict.Fresh {
+		"counted", outcome.Counted, "held", outcome.Hold != nil)
+	if !outcome.Counted {
 		return
 	}
 	c.events.WithLabelValues(eventEnding).Inc()
-	c.report(func(notice *wirev1.QuarantineNotice) {
+	c.addToNotice(func(notice *wirev1.QuarantineNotice) {
 		notice.Endings = append(notice.Endings, &wirev1.RunnerEnding{Fingerprint: uint64(fingerprint), Runner: runner})
 	})
-	if verdict.Hold != nil {
-		c.decide(*verdict.Hold, "runners ended")
+	if outcome.Hold != nil {
+		c.distributeHold(*outcome.Hold, "runners ended")
 	}
 }
 
-// decide reports and keeps a hold, or the end of one, that was decided here.
-func (c *Coordinator) decide(hold Hold, reason string) {
-	c.noteHold(hold, reason)
-	c.report(func(notice *wirev1.QuarantineNotice) { notice.Holds = append(notice.Holds, Encode(hold)) })
-	c.keep(hold)
+// distributeHold reports and saves a hold that this node decided or lifted.
+func (c *Coordinator) distributeHold(hold Hold, reason string) {
+	c.recordHold(hold, reason)
+	c.addToNotice(func(notice *wirev1.QuarantineNotice) { notice.Holds = append(notice.Holds, Encode(hold)) })
+	c.saveHold(hold)
 }
 
-func (c *Coordinator) keep(hold Hold) {
+func (c *Coordinator) saveHold(hold Hold) {
 	if c.store != nil {
-		c.store.Keep(hold)
+		c.store.Save(hold)
 	}
 }
 
-// noteHold logs and counts a hold that is new here.
-func (c *Coordinator) noteHold(hold Hold, source string) {
+// recordHold logs and counts a hold that is new to this node.
+func (c *Coordinator) recordHold(hold Hold, source string) {
 	event := eventHold
 	if hold.Until == 0 {
 		event = eventLift
@@ -164,22 +164,22 @@
 	if !c.table.Suspected(fingerprint) {
 		return
 	}
-	c.events.WithLabelValues(eventAbsolved).Inc()
-	lifted := c.table.Absolve(fingerprint, time.Now())
-	c.report(func(notice *wirev1.QuarantineNotice) { notice.Absolved = append(notice.Absolved, uint64(fingerprint)) })
+	c.events.WithLabelValues(eventCleared).Inc()
+	lifted := c.table.Clear(fingerprint, time.Now())
+	c.addToNotice(func(notice *wirev1.QuarantineNotice) { notice.Absolved = append(notice.Absolved, uint64(fingerprint)) })
 	if lifted != nil {
-		c.decide(*lifted, "a runner has completed it")
+		c.distributeHold(*lifted, "a runner has completed it")
 	}
 }
 
-// Lift ends a hold for an operator, and reports whether there was one.
+// Lift ends a hold at an operator's request and reports whether there was one.
 func (c *Coordinator) Lift(fingerprint Fingerprint) bool {
 	lifted := c.table.Lift(fingerprint, time.Now())
 	if lifted != nil {
-		c.decide(*lifted, "operator")
+		c.distributeHold(*lifted, "operator")
 	}
 	return lifted != nil
 }
 
-// Holds lists the holds known here.
+// Holds lists the holds known to this node.
 func (c *Coordinator) Holds() []Hold { return c.table.Holds(time.Now()) }
--- a/internal/serving/quarantine/coordinator_test.go
+++ b/internal/serving/quarantine/coordinator_test.go
@@ -18,24 +18,24 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// gone is a prober by which runners have ended, those at alive addresses not.
-type gone struct {
-	mutex sync.Mutex
-	alive map[string]bool
-	looks int
+// fakeProber reports that all runners have ended except those at alive addresses.
+type fakeProber struct {
+	mutex  sync.Mutex
+	alive  map[string]bool
+	probes int
 }
 
-func (g *gone) ConnectionRefused(_ context.Context, address string) bool {
+func (g *fakeProber) ConnectionRefused(_ context.Context, address string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.looks++
+	g.probes++
 	return !g.alive[address]
 }
 
-// network carries notices between nodes; lost says which are lost.
+// network delivers notices between nodes, except those that dropsNotice selects.
 type network struct {
-	nodes map[string]*Coordinator
-	lost  func(from, to string) bool
+	nodes       map[string]*Coordinator
+	dropsNotice func(from, to string) bool
 }
 
 type member struct {
@@ -61,19 +61,19 @@
 		panic(err)
 	}
 	for _, address := range addresses {
-		if m.network.lost == nil || !m.network.lost(m.name, address) {
+		if m.network.dropsNotice == nil || !m.network.dropsNotice(m.name, address) {
 			m.network.nodes[address].ReceiveNotice(m.name, payload)
 		}
 	}
 }
 
-// keptHolds is a HoldStore in memory.
-type keptHolds struct{ holds map[Fingerprint]Hold }
+// memoryHoldStore is a HoldStore in memory.
+type memoryHoldStore struct{ holds map[Fingerprint]Hold }
 
-func (k *keptHolds) Keep(hold Hold) { k.holds[hold.Fingerprint] = hold }
+func (k *memoryHoldStore) Save(hold Hold) { k.holds[hold.Fingerprint] = hold }
 
-func newNetwork(count int) (*network, *gone, *keptHolds) {
-	n, prober, kept := &network{nodes: map[string]*Coordinator{}}, &gone{alive: map[string]bool{}}, &keptHolds{map[Fingerprint]Hold{}}
+func newNetwork(count int) (*network, *fakeProber, *memoryHoldStore) {
+	n, prober, kept := &network{nodes: map[string]*Coordinator{}}, &fakeProber{alive: map[string]bool{}}, &memoryHoldStore{map[Fingerprint]Hold{}}
 	for number := range count {
 		name := fmt.Sprint("n", number)
 		m := member{n, name}
@@ -88,8 +88,9 @@
 	}
 }
 
-// Wherever the runners end, all nodes hold the request, and the hold is kept.
-func TestAllNodesHold(t *testing.T) {
+// All nodes hold the request, whichever nodes observe the endings, and the hold is
+// saved.
+func TestAllNodesHoldTheRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n, _, kept := newNetwork(4)
 		together := rapid.Bool().Draw(rt, "all at once")
@@ -103,17 +104,17 @@
 		n.flush()
 		for name, coordinator := range n.nodes {
 			if _, held := coordinator.Held(7); !held {
-				rt.Fatalf("%s does not hold it", name)
+				rt.Fatalf("%s does not hold the request", name)
 			}
 		}
 		if _, found := kept.holds[7]; !found {
-			rt.Fatal("the hold is not kept")
+			rt.Fatal("the hold is not saved")
 		}
 	})
 }
 
-// A connection that breaks while the runner lives counts against nobody.
-func TestBrokenConnectionsDoNotCount(t *testing.T) {
+// A broken connection to a live runner does not count against the request.
+func TestBrokenConnectionToLiveRunnerIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	n, prober, _ := newNetwork(1)
 	for number := range 3 * EndingsToHold {
@@ -124,8 +125,8 @@
 	is.True(!n.nodes["n0"].table.Suspected(7))
 }
 
-// Many requests that break together look at their runner once.
-func TestOneLookForAll(t *testing.T) {
+// Requests that break at the same time probe their runner only once.
+func TestConcurrentBreaksProbeTheRunnerOnce(t *testing.T) {
 	is := is.New(t)
 	n, prober, _ := newNetwork(1)
 	var group sync.WaitGroup
@@ -137,15 +138,15 @@
 		}()
 	}
 	group.Wait()
-	is.Equal(prober.looks, 1)
+	is.Equal(prober.probes, 1)
 	suspected, held := n.nodes["n0"].table.Counts(time.Now())
 	is.Equal(suspected, 20)
 	is.Equal(held, 0)
 }
 
-// What a runner completes is cleared at all nodes, and at those that missed it by
-// the next exchange; a hold that was lifted does not come back from them.
-func TestCompletionReachesAllNodes(t *testing.T) {
+// A completion lifts the hold on all nodes. A node that missed the notice learns it at
+// the next synchronization and does not restore the hold on the others.
+func TestCompletionLiftsHoldOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n, _, kept := newNetwork(3)
@@ -153,7 +154,7 @@
 			n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 		}
 		n.flush()
-		n.lost = func(_, to string) bool { return to == "n2" }
+		n.dropsNotice = func(_, to string) bool { return to == "n2" }
 		time.Sleep(time.Millisecond) // holds and releases are ordered by the millisecond
 		n.nodes["n1"].RecordCompletion(7)
 		n.flush()
@@ -173,22 +174,22 @@
 	})
 }
 
-// A node that starts anew learns holds from a peer, and from the store.
-func TestHoldsOutlastAProcess(t *testing.T) {
+// A restarted node learns the holds from a peer or from the store.
+func TestNewNodeLearnsHoldsFromPeerAndStore(t *testing.T) {
 	is := is.New(t)
 	n, _, kept := newNetwork(2)
 	for number := range EndingsToHold {
 		n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 	}
-	fromPeer := NewCoordinator(member{n, "n2"}, member{n, "n2"}, &gone{}, nil, prometheus.NewRegistry())
+	fromPeer := NewCoordinator(member{n, "n2"}, member{n, "n2"}, &fakeProber{}, nil, prometheus.NewRegistry())
 	fromPeer.ReceiveHolds(n.nodes["n0"].NewestHolds(), "n0")
 	_, held := fromPeer.Held(7)
 	is.True(held)
 	store := &fakeStore{}
 	archive := NewArchive(store)
-	archive.Keep(kept.holds[7])
+	archive.Save(kept.holds[7])
 	is.True(archive.write(context.Background()))
-	fromStore := NewCoordinator(member{n, "n3"}, member{n, "n3"}, &gone{}, nil, prometheus.NewRegistry())
+	fromStore := NewCoordinator(member{n, "n3"}, member{n, "n3"}, &fakeProber{}, nil, prometheus.NewRegistry())
 	fromStore.ReceiveDocument(store.value, 1)
 	_, held = fromStore.Held(7)
 	is.True(held)
@@ -196,13 +197,13 @@
 	is.True(!fromStore.Lift(7))
 	_, held = fromStore.Held(7)
 	is.True(!held)
-	fromStore.ReceiveDocument([]byte("not a document"), 2) // is logged, and changes nothing
+	fromStore.ReceiveDocument([]byte("not a document"), 2) // is logged and ignored
 	_, held = fromStore.Held(7)
 	is.True(!held)
 }
 
-// Suspects of a node go to runners of their own.
-func TestSuspectsRunApart(t *testing.T) {
+// The suspects of a node avoid each other's runners.
+func TestSuspectsRunOnDifferentRunners(t *testing.T) {
 	is := is.New(t)
 	n, _, _ := newNetwork(1)
 	coordinator := n.nodes["n0"]
@@ -211,15 +212,15 @@
 	is.Equal(len(coordinator.RunnersToAvoid(1)), 0)
 	endOne := coordinator.Begin(1, "r1")
 	is.Equal(coordinator.RunnersToAvoid(2), map[string]bool{"r1": true})
-	is.Equal(len(coordinator.RunnersToAvoid(1)), 0) // itself is no other
-	is.Equal(len(coordinator.RunnersToAvoid(3)), 0) // who is not suspected goes anywhere
+	is.Equal(len(coordinator.RunnersToAvoid(1)), 0) // a request does not avoid its own runner
+	is.Equal(len(coordinator.RunnersToAvoid(3)), 0) // a request without endings avoids no runner
 	coordinator.Begin(3, "r2")()
 	endOne()
 	is.Equal(len(coordinator.RunnersToAvoid(2)), 0)
 	is.Equal(len(coordinator.attempts), 0)
 }
 
-// fakeStore holds one value; faults are played in order.
+// fakeStore contains one value and injects the faults in order.
 type fakeStore struct {
 	ports.KeyValueStore
 	value    []byte
@@ -260,9 +261,9 @@
 	return true, nil
 }
 
-// Holds of several nodes come together in the store, whatever calls fail or lose
-// their answer, and none is lost or written without need.
-func TestArchiveKeepsAllHolds(t *testing.T) {
+// The store ends up with the holds of several nodes, even if calls fail or their
+// outcome is unknown, and a stored hold is not written again.
+func TestArchiveStoresAllHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &fakeStore{faults: rapid.SliceOfN(rapid.SampledFrom([]string{"", "down", "lost"}), 0, 12).Draw(rt, "faults")}
 		archives := []*Archive{NewArchive(store), NewArchive(store)}
@@ -270,7 +271,7 @@
 		count := rapid.IntRange(1, 8).Draw(rt, "holds")
 		for number := range count {
 			archive := archives[number%2]
-			archive.Keep(Hold{Fingerprint: Fingerprint(number + 1), Decided: int64(number + 1), Until: until})
+			archive.Save(Hold{Fingerprint: Fingerprint(number + 1), Decided: int64(number + 1), Until: until})
 			if rapid.Bool().Draw(rt, "write now") {
 				archive.write(context.Background())
 			}
@@ -278,7 +279,7 @@
 		for _, archive := range archives {
 			for tries := 0; !archive.write(context.Background()); tries++ {
 				if tries > 50 {
-					rt.Fatal("it never comes to an end")
+					rt.Fatal("the archive did not finish writing")
 				}
 			}
 		}
@@ -288,8 +289,8 @@
 		}
 		before := store.commits
 		store.faults = nil
-		if !archives[0].write(context.Background()) || store.commits != before || len(archives[0].wanted) != 0 {
-			rt.Fatal("what is stored is written again")
+		if !archives[0].write(context.Background()) || store.commits != before || len(archives[0].unsaved) != 0 {
+			rt.Fatal("stored holds are written again")
 		}
 	})
 }
--- a/internal/serving/quarantine/fingerprint.go
+++ b/internal/serving/quarantine/fingerprint.go
@@ -6,14 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is the same for requests that are the same work: of the same
-// caller, with the same method, host, path and body. Ids of requests are new with
-// each try; a fingerprint is not.
+// Fingerprint is a hash of a request's tenant, method, host, URI and body. Unlike the
+// request's id, it is the same for each retry by the caller.
 type Fingerprint uint64
 
-// RequestContent is what a fingerprint is taken of.
+// RequestContent is the part of a request that its fingerprint covers.
 type RequestContent struct {
-	// Tenant is whose it is; empty where there are no tenants.
+	// Tenant is the request's tenant; empty where there are no tenants.
 	Tenant string
 	Method string
 	Host   string
@@ -24,10 +23,10 @@
 
 // FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(content RequestContent) Fingerprint {
-	digest := xxhash.New() // its writes never fail
+	digest := xxhash.New() // Write never returns an error.
 	for _, part := range []string{content.Tenant, content.Method, content.Host, content.URI} {
 		_, _ = digest.WriteString(part)
-		_, _ = digest.Write([]byte{0}) // no part holds a zero: parts can't run into each other
+		_, _ = digest.Write([]byte{0}) // separates the parts, none of which contains a zero byte
 	}
 	_, _ = digest.Write(content.Body)
 	return Fingerprint(digest.Sum64())
@@ -35,10 +34,10 @@
 
 const hexadecimal = 16
 
-// String returns the form in which logs and the store have it.
+// String returns the hexadecimal form that logs and the store use.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), hexadecimal) }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the output of Fingerprint.String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, hexadecimal, 64)
 	return Fingerprint(value), err
--- a/internal/serving/quarantine/fingerprint_test.go
+++ b/internal/serving/quarantine/fingerprint_test.go
@@ -9,8 +9,9 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// A fingerprint follows from what a request is, every part of it, and from nothing else.
-func TestFingerprintIsOfTheContent(t *testing.T) {
+// Equal contents have equal fingerprints, and a change of any part changes the
+// fingerprint.
+func TestFingerprintDependsOnContentOnly(t *testing.T) {
 	is := is.New(t)
 	work := RequestContent{Tenant: "t", Method: "POST", Host: "h", URI: "/a/b", Body: []byte("body")}
 	is.Equal(FingerprintOf(work), FingerprintOf(RequestContent{"t", "POST", "h", "/a/b", []byte("body")}))
@@ -20,7 +21,7 @@
 		{"t", "POST", "g", "/a/b", []byte("body")},
 		{"t", "POST", "h", "/a/c", []byte("body")},
 		{"t", "POST", "h", "/a/b", []byte("bodz")},
-		{"tP", "OST", "h", "/a/b", []byte("body")}, // parts do not run into each other
+		{"tP", "OST", "h", "/a/b", []byte("body")}, // the same bytes, divided differently
 		{"t", "POST", "h/a", "/b", []byte("body")},
 		{"t", "POST", "h", "/a", []byte("/bbody")},
 	} {
@@ -28,7 +29,7 @@
 	}
 }
 
-// What String writes, Parse reads.
+// ParseFingerprint is the inverse of Fingerprint.String.
 func TestFingerprintText(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fingerprint := Fingerprint(rapid.Uint64().Draw(rt, "fingerprint"))
--- a/internal/serving/quarantine/hold.go
+++ b/internal/serving/quarantine/hold.go
@@ -2,34 +2,35 @@
 
 import wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 
-// Hold says that a request is not sent to runners. Of two holds of the same request
-// the one decided later counts.
+// Hold states that a request must not be sent to runners. Of two holds of the same
+// request the one decided later applies.
 type Hold struct {
 	Fingerprint Fingerprint `json:"-"`
-	// Decided and Until are times of day, in milliseconds since 1970: holds outlast
-	// processes. A hold with Until 0 was lifted.
+	// Decided and Until are Unix times in milliseconds. A hold with Until 0 was
+	// lifted.
 	Decided int64 `json:"decided_unix_ms"`
 	Until   int64 `json:"until_unix_ms"`
-	// Length is how long it holds, in milliseconds; the next is longer.
+	// Length is the duration of the hold in milliseconds, from which the duration of
+	// the next one follows.
 	Length int64 `json:"length_ms"`
 }
 
-// after reports whether a hold replaces another.
-func (h Hold) after(other Hold) bool {
+// supersedes reports whether a hold replaces another one of the same request.
+func (h Hold) supersedes(other Hold) bool {
 	if h.Decided != other.Decided {
 		return h.Decided > other.Decided
 	}
 	return h.Until > other.Until
 }
 
-// Encode returns the form of a hold between nodes.
+// Encode converts a hold to its wire form.
 func Encode(hold Hold) *wirev1.QuarantineHold {
 	return &wirev1.QuarantineHold{
 		Fingerprint: uint64(hold.Fingerprint), DecidedUnixMs: hold.Decided, UntilUnixMs: hold.Until, LengthMs: hold.Length,
 	}
 }
 
-// Decode reads what Encode writes.
+// Decode converts a hold from its wire form.
 func Decode(encoded *wirev1.QuarantineHold) Hold {
 	return Hold{
 		Fingerprint: Fingerprint(encoded.Fingerprint),
--- a/internal/serving/quarantine/notices.go
+++ b/internal/serving/quarantine/notices.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// coalesceInterval is how long reports are coalesced: the requests at a runner
-	// that ended break within some milliseconds of each other.
+	// coalesceInterval is how long reports are collected before they are sent: all
+	// requests at a runner break within some milliseconds of its end.
 	coalesceInterval = 5 * time.Millisecond
-	// maxReported bounds the endings and completions of one notice: 40 bytes each.
-	maxReported = 1024
+	// maxNoticeEntries bounds the endings and completions in one notice, of about
+	// 40 bytes each.
+	maxNoticeEntries = 1024
 )
 
-// report adds to the next notice.
-func (c *Coordinator) report(add func(notice *wirev1.QuarantineNotice)) {
+// addToNotice calls add with the next notice, unless that one is full.
+func (c *Coordinator) addToNotice(add func(notice *wirev1.QuarantineNotice)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.pending == nil {
 		c.pending = &wirev1.QuarantineNotice{}
 	}
-	if len(c.pending.Endings)+len(c.pending.Absolved) >= maxReported {
-		return // what is lost here is counted again at the next try
+	if len(c.pending.Endings)+len(c.pending.Absolved) >= maxNoticeEntries {
+		return // The caller's next retry reports a dropped entry again.
 	}
 	add(c.pending)
 	c.batcher.Trigger()
 }
 
-// Run reports to other nodes until the context ends.
+// Run sends notices to other nodes until the context ends.
 func (c *Coordinator) Run(ctx context.Context) { c.batcher.Run(ctx) }
 
-// flush sends what is pending to each other node.
+// flush sends the pending notice to each other node.
 func (c *Coordinator) flush() {
 	c.mutex.Lock()
 	notice := c.pending
@@ -55,11 +56,11 @@
 	c.sender.NotifyAll(addresses, rpc.ClassControl, wirev1.Method_METHOD_QUARANTINE, notice)
 }
 
-// ReceiveNotice takes in another node's notice.
+// ReceiveNotice applies another node's notice.
 func (c *Coordinator) ReceiveNotice(from string, payload []byte) {
 	var notice wirev1.QuarantineNotice
 	if err := proto.Unmarshal(payload, &notice); err != nil {
-		klog.ErrorS(err, "notice of requests that crash runners is unreadable", "peer", from, "bytes", len(payload))
+		klog.ErrorS(err, "decoding a quarantine notice failed", "peer", from, "bytes", len(payload))
 		return
 	}
 	now := time.Now()
@@ -67,33 +68,34 @@
 		c.receiveEnding(Fingerprint(ending.Fingerprint), ending.Runner, from, now)
 	}
 	for _, fingerprint := range notice.Absolved {
-		c.table.Absolve(Fingerprint(fingerprint), now)
+		c.table.Clear(Fingerprint(fingerprint), now)
 	}
 	c.ReceiveHolds(notice.Holds, from)
 }
 
-// receiveEnding takes in an ending that another node has seen. All nodes come to the
-// same hold; those that saw a part of what led to it keep it in the store, since of
-// two nodes that see one ending each at once neither sees the deciding one.
+// receiveEnding applies an ending that another node has observed. All nodes decide
+// the same hold. Each node that observed one of its endings saves the hold: when
+// several nodes observe endings at the same time, none of them may have decided the
+// hold by its own ending.
 func (c *Coordinator) receiveEnding(fingerprint Fingerprint, runner, from string, now time.Time) {
-	verdict := c.table.Ended(fingerprint, runner, false, now)
-	if verdict.Hold == nil {
+	outcome := c.table.RecordEnding(fingerprint, runner, false, now)
+	if outcome.Hold == nil {
 		return
 	}
-	c.noteHold(*verdict.Hold, from)
-	if verdict.Own {
-		c.keep(*verdict.Hold)
+	c.recordHold(*outcome.Hold, from)
+	if outcome.Local {
+		c.saveHold(*outcome.Hold)
 	}
 }
 
-// ReceiveHolds takes in holds from another node.
+// ReceiveHolds applies holds from another node.
 func (c *Coordinator) ReceiveHolds(holds []*wirev1.QuarantineHold, source string) {
 	if c == nil {
 		return
 	}
 	for _, encoded := range holds {
-		if hold := Decode(encoded); c.table.Take(hold) {
-			c.noteHold(hold, source)
+		if hold := Decode(encoded); c.table.ApplyHold(hold) {
+			c.recordHold(hold, source)
 		}
 	}
 }
--- a/internal/serving/quarantine/sync.go
+++ b/internal/serving/quarantine/sync.go
@@ -12,11 +12,11 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// maxExchanged bounds the holds that one answer to a peer brings: 40 bytes each.
-const maxExchanged = 256
+// maxSyncedHolds bounds the holds in one reply to a peer, of about 40 bytes each.
+const maxSyncedHolds = 256
 
-// Digest is the same for nodes that would send each other the same holds; 0 if there
-// are none, or the receiver is nil.
+// Digest returns a hash of the newest holds, by which nodes detect that they know
+// different ones. It is 0 if there are none or the receiver is nil.
 func (c *Coordinator) Digest() uint64 {
 	if c == nil {
 		return 0
@@ -25,7 +25,7 @@
 	if len(newest) == 0 {
 		return 0
 	}
-	digest := xxhash.New() // its writes never fail
+	digest := xxhash.New() // Write never returns an error.
 	for _, hold := range newest {
 		for _, part := range []uint64{uint64(hold.Fingerprint), uint64(hold.Decided), uint64(hold.Until)} {
 			_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, part))
@@ -36,10 +36,10 @@
 
 func (c *Coordinator) newest() []Hold {
 	holds := c.Holds()
-	return holds[:min(len(holds), maxExchanged)]
+	return holds[:min(len(holds), maxSyncedHolds)]
 }
 
-// NewestHolds returns the holds decided last, for a peer that knows others.
+// NewestHolds returns the holds decided last, for a peer with a different digest.
 func (c *Coordinator) NewestHolds() []*wirev1.QuarantineHold {
 	if c == nil {
 		return nil
@@ -51,23 +51,23 @@
 	return encoded
 }
 
-// ReceiveDocument takes in the holds that the platform's store has.
+// ReceiveDocument applies the holds of the document in the platform's store.
 func (c *Coordinator) ReceiveDocument(text []byte, revision int64) {
 	if c == nil {
 		return
 	}
 	holds, err := parseDocument(text)
 	if err != nil {
-		klog.ErrorS(err, "stored quarantine is unreadable in part", "revision", revision)
+		klog.ErrorS(err, "stored quarantine has unreadable entries", "revision", revision)
 	}
 	for _, hold := range holds {
-		if c.table.Take(hold) {
-			c.noteHold(hold, "store")
+		if c.table.ApplyHold(hold) {
+			c.recordHold(hold, "store")
 		}
 	}
 }
 
-// ServeAdmin answers an operator who lists holds, or lifts one.
+// ServeAdmin serves an operator's request to list holds or to lift one.
 func (c *Coordinator) ServeAdmin(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QuarantineAdminRequest
 	if err := stream.DecodeRequest(&request); err != nil {
--- a/internal/serving/quarantine/table.go
+++ b/internal/serving/quarantine/table.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// maxSuspects and maxHolds bound the memory: a suspect takes some 200 bytes, a hold
-// 100. The oldest are dropped.
+// maxSuspects and maxHolds bound the memory of a table: a suspect takes about 200
+// bytes, a hold about 100. The oldest entries are evicted.
 const (
 	maxSuspects = 4096
 	maxHolds    = 1024
@@ -18,38 +18,39 @@
 
 // suspect is a request under which runners ended.
 type suspect struct {
-	// endings are when each runner ended, by runner.
+	// endings contains the time of each ending, by runner.
 	endings map[string]time.Time
-	// last is when the last of them was recorded.
+	// last is the time when the latest ending was recorded.
 	last time.Time
-	// own: one of the endings was seen by this node itself.
-	own bool
+	// local is set if this node observed one of the endings.
+	local bool
 }
 
-// Verdict is what follows from an ending.
-type Verdict struct {
-	// Fresh: the ending was not known here.
-	Fresh bool
-	// Hold is set if the request is held from now on.
+// EndingOutcome is the result of recording an ending.
+type EndingOutcome struct {
+	// Counted is set if the ending was new and counts against the request.
+	Counted bool
+	// Hold is the hold that the ending caused; nil if it caused none.
 	Hold *Hold
-	// Own: this node has seen one of the endings itself that led to the hold.
-	Own bool
+	// Local is set if this node observed one of the endings that led to the hold.
+	Local bool
 }
 
-// SuspectTable is what one node knows. It is safe for concurrent use.
+// SuspectTable contains the suspects and holds known to one node. It is safe for
+// concurrent use.
 //
-// Invariants: a hold is replaced only by one that was decided later; once a request
-// is held, the ends that it is held for count against no other but one that may be
-// their cause as well (mayBeCause).
+// Invariants: a hold is replaced only by one that supersedes it; once a request is
+// held, the endings that led to the hold count against another request only if that
+// one may be their cause as well (mayBeCause).
 type SuspectTable struct {
 	mutex    sync.Mutex
 	suspects map[Fingerprint]*suspect
 	holds    map[Fingerprint]Hold
-	// attributed are the runners whose end is laid to a request that is held, by
-	// when that was decided.
+	// attributed contains the runners whose end is attributed to a held request, with
+	// the time of that decision.
 	attributed map[string]time.Time
-	// held is a copy of holds that is never changed, suspected are the keys of
-	// suspects: the path of a request reads these without the mutex.
+	// held is an immutable copy of holds, and suspected contains the keys of suspects.
+	// Checks of a request read these without locking the mutex.
 	held      atomic.Pointer[map[Fingerprint]Hold]
 	suspected sync.Map
 }
@@ -61,8 +62,8 @@
 	return t
 }
 
-// publish copies the holds for readers. The mutex is held, or nobody else has the
-// table.
+// publish copies the holds for readers. The caller holds the mutex or is the only
+// user of the table.
 func (t *SuspectTable) publish() {
 	holds := maps.Clone(t.holds)
 	t.held.Store(&holds)
@@ -78,8 +79,8 @@
 	return left, left > 0
 }
 
-// Suspected reports whether anything is counted against a request, or it is held:
-// if it completes, other nodes have to know (Absolve).
+// Suspected reports whether a request has recorded endings or a hold. The completion
+// of such a request has to be reported to other nodes (Clear).
 func (t *SuspectTable) Suspected(fingerprint Fingerprint) bool {
 	if _, suspected := t.suspected.Load(fingerprint); suspected {
 		return true
@@ -88,46 +89,46 @@
 	return held
 }
 
-// Ended records that a runner ended while it ran a request; own says that this
-// node has seen it.
-func (t *SuspectTable) Ended(fingerprint Fingerprint, runner string, own bool, now time.Time) Verdict {
+// RecordEnding records that a runner ended while it ran a request; local states that
+// this node observed it.
+func (t *SuspectTable) RecordEnding(fingerprint Fingerprint, runner string, local bool, now time.Time) EndingOutcome {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.suspects[fingerprint]
 	if _, attributed := t.attributed[runner]; attributed && !known.mayBeCause() {
-		return Verdict{}
+		return EndingOutcome{}
 	}
 	if known == nil {
-		t.makeRoom()
+		t.evictOldest()
 		known = &suspect{endings: map[string]time.Time{}}
 		t.suspects[fingerprint] = known
 		t.suspected.Store(fingerprint, true)
 	}
-	maps.DeleteFunc(known.endings, func(_ string, at time.Time) bool { return now.Sub(at) > endingLife })
+	maps.DeleteFunc(known.endings, func(_ string, at time.Time) bool { return now.Sub(at) > endingTTL })
 	if _, counted := known.endings[runner]; counted {
-		return Verdict{}
+		return EndingOutcome{}
 	}
 	known.endings[runner], known.last = now, now
-	known.own = known.own || own
+	known.local = known.local || local
 	last := t.holds[fingerprint]
 	if !mustHold(len(known.endings), last, now) {
-		return Verdict{Fresh: true}
+		return EndingOutcome{Counted: true}
 	}
 	hold := nextHold(fingerprint, last, now)
-	t.put(hold)
+	t.putHold(hold)
 	t.publish()
 	t.attribute(known.endings, now)
-	return Verdict{Fresh: true, Hold: &hold, Own: known.own}
+	return EndingOutcome{Counted: true, Hold: &hold, Local: known.local}
 }
 
-// mayBeCause reports whether the ends of runners that another request is held for
-// count against this one too.
+// mayBeCause reports whether endings that are attributed to another request count
+// against this one too.
 func (s *suspect) mayBeCause() bool { return s != nil && mayBeCause(len(s.endings)) }
 
-// attribute lays the ends of runners to the request that is held for them: others
-// that were at few of these did not cause them. The mutex is held.
+// attribute attributes endings to the request that is held for them and removes them
+// from all bystanders. The caller holds the mutex.
 func (t *SuspectTable) attribute(endings map[string]time.Time, now time.Time) {
-	maps.DeleteFunc(t.attributed, func(_ string, at time.Time) bool { return now.Sub(at) > endingLife })
+	maps.DeleteFunc(t.attributed, func(_ string, at time.Time) bool { return now.Sub(at) > endingTTL })
 	for runner := range endings {
 		t.attributed[runner] = now
 	}
@@ -140,14 +141,14 @@
 			return attributed
 		})
 		if len(other.endings) == 0 {
-			t.forget(fingerprint)
+			t.removeSuspect(fingerprint)
 		}
 	}
 }
 
-// makeRoom drops the suspect whose last ending is the oldest, if there are too many.
-// The mutex is held.
-func (t *SuspectTable) makeRoom() {
+// evictOldest removes the suspect whose last ending is the oldest if the table is
+// full. The caller holds the mutex.
+func (t *SuspectTable) evictOldest() {
 	if len(t.suspects) < maxSuspects {
 		return
 	}
@@ -158,54 +159,54 @@
 			oldest, at = fingerprint, known.last
 		}
 	}
-	t.forget(oldest)
+	t.removeSuspect(oldest)
 }
 
-// forget drops a suspect. The mutex is held.
-func (t *SuspectTable) forget(fingerprint Fingerprint) {
+// removeSuspect removes a suspect. The caller holds the mutex.
+func (t *SuspectTable) removeSuspect(fingerprint Fingerprint) {
 	delete(t.suspects, fingerprint)
 	t.suspected.Delete(fingerprint)
 }
 
-// put takes a hold, and drops the one decided first if there are too many. The
-// mutex is held.
-func (t *SuspectTable) put(hold Hold) {
+// putHold stores a hold and evicts the one decided first if there are too many. The
+// caller holds the mutex.
+func (t *SuspectTable) putHold(hold Hold) {
 	t.holds[hold.Fingerprint] = hold
 	if len(t.holds) <= maxHolds {
 		return
 	}
 	oldest := hold
 	for _, other := range t.holds {
-		if oldest.after(other) {
+		if oldest.supersedes(other) {
 			oldest = other
 		}
 	}
 	delete(t.holds, oldest.Fingerprint)
 }
 
-// Take takes a hold that was decided elsewhere, and reports whether it is new
-// here.
-func (t *SuspectTable) Take(hold Hold) bool {
+// ApplyHold stores a hold that was decided elsewhere and reports whether it is new to
+// this table.
+func (t *SuspectTable) ApplyHold(hold Hold) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known, found := t.holds[hold.Fingerprint]; found && !hold.after(known) {
+	if known, found := t.holds[hold.Fingerprint]; found && !hold.supersedes(known) {
 		return false
 	}
-	t.put(hold)
+	t.putHold(hold)
 	t.publish()
 	return true
 }
 
-// Absolve drops what is counted against a request that a runner has completed. It
-// returns the hold that lifts the one in force, if there is one.
-func (t *SuspectTable) Absolve(fingerprint Fingerprint, now time.Time) *Hold {
+// Clear removes the endings of a request that a runner has completed and lifts its
+// hold. It returns the lifted hold; nil if there was none.
+func (t *SuspectTable) Clear(fingerprint Fingerprint, now time.Time) *Hold {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.forget(fingerprint)
+	t.removeSuspect(fingerprint)
 	return t.lift(fingerprint, now)
 }
 
-// Lift ends a hold, and returns the one that ends it; nil if none is in force.
+// Lift ends the hold of a request and returns the lifted hold; nil if there was none.
 func (t *SuspectTable) Lift(fingerprint Fingerprint, now time.Time) *Hold {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -213,21 +214,21 @@
 }
 
 func (t *SuspectTable) lift(fingerprint Fingerprint, now time.Time) *Hold {
-	lifted, inForce := release(t.holds[fingerprint], now)
-	if !inForce {
+	lifted, active := liftedHold(t.holds[fingerprint], now)
+	if !active {
 		return nil
 	}
-	t.put(lifted)
+	t.putHold(lifted)
 	t.publish()
 	return &lifted
 }
 
-// Holds lists the holds known, those lifted too while the one that they end would
-// still hold somewhere, the latest decided first.
+// Holds lists the active holds, the latest decided first. A lifted hold is included
+// for as long as another node might still have the hold that it ended.
 func (t *SuspectTable) Holds(now time.Time) []Hold {
 	var list []Hold
 	for _, hold := range *t.held.Load() {
-		if hold.Until > now.UnixMilli() || hold.Until == 0 && hold.Decided > now.Add(-longestHold).UnixMilli() {
+		if hold.Until > now.UnixMilli() || hold.Until == 0 && hold.Decided > now.Add(-maxHoldDuration).UnixMilli() {
 			list = append(list, hold)
 		}
 	}
@@ -237,7 +238,7 @@
 	return list
 }
 
-// Counts returns how many requests are suspected, and how many are held.
+// Counts returns the number of suspects and the number of held requests.
 func (t *SuspectTable) Counts(now time.Time) (suspected, held int) {
 	for _, hold := range *t.held.Load() {
 		if hold.Until > now.UnixMilli() {
--- a/internal/serving/quarantine/table_test.go
+++ b/internal/serving/quarantine/table_test.go
@@ -11,50 +11,50 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// hold records the ends of as many runners under a request as it takes to hold it,
-// and returns the hold.
+// hold records endings until the request is held and returns the hold.
 func hold(table *SuspectTable, fingerprint Fingerprint, prefix string, now time.Time) *Hold {
 	for number := range EndingsToHold {
 		name := fmt.Sprint(prefix, number)
 		if number == EndingsToHold-1 {
 			name = prefix + "last"
 		}
-		if decided := table.Ended(fingerprint, name, true, now).Hold; decided != nil {
+		if decided := table.RecordEnding(fingerprint, name, true, now).Hold; decided != nil {
 			return decided
 		}
 	}
 	return nil
 }
 
-// A request is held once enough different runners ended under it, for a bounded time.
-func TestHeldAfterEnoughRunners(t *testing.T) {
+// A request is held for a bounded time once enough different runners have ended under
+// it.
+func TestRequestIsHeldAfterEnoughEndings(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
-	for repeat := range 5 { // one runner counts once, however often it is reported, and is reported on once
-		verdict := table.Ended(1, "r0", true, start)
-		is.True(verdict.Hold == nil)
-		is.Equal(verdict.Fresh, repeat == 0)
+	for repeat := range 5 { // repeated reports of one runner count once
+		outcome := table.RecordEnding(1, "r0", true, start)
+		is.True(outcome.Hold == nil)
+		is.Equal(outcome.Counted, repeat == 0)
 	}
 	for number := 1; number < EndingsToHold-1; number++ {
-		is.True(table.Ended(1, fmt.Sprint("r", number), true, start).Hold == nil)
+		is.True(table.RecordEnding(1, fmt.Sprint("r", number), true, start).Hold == nil)
 	}
 	_, held := table.Held(1, start)
 	is.True(!held)
-	verdict := table.Ended(1, "r9", false, start)
-	is.True(verdict.Hold != nil)
-	is.True(verdict.Own) // this node has seen a part of it itself
+	outcome := table.RecordEnding(1, "r9", false, start)
+	is.True(outcome.Hold != nil)
+	is.True(outcome.Local) // this node observed some of the endings
 	left, held := table.Held(1, start)
 	is.True(held)
-	is.Equal(left, firstHold)
+	is.Equal(left, initialHoldDuration)
 	_, held = table.Held(2, start)
-	is.True(!held) // others are not
-	_, held = table.Held(1, start.Add(firstHold))
+	is.True(!held) // other requests are not held
+	_, held = table.Held(1, start.Add(initialHoldDuration))
 	is.True(!held)
 }
 
-// Each hold of the same request is longer than the one before, up to a bound; a
-// request whose hold has ended is held again for the end of one runner more.
-func TestHoldsGrow(t *testing.T) {
+// Each hold of the same request is longer than the one before, up to a bound. One
+// further ending is enough to hold a request again.
+func TestRepeatedHoldsGetLonger(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
 	decided := hold(table, 1, "r", start)
@@ -62,97 +62,97 @@
 	for number := range 6 {
 		is.True(decided != nil)
 		length := time.Duration(decided.Length) * time.Millisecond
-		is.True(length > last || length == longestHold)
+		is.True(length > last || length == maxHoldDuration)
 		last = length
 		if number == 5 {
 			break
 		}
 		now = now.Add(length)
-		before := table.Ended(1, fmt.Sprint("before", number), true, now.Add(-1)).Hold
-		is.True(before == nil) // held still
-		decided = table.Ended(1, fmt.Sprint("again", number), true, now.Add(endingLife/100)).Hold
-		if decided == nil { // what was counted is too old
-			decided = hold(table, 1, fmt.Sprint("life", number), now.Add(endingLife/100))
+		before := table.RecordEnding(1, fmt.Sprint("before", number), true, now.Add(-1)).Hold
+		is.True(before == nil) // the last hold is still active
+		decided = table.RecordEnding(1, fmt.Sprint("again", number), true, now.Add(endingTTL/100)).Hold
+		if decided == nil { // the earlier endings have expired
+			decided = hold(table, 1, fmt.Sprint("life", number), now.Add(endingTTL/100))
 		}
 	}
-	is.Equal(last, longestHold)
+	is.Equal(last, maxHoldDuration)
 }
 
-// Endings count for a time only.
-func TestEndingsAge(t *testing.T) {
+// Endings that are further apart than endingTTL do not add up to a hold.
+func TestOldEndingsAreNotCounted(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
 	for number := range 4 * EndingsToHold {
-		now := start.Add(time.Duration(number) * endingLife)
-		is.True(table.Ended(1, fmt.Sprint("r", number), true, now).Hold == nil)
+		now := start.Add(time.Duration(number) * endingTTL)
+		is.True(table.RecordEnding(1, fmt.Sprint("r", number), true, now).Hold == nil)
 	}
 }
 
-// A request that a runner completes is neither suspected nor held any more, and
-// what was reported before does not hold it again.
-func TestCompletedIsAbsolved(t *testing.T) {
+// A completed request is no longer held, and a peer's older hold does not restore the
+// hold.
+func TestCompletionClearsRequest(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
 	decided := hold(table, 1, "r", start)
-	lifted := table.Absolve(1, start)
+	lifted := table.Clear(1, start)
 	is.True(lifted != nil)
 	_, held := table.Held(1, start)
 	is.True(!held)
-	is.True(!table.Take(*decided)) // a peer that has not received the end sends it again
+	is.True(!table.ApplyHold(*decided)) // from a peer that has not received the lifted hold
 	_, held = table.Held(1, start)
 	is.True(!held)
-	is.True(table.Absolve(1, start) == nil) // nothing more to report
+	is.True(table.Clear(1, start) == nil) // already lifted
 }
 
-// The ends of runners that are laid to one request are counted against no other
-// that was at few of them, whether that was reported before or after.
-func TestBystandersAreCleared(t *testing.T) {
+// Endings that are attributed to a held request do not count against a request that
+// ran at few of these runners, whether they are reported before or after the hold.
+func TestAttributedEndingsAreNotCountedAgainstBystanders(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
-	table.Ended(2, "r0", true, start)
+	table.RecordEnding(2, "r0", true, start)
 	hold(table, 1, "r", start)
 	is.True(!table.Suspected(2))
-	is.True(!table.Ended(2, "rlast", false, start).Fresh) // reported late
-	is.True(table.Ended(2, "another", false, start).Fresh)
+	is.True(!table.RecordEnding(2, "rlast", false, start).Counted) // reported late
+	is.True(table.RecordEnding(2, "another", false, start).Counted)
 	is.True(table.Suspected(2))
 	_, held := table.Held(2, start)
 	is.True(!held)
 }
 
-// Two requests that were at the same runners can't be distinguished: the one whose last
-// end is reported later is held as well, whichever it is.
-func TestTheCauseIsNotClearedByABystander(t *testing.T) {
+// Of two requests that ran at the same runners either may be the cause, so both are
+// held.
+func TestPossibleCauseStaysSuspected(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
 	for number := range EndingsToHold - 1 {
-		table.Ended(2, fmt.Sprint("r", number), true, start)
+		table.RecordEnding(2, fmt.Sprint("r", number), true, start)
 	}
 	hold(table, 1, "r", start)
 	is.True(table.Suspected(2))
-	is.True(table.Ended(2, "rlast", false, start).Hold != nil)
+	is.True(table.RecordEnding(2, "rlast", false, start).Hold != nil)
 }
 
-// Memory is bounded, whatever comes: what was reported last stays.
+// The table's size is bounded, and the latest entries stay.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
 	for number := range maxSuspects + 50 {
 		table.mutex.Lock()
-		table.makeRoom()
+		table.evictOldest()
 		table.suspects[Fingerprint(number)] = &suspect{last: start.Add(time.Duration(number)), endings: map[string]time.Time{}}
 		table.mutex.Unlock()
 	}
 	is.Equal(len(table.suspects), maxSuspects)
 	is.True(table.suspects[Fingerprint(maxSuspects+49)] != nil)
 	for number := range maxHolds + 50 {
-		table.Take(Hold{Fingerprint: Fingerprint(number), Decided: int64(number), Until: start.Add(time.Hour).UnixMilli()})
+		table.ApplyHold(Hold{Fingerprint: Fingerprint(number), Decided: int64(number), Until: start.Add(time.Hour).UnixMilli()})
 	}
 	is.Equal(len(table.Holds(start)), maxHolds)
 	is.Equal(table.Holds(start)[0].Fingerprint, Fingerprint(maxHolds+49))
 }
 
-// Tables that have taken the same holds, in any order and any number of times,
-// are the same; of each request the hold decided last counts.
+// Tables that apply the same holds in any order, with repeats, end up equal, with the
+// hold of each request that was decided last.
 func TestHoldsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		holds := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Hold {
@@ -161,26 +161,26 @@
 		}), 0, 20).Draw(rt, "holds")
 		one, other := NewSuspectTable(), NewSuspectTable()
 		for _, hold := range holds {
-			one.Take(hold)
+			one.ApplyHold(hold)
 		}
 		for _, hold := range rapid.Permutation(append(holds, holds...)).Draw(rt, "order") {
-			other.Take(hold)
+			other.ApplyHold(hold)
 		}
 		for _, hold := range holds {
 			if one.holds[hold.Fingerprint] != other.holds[hold.Fingerprint] {
 				rt.Fatalf("%v and %v", one.holds, other.holds)
 			}
-			if hold.after(one.holds[hold.Fingerprint]) {
-				rt.Fatalf("%v is in force, %v was decided later", one.holds[hold.Fingerprint], hold)
+			if hold.supersedes(one.holds[hold.Fingerprint]) {
+				rt.Fatalf("%v is stored, but %v was decided later", one.holds[hold.Fingerprint], hold)
 			}
 		}
 	})
 }
 
-// Only a run that may just have begun is blamed for its runner's end.
-func TestLongRunsAreNotBlamed(t *testing.T) {
+// Only a run that has just begun is suspected of ending its runner.
+func TestLongRunIsNotSuspect(t *testing.T) {
 	is := is.New(t)
 	is.True(IsSuspectRun(time.Time{}, start))
-	is.True(IsSuspectRun(start, start.Add(blameTime/2)))
-	is.True(!IsSuspectRun(start, start.Add(blameTime)))
+	is.True(IsSuspectRun(start, start.Add(suspectRunTime/2)))
+	is.True(!IsSuspectRun(start, start.Add(suspectRunTime)))
 }
--- a/internal/serving/quarantine/witness.go
+++ b/internal/serving/quarantine/witness.go
@@ -8,73 +8,73 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// Prober looks whether a process answers at a runner's address.
+// Prober checks whether a process listens at a runner's address.
 type Prober interface {
-	// ConnectionRefused reports whether the machine says that nothing listens there. No
-	// answer within the context is not that.
+	// ConnectionRefused reports whether the machine refuses connections to the
+	// address. It returns false if there is no reply before the context ends.
 	ConnectionRefused(ctx context.Context, address string) bool
 }
 
 const (
-	// probeTime bounds a look. The runner's machine has just reset or closed a
-	// connection, so it answers within a round trip.
-	probeTime = 60 * time.Millisecond
-	// findingLife is how long what was found holds for other requests at the same
-	// runner: they all break in the same moment.
-	findingLife = 300 * time.Millisecond
-	// maxFindings bounds the memory.
-	maxFindings = 256
+	// probeTimeout bounds a probe. The runner's machine has just reset or closed a
+	// connection, so it replies within a round trip.
+	probeTimeout = 60 * time.Millisecond
+	// probeResultTTL is how long a result is reused for other requests at the same
+	// runner, all of which break at the same time.
+	probeResultTTL = 300 * time.Millisecond
+	// maxProbeResults bounds the cached results.
+	maxProbeResults = 256
 )
 
-// Witness distinguishes a runner that ended from a connection that broke: when many
-// requests at a runner break together, it looks once.
-type Witness struct {
-	prober   Prober
-	looks    singleflight.Group
-	mutex    sync.Mutex
-	findings map[string]finding
+// CrashDetector distinguishes a runner that ended from a broken connection. When many
+// requests at a runner break together, it probes the runner once.
+type CrashDetector struct {
+	prober  Prober
+	probes  singleflight.Group
+	mutex   sync.Mutex
+	results map[string]probeResult
 }
 
-// finding is what a look at a runner's address found.
-type finding struct {
+// probeResult is the cached result of a probe.
+type probeResult struct {
 	ended bool
 	at    time.Time
 }
 
-// NewWitness returns a witness that looks with a prober.
-func NewWitness(prober Prober) *Witness {
-	return &Witness{prober: prober, findings: map[string]finding{}}
+// NewCrashDetector returns a detector that uses the prober.
+func NewCrashDetector(prober Prober) *CrashDetector {
+	return &CrashDetector{prober: prober, results: map[string]probeResult{}}
 }
 
-// HasEnded reports whether the runner whose answer broke has ended.
-func (w *Witness) HasEnded(runner, address string) bool {
-	// The look below returns no error.
-	ended, _, _ := w.looks.Do(runner, func() (any, error) {
-		if found, known := w.known(runner); known {
+// HasEnded reports whether the runner of a broken request has ended.
+func (w *CrashDetector) HasEnded(runner, address string) bool {
+	// The function below returns no error.
+	ended, _, _ := w.probes.Do(runner, func() (any, error) {
+		if found, known := w.cachedResult(runner); known {
 			return found, nil
 		}
-		// The look is for all who wait: no single request's end ends it.
-		ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+		// All waiting requests share the probe, so it does not use a request's context.
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		found := w.prober.ConnectionRefused(ctx, address)
-		w.keep(runner, found)
+		w.cacheResult(runner, found)
 		return found, nil
 	})
 	return ended.(bool)
 }
 
-func (w *Witness) known(runner string) (ended, known bool) {
+func (w *CrashDetector) cachedResult(runner string) (ended, known bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	found, known := w.findings[runner]
-	return found.ended, known && time.Since(found.at) < findingLife
+	found, known := w.results[runner]
+	return found.ended, known && time.Since(found.at) < probeResultTTL
 }
 
-func (w *Witness) keep(runner string, ended bool) {
+func (w *CrashDetector) cacheResult(runner string, ended bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if len(w.findings) >= maxFindings {
-		clear(w.findings)
+	if len(w.results) >= maxProbeResults {
+		clear(w.results)
 	}
-	w.findings[runner] = finding{ended, time.Now()}
+	w.results[runner] = probeResult{ended, time.Now()}
 }
