--- a/internal/serving/quarantine/coordinator.go
+++ b/internal/serving/quarantine/coordinator.go
@@ -121,7 +121,7 @@
 
 func (c *Coordinator) recordEnding(request string, fingerprint Fingerprint, runner string) {
 	outcome := c.table.RecordEnding(fingerprint, runner, true, time.Now())
-	klog.InfoS("runner ended under a request", "id", request, "fingerprint", fingerprint, "runner", runner,
+	klog.InfoS("runner ended while running a request", "id", request, "fingerprint", fingerprint, "runner", runner,
 		"counted", outcome.Counted, "held", outcome.Hold != nil)
 	if !outcome.Counted {
 		return
@@ -155,7 +155,7 @@
 		event = eventLift
 	}
 	c.events.WithLabelValues(event).Inc()
-	klog.InfoS("request quarantine", "event", event, "fingerprint", hold.Fingerprint,
+	klog.InfoS("quarantine hold changed", "event", event, "fingerprint", hold.Fingerprint,
 		"until", time.UnixMilli(hold.Until).UTC(), "decided", time.UnixMilli(hold.Decided).UTC(), "source", source)
 }
 
--- a/internal/serving/quarantine/decision.go
+++ b/internal/serving/quarantine/decision.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// EndingsToHold is the number of different runners that have to end under a
-	// request before it is held. Fewer endings are ambiguous: several requests run at
+	// EndingsToHold is the number of different runners that have to end while running
+	// a request before it is held. Fewer endings are ambiguous: several requests run at
 	// a runner, and requests that broke together may be retried at the same runner.
 	EndingsToHold = 3
 	// endingTTL is how long an ending counts. Callers may retry after minutes.
@@ -27,7 +27,7 @@
 }
 
 // mustHold reports whether a request has to be held: enough different runners have
-// ended under it within endingTTL, and it has no active hold.
+// ended while running it within endingTTL, and it has no active hold.
 func mustHold(endings int, last Hold, now time.Time) bool {
 	return endings >= EndingsToHold && last.Until <= now.UnixMilli()
 }
--- a/internal/serving/quarantine/table.go
+++ b/internal/serving/quarantine/table.go
@@ -16,7 +16,7 @@
 	maxHolds    = 1024
 )
 
-// suspect is a request under which runners ended.
+// suspect is a request that one or more runners were running when they ended.
 type suspect struct {
 	// endings contains the time of each ending, by runner.
 	endings map[string]time.Time
--- a/internal/serving/quarantine/table_test.go
+++ b/internal/serving/quarantine/table_test.go
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// A request is held for a bounded time once enough different runners have ended under
-// it.
+// A request is held for a bounded time once enough different runners have ended while
+// running it.
 func TestRequestIsHeldAfterEnoughEndings(t *testing.T) {
 	is := is.New(t)
 	table := NewSuspectTable()
