--- a/internal/serving/engine/client.go
+++ b/internal/serving/engine/client.go
@@ -1,9 +1,9 @@
-// Package engine speaks to one model engine: the OpenAI HTTP API with the
-// extensions engines publish (priority, resumable server-sent events by
-// Last-Event-ID, cancel, fenced orders). It owns the connections to engines and
-// keeps no other state; the plain node runs it (modules/serving/owner).
+// Package engine is a client for model engines. It uses the OpenAI HTTP API with
+// extensions: priorities, server-sent events that can be resumed by Last-Event-ID,
+// cancellation and fenced orders. It keeps connections to engines and no other state.
+// The plain node uses it (modules/serving/owner).
 //
-// Every error says whether the work was run, in the terms of package result.
+// Errors are those of package result and state whether the work was run.
 package engine
 
 import (
@@ -21,7 +21,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// Priorities sent to engines: a lower number is served first.
+// Priorities of requests to engines, which serve lower numbers first.
 const (
 	PriorityOnline = 0
 	PriorityBatch  = 10
@@ -29,7 +29,7 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	// maxErrorBytes bounds an answer that is not a stream.
+	// maxErrorBytes bounds a response that is not a stream.
 	maxErrorBytes = 64 << 10
 )
 
@@ -42,23 +42,22 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdle() }
 
-// Request is one generation.
+// Request is a request for a generation.
 type Request struct {
-	// ID names the stream at the engine; unique for every dispatch.
+	// ID identifies the stream at the engine and is unique for each dispatch.
 	ID       string
 	Surface  wirev1.Surface
 	Body     []byte
 	Priority int
-	// Once forbids kept connections, so that a stale one cannot make the
-	// outcome unknown.
+	// Once marks work that must not run twice. It is sent on a new connection, since
+	// the failure of a stale one would leave the outcome unknown.
 	Once bool
-	// Received is text the caller already has; generation continues after it.
-	Received string
-	// ReceivedTokens is the number of tokens in Received.
+	// Received is the text that the caller already has. Generation continues after it.
+	Received       string
 	ReceivedTokens int
 }
 
-// Path returns the engine path of a surface.
+// Path returns the URL path of a surface at an engine.
 func Path(surface wirev1.Surface) string {
 	if surface == wirev1.Surface_SURFACE_CHAT {
 		return "/v1/chat/completions"
@@ -66,10 +65,11 @@
 	return "/v1/completions"
 }
 
-// Start dispatches a generation and waits for the engine's answer header. The
-// stream must be closed. Errors: EngineRejected, NotFound and EngineRefused if the
-// engine did not run it, EngineFailed if it failed, and those of a broken
-// connection, which say whether the request may have been sent.
+// Start dispatches a generation and waits for the engine's response header. The caller
+// must close the stream. The error is EngineRejected, NotFound or EngineRefused if the
+// engine did not run the request, and EngineFailed if the engine failed. Without a
+// response it is NoRunner or DeadlineTooClose if the request was not sent, and
+// OutcomeUnknown or DeadlineExceeded otherwise.
 func (c *Client) Start(ctx context.Context, address string, request *Request) (*Stream, error) {
 	body, err := streamBody(request)
 	if err != nil {
@@ -83,13 +83,13 @@
 		return nil, dispatchError(ctx, address, err)
 	}
 	if response.Status != statusOK {
-		return nil, refusal(response)
+		return nil, statusError(response)
 	}
 	return newStream(response, request.ID, request.Surface, 0), nil
 }
 
-// Resume re-attaches to a stream after the event with the given index; -1
-// re-attaches from its beginning. The errors are those of Start.
+// Resume re-attaches to a stream after the event with the given index, or from the
+// start of the stream if the index is -1. The errors are those of Start.
 func (c *Client) Resume(ctx context.Context, address, id string, surface wirev1.Surface, after int) (*Stream, error) {
 	headers := [][2]string{}
 	if after >= 0 {
@@ -100,13 +100,13 @@
 		return nil, dispatchError(ctx, address, err)
 	}
 	if response.Status != statusOK {
-		return nil, refusal(response)
+		return nil, statusError(response)
 	}
 	return newStream(response, id, surface, after+1), nil
 }
 
-// Cancel asks the engine to stop a stream. It does not need the caller's
-// context, which has usually ended; cancelTimeout bounds the call.
+// Cancel asks the engine to stop a stream, within cancelTimeout. The context should
+// not be that of the stream, which has usually ended.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -120,8 +120,8 @@
 
 func streamURL(address, id string) string { return "http://" + address + "/v1/streams/" + id }
 
-// Order is a fenced order to an engine: it obeys only orders whose fence is
-// not below the highest it has seen.
+// Order is a fenced order to an engine. The engine rejects an order whose fence is
+// below the highest that it has seen.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
@@ -131,8 +131,8 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Send gives an engine an order. It returns StaleEpoch if the engine has seen a
-// higher fence, else the errors of Start.
+// Send sends an order to an engine. It returns StaleEpoch if the engine has seen a
+// higher fence, and otherwise the errors of Start.
 func (c *Client) Send(ctx context.Context, address string, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -150,13 +150,13 @@
 		return result.New(result.StaleEpoch, "engine %s has seen a higher fence than %d", address, order.Fence)
 	}
 	if response.Status != statusOK {
-		return refusal(response)
+		return statusError(response)
 	}
 	_, err = response.ReadAll(maxErrorBytes)
 	return err
 }
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
@@ -166,8 +166,8 @@
 	Boot     string   `json:"boot"`
 }
 
-// State asks an engine what it has loaded. An answer that can't be read is
-// EngineFailed.
+// State returns the state of an engine. It returns EngineFailed if the response is
+// invalid.
 func (c *Client) State(ctx context.Context, address string) (*State, error) {
 	response, err := c.http.Do(ctx, &httpcall.Request{Method: "GET", URL: "http://" + address + "/v1/state"})
 	if err != nil {
@@ -194,7 +194,7 @@
 	statusUnavailable     = 503
 )
 
-// streamBody turns a caller's body into the one sent to the engine.
+// streamBody returns the body to send to the engine for a caller's body.
 func streamBody(request *Request) ([]byte, error) {
 	body := request.Body
 	edits := []struct {
@@ -215,7 +215,8 @@
 	return continueBody(body, request)
 }
 
-// continueBody asks for the rest of an answer whose beginning the caller has.
+// continueBody changes a body to request the rest of a response whose beginning the
+// caller already has.
 func continueBody(body []byte, request *Request) ([]byte, error) {
 	var err error
 	if limit := gjson.GetBytes(body, "max_tokens").Int(); limit > 0 {
@@ -246,7 +247,7 @@
 	return edited, nil
 }
 
-// dispatchError maps a failed exchange to a result code.
+// dispatchError maps a transport error to a result code.
 func dispatchError(ctx context.Context, address string, err error) error {
 	var notSent *httpcall.NotSentError
 	if errors.As(err, &notSent) {
@@ -261,9 +262,9 @@
 	return result.New(result.OutcomeUnknown, "engine %s: %v", address, err)
 }
 
-// refusal maps an engine's error answer. 400, 404, 422, 429 and 503 are the
-// engine's own report that it did not run the request; others are not.
-func refusal(response *httpcall.Response) error {
+// statusError maps an engine's error response to a result code. With status 400, 404,
+// 422, 429 or 503 the engine did not run the request; with others it may have.
+func statusError(response *httpcall.Response) error {
 	status := response.Status
 	retryAfter := gjson.ParseBytes(response.Header.Peek("Retry-After")).Float()
 	body, err := response.ReadAll(maxErrorBytes)
--- a/internal/serving/engine/stream.go
+++ b/internal/serving/engine/stream.go
@@ -14,9 +14,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// Event is one piece of an answer.
+// Event is one event of a response.
 type Event struct {
-	// Index is the event's place in the stream, from 0, without gaps.
+	// Index is the event's position in the stream, from 0, without gaps.
 	Index int
 	Text  string
 	// FinishReason is set on the last event with text, for example "stop".
@@ -25,51 +25,52 @@
 	Usage *Usage
 }
 
-// Usage counts tokens.
+// Usage is the number of tokens that a generation used.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
 }
 
-// maxReorder bounds how far ahead of the next expected event an early one is
-// kept. An engine whose events are further apart is broken.
-const maxReorder = 256
+// maxReorderDistance bounds how far ahead of the next expected event an event is
+// buffered. A larger gap is an error of the engine.
+const maxReorderDistance = 256
 
 const streamBufferBytes = 16 << 10
 
-// Stream reads the events of one generation in order. Events of other
-// requests are refused, repeats dropped, and early ones held back, so that a
-// caller gets its own answer whole however the engine sends it.
+// Stream reads the events of one generation in order. It drops repeated events and
+// events of other requests, and buffers events that arrive ahead of their turn.
 type Stream struct {
-	// Repeated and Foreign count events dropped for those reasons.
+	// Repeated and Foreign count the events that were dropped for these reasons.
 	Repeated, Foreign int
 
-	response *httpcall.Response
-	reader   *bufio.Reader
-	id       string
-	surface  wirev1.Surface
-	next     int
-	early    map[int]Event
-	done     bool
-	ended    bool
+	response     *httpcall.Response
+	reader       *bufio.Reader
+	id           string
+	surface      wirev1.Surface
+	next         int
+	buffered     map[int]Event
+	doneReceived bool
+	ended        bool
 }
 
 func newStream(response *httpcall.Response, id string, surface wirev1.Surface, next int) *Stream {
 	return &Stream{
 		response: response, reader: bufio.NewReaderSize(response, streamBufferBytes),
-		id: id, surface: surface, next: next, early: map[int]Event{},
+		id: id, surface: surface, next: next, buffered: map[int]Event{},
 	}
 }
 
-// Close gives up the stream; the engine is not notified, see Client.Cancel.
+// Close closes the connection of the stream. It does not stop the generation at the
+// engine; Client.Cancel does.
 func (s *Stream) Close() { s.response.Close() }
 
-// Next returns the next event. io.EOF follows the last event of an answer that
-// ended as the engine meant; any other end is a RunnerLost error.
+// Next returns the next event. It returns io.EOF after the last event of a complete
+// response, EngineFailed if the engine reports an error, and RunnerLost if the stream
+// is incomplete.
 func (s *Stream) Next() (Event, error) {
 	for {
-		if event, found := s.early[s.next]; found {
-			delete(s.early, s.next)
+		if event, found := s.buffered[s.next]; found {
+			delete(s.buffered, s.next)
 			s.next++
 			return event, nil
 		}
@@ -83,7 +84,7 @@
 }
 
 func (s *Stream) endError() error {
-	if len(s.early) > 0 {
+	if len(s.buffered) > 0 {
 		return result.New(result.RunnerLost, "stream %s ended without event %d", s.id, s.next)
 	}
 	return io.EOF
@@ -92,10 +93,10 @@
 var (
 	dataPrefix = []byte("data:")
 	idPrefix   = []byte("id:")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
-// readEvent reads one server-sent event and files it under its index.
+// readEvent reads one server-sent event and stores it by its index.
 func (s *Stream) readEvent() error {
 	index := -1
 	var data []byte
@@ -109,7 +110,7 @@
 			if data == nil {
 				continue
 			}
-			return s.file(index, data)
+			return s.storeEvent(index, data)
 		}
 		if rest, ok := bytes.CutPrefix(line, dataPrefix); ok {
 			data = append(data, bytes.TrimSpace(rest)...)
@@ -123,16 +124,16 @@
 }
 
 func (s *Stream) readError(err error) error {
-	if s.done && errors.Is(err, io.EOF) {
+	if s.doneReceived && errors.Is(err, io.EOF) {
 		s.ended = true
 		return nil
 	}
 	return result.New(result.RunnerLost, "stream %s broke after %d events: %v", s.id, s.next, err)
 }
 
-func (s *Stream) file(index int, data []byte) error {
-	if bytes.Equal(data, doneMark) {
-		s.done = true
+func (s *Stream) storeEvent(index int, data []byte) error {
+	if bytes.Equal(data, doneMarker) {
+		s.doneReceived = true
 		return nil
 	}
 	parsed := gjson.ParseBytes(data)
@@ -146,14 +147,14 @@
 	if index < 0 {
 		index = s.next
 	}
-	if _, held := s.early[index]; held || index < s.next {
+	if _, held := s.buffered[index]; held || index < s.next {
 		s.Repeated++
 		return nil
 	}
-	if index > s.next+maxReorder {
+	if index > s.next+maxReorderDistance {
 		return result.New(result.RunnerLost, "stream %s skipped from event %d to %d", s.id, s.next, index)
 	}
-	s.early[index] = decodeEvent(index, parsed, s.surface)
+	s.buffered[index] = decodeEvent(index, parsed, s.surface)
 	return nil
 }
 
--- a/internal/serving/engine/stream_test.go
+++ b/internal/serving/engine/stream_test.go
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("id: %d\ndata: {\"id\":%q,\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", index, id, text)
 }
 
-// answer serves one response and returns the stream read from it.
-func answer(t interface{ Fatalf(string, ...any) }, body string) (*Stream, func()) {
+// serveResponse serves one response and returns the stream that reads it.
+func serveResponse(t interface{ Fatalf(string, ...any) }, body string) (*Stream, func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("listen: %v", err)
@@ -62,9 +62,9 @@
 	}
 }
 
-// However the engine repeats, reorders and mixes in other streams' events, the
-// caller gets its own answer whole; an answer that is cut is an error.
-func TestAnswerIsWholeOrAnError(t *testing.T) {
+// A stream with repeated, reordered and foreign events is read completely and in
+// order, and a truncated stream is an error.
+func TestStreamIsCompleteOrAnError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 20).Draw(t, "tokens")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -91,32 +91,32 @@
 		} else {
 			events = append(events, "data: [DONE]\n\n")
 		}
-		stream, closeAll := answer(t, strings.Join(events, ""))
+		stream, closeAll := serveResponse(t, strings.Join(events, ""))
 		defer closeAll()
 		text, err := collect(stream)
 		if cut && result.CodeOf(err) != result.RunnerLost {
-			t.Fatalf("a cut answer ended with %v", err)
+			t.Fatalf("a truncated response ended with %v", err)
 		}
 		if !cut && (err != nil || text != want) {
 			t.Fatalf("got %q and %v, want %q", text, err, want)
 		}
 		if !strings.HasPrefix(want, text) {
-			t.Fatalf("emitted %q, which does not begin %q", text, want)
+			t.Fatalf("emitted %q, which is not a prefix of %q", text, want)
 		}
 	})
 }
 
-// A missing event in the middle is never skipped, even if the end came.
-func TestGapIsAnError(t *testing.T) {
+// A missing event is an error even if the end of the stream was received.
+func TestMissingEventIsAnError(t *testing.T) {
 	is := is.New(t)
-	stream, closeAll := answer(t, sse(0, streamID, " a")+sse(2, streamID, " c")+"data: [DONE]\n\n")
+	stream, closeAll := serveResponse(t, sse(0, streamID, " a")+sse(2, streamID, " c")+"data: [DONE]\n\n")
 	defer closeAll()
 	text, err := collect(stream)
 	is.Equal(text, " a")
 	is.Equal(result.CodeOf(err), result.RunnerLost)
 }
 
-func TestContinuationAsksForTheRest(t *testing.T) {
+func TestContinuationRequestsRemainingTokens(t *testing.T) {
 	is := is.New(t)
 	request := &Request{Surface: wirev1.Surface_SURFACE_CHAT, Body: []byte(`{"model":"m","max_tokens":10,"messages":[{"role":"user","content":"q"}]}`), Received: " a b", ReceivedTokens: 2}
 	body, err := streamBody(request)
