--- a/internal/serving/authn/authn.go
+++ b/internal/serving/authn/authn.go
@@ -1,9 +1,9 @@
-// Package authn decides whose request one is, by the key that its caller sent
-// and the configuration in force. Its errors hold no part of a key.
+// Package authn determines the tenant of a request from the key that the caller sent
+// and the active configuration. Its errors contain no part of a key.
 //
-// It owns nothing and does no I/O; it relies on package catalog for the tenants and
-// their keys. The edge runs it first; package admission then holds the tenant to its
-// limit. The plain node authenticates against its bundle instead.
+// It keeps no state and does no I/O; package catalog provides the tenants and their
+// keys. The edge authenticates each request before package admission applies the
+// tenant's limit. The plain node authenticates against its bundle instead.
 package authn
 
 import (
@@ -13,29 +13,30 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/catalog"
 )
 
-// Credentials are what a request carries: a key, or what is wrong with it.
+// Credentials are the credentials of a request: a key, or the reason why it has no
+// usable one.
 type Credentials struct {
 	Key string
-	// Problem says why there is no key that could be looked up; empty if there is.
+	// Problem describes why there is no key to look up; empty if there is a key.
 	Problem string
 }
 
-// Authenticator finds the tenants of requests.
+// Authenticator determines the tenants of requests.
 type Authenticator struct {
-	// RevokeTime is for how long the configuration may be unconfirmed before keys are
-	// refused, which may have been taken away meanwhile; 0 is any time.
+	// RevokeTime is how long the configuration may be unconfirmed before keys are
+	// refused, since they may have been revoked in the meantime; 0 disables the check.
 	RevokeTime time.Duration
-	// SinceConfirmed returns how long ago the configuration in force was last known to
-	// be the newest; nil where that is not known.
+	// SinceConfirmed returns the time since the active configuration was last
+	// confirmed to be the newest; nil if that is not known.
 	SinceConfirmed func() time.Duration
 }
 
-// staleRetryAfter is when a caller should come back to a node that does not know
-// whether keys still hold.
+// staleRetryAfter is the delay after which a caller should retry at a node that does
+// not know whether keys are still valid.
 const staleRetryAfter = time.Second
 
-// UnconfirmedFor is how long ago the configuration in force was last known to be the
-// newest; 0 where that is not known.
+// UnconfirmedFor returns the time since the active configuration was last confirmed to
+// be the newest; 0 if that is not known.
 func (a *Authenticator) UnconfirmedFor() time.Duration {
 	if a.SinceConfirmed == nil {
 		return 0
@@ -43,32 +44,33 @@
 	return a.SinceConfirmed()
 }
 
-// Authenticate returns the tenant that holds the key: nil where the configuration
-// has no tenants, or the route is public and nobody holds the key.
-func (a *Authenticator) Authenticate(held *catalog.Catalog, credentials Credentials, public bool) (*catalog.Tenant, error) {
-	if !held.RequiresKeys() {
+// Authenticate returns the tenant that the key belongs to. It returns nil if the
+// configuration requires no keys, or if the route is public and the key belongs to no
+// tenant.
+func (a *Authenticator) Authenticate(current *catalog.Catalog, credentials Credentials, public bool) (*catalog.Tenant, error) {
+	if !current.RequiresKeys() {
 		return nil, nil
 	}
 	problem := credentials.Problem
 	if problem == "" {
-		if tenant := held.TenantOf(credentials.Key); tenant != nil {
-			return a.fresh(held, tenant)
+		if tenant := current.TenantOf(credentials.Key); tenant != nil {
+			return a.checkConfirmed(current, tenant)
 		}
 		problem = "the key is not known"
 	}
 	if public {
 		return nil, nil
 	}
-	return nil, result.New(result.Unauthenticated, "%s in version %d", problem, held.Version)
+	return nil, result.New(result.Unauthenticated, "%s in version %d", problem, current.Version)
 }
 
-// fresh refuses a tenant's request if its key may have been taken away without
-// this node knowing.
-func (a *Authenticator) fresh(held *catalog.Catalog, tenant *catalog.Tenant) (*catalog.Tenant, error) {
+// checkConfirmed returns the tenant, or an error if its key may have been revoked
+// without this node having received the change.
+func (a *Authenticator) checkConfirmed(current *catalog.Catalog, tenant *catalog.Tenant) (*catalog.Tenant, error) {
 	age := a.UnconfirmedFor()
 	if a.RevokeTime == 0 || age <= a.RevokeTime {
 		return tenant, nil
 	}
 	return nil, result.New(result.NotReady, "keys can't be checked: the configuration is not confirmed for %s, version %d is held",
-		age.Round(time.Millisecond), held.Version).WithRetryAfter(staleRetryAfter)
+		age.Round(time.Millisecond), current.Version).WithRetryAfter(staleRetryAfter)
 }
