--- a/modules/serving/crashes/crashes.go
+++ b/modules/serving/crashes/crashes.go
@@ -1,7 +1,7 @@
-// Package crashes keeps requests away from model engines that such requests crash,
-// on all nodes of a fleet: it gives internal/serving/quarantine the fleet's members, the
-// links between nodes and the platform's key-value service. It owns what follows the
-// stored holds; the plain node runs it.
+// Package crashes runs the quarantine of requests that crash model engines. It
+// connects internal/serving/quarantine to the fleet's members, the links between
+// nodes and the platform's key-value service, and it watches the stored holds. The
+// plain node runs it.
 package crashes
 
 import (
@@ -65,7 +65,7 @@
 		return trace.Wrap(err)
 	}
 	m.archive = quarantine.NewArchive(m.store)
-	m.coordinator = quarantine.NewCoordinator(members{views}, pool, prober{httpcall.NewClient(nil)}, m.archive, registry)
+	m.coordinator = quarantine.NewCoordinator(nodeDirectory{views}, pool, prober{httpcall.NewClient(nil)}, m.archive, registry)
 	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.coordinator.ReceiveNotice)
 	server.Handle(wirev1.Method_METHOD_QUARANTINE_ADMIN, m.coordinator.ServeAdmin)
 	ctx.Provide(m.coordinator)
@@ -74,7 +74,7 @@
 
 // Start implements kernel.Starter.
 func (m *Module) Start(ctx context.Context) error {
-	for _, run := range []func(context.Context){m.coordinator.Run, m.archive.Run, m.follow} {
+	for _, run := range []func(context.Context){m.coordinator.Run, m.archive.Run, m.followHolds} {
 		m.background.Go(func() { run(ctx) })
 	}
 	return nil
@@ -83,19 +83,19 @@
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() { m.background.Wait() }
 
-// readPause is the pause between two tries to read what is kept while the service
-// does not answer, or after a watch broke.
-const readPause = 2 * time.Second
+// retryDelay is the delay before the stored holds are read again after a failed read
+// or the end of a watch.
+const retryDelay = 2 * time.Second
 
-// follow takes what is kept at the start, and what other nodes keep later.
-func (m *Module) follow(ctx context.Context) {
+// followHolds applies the stored holds at the start and on each change.
+func (m *Module) followHolds(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := m.followOnce(ctx); err != nil && ctx.Err() == nil {
-			klog.V(1).InfoS("quarantine not read from the key-value service", "err", err)
+			klog.V(1).InfoS("reading the stored quarantine failed", "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(readPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -116,16 +116,16 @@
 	return trace.Wrap(err)
 }
 
-// members presents the fleet's view as node records.
-type members struct{ views Views }
+// nodeDirectory adapts the fleet's view to notify.NodeDirectory.
+type nodeDirectory struct{ views Views }
 
-var _ notify.NodeDirectory = members{}
+var _ notify.NodeDirectory = nodeDirectory{}
 
 // Self implements notify.NodeDirectory.
-func (m members) Self() *wirev1.NodeRecord { return recordOf(m.views.View().Self) }
+func (m nodeDirectory) Self() *wirev1.NodeRecord { return recordOf(m.views.View().Self) }
 
 // Records implements notify.NodeDirectory.
-func (m members) Records() []*wirev1.NodeRecord {
+func (m nodeDirectory) Records() []*wirev1.NodeRecord {
 	view := m.views.View()
 	var records []*wirev1.NodeRecord
 	for _, candidate := range view.Candidates {
@@ -138,7 +138,7 @@
 	return &wirev1.NodeRecord{NodeId: member.Id, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
 
-// prober looks for engines.
+// prober probes the addresses of engines over HTTP.
 type prober struct{ http *httpcall.Client }
 
 var _ quarantine.Prober = prober{}
