--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -83,7 +83,7 @@
 }
 
 // itemResult is what is stored of an ended run.
-func itemResult(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchAnswer, err error) *wirev1.ItemResult {
+func itemResult(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchResponse, err error) *wirev1.ItemResult {
 	ended := &wirev1.ItemResult{Item: granted.Key, Attempt: granted.Attempt, RequestId: request.ID}
 	if err == nil {
 		ended.HttpStatus = 200
@@ -138,7 +138,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func encodeAnswer(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchAnswer) []byte {
+func encodeAnswer(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchResponse) []byte {
 	body := answerBody{
 		ID: request.ID, Object: "text_completion", Created: time.Now().Unix(), Model: granted.Item.Model,
 		Usage: answerUsage{answer.PromptTokens, answer.CompletionTokens, answer.PromptTokens + answer.CompletionTokens},
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -39,7 +39,7 @@
 // Owner is the part of the owner module used here.
 type Owner interface {
 	FreeBatchSlots() map[string]int
-	RunBatch(context.Context, *owner.BatchRequest) (*owner.BatchAnswer, error)
+	RunBatch(context.Context, *owner.BatchRequest) (*owner.BatchResponse, error)
 	StopBatch()
 	Freed() <-chan struct{}
 }
--- a/modules/serving/owner/batch.go
+++ b/modules/serving/owner/batch.go
@@ -13,8 +13,8 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// FreeBatchSlots returns how many batch items may start now, by model. It is empty
-// while the node drains.
+// FreeBatchSlots returns the number of batch items that may start now, by model. It
+// is empty while the node drains.
 func (m *Module) FreeBatchSlots() map[string]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -31,8 +31,8 @@
 	return free
 }
 
-// StopBatch preempts the batch items that may run again and starts no others on
-// this node.
+// StopBatch preempts the batch items that may run again and prevents new items from
+// starting on this node.
 func (m *Module) StopBatch() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -49,55 +49,55 @@
 	}
 }
 
-// BatchRequest is one item to run.
+// BatchRequest is a batch item to run.
 type BatchRequest struct {
 	ID      string
 	Model   string
 	Surface wirev1.Surface
 	Body    []byte
-	// Once items are not preempted: a run that was cut short could not be
-	// tried again.
+	// Once marks an item that must not run twice. It is not preempted, since it
+	// could not be retried.
 	Once bool
-	// Started is called once the item counts against its runner, or cannot.
+	// Started is called when a slot has been taken for the item or none was free.
 	Started func()
 }
 
-// BatchAnswer is a whole answer.
-type BatchAnswer struct {
+// BatchResponse is the complete response to a batch item.
+type BatchResponse struct {
 	Text             string
 	FinishReason     string
 	PromptTokens     int
 	CompletionTokens int
 }
 
-// RunBatch runs one item in idle capacity. It returns Saturated if there is
-// none and Preempted if online work took the slot; after both the item is to be
-// run again.
-func (m *Module) RunBatch(ctx context.Context, request *BatchRequest) (*BatchAnswer, error) {
+// RunBatch runs a batch item in idle capacity. It returns Saturated if there is no
+// idle capacity and Preempted if online work took the slot; in both cases the caller
+// retries the item later.
+func (m *Module) RunBatch(ctx context.Context, request *BatchRequest) (*BatchResponse, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	preempt := cancel
 	if request.Once {
 		preempt = nil
 	}
-	place, stream, err := m.startBatch(request.Model, preempt)
+	chosen, stream, err := m.startBatch(request.Model, preempt)
 	request.Started()
 	if err != nil {
 		return nil, err
 	}
-	defer m.batchDone(place.runner, stream)
+	defer m.batchDone(chosen.runner, stream)
 	m.metrics.dispatched.WithLabelValues("batch").Inc()
-	answer, err := m.collectBatch(ctx, place, request)
+	answer, err := m.collectBatch(ctx, chosen, request)
 	if err != nil {
-		err = explainBatch(ctx, err)
-		m.abandonBatch(place, request.ID, err)
+		err = batchError(ctx, err)
+		m.abortBatch(chosen, request.ID, err)
 		return nil, err
 	}
-	m.noteOutcome(place.runner, nil)
+	m.recordOutcome(chosen.runner, nil)
 	return answer, nil
 }
 
-func (m *Module) startBatch(model string, cancel context.CancelCauseFunc) (*admission, arbiter.BatchStream, error) {
+func (m *Module) startBatch(model string, cancel context.CancelCauseFunc) (*assignment, arbiter.BatchStream, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	name, known := m.modelOf(model)
@@ -122,7 +122,7 @@
 		return nil, 0, result.New(result.Saturated, "no idle capacity on runner %s", best.id)
 	}
 	best.cancels[stream] = cancel
-	return &admission{id: best.id, address: best.address, runner: best, model: name}, stream, nil
+	return &assignment{id: best.id, address: best.address, runner: best, model: name}, stream, nil
 }
 
 func (m *Module) batchDone(r *runner, stream arbiter.BatchStream) {
@@ -133,15 +133,16 @@
 	m.signalFreed()
 }
 
-// batchTokenTimeout bounds how long a batch stream may go without a token.
+// batchTokenTimeout bounds the wait for the next event of a batch stream, also for the
+// first one.
 const batchTokenTimeout = 20 * time.Second
 
-func (m *Module) collectBatch(ctx context.Context, place *admission, request *BatchRequest) (*BatchAnswer, error) {
+func (m *Module) collectBatch(ctx context.Context, chosen *assignment, request *BatchRequest) (*BatchResponse, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := time.AfterFunc(batchTokenTimeout, func() { cancel(exchange.ErrUnresponsive) })
 	defer timer.Stop()
-	stream, err := m.engines.Start(ctx, place.address, &engine.Request{
+	stream, err := m.engines.Start(ctx, chosen.address, &engine.Request{
 		ID: request.ID, Surface: request.Surface, Body: request.Body, Priority: engine.PriorityBatch, Once: request.Once,
 	})
 	if err != nil {
@@ -150,7 +151,7 @@
 	defer stream.Close()
 	defer m.countDropped(stream)
 	var text []byte
-	answer := &BatchAnswer{}
+	answer := &BatchResponse{}
 	for {
 		event, err := stream.Next()
 		if errors.Is(err, io.EOF) {
@@ -171,7 +172,7 @@
 	}
 }
 
-func explainBatch(ctx context.Context, err error) error {
+func batchError(ctx context.Context, err error) error {
 	var known *result.Error
 	if cause := context.Cause(ctx); cause != nil {
 		if errors.As(cause, &known) {
@@ -182,13 +183,14 @@
 	return err
 }
 
-// abandonBatch stops the engine's work on an item this node gave up.
-func (m *Module) abandonBatch(place *admission, id string, err error) {
+// abortBatch cancels a failed item at its engine if it may still be running there. It
+// records a failure of the runner unless the item was preempted or its caller is gone.
+func (m *Module) abortBatch(chosen *assignment, id string, err error) {
 	code := result.CodeOf(err)
 	if code == result.Preempted || code == result.CallerGone || code == result.RunnerLost {
-		m.cancelAtEngine(place.address, id)
+		m.cancelAtEngine(chosen.address, id)
 	}
 	if code != result.Preempted && code != result.CallerGone {
-		m.noteOutcome(place.runner, err)
+		m.recordOutcome(chosen.runner, err)
 	}
 }
--- a/modules/serving/owner/dispatch.go
+++ b/modules/serving/owner/dispatch.go
@@ -14,18 +14,17 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Emit takes one event of an answer. An error ends the stream: the accepting
-// side is gone.
+// Emit sends one event of a response to the accepting node. An error ends the
+// stream, since the accepting node is gone.
 type Emit func(*wirev1.DispatchEvent) error
 
-// errPreempted is the cause by which batch streams are cancelled for online
-// work.
+// errPreempted is the cancellation cause of preempted batch streams.
 var errPreempted = result.New(result.Preempted, "slot given back to online work")
 
 const (
-	// firstTokenTimeoutFactor bounds the wait for a first token as a multiple of
-	// its target; tokenGapTimeout bounds the wait between tokens. A runner that is
-	// silent for longer is treated as lost.
+	// firstTokenTimeoutFactor bounds the wait for the first token as a multiple of
+	// its target; tokenGapTimeout bounds the wait between events. A runner that
+	// exceeds either is treated as lost.
 	firstTokenTimeoutFactor = 4
 	tokenGapTimeout         = 2 * time.Second
 )
@@ -46,9 +45,9 @@
 	return m.Reattach(ctx, &request, func(event *wirev1.DispatchEvent) error { return stream.Send(event) })
 }
 
-// Dispatch runs an online request on an owned runner. Runners that provably
-// did not run it are passed over; any other failure is returned, because only
-// the accepting node knows whether a repeat is allowed.
+// Dispatch runs an online request on an owned runner. If a runner provably did not
+// run the request, Dispatch tries another one. It returns any other failure, because
+// only the accepting node knows whether a retry is allowed.
 func (m *Module) Dispatch(ctx context.Context, request *wirev1.DispatchRequest, emit Emit) error {
 	excluded := append([]string(nil), request.ExcludeRunners...)
 	var refused error
@@ -69,8 +68,8 @@
 	}
 }
 
-// provablyNotRun lists the errors after which another runner may be tried even
-// for work that must not run twice.
+// provablyNotRun reports whether another runner may be tried after an error, even for
+// work that must not run twice.
 func provablyNotRun(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NoRunner, result.EngineRefused:
@@ -80,16 +79,17 @@
 	}
 }
 
-// admission is an admitted online stream's place.
-type admission struct {
+// assignment is the runner on which a stream has taken a slot.
+type assignment struct {
 	id      string
 	address string
 	runner  *runner
 	model   string
 }
 
-// admitOnline chooses a runner, takes an online place and preempts batch.
-func (m *Module) admitOnline(request *wirev1.DispatchRequest, excluded []string) (*admission, error) {
+// admitOnline chooses a runner, takes an online slot on it and preempts batch streams
+// if necessary.
+func (m *Module) admitOnline(request *wirev1.DispatchRequest, excluded []string) (*assignment, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
@@ -112,10 +112,11 @@
 		return nil, result.New(result.Saturated, "runner %s is full", r.id).WithRetryAfter(time.Second)
 	}
 	m.preempt(r, preempted)
-	return &admission{id: r.id, address: r.address, runner: r, model: model}, nil
+	return &assignment{id: r.id, address: r.address, runner: r, model: model}, nil
 }
 
-// modelOf maps a requested name (a model or one of its adapters) to the model.
+// modelOf returns the model of a requested name, which is a model or one of its
+// adapters.
 func (m *Module) modelOf(name string) (string, bool) {
 	snapshot := m.snapshots.Snapshot()
 	if snapshot == nil {
@@ -128,7 +129,7 @@
 	return model.Name, true
 }
 
-// candidates lists owned runners of a model; the caller holds the mutex.
+// candidates lists the owned runners of a model. The caller holds the mutex.
 func (m *Module) candidates(model string, prefix uint64) []framework.Candidate {
 	var candidates []framework.Candidate
 	for _, r := range m.runners {
@@ -144,68 +145,69 @@
 	return candidates
 }
 
-// runOnline runs one admitted stream to its end.
-func (m *Module) runOnline(ctx context.Context, place *admission, request *wirev1.DispatchRequest, emit Emit) error {
-	defer m.onlineDone(place.runner)
+// runOnline runs an admitted stream to its end.
+func (m *Module) runOnline(ctx context.Context, chosen *assignment, request *wirev1.DispatchRequest, emit Emit) error {
+	defer m.onlineDone(chosen.runner)
 	m.metrics.dispatched.WithLabelValues("online").Inc()
-	if err := emit(&wirev1.DispatchEvent{RequestId: request.RequestId, Runner: place.id, Assigned: true, Load: m.Load(place.model)}); err != nil {
+	if err := emit(&wirev1.DispatchEvent{RequestId: request.RequestId, Runner: chosen.id, Assigned: true, Load: m.Load(chosen.model)}); err != nil {
 		return result.New(result.CallerGone, "accepting node is gone")
 	}
 	started := time.Now()
-	watch := m.watchSilence(ctx, place, request.Once)
-	defer watch.stop()
-	defer m.movable(place.runner, watch, request.Once)()
-	stream, err := m.engines.Start(watch.ctx, place.address, &engine.Request{
+	watchdog := m.startWatchdog(ctx, chosen, request.Once)
+	defer watchdog.stop()
+	defer m.registerMovable(chosen.runner, watchdog, request.Once)()
+	stream, err := m.engines.Start(watchdog.ctx, chosen.address, &engine.Request{
 		ID: request.RequestId, Surface: request.Surface, Body: request.Body, Priority: engine.PriorityOnline,
 		Once: request.Once, Received: request.ReceivedText, ReceivedTokens: int(request.ReceivedTokens),
 	})
 	if err != nil {
-		err = watch.explain(err)
-		m.noteOutcome(place.runner, err)
+		err = watchdog.translateError(err)
+		m.recordOutcome(chosen.runner, err)
 		return err
 	}
 	defer stream.Close()
-	return m.pump(watch, place, stream, request.RequestId, started, emit)
+	return m.forwardEvents(watchdog, chosen, stream, request.RequestId, started, emit)
 }
 
-// movable registers a stream that may be taken off a leaving runner and returns
-// what undoes it.
-func (m *Module) movable(r *runner, watch *silenceWatch, once bool) func() {
+// registerMovable registers a stream that may be moved off a leaving runner. It
+// returns a function that removes the registration.
+func (m *Module) registerMovable(r *runner, watchdog *streamWatchdog, once bool) func() {
 	if once {
 		return func() {}
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	r.moves[watch] = struct{}{}
+	r.movable[watchdog] = struct{}{}
 	return func() {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		delete(r.moves, watch)
+		delete(r.movable, watchdog)
 	}
 }
 
-// Reattach continues a stream that this node, or an owner before it, started.
+// Reattach continues a stream that this node or a previous owner started.
 func (m *Module) Reattach(ctx context.Context, request *wirev1.ReattachRequest, emit Emit) error {
 	listed, known := m.tables.Table().ByID[request.Runner]
 	if !known {
 		return result.New(result.NoRunner, "runner %s is not listed", request.Runner)
 	}
-	place := &admission{id: listed.ID, address: listed.Address, runner: m.countReattached(request.Runner), model: request.Model}
-	defer m.onlineDone(place.runner)
+	chosen := &assignment{id: listed.ID, address: listed.Address, runner: m.admitReattached(request.Runner), model: request.Model}
+	defer m.onlineDone(chosen.runner)
 	m.metrics.dispatched.WithLabelValues("reattach").Inc()
-	watch := m.watchSilence(ctx, place, false)
-	defer watch.stop()
-	stream, err := m.engines.Resume(watch.ctx, place.address, request.RequestId, request.Surface, int(request.LastEvent))
+	watchdog := m.startWatchdog(ctx, chosen, false)
+	defer watchdog.stop()
+	stream, err := m.engines.Resume(watchdog.ctx, chosen.address, request.RequestId, request.Surface, int(request.LastEvent))
 	if err != nil {
-		return watch.explain(err)
+		return watchdog.translateError(err)
 	}
 	defer stream.Close()
-	return m.pump(watch, place, stream, request.RequestId, time.Now(), emit)
+	return m.forwardEvents(watchdog, chosen, stream, request.RequestId, time.Now(), emit)
 }
 
-// countReattached takes an online place for a stream that already runs, even
-// beyond the runner's free slots; nil if this node does not own the runner.
-func (m *Module) countReattached(id string) *runner {
+// admitReattached takes an online slot for a stream that already runs. It returns nil,
+// and the stream is not counted, if this node does not own the runner or its arbiter
+// does not admit the stream.
+func (m *Module) admitReattached(id string) *runner {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r := m.runners[id]
@@ -230,31 +232,32 @@
 	m.signalFreed()
 }
 
-// pump passes events on until the answer ends, and measures the tail.
-func (m *Module) pump(watch *silenceWatch, place *admission, stream *engine.Stream, id string, started time.Time, emit Emit) error {
+// forwardEvents forwards events until the response ends and records the latency of
+// its tokens.
+func (m *Module) forwardEvents(watchdog *streamWatchdog, chosen *assignment, stream *engine.Stream, id string, started time.Time, emit Emit) error {
 	defer m.countDropped(stream)
 	last := started
 	first := true
 	for {
 		event, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			m.noteOutcome(place.runner, nil)
+			m.recordOutcome(chosen.runner, nil)
 			return nil
 		}
 		if err != nil {
-			err = watch.explain(err)
-			m.abandon(place, id, err)
+			err = watchdog.translateError(err)
+			m.abort(chosen, id, err)
 			return err
 		}
 		now := time.Now()
-		watch.eventReceived()
+		watchdog.eventReceived()
 		if event.Text != "" {
-			m.measure(place.runner, first, now.Sub(last))
+			m.recordLatency(chosen.runner, first, now.Sub(last))
 			first, last = false, now
 		}
-		if err := emit(toWire(id, place.id, event)); err != nil {
+		if err := emit(toWire(id, chosen.id, event)); err != nil {
 			gone := result.New(result.CallerGone, "accepting node is gone")
-			m.abandon(place, id, gone)
+			m.abort(chosen, id, gone)
 			return gone
 		}
 	}
@@ -274,7 +277,7 @@
 	return converted
 }
 
-func (m *Module) measure(r *runner, first bool, waited time.Duration) {
+func (m *Module) recordLatency(r *runner, first bool, waited time.Duration) {
 	if r == nil {
 		return
 	}
@@ -292,19 +295,20 @@
 	m.metrics.tokenGap.Observe(waited.Seconds())
 }
 
-// abandon cancels at the engine a stream nobody reads any more. A lost link
-// between nodes is not that: the accepting node re-attaches through another
-// owner, and the engine ends the stream by itself if nobody does.
-func (m *Module) abandon(place *admission, id string, err error) {
-	m.noteOutcome(place.runner, err)
+// abort records the outcome of a failed stream and cancels the stream at its engine
+// if no node will read it any more. Other streams keep running there: the accepting
+// node may re-attach through another owner, and the engine ends an unread stream by
+// itself.
+func (m *Module) abort(chosen *assignment, id string, err error) {
+	m.recordOutcome(chosen.runner, err)
 	switch result.CodeOf(err) {
 	case result.CallerGone, result.DeadlineExceeded, result.Preempted, result.EngineFailed:
-		m.cancelAtEngine(place.address, id)
+		m.cancelAtEngine(chosen.address, id)
 	}
 }
 
-// noteOutcome feeds the runner's health.
-func (m *Module) noteOutcome(r *runner, err error) {
+// recordOutcome counts a failure and updates the runner's health.
+func (m *Module) recordOutcome(r *runner, err error) {
 	code := result.CodeOf(err)
 	if code != result.OK {
 		m.metrics.failures.WithLabelValues(code.String()).Inc()
--- a/modules/serving/owner/orders.go
+++ b/modules/serving/owner/orders.go
@@ -11,28 +11,29 @@
 	"cobaltramp.example/cobaltramp/internal/serving/engine"
 )
 
-// orderState is what an owned runner should have loaded, and whether it has.
+// orderState is the model that an owned runner should have loaded, and its progress.
 type orderState struct {
 	model      string
 	version    string
 	adapters   []string
 	generation uint64
 	loaded     bool
-	// stale: it serves what an earlier generation wanted and waits for its turn
-	// to load the new.
-	stale   bool
-	checked time.Time
-	boot    string
+	// stale is set while the runner serves an earlier version or set of adapters and
+	// waits for a load slot.
+	stale     bool
+	lastCheck time.Time
+	boot      string
 }
 
-// want sets what should be loaded; a change has to be confirmed by the engine.
-// A runner that serves another version of the model goes on until its turn.
-func (o *orderState) want(model *bundle.CompiledModel, generation uint64) {
+// setTarget sets what the runner should load. A change has to be confirmed by the
+// engine. A runner that has another version of the same model loaded keeps serving
+// it until it gets a load slot.
+func (o *orderState) setTarget(model *bundle.CompiledModel, generation uint64) {
 	same := o.model == model.Name && o.version == model.Version && sameStrings(o.adapters, model.Adapters)
 	if !same {
 		o.stale = o.loaded && o.model == model.Name
 		o.loaded = o.stale
-		o.checked = time.Time{}
+		o.lastCheck = time.Time{}
 	}
 	o.model, o.version, o.adapters, o.generation = model.Name, model.Version, model.Adapters, generation
 }
@@ -50,18 +51,19 @@
 }
 
 const (
-	// orderInterval is the time between two looks at which runners are due.
+	// orderInterval is the time between two searches for runners that are due for a
+	// check.
 	orderInterval = 200 * time.Millisecond
-	// recheckLoaded is how often a loaded runner is asked whether it still is:
-	// an engine that restarted has lost its model.
+	// recheckLoaded is the time between two checks of a loaded runner, whose engine
+	// loses its model when it restarts.
 	recheckLoaded = 2 * time.Second
 	// orderTimeout bounds the check of one runner.
 	orderTimeout = 2 * time.Second
-	// maxChecks bounds the checks that one look begins.
+	// maxChecks bounds the checks that start at a time.
 	maxChecks = 16
 )
 
-// orderLoop sees that owned runners have loaded what the bundle says.
+// orderLoop makes owned runners load the models and adapters of the bundle.
 func (m *Module) orderLoop(ctx context.Context) {
 	ticker := time.NewTicker(orderInterval)
 	defer ticker.Stop()
@@ -70,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.taken:
+		case <-m.acquired:
 		}
 		for _, due := range m.dueChecks(time.Now()) {
 			m.background.Go(func() { m.check(ctx, due) })
@@ -78,14 +80,14 @@
 	}
 }
 
-// loadingDivisor bounds the runners of a model that load at a time at one owner to
-// a quarter of them, and at least one, so that a new version does not take the
-// model away.
+// loadingDivisor bounds the runners of a model that load at the same time at one owner
+// to a quarter of them, or one if that is more, so that the model stays available
+// during the rollout of a new version.
 const loadingDivisor = 4
 
-// loadTurns returns how many more runners of each model may begin to load; the
+// freeLoadSlots returns how many more runners of each model may start to load. The
 // caller holds the mutex.
-func (m *Module) loadTurns() map[string]int {
+func (m *Module) freeLoadSlots() map[string]int {
 	owned, loading := map[string]int{}, map[string]int{}
 	for _, r := range m.runners {
 		if !r.owned {
@@ -96,41 +98,41 @@
 			loading[r.model]++
 		}
 	}
-	turns := map[string]int{}
+	slots := map[string]int{}
 	for model, count := range owned {
-		turns[model] = max(1, count/loadingDivisor) - loading[model]
+		slots[model] = max(1, count/loadingDivisor) - loading[model]
 	}
-	return turns
+	return slots
 }
 
 type dueCheck struct {
 	id      string
 	address string
-	wanted  orderState
+	target  orderState
 }
 
-// dueChecks picks runners to look at, a bounded number at a time, which also
-// stages loads: the weight store's rate is shared by those that load.
+// dueChecks returns runners that are due for a check. It bounds their number, so that
+// runners do not all load from the weight store at the same time.
 func (m *Module) dueChecks(now time.Time) []dueCheck {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var due []dueCheck
-	turns := m.loadTurns()
+	slots := m.freeLoadSlots()
 	for _, r := range m.runners {
 		interval := orderInterval
 		if r.orders.loaded && !r.orders.stale {
 			interval = recheckLoaded
 		}
-		if !r.owned || now.Sub(r.orders.checked) < interval {
+		if !r.owned || now.Sub(r.orders.lastCheck) < interval {
 			continue
 		}
 		if r.orders.stale {
-			if turns[r.model] <= 0 {
+			if slots[r.model] <= 0 {
 				continue
 			}
-			turns[r.model]--
+			slots[r.model]--
 		}
-		r.orders.checked = now
+		r.orders.lastCheck = now
 		due = append(due, dueCheck{r.id, r.address, r.orders})
 		if len(due) == maxChecks {
 			break
@@ -139,59 +141,60 @@
 	return due
 }
 
-// check compares an engine's state with what is wanted and orders what is missing.
+// check compares an engine's state with the target and orders it to load what is
+// missing.
 func (m *Module) check(ctx context.Context, due dueCheck) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	state, err := m.engines.State(ctx, due.address)
 	if err != nil {
-		m.noteUnloaded(due.id, err)
+		m.recordUnloaded(due.id, err)
 		return
 	}
-	missing := missingOrders(&due.wanted, state)
+	missing := missingOrders(&due.target, state)
 	if len(missing) == 0 {
-		m.noteLoaded(due.id, due.wanted, state.Boot)
+		m.recordLoaded(due.id, due.target, state.Boot)
 		return
 	}
-	m.noteUnloaded(due.id, nil)
+	m.recordUnloaded(due.id, nil)
 	if state.Loading {
 		return
 	}
 	for _, order := range missing {
 		if err := m.engines.Send(ctx, due.address, order); err != nil {
-			m.metrics.ordersGiven.WithLabelValues(result.CodeOf(err).String()).Inc()
+			m.metrics.ordersSent.WithLabelValues(result.CodeOf(err).String()).Inc()
 			return
 		}
-		m.metrics.ordersGiven.WithLabelValues("ok").Inc()
+		m.metrics.ordersSent.WithLabelValues("ok").Inc()
 	}
 }
 
-func missingOrders(wanted *orderState, state *engine.State) []engine.Order {
-	if state.Model != wanted.model || state.Version != wanted.version {
-		return []engine.Order{{Fence: wanted.generation, Kind: "load", Model: wanted.model, Version: wanted.version}}
+func missingOrders(target *orderState, state *engine.State) []engine.Order {
+	if state.Model != target.model || state.Version != target.version {
+		return []engine.Order{{Fence: target.generation, Kind: "load", Model: target.model, Version: target.version}}
 	}
 	have := map[string]bool{}
 	for _, adapter := range state.Adapters {
 		have[adapter] = true
 	}
 	var orders []engine.Order
-	for _, adapter := range wanted.adapters {
+	for _, adapter := range target.adapters {
 		if !have[adapter] {
-			orders = append(orders, engine.Order{Fence: wanted.generation, Kind: "adapter", Model: wanted.model, Adapter: adapter})
+			orders = append(orders, engine.Order{Fence: target.generation, Kind: "adapter", Model: target.model, Adapter: adapter})
 		}
 	}
 	return orders
 }
 
-func (m *Module) noteLoaded(id string, wanted orderState, boot string) {
+func (m *Module) recordLoaded(id string, target orderState, boot string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r := m.runners[id]
-	if r == nil || r.orders.model != wanted.model || r.orders.version != wanted.version {
+	if r == nil || r.orders.model != target.model || r.orders.version != target.version {
 		return
 	}
 	if !r.orders.loaded {
-		klog.V(1).InfoS("runner ready", "node", m.settings.Node.ID, "runner", id, "model", wanted.model)
+		klog.V(1).InfoS("runner ready", "node", m.settings.Node.ID, "runner", id, "model", target.model)
 	}
 	if r.orders.boot != boot {
 		r.orders.boot = boot
@@ -201,7 +204,7 @@
 	m.signalFreed()
 }
 
-func (m *Module) noteUnloaded(id string, err error) {
+func (m *Module) recordUnloaded(id string, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r := m.runners[id]
--- a/modules/serving/owner/owner.go
+++ b/modules/serving/owner/owner.go
@@ -1,12 +1,12 @@
-// Package owner arbitrates the runners this node owns. It sees all of their
-// traffic: online streams dispatched by accepting nodes, and batch items run by the
-// node itself in what is left over.
+// Package owner schedules work on the runners that this node owns. All of their
+// traffic passes through it: online streams dispatched by accepting nodes, and batch
+// items that the node itself runs in the remaining capacity.
 //
-// It owns, in memory, the streams on each owned runner, the runner's health and its
-// orders (which model to load). It relies on module fleet.runners for which runners
-// are owned, on the bundle in force for their models and policy, on
-// internal/serving/arbiter for how many streams may run, and on internal/serving/engine
-// to reach them. The plain node runs it.
+// It keeps, in memory, the streams on each owned runner, the runner's health and its
+// orders (which model to load). The list of owned runners comes from module
+// fleet.runners, their models and policy from the active bundle, the number of streams
+// that may run from internal/serving/arbiter, and the connections to the engines from
+// internal/serving/engine. The plain node runs it.
 package owner
 
 import (
@@ -43,20 +43,20 @@
 	})
 }
 
-// Tables is the part of the runner table module used here.
+// Tables is the part of module fleet.runners that this package uses.
 type Tables interface {
 	Table() *fleet.Runners
 	OnTable(func(*fleet.Runners))
 }
 
-// Snapshots is the part of the bundle module used here.
+// Snapshots is the part of the bundle module that this package uses.
 type Snapshots interface {
 	Snapshot() *bundle.Snapshot
 	OnSnapshot(func(*bundle.Snapshot))
 }
 
-// Module owns runners. Its mutex guards the runners' arbiters; it is held for
-// decisions only, never across I/O.
+// Module manages the owned runners. Its mutex guards the runners' state and is never
+// held during I/O.
 type Module struct {
 	settings  *settings.Settings
 	tables    Tables
@@ -71,10 +71,10 @@
 	draining bool
 	sequence uint64
 	freed    chan struct{}
-	taken    chan struct{} // a runner was taken over: look at it at once
+	acquired chan struct{} // a runner was acquired and has to be checked at once
 
-	// background are the loops and the calls to engines that no stream waits for;
-	// lifetime, the context of Start, ends them.
+	// background runs the loops and the engine calls that no stream waits for.
+	// lifetime is the context of Start, which ends them.
 	background tasks.Group
 	lifetime   context.Context
 }
@@ -101,7 +101,7 @@
 	m.runners = map[string]*runner{}
 	m.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m.freed = make(chan struct{}, 1)
-	m.taken = make(chan struct{}, 1)
+	m.acquired = make(chan struct{}, 1)
 	m.scheduler = newScheduler()
 	m.tables.OnTable(func(*fleet.Runners) { m.refresh() })
 	m.snapshots.OnSnapshot(func(*bundle.Snapshot) { m.refresh() })
@@ -135,16 +135,16 @@
 	return nil
 }
 
-// staleViews is how long other members may still send requests to a leaving
-// node, because they have not received its state yet.
-const staleViews = 2 * time.Second
+// viewPropagationTime is how long other members may still send requests to a leaving
+// node because they have not received its state yet.
+const viewPropagationTime = 2 * time.Second
 
-// Drain implements kernel.Drainer: it waits until the other members have
-// chosen other owners and the last stream here has ended.
+// Drain implements kernel.Drainer. It waits until the other members have chosen other
+// owners and the last stream on this node has ended.
 func (m *Module) Drain(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(staleViews):
+	case <-time.After(viewPropagationTime):
 	}
 	for !m.Idle() && ctx.Err() == nil {
 		time.Sleep(tickInterval)
@@ -159,12 +159,12 @@
 	}
 }
 
-// cancelAtEngine stops a stream that nobody reads any more. The engine ends it by
-// itself a little later if the call fails.
+// cancelAtEngine cancels a stream that is no longer read. If the call fails, the
+// engine ends the stream by itself a little later.
 func (m *Module) cancelAtEngine(address, id string) {
 	m.background.Go(func() {
 		if err := m.engines.Cancel(m.lifetime, address, id); err != nil {
-			klog.V(1).InfoS("stream not cancelled at its engine", "node", m.settings.Node.ID, "engine", address, "id", id, "err", err)
+			klog.V(1).InfoS("cancelling a stream at its engine failed", "node", m.settings.Node.ID, "engine", address, "id", id, "err", err)
 		}
 	})
 }
@@ -182,7 +182,8 @@
 	}
 }
 
-// tick adjusts batch limits and cancels what fell out of them.
+// tick adjusts the batch limits, preempts batch streams above them, and evicts streams
+// from runners whose drain timeout has passed.
 func (m *Module) tick(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -190,7 +191,7 @@
 	drainTimeout := m.drainTimeout()
 	for _, r := range m.runners {
 		if r.leaving && now.Sub(r.leavingSince) > drainTimeout {
-			m.moveAway(r)
+			m.evictStreams(r)
 		}
 		m.preempt(r, r.arbiter.Tick(now))
 		online += r.arbiter.Online()
@@ -212,5 +213,5 @@
 	}
 }
 
-// Freed receives when batch slots may have become free.
+// Freed returns a channel that receives a value when batch slots may have become free.
 func (m *Module) Freed() <-chan struct{} { return m.freed }
--- a/modules/serving/owner/runners.go
+++ b/modules/serving/owner/runners.go
@@ -10,23 +10,25 @@
 	"cobaltramp.example/cobaltramp/internal/serving/health"
 )
 
-// runner is one owned runner.
+// runner is the state of an owned runner. A runner that is no longer owned stays until
+// its last stream has ended.
 type runner struct {
 	id      string
 	address string
 	zone    string
-	model   string // model it serves, from the bundle
+	model   string // name of the model it serves, from the bundle
 	leaving bool
-	// leavingSince is when this node first saw the runner listed as leaving.
+	// leavingSince is the time when this node first saw the runner listed as leaving.
 	leavingSince time.Time
 	owned        bool
 	arbiter      *arbiter.Arbiter
 	health       health.Failures
-	// cancels end batch streams that are preempted.
+	// cancels contains the functions that preempt batch streams; nil for a stream
+	// that must not be preempted.
 	cancels map[arbiter.BatchStream]context.CancelCauseFunc
-	// moves end online streams so that they are carried on elsewhere.
-	moves  map[*silenceWatch]struct{}
-	orders orderState
+	// movable contains the online streams that may be continued on another runner.
+	movable map[*streamWatchdog]struct{}
+	orders  orderState
 }
 
 func (r *runner) ready(now time.Time) bool {
@@ -48,8 +50,8 @@
 	}
 }
 
-// refresh brings the owned runners in line with table and bundle. A runner
-// that is owned no longer keeps its running streams and takes no new ones.
+// refresh updates the owned runners from the runner table and the bundle. A runner
+// that is no longer owned keeps its running streams and gets no new ones.
 func (m *Module) refresh() {
 	table, snapshot := m.tables.Table(), m.snapshots.Snapshot()
 	m.mutex.Lock()
@@ -87,10 +89,10 @@
 	config := arbiterConfig(model, snapshot)
 	r := m.runners[listed.ID]
 	if r == nil {
-		r = &runner{id: listed.ID, arbiter: arbiter.New(config, time.Now()), cancels: map[arbiter.BatchStream]context.CancelCauseFunc{}, moves: map[*silenceWatch]struct{}{}}
+		r = &runner{id: listed.ID, arbiter: arbiter.New(config, time.Now()), cancels: map[arbiter.BatchStream]context.CancelCauseFunc{}, movable: map[*streamWatchdog]struct{}{}}
 		m.runners[listed.ID] = r
 		select {
-		case m.taken <- struct{}{}:
+		case m.acquired <- struct{}{}:
 		default:
 		}
 	}
@@ -105,7 +107,7 @@
 		r.leavingSince = time.Now()
 	}
 	r.model = model.Name
-	r.orders.want(model, snapshot.Generation)
+	r.orders.setTarget(model, snapshot.Generation)
 }
 
 var arbiterModes = map[string]arbiter.Mode{
@@ -122,7 +124,7 @@
 	}
 }
 
-// defaultDrainTimeout serves until a bundle, which sets it, is in force.
+// defaultDrainTimeout applies until a bundle has been loaded.
 const defaultDrainTimeout = 30 * time.Second
 
 func (m *Module) drainTimeout() time.Duration {
@@ -132,10 +134,10 @@
 	return defaultDrainTimeout
 }
 
-// moveAway ends what still runs on a leaving runner past the drain timeout:
-// batch items go back, online streams are carried on by other runners. Work
-// that must not run twice is left to end by itself. The caller holds the mutex.
-func (m *Module) moveAway(r *runner) {
+// evictStreams ends the streams that still run on a leaving runner after the drain
+// timeout: batch items are preempted, and online streams continue on other runners.
+// Work that must not run twice keeps running. The caller holds the mutex.
+func (m *Module) evictStreams(r *runner) {
 	for stream, cancel := range r.cancels {
 		if cancel != nil {
 			cancel(errPreempted)
@@ -143,13 +145,13 @@
 			r.arbiter.BatchDone(stream)
 		}
 	}
-	for watch := range r.moves {
-		watch.cancel(errMoved)
-		delete(r.moves, watch)
+	for watchdog := range r.movable {
+		watchdog.cancel(errMoved)
+		delete(r.movable, watchdog)
 	}
 }
 
-// preempt cancels batch streams; the caller holds the mutex.
+// preempt cancels batch streams. The caller holds the mutex.
 func (m *Module) preempt(r *runner, streams []arbiter.BatchStream) {
 	for _, stream := range streams {
 		if cancel := r.cancels[stream]; cancel != nil {
--- a/modules/serving/owner/silence.go
+++ b/modules/serving/owner/silence.go
@@ -10,13 +10,13 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// errMoved is the cause by which streams are taken off a leaving runner.
+// errMoved is the cancellation cause of streams that are moved off a leaving runner.
 var errMoved = errors.New("runner is leaving")
 
-// silenceWatch ends a stream whose runner says nothing for too long. Work that
-// must not run twice is only bounded by its deadline: giving it up early would
-// gain nothing, as it cannot be tried elsewhere.
-type silenceWatch struct {
+// streamWatchdog ends a stream whose runner is unresponsive for too long. Work that
+// must not run twice is bounded by its deadline only, since it could not be retried on
+// another runner.
+type streamWatchdog struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	parent context.Context
@@ -25,20 +25,20 @@
 	timer *time.Timer
 }
 
-// watchSilence starts a watch of one stream. With untilDeadline only the context
-// ends it.
-func (m *Module) watchSilence(ctx context.Context, place *admission, untilDeadline bool) *silenceWatch {
-	w := &silenceWatch{parent: ctx}
+// startWatchdog starts the watchdog of a stream. With untilDeadline, only the context
+// ends the stream.
+func (m *Module) startWatchdog(ctx context.Context, chosen *assignment, untilDeadline bool) *streamWatchdog {
+	w := &streamWatchdog{parent: ctx}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	if untilDeadline {
 		return w
 	}
-	w.timer = time.AfterFunc(m.firstTokenTimeout(place.model), func() { w.cancel(exchange.ErrUnresponsive) })
+	w.timer = time.AfterFunc(m.firstTokenTimeout(chosen.model), func() { w.cancel(exchange.ErrUnresponsive) })
 	return w
 }
 
 // firstTokenTimeout returns how long a stream of the model may wait for its first
-// token before its runner counts as lost.
+// token before its runner is treated as lost.
 func (m *Module) firstTokenTimeout(model string) time.Duration {
 	if snapshot := m.snapshots.Snapshot(); snapshot != nil {
 		if known, found := snapshot.Models[model]; found {
@@ -49,7 +49,7 @@
 }
 
 // eventReceived restarts the timer after an event.
-func (w *silenceWatch) eventReceived() {
+func (w *streamWatchdog) eventReceived() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.timer != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (w *silenceWatch) stop() {
+func (w *streamWatchdog) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.timer != nil {
@@ -66,8 +66,9 @@
 	w.cancel(nil)
 }
 
-// explain replaces the error of a read that was cut short by its cause.
-func (w *silenceWatch) explain(err error) error {
+// translateError replaces the error of an interrupted read by the cause of the
+// interruption.
+func (w *streamWatchdog) translateError(err error) error {
 	cause := context.Cause(w.ctx)
 	var known *result.Error
 	switch {
--- a/modules/serving/owner/status.go
+++ b/modules/serving/owner/status.go
@@ -6,8 +6,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Load returns what this node advertises to accepting nodes, of one model or,
-// with an empty name, of all.
+// Load returns the load that this node advertises to accepting nodes, for one model
+// or, with an empty name, for all models.
 func (m *Module) Load(only string) *wirev1.LoadDigest {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -32,7 +32,7 @@
 	return digest
 }
 
-// Status returns the owned runners for operators.
+// Status returns the state of each runner for operators.
 func (m *Module) Status() []*wirev1.RunnerStatus {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
