--- a/modules/callers/openai/api.go
+++ b/modules/callers/openai/api.go
@@ -45,7 +45,7 @@
 
 // Router runs online requests.
 type Router interface {
-	Generate(context.Context, *router.Request, func(router.Piece) error) (router.Usage, error)
+	Generate(context.Context, *router.Request, func(router.Chunk) error) (router.Usage, error)
 }
 
 // Shares gives this node's share of a tenant's limits.
--- a/modules/callers/openai/generate.go
+++ b/modules/callers/openai/generate.go
@@ -220,7 +220,7 @@
 func (m *Module) collect(ctx context.Context, request *online) (*answer, error) {
 	collected := &answer{}
 	var err error
-	collected.usage, err = m.router.Generate(ctx, request.routed(), func(piece router.Piece) error {
+	collected.usage, err = m.router.Generate(ctx, request.routed(), func(piece router.Chunk) error {
 		if len(collected.text) == 0 {
 			m.metrics.first.Observe(time.Since(request.arrived).Seconds())
 		}
--- a/modules/callers/openai/stream.go
+++ b/modules/callers/openai/stream.go
@@ -19,7 +19,7 @@
 // pieces carries an answer from the router's goroutine to the one that writes
 // to the caller.
 type pieces struct {
-	queue      chan router.Piece
+	queue      chan router.Chunk
 	done       chan outcome
 	generating tasks.Group
 }
@@ -60,10 +60,10 @@
 }
 
 func (m *Module) startFlow(ctx context.Context, request *online) *pieces {
-	flow := &pieces{queue: make(chan router.Piece, streamQueue), done: make(chan outcome, 1)}
+	flow := &pieces{queue: make(chan router.Chunk, streamQueue), done: make(chan outcome, 1)}
 	flow.generating.Go(func() {
 		first := true
-		usage, err := m.router.Generate(ctx, request.routed(), func(piece router.Piece) error {
+		usage, err := m.router.Generate(ctx, request.routed(), func(piece router.Chunk) error {
 			if first {
 				first = false
 				m.metrics.first.Observe(time.Since(request.arrived).Seconds())
@@ -82,7 +82,7 @@
 }
 
 // wait returns the first piece, or the outcome if there is none.
-func (p *pieces) wait(_ context.Context) (*router.Piece, *outcome) {
+func (p *pieces) wait(_ context.Context) (*router.Chunk, *outcome) {
 	piece, open := <-p.queue
 	if open {
 		return &piece, nil
@@ -104,7 +104,7 @@
 
 // run writes pieces until the answer ends or the caller is gone, and returns
 // the tokens written.
-func (w *eventWriter) run(flow *pieces, first *router.Piece, end *outcome) int {
+func (w *eventWriter) run(flow *pieces, first *router.Chunk, end *outcome) int {
 	tokens := 0
 	if first != nil {
 		if !w.piece(first) {
@@ -158,7 +158,7 @@
 	return completionBody{ID: w.request.id, Object: object, Created: w.request.arrived.Unix(), Model: w.request.asked}
 }
 
-func (w *eventWriter) piece(piece *router.Piece) bool {
+func (w *eventWriter) piece(piece *router.Chunk) bool {
 	body := w.chunk()
 	only := choice{}
 	if piece.FinishReason != "" {
--- a/modules/serving/router/choose.go
+++ b/modules/serving/router/choose.go
@@ -11,7 +11,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/scheduling/plugins"
 )
 
-// ownerSamples is how many owners are drawn, of which the better one is taken.
+// ownerSamples is the number of owners sampled per choice, of which the best is used.
 const ownerSamples = 2
 
 func newScheduler() *framework.Scheduler {
@@ -25,7 +25,7 @@
 	}
 }
 
-// distance orders pools by how far they are from this node.
+// distance is how far a pool is from this node.
 type distance int
 
 const (
@@ -46,18 +46,19 @@
 	}
 }
 
-// choose picks an owner: in the home zone if one has free slots, else further away.
+// choose returns the owner to dispatch to: one in this node's zone if any has free
+// slots, otherwise one in the region, otherwise one elsewhere.
 func (m *Module) choose(model *bundle.CompiledModel, prefix uint64, excluded []string) (string, bool) {
 	pools := m.tables.Table().Pools[model.Service]
-	var rings [distances][]framework.Candidate
+	var byDistance [distances][]framework.Candidate
 	for i := range pools {
 		at := m.distanceOf(&pools[i])
-		rings[at] = append(rings[at], m.candidate(&pools[i], model, prefix))
+		byDistance[at] = append(byDistance[at], m.candidate(&pools[i], model, prefix))
 	}
 	request := &framework.Request{PrefixHash: prefix, Excluded: excluded, Now: time.Now()}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	for at, ring := range rings {
-		if chosen, found := m.scheduler.Choose(request, ring, random); found {
+	for at, candidates := range byDistance {
+		if chosen, found := m.scheduler.Choose(request, candidates, random); found {
 			if distance(at) != sameZone {
 				m.metrics.spills.Inc()
 			}
@@ -67,8 +68,8 @@
 	return "", false
 }
 
-// candidate joins what an owner advertised with what this node has in flight
-// there, which is newer.
+// candidate returns an owner's state: the load that it advertised, but at least the
+// requests that this node has in flight there.
 func (m *Module) candidate(pool *fleet.Pool, model *bundle.CompiledModel, prefix uint64) framework.Candidate {
 	state := m.owner(pool.Owner)
 	candidate := framework.Candidate{
--- a/modules/serving/router/generate.go
+++ b/modules/serving/router/generate.go
@@ -13,79 +13,81 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Request is one online generation at the accepting node.
+// Request is an online request at the accepting node.
 type Request struct {
 	ID      string
 	Tenant  string
 	Model   *bundle.CompiledModel
 	Surface wirev1.Surface
-	// Body is the caller's JSON; it must not change while the request runs.
+	// Body is the caller's JSON. It must not change while the request runs.
 	Body       []byte
 	PrefixHash uint64
-	// Once work is dispatched again only while it is provably not run.
+	// Once marks work that must not run twice. It is dispatched again only if it
+	// provably was not run.
 	Once bool
 }
 
-// Piece is a part of the answer, in order and without gaps.
-type Piece struct {
+// Chunk is a part of the response. Chunks are emitted in order and without gaps.
+type Chunk struct {
 	Text         string
 	FinishReason string
 }
 
-// Usage counts the tokens of a whole answer.
+// Usage is the number of tokens of a complete response.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
 }
 
 const (
-	// maxRefusals bounds owners tried for one request.
+	// maxRefusals bounds the refusals by owners for one request.
 	maxRefusals = 6
-	// settleTime bounds how long a request looks for an owner while runners
-	// change hands; a fleet that is merely full refuses at once.
-	settleTime  = time.Second
-	settlePause = 50 * time.Millisecond
-	// maxContinuations bounds how often one answer survives a loss.
+	// ownershipChangeTimeout bounds how long a request retries refusals that are due
+	// to a change of ownership, with ownershipChangeDelay between rounds. If all
+	// owners are merely full, the request is refused at once.
+	ownershipChangeTimeout = time.Second
+	ownershipChangeDelay   = 50 * time.Millisecond
+	// maxContinuations bounds how often one response is resumed.
 	maxContinuations = 4
 )
 
 // generation is the state of one request across its attempts.
 //
-// Invariant: text holds exactly what was emitted, so a continuation starts
-// where the caller's answer ends.
+// Invariant: text is exactly the emitted text, so a continuation starts where the
+// caller's response ends.
 type generation struct {
 	module  *Module
 	request *Request
-	// fingerprint is of the request's content.
+	// fingerprint identifies the request's content.
 	fingerprint quarantine.Fingerprint
-	emit        func(Piece) error
+	emit        func(Chunk) error
 
 	text     []byte
 	tokens   int
 	usage    Usage
 	finished bool
 
-	attempt       int
-	excludeOwners []string
-	excludeRunner []string
-	// unsettled: an owner refused because ownership is moving.
-	unsettled bool
+	attempt         int
+	excludedOwners  []string
+	excludedRunners []string
+	// ownershipChanging is set if an owner refused because ownership is changing.
+	ownershipChanging bool
 
-	// The current stream: its id at the engine, where it runs, and the index
-	// of its next event.
+	// The current stream: its id at the engine, its runner and owner, and the index
+	// of the next event.
 	streamID  string
 	runner    string
 	ownerID   string
 	nextEvent uint32
-	// dispatched: an attempt may have run.
+	// dispatched is set if an attempt may have run.
 	dispatched bool
-	// firstEvent is when the first event of the current stream came; zero before.
+	// firstEvent is the arrival time of the current stream's first event; zero before.
 	firstEvent time.Time
 }
 
-// Generate runs the request and calls emit for each piece. It returns when the
-// answer is whole, or the error that ended it.
-func (m *Module) Generate(ctx context.Context, request *Request, emit func(Piece) error) (Usage, error) {
+// Generate runs the request and calls emit for each chunk. It returns when the
+// response is complete or has failed.
+func (m *Module) Generate(ctx context.Context, request *Request, emit func(Chunk) error) (Usage, error) {
 	g := &generation{module: m, request: request, fingerprint: request.fingerprint(), emit: emit}
 	if snapshot := m.snapshots.Snapshot(); snapshot != nil {
 		m.budget.Earn(snapshot.Policy.RetryBudget)
@@ -96,9 +98,9 @@
 
 func (g *generation) run(ctx context.Context) error {
 	refusals, continuations := 0, 0
-	settleBy := time.Now().Add(settleTime)
+	ownershipDeadline := time.Now().Add(ownershipChangeTimeout)
 	for {
-		if err := g.quarantined(); err != nil {
+		if err := g.checkQuarantine(); err != nil {
 			return err
 		}
 		err := g.dispatch(ctx)
@@ -113,22 +115,22 @@
 		case refusedNotRun(err):
 			refusals++
 			if refusals >= maxRefusals || g.ownerID == "" {
-				if g.unsettled && time.Now().Before(settleBy) {
+				if g.ownershipChanging && time.Now().Before(ownershipDeadline) {
 					refusals = 0
-					g.awaitSettled(ctx)
+					g.awaitOwnershipChange(ctx)
 					continue
 				}
-				return g.refusal(err, continuations)
+				return g.refusalError(err, continuations)
 			}
-			g.unsettled = g.unsettled || ownershipMoves(err)
-			g.excludeOwners = append(g.excludeOwners, g.ownerID)
-		case lost(err):
+			g.ownershipChanging = g.ownershipChanging || isOwnershipChange(err)
+			g.excludedOwners = append(g.excludedOwners, g.ownerID)
+		case isStreamLost(err):
 			continuations++
-			g.noteEnding(err)
+			g.recordBrokenRun(err)
 			if continuations > maxContinuations {
-				return g.broken(err)
+				return g.brokenError(err)
 			}
-			done, err := g.carryOn(ctx, err)
+			done, err := g.resume(ctx, err)
 			if done || err != nil {
 				return err
 			}
@@ -138,21 +140,22 @@
 	}
 }
 
-// awaitSettled waits a moment for a hand-over of runners and forgets which
-// owners were tried.
-func (g *generation) awaitSettled(ctx context.Context) {
-	g.unsettled = false
-	g.excludeOwners = nil
+// awaitOwnershipChange waits for ownershipChangeDelay and clears the list of owners
+// that were tried.
+func (g *generation) awaitOwnershipChange(ctx context.Context) {
+	g.ownershipChanging = false
+	g.excludedOwners = nil
 	select {
 	case <-ctx.Done():
-	case <-time.After(settlePause):
+	case <-time.After(ownershipChangeDelay):
 	}
 }
 
-// carryOn continues a lost answer: first by re-attaching to the stream at its
-// engine, which repeats nothing; else, for repeatable work and within the
-// retry budget, by a new dispatch that goes on after the text the caller has.
-func (g *generation) carryOn(ctx context.Context, cause error) (bool, error) {
+// resume continues a response whose stream was lost. It first re-attaches to the
+// stream at its engine, which runs nothing twice. If that fails, it prepares a new
+// dispatch that continues after the emitted text, unless the work must not run twice
+// or the retry budget is spent. It returns true if the response is complete.
+func (g *generation) resume(ctx context.Context, cause error) (bool, error) {
 	if g.runner != "" && result.CodeOf(cause) != result.EngineFailed {
 		err := g.reattach(ctx)
 		if err == nil {
@@ -164,29 +167,29 @@
 		}
 	}
 	if g.finished {
-		// All text was emitted; only the closing event was lost.
+		// All text was emitted and only the closing event was lost.
 		g.usage.CompletionTokens = g.tokens
 		return true, nil
 	}
 	if g.request.Once || !g.module.budget.Spend() {
-		return false, g.broken(cause)
+		return false, g.brokenError(cause)
 	}
 	g.module.metrics.resumed.WithLabelValues("continued").Inc()
 	if g.runner != "" {
-		g.excludeRunner = append(g.excludeRunner, g.runner)
+		g.excludedRunners = append(g.excludedRunners, g.runner)
 	}
 	if errors.Is(cause, rpc.ErrLinkLost) {
-		g.excludeOwners = append(g.excludeOwners, g.ownerID)
+		g.excludedOwners = append(g.excludedOwners, g.ownerID)
 	}
 	return false, nil
 }
 
-// dispatch makes one attempt from the text emitted so far.
+// dispatch makes one attempt, which continues after the text emitted so far.
 func (g *generation) dispatch(ctx context.Context) error {
-	chosen, found := g.module.choose(g.request.Model, g.request.PrefixHash, g.excludeOwners)
+	chosen, found := g.module.choose(g.request.Model, g.request.PrefixHash, g.excludedOwners)
 	if !found {
 		g.ownerID = ""
-		return g.noOwner()
+		return g.noOwnerError()
 	}
 	g.attempt++
 	g.streamID = fmt.Sprintf("%s.%d", g.request.ID, g.attempt)
@@ -195,11 +198,11 @@
 	state.inFlight.Add(1)
 	defer state.inFlight.Add(-1)
 	err := g.receive(ctx, chosen, wirev1.Method_METHOD_DISPATCH, g.dispatchRequest())
-	g.module.noteAttempt(state, err)
+	g.module.recordAttempt(state, err)
 	return err
 }
 
-func (m *Module) noteAttempt(state *ownerState, err error) {
+func (m *Module) recordAttempt(state *ownerState, err error) {
 	code := result.CodeOf(err)
 	if errors.Is(err, rpc.ErrLinkLost) {
 		code = result.PeerUnreachable
@@ -207,9 +210,9 @@
 	m.metrics.attempts.WithLabelValues(code.String()).Inc()
 	switch code {
 	case result.OK:
-		state.succeeded()
+		state.recordSuccess()
 	case result.PeerUnreachable, result.Draining, result.NotOwner, result.NotReady:
-		state.failed()
+		state.recordFailure()
 	}
 }
 
@@ -217,6 +220,6 @@
 	return &wirev1.DispatchRequest{
 		RequestId: g.streamID, Tenant: g.request.Tenant, Model: g.request.Model.Name, Surface: g.request.Surface,
 		Body: g.request.Body, PrefixHash: g.request.PrefixHash, Once: g.request.Once,
-		ReceivedText: string(g.text), ReceivedTokens: uint32(g.tokens), ExcludeRunners: g.excludeRunner,
+		ReceivedText: string(g.text), ReceivedTokens: uint32(g.tokens), ExcludeRunners: g.excludedRunners,
 	}
 }
--- a/modules/serving/router/load.go
+++ b/modules/serving/router/load.go
@@ -16,23 +16,23 @@
 func (m *Module) receiveDigest(from string, payload []byte) {
 	digest := &wirev1.LoadDigest{}
 	if err := proto.Unmarshal(payload, digest); err != nil {
-		klog.V(1).InfoS("unreadable load digest dropped", "node", m.settings.Node.ID, "peer", from, "err", err)
+		klog.V(1).InfoS("decoding a load digest failed", "node", m.settings.Node.ID, "peer", from, "err", err)
 		return
 	}
-	m.noteLoad(digest)
+	m.recordLoad(digest)
 }
 
-// noteLoad keeps the newest digest; one that was overtaken is dropped.
-func (m *Module) noteLoad(digest *wirev1.LoadDigest) {
+// recordLoad stores a digest unless a newer one of the same owner is known.
+func (m *Module) recordLoad(digest *wirev1.LoadDigest) {
 	if digest == nil {
 		return
 	}
 	state := m.owner(digest.NodeId)
 	for {
 		known := state.load.Load()
-		// A restarted owner counts from one again.
-		overtaken := known != nil && digest.Sequence <= known.Sequence && known.Sequence-digest.Sequence < restartGap
-		if overtaken {
+		// A restarted owner's sequence numbers start from one again.
+		outdated := known != nil && digest.Sequence <= known.Sequence && known.Sequence-digest.Sequence < restartSequenceGap
+		if outdated {
 			return
 		}
 		if state.load.CompareAndSwap(known, mergeLoads(known, digest)) {
@@ -41,12 +41,12 @@
 	}
 }
 
-// restartGap is the distance in sequence numbers from which a lower one counts as
-// that of a restarted owner, not of a digest that was overtaken.
-const restartGap = 1000
+// restartSequenceGap is the difference from which a lower sequence number is taken for
+// that of a restarted owner instead of an outdated digest.
+const restartSequenceGap = 1000
 
-// mergeLoads keeps what an earlier digest said of models this one is silent
-// about: an answer carries the load of its own model only.
+// mergeLoads adds the models of an earlier digest to a digest with a single model,
+// since the digest in a response covers only the response's model.
 func mergeLoads(known, digest *wirev1.LoadDigest) *wirev1.LoadDigest {
 	if known == nil || len(digest.Models) != 1 {
 		return digest
@@ -60,7 +60,7 @@
 	return merged
 }
 
-// digestLoop advertises this node's load to a few nodes of its zone at a time.
+// digestLoop periodically sends this node's load to a few random nodes of its zone.
 func (m *Module) digestLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	ticker := time.NewTicker(digestInterval)
@@ -84,5 +84,5 @@
 	}
 }
 
-// digestInterval is the time between two digests of this node's load.
+// digestInterval is the time between two load digests of this node.
 const digestInterval = time.Second
--- a/modules/serving/router/outcome.go
+++ b/modules/serving/router/outcome.go
@@ -9,9 +9,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ownershipMoves lists refusals that end by themselves within moments: the
-// owner is stopping, has just taken over, or is gone.
-func ownershipMoves(err error) bool {
+// isOwnershipChange reports whether an owner refused because ownership is changing:
+// the owner is stopping, has just acquired the runners, or is gone.
+func isOwnershipChange(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NotOwner, result.Draining, result.PeerUnreachable, result.NotReady:
 		return true
@@ -20,7 +20,7 @@
 	}
 }
 
-// refusedNotRun lists the errors that prove the work was not run.
+// refusedNotRun reports whether an error proves that the work was not run.
 func refusedNotRun(err error) bool {
 	switch result.CodeOf(err) {
 	case result.PeerUnreachable, result.NotOwner, result.Saturated, result.NoRunner,
@@ -31,8 +31,8 @@
 	}
 }
 
-// lost lists the errors after which the stream may still run somewhere.
-func lost(err error) bool {
+// isStreamLost reports whether the stream may still be running after an error.
+func isStreamLost(err error) bool {
 	if errors.Is(err, rpc.ErrLinkLost) {
 		return true
 	}
@@ -44,15 +44,15 @@
 	}
 }
 
-func unreachable(err error) bool {
+func isUnreachable(err error) bool {
 	return errors.Is(err, rpc.ErrLinkLost) || result.Is(err, result.PeerUnreachable)
 }
 
-// refusal is the error of a request no owner takes. "Not run" is said only if
-// no earlier attempt ran.
-func (g *generation) refusal(err error, continuations int) error {
+// refusalError returns the error of a request that all owners refused. After a
+// continuation it does not claim that the work was not run.
+func (g *generation) refusalError(err error, continuations int) error {
 	if continuations > 0 {
-		return g.broken(err)
+		return g.brokenError(err)
 	}
 	return err
 }
@@ -67,8 +67,8 @@
 	return result.New(result.CallerGone, "the caller hung up")
 }
 
-// broken is the final error of an answer that cannot be carried on.
-func (g *generation) broken(cause error) error {
+// brokenError returns the final error of a response that cannot be resumed.
+func (g *generation) brokenError(cause error) error {
 	if errors.Is(cause, rpc.ErrLinkLost) {
 		cause = result.New(result.RunnerLost, "the owner node was lost")
 	}
@@ -79,8 +79,8 @@
 	return result.New(result.StreamBroken, "lost after %d tokens: %s", g.tokens, message)
 }
 
-// noOwner is the refusal when no owner has a free slot.
-func (g *generation) noOwner() error {
+// noOwnerError returns the error of a request for which no owner has a free slot.
+func (g *generation) noOwnerError() error {
 	if len(g.module.tables.Table().Pools[g.request.Model.Service]) == 0 {
 		return result.New(result.NoRunner, "no runner serves model %s", g.request.Model.Name).WithRetryAfter(time.Second)
 	}
--- a/modules/serving/router/router.go
+++ b/modules/serving/router/router.go
@@ -1,11 +1,11 @@
-// Package router carries an online request from the accepting node to a runner's
-// owner and its answer back, across lost owners and runners, without a gap, a
-// repeat or a silent cut.
+// Package router dispatches online requests from the accepting node to the owners of
+// runners and returns their responses. It resumes a response when an owner or a runner
+// is lost, so that the caller gets it without gaps or repeats, or an error.
 //
-// It owns, in memory, what this node knows of each owner: its reported load, its
-// health and the requests in flight there. It relies on the runner table, the view of
-// the fleet and the bundle in force, on internal/serving/scheduling for the choice,
-// and on module serving.owner at the other end of the link. The plain node runs it.
+// It keeps, in memory, the reported load of each owner, the owner's health and the
+// requests in flight there. It uses the runner table, the view of the fleet and the
+// active bundle, chooses owners with internal/serving/scheduling, and sends to module
+// serving.owner on the owner's node. The plain node runs it.
 package router
 
 import (
@@ -48,10 +48,10 @@
 // Tables gives the runner table.
 type Tables interface{ Table() *fleet.Runners }
 
-// Snapshots gives the bundle in force.
+// Snapshots gives the active bundle.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
-// LocalOwner is this node's own runners, reached without a link.
+// LocalOwner runs requests on the runners that this node owns.
 type LocalOwner interface {
 	Dispatch(context.Context, *wirev1.DispatchRequest, owner.Emit) error
 	Reattach(context.Context, *wirev1.ReattachRequest, owner.Emit) error
@@ -76,7 +76,7 @@
 	background tasks.Group
 }
 
-// ownerState is what this node knows of one owner.
+// ownerState is this node's knowledge of one owner.
 type ownerState struct {
 	inFlight atomic.Int64
 	load     atomic.Pointer[wirev1.LoadDigest]
@@ -127,13 +127,13 @@
 	return made.(*ownerState)
 }
 
-func (s *ownerState) failed() {
+func (s *ownerState) recordFailure() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.health.RecordFailure(time.Now())
 }
 
-func (s *ownerState) succeeded() {
+func (s *ownerState) recordSuccess() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.health.RecordSuccess()
--- a/modules/serving/router/stream.go
+++ b/modules/serving/router/stream.go
@@ -11,8 +11,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// reattach tries the nodes that come next in the ranking of the lost runner's
-// owners.
+// reattach re-attaches to the current stream through the nodes that rank next as
+// owners of its runner.
 func (g *generation) reattach(ctx context.Context) error {
 	listed, known := g.module.tables.Table().ByID[g.runner]
 	if !known {
@@ -26,18 +26,18 @@
 	for _, next := range g.successors(listed.Zone) {
 		request.LastEvent = int32(g.nextEvent) - 1
 		err = g.receive(ctx, next, wirev1.Method_METHOD_REATTACH, request)
-		if err == nil || ctx.Err() != nil || !unreachable(err) {
+		if err == nil || ctx.Err() != nil || !isUnreachable(err) {
 			return err
 		}
 	}
 	return err
 }
 
-// maxSuccessors bounds the nodes of the runner's zone that are asked to re-attach.
+// maxSuccessors bounds the nodes of the runner's zone that are tried for re-attaching.
 const maxSuccessors = 3
 
-// successors lists nodes that may re-attach: those of the runner's zone in
-// rank order without the lost owner, then this node.
+// successors lists the nodes to re-attach through: those of the runner's zone by rank,
+// without the lost owner, then this node.
 func (g *generation) successors(zone string) []string {
 	view := g.module.views.View()
 	var nodes []string
@@ -49,7 +49,7 @@
 	return append(nodes, view.Self.Id)
 }
 
-// receive opens a stream to an owner (or calls it here) and takes its events.
+// receive opens a stream to an owner, which may be this node, and handles its events.
 func (g *generation) receive(ctx context.Context, ownerID string, method wirev1.Method, request any) error {
 	if ownerID == g.module.settings.Node.ID {
 		return g.receiveLocal(ctx, request)
@@ -71,7 +71,7 @@
 			}
 			return err
 		}
-		if err := g.take(&event); err != nil {
+		if err := g.handleEvent(&event); err != nil {
 			return err
 		}
 	}
@@ -91,21 +91,22 @@
 func (g *generation) receiveLocal(ctx context.Context, request any) error {
 	switch typed := request.(type) {
 	case *wirev1.DispatchRequest:
-		return g.module.local.Dispatch(ctx, typed, g.take)
+		return g.module.local.Dispatch(ctx, typed, g.handleEvent)
 	case *wirev1.ReattachRequest:
-		return g.module.local.Reattach(ctx, typed, g.take)
+		return g.module.local.Reattach(ctx, typed, g.handleEvent)
 	default:
 		return result.New(result.Internal, "request of type %T", request)
 	}
 }
 
-// take checks that an event belongs to this stream and comes next, then emits
-// it. Events of an earlier attempt that come late are refused by their id.
-func (g *generation) take(event *wirev1.DispatchEvent) error {
+// handleEvent emits an event that belongs to the current stream and is the next one.
+// It ignores repeated events and returns an error for gaps and for events of other
+// streams, such as late events of an earlier attempt.
+func (g *generation) handleEvent(event *wirev1.DispatchEvent) error {
 	if event.RequestId != g.streamID {
 		return result.New(result.RunnerLost, "event of stream %s on stream %s", event.RequestId, g.streamID)
 	}
-	g.module.noteLoad(event.Load)
+	g.module.recordLoad(event.Load)
 	g.runner = event.Runner
 	if event.Assigned {
 		return nil
@@ -131,5 +132,5 @@
 		g.tokens++
 	}
 	g.finished = g.finished || event.FinishReason != ""
-	return g.emit(Piece{Text: event.Text, FinishReason: event.FinishReason})
+	return g.emit(Chunk{Text: event.Text, FinishReason: event.FinishReason})
 }
