--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -176,6 +176,6 @@
 	}
 	return e.Runners.Pick(&runnerset.Criteria{
 		Service: route.ServiceFor(work.Item.Id), Zone: e.Zone, Prompt: promptOf(work.Item), Bytes: len(work.Item.Body),
-		Excluded: excluded, Batch: &runnerset.BatchLimits{MaxUnread: maxUnreadTokens, Home: e.Home, AwayReserve: awayReserve},
+		Excluded: excluded, Batch: &runnerset.BatchLimits{MaxUnread: maxUnreadTokens, Home: e.Home, NonHomeReserve: awayReserve},
 	}, now)
 }
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -18,7 +18,7 @@
 func (i *Informer) widen(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, widenInterval)
-		fullChoices := i.Runners.TakeFullChoices()
+		fullChoices := i.Runners.DrainFullChoices()
 		factor, changed := i.runners.widen(fullChoices > 0, time.Now())
 		if !changed {
 			continue
--- a/internal/serving/loadshare/rankings.go
+++ b/internal/serving/loadshare/rankings.go
@@ -126,7 +126,7 @@
 		return
 	}
 	listed := 0
-	for _, count := range a.runners.Counts().Services {
+	for _, count := range a.runners.Counts().ByService {
 		listed += count
 	}
 	if held > int64(2*listed+rankingsSpare) {
@@ -176,7 +176,7 @@
 func (i *nodeIndex) inputsFor(runner *runnerset.Runner, counts *runnerset.Counts) audienceInputs {
 	return audienceInputs{
 		edges: len(i.edges[runner.Zone]), storageNodes: i.storageCount,
-		runnersNear:      counts.Places[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}],
-		runnersOfService: counts.Services[runner.Service],
+		runnersNear:      counts.ByServiceZone[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}],
+		runnersOfService: counts.ByService[runner.Service],
 	}
 }
--- a/internal/serving/online/attempt.go
+++ b/internal/serving/online/attempt.go
@@ -73,7 +73,7 @@
 func (s *serving) call(runner *runnerset.Runner) *exchange.Call {
 	serves := runner.AcceptsWork
 	if !runner.AcceptsWork() {
-		serves = runner.StillServes
+		serves = runner.RecentlyRemoved
 	}
 	admitted := s.admission
 	current := func() bool { return serves() && admitted.Valid() }
--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -8,7 +8,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// fleetRecords are runners of one service, evenly in five zones.
+// fleetRecords returns the runners of one service, spread evenly over five zones.
 func fleetRecords(count int) []Record {
 	var records []Record
 	for i := range count {
@@ -17,8 +17,9 @@
 	return records
 }
 
-// drawn returns what an edge of a fleet with so many runners knows.
-func drawn(count int) ([]Record, subset.Totals) {
+// subsetRecords returns the runners that an edge knows of a fleet of the given size, and
+// the totals of the fleet.
+func subsetRecords(count int) ([]Record, subset.Totals) {
 	index := subset.NewIndex[Record]()
 	for _, record := range fleetRecords(count) {
 		index.Put(subset.ListedRunner[Record]{ID: record.ID, ServiceZone: subset.ServiceZone{Service: "s", Zone: record.Zone}, Value: record})
@@ -30,17 +31,17 @@
 	return known, index.Totals()
 }
 
-// sets are those of a node that knows all runners, and of one that knows its draw, at
-// half of the whole fleet, at its size, and at twice that.
-func sets(b *testing.B, run func(b *testing.B, s *Set)) {
+// benchmarkSets runs a benchmark on sets that hold the whole fleet and on sets that hold
+// an edge's subset, for fleets of different sizes.
+func benchmarkSets(b *testing.B, run func(b *testing.B, s *Set)) {
 	for _, count := range []int{subset.AllKnown, 5000, 10_000, 20_000} {
-		known, totals := drawn(count)
+		known, totals := subsetRecords(count)
 		b.Run(fmt.Sprint("all/", count), func(b *testing.B) {
 			s := New()
 			s.Replace(fleetRecords(count), 1, time.Now())
 			run(b, s)
 		})
-		b.Run(fmt.Sprint("draw/", count), func(b *testing.B) {
+		b.Run(fmt.Sprint("subset/", count), func(b *testing.B) {
 			s := New()
 			s.Select(known, totals, 1, time.Now())
 			run(b, s)
@@ -48,18 +49,17 @@
 	}
 }
 
-// BenchmarkPick is one choice.
 func BenchmarkPick(b *testing.B) {
-	sets(b, func(b *testing.B, s *Set) {
+	benchmarkSets(b, func(b *testing.B, s *Set) {
 		for b.Loop() {
 			s.Pick(&Criteria{Service: "s", Zone: "z0", Prompt: Prompt{Tokens: 200}}, time.Now())
 		}
 	})
 }
 
-// BenchmarkChange is one runner that comes and goes.
+// BenchmarkChange measures adding and removing one runner.
 func BenchmarkChange(b *testing.B) {
-	sets(b, func(b *testing.B, s *Set) {
+	benchmarkSets(b, func(b *testing.B, s *Set) {
 		record := Record{ID: "new", Service: "s", Zone: "z0", Slots: 8}
 		for revision := int64(2); b.Loop(); revision += 2 {
 			s.ApplyChanges([]Record{record}, nil, revision, time.Now())
@@ -68,10 +68,10 @@
 	})
 }
 
-// What a choice reads does not grow with the runners of a fleet.
-func TestChoiceReadsADraw(t *testing.T) {
+// The number of runners that a choice reads does not grow with the fleet.
+func TestPickReadsOnlyTheSubset(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
-		known, totals := drawn(count)
+		known, totals := subsetRecords(count)
 		s := New()
 		s.Select(known, totals, 1, time.Now())
 		choice := s.Pick(&Criteria{Service: "s", Zone: "z0"}, time.Now())
@@ -81,18 +81,18 @@
 	}
 }
 
-// Choices that find no free slot are counted, so that a node may ask for more runners.
-func TestFullChoicesAreCounted(t *testing.T) {
+// Choices that find no free slot are counted, so that a node can ask for more runners.
+func TestPicksWithoutFreeSlotAreCounted(t *testing.T) {
 	s := New()
 	s.Replace([]Record{{ID: "a", Service: "s", Zone: "z", Slots: 1}}, 1, time.Now())
 	criteria := &Criteria{Service: "s", Zone: "z"}
 	first := s.Pick(criteria, time.Now())
-	if full := s.TakeFullChoices(); full != 0 {
+	if full := s.DrainFullChoices(); full != 0 {
 		t.Fatalf("%d choices found no slot at an empty runner", full)
 	}
 	s.Begin(first.Runner, Prompt{}, false, time.Now())
 	s.Pick(criteria, time.Now())
-	if full := s.TakeFullChoices(); full != 1 {
+	if full := s.DrainFullChoices(); full != 1 {
 		t.Fatalf("%d choices found no slot at a full runner, want 1", full)
 	}
 }
--- a/internal/serving/runnerset/ejection.go
+++ b/internal/serving/runnerset/ejection.go
@@ -3,54 +3,56 @@
 import "time"
 
 const (
-	// minEjection and maxEjection bound how long a failing runner is ejected.
+	// minEjection and maxEjection bound the duration of an ejection.
 	minEjection = 400 * time.Millisecond
 	maxEjection = 6 * time.Second
-	// maxEjectionDoublings keeps the shift within the bounds.
+	// maxEjectionDoublings bounds the exponent of the backoff.
 	maxEjectionDoublings = 4
-	// overdueFactor is how many times longer than expected a first event takes until
-	// it is overdue, and failedFactor until it counts as a failure of the runner.
+	// overdueFactor and failedFactor are multiples of the expected time to the first
+	// event: beyond the first, the event is overdue, and beyond the second, the wait
+	// counts as a failure of the runner.
 	overdueFactor = 4
 	failedFactor  = 8
 )
 
-// ejection is the outlier ejection of one runner. A failure ejects the runner for
-// minEjection, each further failure in a row for twice as long, up to maxEjection;
-// a first event ends it. An ejected runner gets online requests only if there is no
-// other, and no batch items: a failing runner looks empty, and would draw work.
+// ejection is the outlier ejection of one runner. The first failure ejects the runner
+// for minEjection, and each further consecutive failure for twice as long, up to
+// maxEjection; a first event ends the ejection. An ejected runner gets no batch items,
+// and online requests only if there is no other runner: a failing runner appears idle,
+// and would otherwise attract work.
 type ejection struct {
 	failures int // in a row
 	until    time.Time
 }
 
-// fail counts a failure at now.
+// fail records a failure at the given time.
 func (e *ejection) fail(now time.Time) {
 	e.failures++
 	length := minEjection << min(e.failures-1, maxEjectionDoublings)
 	e.until = now.Add(min(length, maxEjection))
 }
 
-// end ends the ejection: the runner has answered.
+// end ends the ejection, since the runner has sent a first event.
 func (e *ejection) end() { *e = ejection{} }
 
-// active reports whether the runner is ejected at now.
 func (e *ejection) active(now time.Time) bool { return now.Before(e.until) }
 
-// passedOver reports whether a request that was sent at a moment waits for its first
-// event by the runner's fault: the runner has sent this node nothing at all since,
-// while one that is only full goes on with what it runs; or it has begun with a
-// request that was sent later, though runners take requests in the order of their
-// arrival. lastEvent is when the runner last sent this node an event (zero: never),
-// newestAnswered when the newest request was sent whose first event has come.
-func passedOver(sent, lastEvent, newestAnswered time.Time) bool {
-	silent := lastEvent.IsZero() || lastEvent.Before(sent)
-	return silent || newestAnswered.After(sent)
+// stalled reports whether the delay of a request's first event is the runner's fault.
+// That is so if the runner has sent this node no event since the request was sent (a
+// runner that is merely full still sends events of its running requests), or if it has
+// started a request that was sent later, since runners start requests in the order of
+// arrival. lastEvent is the time of the runner's last event to this node (zero if there
+// is none), and newestStarted the latest send time of the requests whose first event has
+// arrived.
+func stalled(sent, lastEvent, newestStarted time.Time) bool {
+	unresponsive := lastEvent.IsZero() || lastEvent.Before(sent)
+	return unresponsive || newestStarted.After(sent)
 }
 
-// firstEventOverdue reports whether a request has waited so much longer than expected
-// that its runner is avoided.
+// firstEventOverdue reports whether a request has waited so long for its first event
+// that its runner should be avoided.
 func firstEventOverdue(waited, expected time.Duration) bool { return waited > overdueFactor*expected }
 
-// firstEventFailed reports whether a request that ended without a first event has
-// waited so long that the runner counts as failed.
+// firstEventFailed reports whether a request that ended without a first event has waited
+// so long that it counts as a failure of the runner.
 func firstEventFailed(waited, expected time.Duration) bool { return waited > failedFactor*expected }
--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -7,30 +7,32 @@
 	"cobaltramp.example/cobaltramp/internal/serving/enginemodel"
 )
 
-// InFlight is one request of this node at a runner.
+// InFlight is a request that this node has sent to a runner.
 type InFlight struct {
 	set    *Set
 	runner *Runner
 	batch  bool
 	sent   time.Time
-	// unread are its prompt tokens that the runner has to read; 0 once it has.
+	// unread is the number of its prompt tokens that the runner has yet to process; 0
+	// once the first event has arrived.
 	unread int
-	// expected is the time to its first event that was expected when it was sent.
+	// expected is the time to the first event that was expected when it was sent.
 	expected time.Duration
-	// load is what the runner had then; queued is true if that filled its slots.
+	// load is the load of the runner when it was sent, this request's tokens included;
+	// queued is set if no slot was free.
 	load   enginemodel.EngineLoad
 	queued bool
-	// ahead is the share of the slots that had to come free for it first.
+	// ahead is the number of requests that had to end first, as a share of the slots.
 	ahead float64
-	// firstEvent is when its first event came; zero before.
+	// firstEvent is when the first event arrived; zero before.
 	firstEvent time.Time
 	once       sync.Once
 }
 
-// Begin counts a request that is about to be sent. End must be called.
+// Begin counts a request that is about to be sent. The caller must call End.
 func (s *Set) Begin(runner *Runner, prompt Prompt, batch bool, now time.Time) *InFlight {
 	runner.mutex.Lock()
-	unread := runner.kept.missing(prompt)
+	unread := runner.prefixes.uncached(prompt)
 	estimate := runner.estimate(now)
 	f := &InFlight{
 		set: s, runner: runner, unread: unread, sent: now, batch: batch,
@@ -48,16 +50,17 @@
 	if batch {
 		runner.own.Batch++
 	}
-	runner.kept.touch(prompt.SharedParts, now)
+	runner.prefixes.touch(prompt.SharedParts, now)
 	runner.mutex.Unlock()
 	s.notifyOwnLoad(runner, prompt.SharedParts)
 	return f
 }
 
-// RecordEvent records that an event has come, the first or a later one.
+// RecordEvent records the arrival of an event, which may be the first or a later one.
 func (f *InFlight) RecordEvent(now time.Time) { f.runner.lastEvent.Store(int64(now.Sub(processStart))) }
 
-// RecordFirstEvent records that the first event, or the answer, has come.
+// RecordFirstEvent records the arrival of the first event, or of the response if it is
+// not a stream.
 func (f *InFlight) RecordFirstEvent(now time.Time) {
 	f.RecordEvent(now)
 	took := now.Sub(f.sent)
@@ -69,38 +72,39 @@
 	}
 	f.runner.mutex.Lock()
 	f.firstEvent = now
-	if f.sent.After(f.runner.newestAnswered) {
-		f.runner.newestAnswered = f.sent
+	if f.sent.After(f.runner.newestStarted) {
+		f.runner.newestStarted = f.sent
 	}
-	f.noteRead()
+	f.clearUnread()
 	f.runner.ejection.end()
-	f.runner.noteSlowness(float64(took) / float64(f.expected))
+	f.runner.updateSlowness(float64(took) / float64(f.expected))
 	f.runner.mutex.Unlock()
 	f.set.notifyOwnLoad(f.runner, nil)
 }
 
-// RecordDelay records that the request waited until now without a first event.
+// RecordDelay records that the request has waited until now without a first event.
 func (f *InFlight) RecordDelay(now time.Time) {
 	f.runner.mutex.Lock()
 	defer f.runner.mutex.Unlock()
 	if sample := float64(now.Sub(f.sent)) / float64(f.expected); sample > f.runner.slowness {
-		f.runner.noteSlowness(sample)
+		f.runner.updateSlowness(sample)
 	}
 }
 
-// End ends the count, once. A request that ends without a first event though it is
-// long overdue counts as a failure of the runner.
+// End removes the request from the counts; only the first call has an effect. A request
+// that ends without a first event although it is long overdue counts as a failure of the
+// runner.
 func (f *InFlight) End() {
 	f.once.Do(func() {
 		now := time.Now()
 		f.runner.mutex.Lock()
-		if f.runner.waiting[f] && f.passedOver() && firstEventFailed(now.Sub(f.sent), f.expected) {
+		if f.runner.waiting[f] && f.stalled() && firstEventFailed(now.Sub(f.sent), f.expected) {
 			f.runner.ejection.fail(now)
 		}
-		if !f.firstEvent.IsZero() && !f.batch { // what it waited for a slot is no part of it
+		if !f.firstEvent.IsZero() && !f.batch { // the wait for a slot is not part of the hold time
 			f.runner.model.ObserveHold(now.Sub(f.firstEvent) + f.runner.model.First(f.load))
 		}
-		f.noteRead()
+		f.clearUnread()
 		f.runner.own.Running--
 		if f.batch {
 			f.runner.own.Batch--
@@ -110,15 +114,16 @@
 	})
 }
 
-// noteRead takes the request's tokens from those not read. The runner's mutex is held.
-func (f *InFlight) noteRead() {
+// clearUnread removes the request's prompt tokens from the unprocessed ones. The caller
+// holds the runner's mutex.
+func (f *InFlight) clearUnread() {
 	f.runner.own.Unread -= f.unread
 	f.unread = 0
 	delete(f.runner.waiting, f)
 }
 
-// passedOver reports whether the request waits by the runner's fault. The runner's
-// mutex is held.
-func (f *InFlight) passedOver() bool {
-	return passedOver(f.sent, f.runner.lastEventTime(), f.runner.newestAnswered)
+// stalled reports whether the delay of the first event is the runner's fault. The caller
+// holds the runner's mutex.
+func (f *InFlight) stalled() bool {
+	return stalled(f.sent, f.runner.lastEventTime(), f.runner.newestStarted)
 }
--- a/internal/serving/runnerset/kept.go
+++ b/internal/serving/runnerset/kept.go
@@ -2,46 +2,45 @@
 
 import "time"
 
-// keptParts models which parts of prompts a runner keeps in its memory: those
-// used last, up to a bound. A part counts only if every part before it is kept as
-// well.
-type keptParts struct {
+// prefixCache models the prefix cache of a runner as an LRU cache of prompt parts with a
+// bounded number of tokens. A part is a hit only if every part before it is a hit too.
+type prefixCache struct {
 	tokens int
-	parts  map[uint64]keptPart
+	parts  map[uint64]cachedPart
 }
 
-type keptPart struct {
+type cachedPart struct {
 	tokens int
 	used   time.Time
 }
 
 const (
-	// maxKeptTokens is how many tokens of parts a runner's memory is taken to hold
-	// beside what runs there.
-	maxKeptTokens = 60_000
-	// minPartTokens is the size of the smallest part worth remembering.
+	// maxCachedTokens is the assumed capacity of a runner's prefix cache, beside the
+	// memory for running requests.
+	maxCachedTokens = 60_000
+	// minPartTokens is the size of the smallest part that is tracked.
 	minPartTokens = 48
 )
 
-// missing returns how many tokens of a prompt have to be read.
-func (k *keptParts) missing(prompt Prompt) int {
-	missing := prompt.Tokens
+// uncached returns how many tokens of a prompt the runner has to process.
+func (k *prefixCache) uncached(prompt Prompt) int {
+	uncached := prompt.Tokens
 	for _, part := range prompt.SharedParts {
-		if _, kept := k.parts[part.ID]; !kept {
+		if _, cached := k.parts[part.ID]; !cached {
 			break
 		}
-		missing -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return max(1, missing)
+	return max(1, uncached)
 }
 
-// touch records that a prompt that begins with these parts was sent.
-func (k *keptParts) touch(shared []PromptPart, now time.Time) {
+// touch records that a prompt with these leading parts was sent.
+func (k *prefixCache) touch(shared []PromptPart, now time.Time) {
 	if len(shared) == 0 {
 		return
 	}
 	if k.parts == nil {
-		k.parts = map[uint64]keptPart{}
+		k.parts = map[uint64]cachedPart{}
 	}
 	for _, part := range shared {
 		if part.Tokens < minPartTokens {
@@ -50,13 +49,13 @@
 		if _, known := k.parts[part.ID]; !known {
 			k.tokens += part.Tokens
 		}
-		k.parts[part.ID] = keptPart{part.Tokens, now}
+		k.parts[part.ID] = cachedPart{part.Tokens, now}
 	}
 	k.evict()
 }
 
-func (k *keptParts) evict() {
-	for k.tokens > maxKeptTokens && len(k.parts) > 1 {
+func (k *prefixCache) evict() {
+	for k.tokens > maxCachedTokens && len(k.parts) > 1 {
 		var oldest uint64
 		var at time.Time
 		for id, part := range k.parts {
--- a/internal/serving/runnerset/load.go
+++ b/internal/serving/runnerset/load.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// NodeLoad counts the requests of one node at a runner.
+// NodeLoad is the load that one node has at a runner.
 type NodeLoad struct {
 	Running int
-	// Batch is how many of Running are batch items, which can be preempted.
+	// Batch is the number of Running requests that are batch items and can be preempted.
 	Batch int
-	// Unread are prompt tokens sent whose first event has not come.
+	// Unread is the number of prompt tokens in requests whose first event has not
+	// arrived.
 	Unread int
 }
 
-// PeerReport is what another node reports of its requests at a runner.
+// PeerReport is another node's report of its load at a runner.
 type PeerReport struct {
 	NodeLoad
-	// SharedParts of the prompt that was just sent.
+	// SharedParts are the leading parts of the prompt that was just sent.
 	SharedParts []PromptPart
 }
 
-// peerLoad is the last report of a peer.
 type peerLoad struct {
 	NodeLoad
 	at time.Time
 }
 
-// runnerReport is the load of other nodes by the runner's last answer: the requests
-// that it counted, less this node's own.
+// runnerReport is the load that the runner last reported, without this node's own
+// requests.
 type runnerReport struct {
 	others float64
 	at     time.Time
 }
 
-// load is an estimate of the requests at a runner, of all nodes.
+// load is the estimated load of a runner by the requests of all nodes.
 type load struct {
 	running, batch float64 // requests, and how many of them are batch items
-	unread         float64 // prompt tokens
+	unread         float64 // prompt tokens not yet processed
 }
 
 const (
-	// runnerReportLifetime is how long a runner's report counts; it fades linearly.
+	// runnerReportLifetime is how long a runner's report is used; its weight falls
+	// linearly to zero.
 	runnerReportLifetime = time.Second
-	// peerReportLifetime is how long a peer's report counts without a new one. A peer
-	// repeats it each second (loadshare), and two may be lost.
+	// peerReportLifetime is how long a peer's report is used. Peers repeat their reports
+	// each second (see loadshare), so two may be lost.
 	peerReportLifetime = 2500 * time.Millisecond
-	// peerUnreadLifetime is how long tokens that a peer has sent may take to be read.
+	// peerUnreadLifetime is how long prompt tokens that a peer reports count as
+	// unprocessed.
 	peerUnreadLifetime = 700 * time.Millisecond
 )
 
-// countReported adds up this node's requests at a runner and those that peers
-// report, as long as their reports count.
+// countReported sums the load of this node at a runner and the loads in peers' reports
+// that have not expired.
 func countReported(own NodeLoad, peers map[string]peerLoad, now time.Time) load {
 	var others load
 	for _, peer := range peers {
@@ -67,24 +69,23 @@
 	}
 }
 
-// loadInputs are what an estimate of a runner's load rests on.
+// loadInputs are the inputs to the estimate of a runner's load.
 type loadInputs struct {
 	own NodeLoad
-	// reported is the sum of countReported.
+	// reported is the result of countReported.
 	reported load
-	// report is the runner's own.
+	// report is the last report of the runner itself.
 	report runnerReport
-	// slots of the runner.
-	slots float64
-	// unreported is the share of the slots that other nodes are expected to hold
-	// without reporting it to this node; 0 at a runner whose users report.
+	slots  float64
+	// unreported is the expected share of the slots that is held by nodes that do not
+	// report to this node; 0 at a reported runner.
 	unreported float64
 }
 
-// estimateLoad estimates the requests at a runner: those that nodes report; if that
-// is less, what the runner reported, fading with its age; and where nodes do not
-// report to this one, at least the expected share of the slots. The largest
-// counts, since each source misses requests and none invents them for long.
+// estimateLoad estimates the number of requests at a runner as the largest of three
+// values: the requests that nodes report; the runner's own report, with a weight that
+// falls with its age; and, if nodes do not report to this one, the expected share of the
+// slots. Each source can miss requests, but none overstates them for long.
 func estimateLoad(inputs *loadInputs, now time.Time) load {
 	estimate := inputs.reported
 	estimate.running = max(estimate.running, float64(inputs.own.Running)+inputs.unreported*inputs.slots)
--- a/internal/serving/runnerset/neighbourhood.go
+++ b/internal/serving/runnerset/neighbourhood.go
@@ -7,64 +7,66 @@
 	"time"
 )
 
-// neighbourhood is the runners of a service in a zone, and how full those of them
-// are expected to be whose users do not report to this node: as the mean of the
-// reported runners of the neighbourhood (of all of them where it has none), moved
-// towards what its runners lately reported of themselves. Without reports a runner
-// is not idle: taken for idle, such runners would be chosen before all that are
-// known to be half full.
-type neighbourhood struct {
-	// reportedMean is the mean utilization (requests per slot) of the runners whose
-	// users report, as the bits of a float64; see updateNeighbourhoods.
+// zoneUtilization estimates the utilization of the unreported runners of a service in a
+// zone, which are those whose load other nodes do not report to this node. The estimate
+// is the mean utilization of the reported runners in the zone (of all zones, if the zone
+// has none), moved towards the load that the zone's runners recently reported
+// themselves. If unreported runners were assumed to be idle, they would be preferred to
+// all that are known to be half full.
+type zoneUtilization struct {
+	// reportedMean is the mean utilization (requests per slot) of the reported runners,
+	// as the bits of a float64; see refreshZoneUtilizations.
 	reportedMean atomic.Uint64
 
 	mutex sync.Mutex
-	// answered is the moving average of what runners reported in answers to this
-	// node: the requests of others per slot.
-	answered   float64
-	answeredAt time.Time
+	// selfReported is the moving average of the load in runners' responses to this node:
+	// the requests of other nodes per slot.
+	selfReported   float64
+	selfReportedAt time.Time
 }
 
 const (
-	// answeredLifetime is how long the runners' own reports count; they fade linearly.
-	// The mean over several runners is steadier than one runner's report.
-	answeredLifetime = 2 * runnerReportLifetime
-	// answeredWeight is the weight of a new sample.
-	answeredWeight = 0.3
-	// maxUtilization bounds a sample: a runner may queue several times its slots.
+	// selfReportedLifetime is how long the average of the runners' own reports is used;
+	// its weight falls linearly to zero. It is longer than the lifetime of a single
+	// report, because a mean over several runners varies less.
+	selfReportedLifetime = 2 * runnerReportLifetime
+	// selfReportedWeight is the weight of a new sample in the moving average.
+	selfReportedWeight = 0.3
+	// maxUtilization bounds a sample, since a runner may queue several times as many
+	// requests as it has slots.
 	maxUtilization = 1.5
-	// refreshInterval is how often the means are worked out; a choice every few
-	// milliseconds would read all runners twice.
+	// refreshInterval is the minimum time between two computations of the means, which
+	// read all runners of a service.
 	refreshInterval = 20 * time.Millisecond
 )
 
-// observe takes a runner's report: the requests of others there per slot.
-func (n *neighbourhood) observe(utilization float64, now time.Time) {
+// observe adds a sample from a runner's report: the requests of other nodes per slot.
+func (n *zoneUtilization) observe(utilization float64, now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	utilization = min(utilization, maxUtilization)
-	if now.Sub(n.answeredAt) > answeredLifetime {
-		n.answered = utilization
+	if now.Sub(n.selfReportedAt) > selfReportedLifetime {
+		n.selfReported = utilization
 	} else {
-		n.answered += answeredWeight * (utilization - n.answered)
+		n.selfReported += selfReportedWeight * (utilization - n.selfReported)
 	}
-	n.answeredAt = now
+	n.selfReportedAt = now
 }
 
-// expected returns how many requests per slot others are expected to have at an
-// unreported runner of the neighbourhood.
-func (n *neighbourhood) expected(now time.Time) float64 {
+// expected returns the expected number of requests of other nodes per slot at an
+// unreported runner.
+func (n *zoneUtilization) expected(now time.Time) float64 {
 	reported := math.Float64frombits(n.reportedMean.Load())
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.answeredAt.IsZero() {
+	if n.selfReportedAt.IsZero() {
 		return reported
 	}
-	fresh := max(0, 1-float64(now.Sub(n.answeredAt))/float64(answeredLifetime))
-	return reported + fresh*(n.answered-reported)
+	fresh := max(0, 1-float64(now.Sub(n.selfReportedAt))/float64(selfReportedLifetime))
+	return reported + fresh*(n.selfReported-reported)
 }
 
-// mean is a running mean.
+// mean accumulates an arithmetic mean.
 type mean struct {
 	sum   float64
 	count int
@@ -77,18 +79,17 @@
 
 func (m *mean) value() float64 { return m.sum / float64(max(1, m.count)) }
 
-// neighbourhoodRefresh is when the neighbourhoods of a service were last worked out,
-// and whether the users of any of its runners report to this node.
-type neighbourhoodRefresh struct {
+// utilizationRefresh holds when the zone utilizations of a service were last computed,
+// and whether the service has any reported runner.
+type utilizationRefresh struct {
 	mutex       sync.Mutex
 	at          time.Time
 	anyReported bool
 }
 
-// updateNeighbourhoods works out the mean utilization of each neighbourhood of a
-// service, if it is time to. It reports whether the users of any runner report to
-// this node.
-func (s *Set) updateNeighbourhoods(list []*Runner, now time.Time) bool {
+// refreshZoneUtilizations computes the mean utilization of a service in each zone, at
+// most once per refreshInterval. It reports whether the service has any reported runner.
+func (s *Set) refreshZoneUtilizations(list []*Runner, now time.Time) bool {
 	if len(list) == 0 {
 		return false
 	}
@@ -99,32 +100,33 @@
 		return refresh.anyReported
 	}
 	refresh.at = now
-	means := map[*neighbourhood]*mean{}
+	means := map[*zoneUtilization]*mean{}
 	all := &mean{}
 	for _, runner := range list {
-		if means[runner.neighbourhood] == nil {
-			means[runner.neighbourhood] = &mean{}
+		if means[runner.zoneUtilization] == nil {
+			means[runner.zoneUtilization] = &mean{}
 		}
 		if runner.AcceptsWork() && s.receivesReports(runner) {
 			utilization := runner.reportedUtilization(now)
-			means[runner.neighbourhood].add(utilization)
+			means[runner.zoneUtilization].add(utilization)
 			all.add(utilization)
 		}
 	}
-	for place, reported := range means {
+	for zone, reported := range means {
 		value := reported.value()
 		if reported.count == 0 {
-			// Taken for emptier than those reported, its runners would draw what the near
-			// ones have no free slots for, from all nodes at once.
+			// A zone without reported runners gets the mean of all zones. With a lower
+			// estimate, all nodes at once would send it the requests for which nearer
+			// runners have no free slot.
 			value = all.value()
 		}
-		place.reportedMean.Store(math.Float64bits(value))
+		zone.reportedMean.Store(math.Float64bits(value))
 	}
 	refresh.anyReported = all.count > 0
 	return refresh.anyReported
 }
 
-// reportedUtilization is the requests of all nodes at the runner per slot.
+// reportedUtilization returns the reported requests of all nodes at the runner per slot.
 func (r *Runner) reportedUtilization(now time.Time) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/serving/runnerset/reports.go
+++ b/internal/serving/runnerset/reports.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// SetReporting sets who knows whether other nodes report their requests at a runner
-// to this node. Without it they are taken to do so for all runners.
+// SetReporting sets the function that reports whether other nodes report their load at a
+// runner to this node. Without one, all runners count as reported.
 func (s *Set) SetReporting(reporting func(runner *Runner) bool) { s.reporting.Store(&reporting) }
 
-// receivesReports reports whether other nodes report their requests at a runner to
-// this node.
+// receivesReports reports whether other nodes report their load at a runner to this
+// node.
 func (s *Set) receivesReports(runner *Runner) bool {
 	reporting := s.reporting.Load()
 	return reporting == nil || (*reporting)(runner)
 }
 
-// OnOwnLoad sets who is called when this node's requests at a runner change, with
-// the shared parts of a prompt that was just sent there. It may be called by several
-// goroutines at once, so the load itself is asked of the runner (OwnLoad).
+// OnOwnLoad sets the callback for changes of this node's load at a runner; shared are
+// the leading parts of the prompt if one was just sent. The callback may be called
+// concurrently, so it has to read the current load with Runner.OwnLoad.
 func (s *Set) OnOwnLoad(changed func(runner *Runner, shared []PromptPart)) {
 	s.onOwnLoad.Store(&changed)
 }
 
-// OnPeerLoad sets who is called when another node's requests at a runner change.
+// OnPeerLoad sets the callback for changes of another node's load at a runner.
 func (s *Set) OnPeerLoad(changed func(runner *Runner)) { s.onPeerLoad.Store(&changed) }
 
 func (s *Set) notifyOwnLoad(runner *Runner, shared []PromptPart) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// RecordPeerReport takes a report of another node's requests at a runner.
+// RecordPeerReport records a report of another node's load at a runner.
 func (s *Set) RecordPeerReport(peer, runner string, report PeerReport, now time.Time) {
 	s.mutex.Lock()
 	known := s.byID[runner]
@@ -43,8 +43,8 @@
 	}
 }
 
-// ForgetPeer drops what another node reported: its process has ended. It returns at
-// how many runners the node had requests.
+// ForgetPeer drops all reports of a node whose process has ended. It returns the number
+// of runners at which the node had requests.
 func (s *Set) ForgetPeer(peer string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -57,6 +57,6 @@
 	return count
 }
 
-// TakeFullChoices returns how many choices found no free slot among the runners
-// listed since it was last called.
-func (s *Set) TakeFullChoices() int64 { return s.fullChoices.Swap(0) }
+// DrainFullChoices returns the number of choices since the last call that found no free
+// slot among the listed runners.
+func (s *Set) DrainFullChoices() int64 { return s.fullChoices.Swap(0) }
--- a/internal/serving/runnerset/rules_test.go
+++ b/internal/serving/runnerset/rules_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A runner is ejected for twice as long with each failure in a row, up to a bound; an
-// answer ends that, and the next failure counts as the first.
+// Each consecutive failure doubles the ejection up to its maximum; a first event resets
+// the backoff.
 func TestEjectionDoubles(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -25,20 +25,20 @@
 	is.True(!e.active(now.Add(minEjection)))
 }
 
-// A request waits by the runner's fault if nothing has come from there since it was
-// sent, or if one that was sent later has begun.
-func TestPassedOver(t *testing.T) {
+// A request is stalled if the runner has sent no event since, or has started a request
+// that was sent later.
+func TestStalledRequests(t *testing.T) {
 	is := is.New(t)
 	sent := time.Now()
 	before, after := sent.Add(-time.Second), sent.Add(time.Second)
-	is.True(passedOver(sent, time.Time{}, time.Time{})) // no event ever
-	is.True(passedOver(sent, before, before))
-	is.True(!passedOver(sent, after, before)) // the runner goes on with older ones
-	is.True(passedOver(sent, after, after))
+	is.True(stalled(sent, time.Time{}, time.Time{})) // the runner has never sent an event
+	is.True(stalled(sent, before, before))
+	is.True(!stalled(sent, after, before)) // the runner still serves older requests
+	is.True(stalled(sent, after, after))
 }
 
-// The load is the largest of what nodes report, what the runner reports, and what is
-// expected of nodes that do not report.
+// The estimate is the largest of the nodes' reports, the runner's own report, and the
+// expected load of nodes that do not report.
 func TestEstimatedLoad(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Each thing that speaks against a runner adds its cost, and an overdue first event
-// counts as long as it has been waited for.
+// Each disadvantage of a runner adds its surcharge, and an overdue first event counts
+// with the time waited for it.
 func TestCosts(t *testing.T) {
 	const expected = 50 * time.Millisecond
 	for _, test := range []struct {
@@ -68,7 +68,7 @@
 		{"near and idle", candidate{}, expected},
 		{"overdue", candidate{overdue: time.Second}, time.Second},
 		{"in another zone", candidate{otherZone: true, bytes: 1000}, expected + 24*time.Millisecond},
-		{"away", candidate{away: true}, expected + awayCost},
+		{"not a home runner", candidate{nonHome: true}, expected + nonHomeCost},
 		{"unreported", candidate{unreported: true}, expected + unreportedCost},
 		{"ejected", candidate{ejected: true}, expected + ejectedCost},
 		{"cold", candidate{cold: true}, expected + coldCost},
@@ -82,7 +82,7 @@
 	}
 }
 
-// Items in the way are preempted first; what is beyond them has to end.
+// Batch items are preempted first; if that is not enough, further requests have to end.
 func TestSlotsToFree(t *testing.T) {
 	for _, test := range []struct {
 		at               load
--- a/internal/serving/runnerset/runner.go
+++ b/internal/serving/runnerset/runner.go
@@ -9,65 +9,67 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// Runner is a listed runner with what this node knows of it: its own requests,
-// those that other nodes report, the load that the runner reports, failures and
-// speed.
+// Runner is a listed runner with this node's knowledge about it: this node's own
+// requests there, the load that other nodes and the runner itself report, its failures,
+// and its speed.
 type Runner struct {
 	Record
 
 	set *Set
-	// model is of the service's engines.
-	model         *enginemodel.EngineModel
-	neighbourhood *neighbourhood
-	// refresh is of the service's neighbourhoods.
-	refresh *neighbourhoodRefresh
-	gone    atomic.Bool // leaving, or no longer listed
-	// removed is when the runner was removed from the list without having said that
-	// it leaves, as time since processStart; 0 if it was not.
+	// model is the latency model of the service's engines.
+	model           *enginemodel.EngineModel
+	zoneUtilization *zoneUtilization
+	// refresh is shared by all runners of the service.
+	refresh      *utilizationRefresh
+	notAccepting atomic.Bool // leaving, or no longer listed
+	// removed is when the runner was removed from the list without having been marked as
+	// leaving, as the time since processStart; 0 if that has not happened.
 	removed atomic.Int64
-	// lastEvent is when an event of any request last came to this node, as time
-	// since processStart; 0 if none has.
+	// lastEvent is when this node last received an event of any request from the runner,
+	// as the time since processStart; 0 if it has received none.
 	lastEvent atomic.Int64
 	mutex     sync.Mutex
-	// own are this node's requests, peers those that other nodes report.
+	// own is this node's load, and peers holds the loads that other nodes report.
 	own      NodeLoad
 	peers    map[string]peerLoad
 	report   runnerReport
-	kept     keptParts
+	prefixes prefixCache
 	ejection ejection
-	// waiting are this node's requests whose first event has not come.
+	// waiting holds this node's requests whose first event has not arrived.
 	waiting map[*InFlight]bool
-	// newestAnswered is when the newest of this node's requests was sent whose first
-	// event has come.
-	newestAnswered time.Time
-	// slowness is a moving average of how many times longer than expected the first
-	// event took; 0 before the first.
+	// newestStarted is the latest send time of this node's requests whose first event
+	// has arrived.
+	newestStarted time.Time
+	// slowness is the moving average of the ratio of actual to expected time to the
+	// first event; 0 before the first sample.
 	slowness float64
 }
 
 const (
-	// slownessWeight is the weight of a new sample, which is bounded.
+	// slownessWeight is the weight of a new sample, which is clamped to minSlowness and
+	// maxSlowness.
 	slownessWeight = 0.2
 	minSlowness    = 0.5
 	maxSlowness    = 10.0
-	// lastResortTime is how long a runner that was removed from the list is still used
-	// when there is no other: it is well within the time that leaving runners serve
-	// on. Entries of runners that live are lost at times while the store is down, and
-	// come back with their next heartbeat.
-	lastResortTime = 800 * time.Millisecond
+	// removedRunnerGrace is how long a runner that was removed from the list may be used
+	// if there is no other. Live runners can drop out of the list while the store is
+	// down, until their next heartbeat. Leaving runners go on serving for longer than
+	// this.
+	removedRunnerGrace = 800 * time.Millisecond
 )
 
-// processStart anchors times kept in atomics to the monotonic clock.
+// processStart is the reference for times stored in atomics, so that they use the
+// monotonic clock.
 var processStart = time.Now()
 
-// AcceptsWork reports whether the runner may be sent new work.
-func (r *Runner) AcceptsWork() bool { return !r.gone.Load() }
+// AcceptsWork reports whether new requests may be sent to the runner.
+func (r *Runner) AcceptsWork() bool { return !r.notAccepting.Load() }
 
-// StillServes reports whether the runner was removed from the list only lately,
-// without having said that it leaves.
-func (r *Runner) StillServes() bool {
+// RecentlyRemoved reports whether the runner was removed from the list within
+// removedRunnerGrace without having been marked as leaving.
+func (r *Runner) RecentlyRemoved() bool {
 	removed := r.removed.Load()
-	return removed > 0 && time.Since(processStart)-time.Duration(removed) < lastResortTime
+	return removed > 0 && time.Since(processStart)-time.Duration(removed) < removedRunnerGrace
 }
 
 func (r *Runner) slots() float64 {
@@ -77,8 +79,9 @@
 	return float64(r.Slots)
 }
 
-// noteSlowness takes how many times longer than expected a first event took.
-func (r *Runner) noteSlowness(sample float64) {
+// updateSlowness adds a sample: the ratio of actual to expected time to a first event.
+// The caller holds the mutex.
+func (r *Runner) updateSlowness(sample float64) {
 	sample = min(max(sample, minSlowness), maxSlowness)
 	if r.slowness == 0 {
 		r.slowness = 1
@@ -86,14 +89,14 @@
 	r.slowness += slownessWeight * (sample - r.slowness)
 }
 
-// RecordFailure records a failure of the runner, which ejects it for a while.
+// RecordFailure records a failure of the runner, which ejects it temporarily.
 func (r *Runner) RecordFailure(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ejection.fail(now)
 }
 
-// RecordLoad takes the load that the runner reported in an answer; nil if none.
+// RecordLoad records the load that the runner reported in a response; nil is ignored.
 func (r *Runner) RecordLoad(reported *exchange.Load, now time.Time) {
 	if reported == nil {
 		return
@@ -101,26 +104,25 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report = runnerReport{max(0, float64(reported.Running+reported.Waiting)-float64(r.own.Running)), now}
-	r.neighbourhood.observe(r.report.others/r.slots(), now)
+	r.zoneUtilization.observe(r.report.others/r.slots(), now)
 }
 
-// recordPeerReport takes a report of another node's requests at the runner.
+// recordPeerReport records a report of another node's load at the runner.
 func (r *Runner) recordPeerReport(peer string, report PeerReport, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.peers == nil {
 		r.peers = map[string]peerLoad{}
 	}
-	r.kept.touch(report.SharedParts, now)
+	r.prefixes.touch(report.SharedParts, now)
 	if report.Running == 0 && report.Unread == 0 {
-		delete(r.peers, peer) // every choice reads all of them
+		delete(r.peers, peer) // each choice iterates over all entries
 		return
 	}
 	r.peers[peer] = peerLoad{report.NodeLoad, now}
 }
 
-// forgetPeer drops what a node reported of the runner, and reports whether it had
-// requests there.
+// forgetPeer drops the report of a node, and returns whether there was one.
 func (r *Runner) forgetPeer(peer string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -129,31 +131,32 @@
 	return had
 }
 
-// estimate returns the estimated load of the runner. The mutex is held.
+// estimate returns the estimated load of the runner. The caller holds the mutex.
 func (r *Runner) estimate(now time.Time) load {
 	inputs := loadInputs{own: r.own, reported: countReported(r.own, r.peers, now), report: r.report, slots: r.slots()}
 	if !r.set.receivesReports(r) {
-		inputs.unreported = r.neighbourhood.expected(now)
+		inputs.unreported = r.zoneUtilization.expected(now)
 	}
 	return estimateLoad(&inputs, now)
 }
 
-// longestOverdue returns how long this node has waited for a first event at the
-// runner, if it is overdue by the runner's fault; else 0. What peers report is not
-// enough for it: reports are batched, and a runner that always has some prompt to
-// read looks the same as one that never reads it. The mutex is held.
+// longestOverdue returns the longest time that this node has waited for an overdue first
+// event at the stalled runner; 0 if there is none. Peers' reports can't show this: they
+// are batched, and a runner that always has some prompt to process looks the same as one
+// that never processes it. The caller holds the mutex.
 func (r *Runner) longestOverdue(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for request := range r.waiting {
 		waited := now.Sub(request.sent)
-		if firstEventOverdue(waited, request.expected) && request.passedOver() {
+		if firstEventOverdue(waited, request.expected) && request.stalled() {
 			longest = max(longest, waited)
 		}
 	}
 	return longest
 }
 
-// lastEventTime returns when the runner last sent this node an event; zero if never.
+// lastEventTime returns when the runner last sent this node an event; zero if it has
+// sent none.
 func (r *Runner) lastEventTime() time.Time {
 	last := r.lastEvent.Load()
 	if last == 0 {
@@ -162,23 +165,25 @@
 	return processStart.Add(time.Duration(last))
 }
 
-// LoadSources are the parts of the estimated load of a runner, each with its age,
-// for the log.
+// LoadSources are the components of a runner's estimated load, with their ages, for the
+// log.
 type LoadSources struct {
-	// Own are this node's requests there, Peers those that other nodes report.
+	// Own is the number of this node's requests, and Peers the number that other nodes
+	// report.
 	Own, Peers float64
-	// OldestPeer is the age of the oldest of these reports; 0 if there is none.
+	// OldestPeer is the age of the oldest of the peers' reports; 0 if there is none.
 	OldestPeer time.Duration
-	// Reported is how many requests of others the runner reported, ReportAge ago; 0
-	// and 0 if it has reported nothing that still counts.
+	// Reported is the number of other nodes' requests by the runner's own report, and
+	// ReportAge the age of that report; both are 0 if there is none or it has expired.
 	Reported  float64
 	ReportAge time.Duration
-	// ReceivesReports: other nodes report their requests there to this one.
+	// ReceivesReports is set if other nodes report their load at the runner to this
+	// node.
 	ReceivesReports bool
 }
 
-// LogFields returns the keys and values of a log line, under the keys that
-// docs/OPERATIONS.md explains: told is the runner's report, heard that others report.
+// LogFields returns the keys and values for a log line. The key "told" stands for the
+// runner's own report, and "heard" for ReceivesReports.
 func (s *LoadSources) LogFields() []any {
 	return []any{
 		"own", int(s.Own), "peers", int(s.Peers), "peersMs", s.OldestPeer.Milliseconds(),
@@ -186,7 +191,7 @@
 	}
 }
 
-// loadSources returns the parts of the runner's load.
+// loadSources returns the components of the runner's estimated load.
 func (r *Runner) loadSources(now time.Time) LoadSources {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -203,16 +208,17 @@
 	return sources
 }
 
-// RequestCounts are the requests at a runner that nodes report.
+// RequestCounts are the requests at a runner by the reports of nodes.
 type RequestCounts struct {
-	// Running are those of all nodes, Batch how many of them are batch items.
+	// Running is the number of requests of all nodes, and Batch how many of them are
+	// batch items.
 	Running, Batch float64
-	// OwnBatch are this node's batch items.
+	// OwnBatch is the number of this node's batch items.
 	OwnBatch int
 }
 
-// RequestCounts returns the requests that this node and its peers have at the
-// runner. What the runner reported is left out: it may still count preempted items.
+// RequestCounts returns the requests that this node and its peers have at the runner. It
+// ignores the runner's own report, which may still include preempted items.
 func (r *Runner) RequestCounts(now time.Time) RequestCounts {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -220,7 +226,7 @@
 	return RequestCounts{Running: reported.running, Batch: reported.batch, OwnBatch: r.own.Batch}
 }
 
-// BatchHolders lists the nodes that have batch items at the runner.
+// BatchHolders returns the nodes that have batch items at the runner, by their reports.
 func (r *Runner) BatchHolders(now time.Time) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -233,7 +239,7 @@
 	return holders
 }
 
-// OwnLoad returns this node's requests at the runner now.
+// OwnLoad returns this node's current load at the runner.
 func (r *Runner) OwnLoad() NodeLoad {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/serving/runnerset/runnerset.go
+++ b/internal/serving/runnerset/runnerset.go
@@ -1,16 +1,16 @@
-// Package runnerset holds the runners that the platform lists, what this node knows
-// of each, and the choice among them: the runner where the first event is expected
-// soonest. Edges and storage nodes run it.
+// Package runnerset holds the list of runners, this node's knowledge about each of them,
+// and the choice of a runner for a request: the one with the earliest expected first
+// event. Edges and storage nodes use it.
 //
-// It owns the list in force, this node's counts of its requests, the reports of
-// peers and runners, and which runners are ejected; all of it is in memory and
-// learnt again after a start. It relies on the platform's adapter for the list, on
-// loadshare for the reports of peers, and on enginemodel for what is learnt of
-// engines. Readers of the list use an atomically swapped snapshot.
+// It owns the current list, the counts of this node's requests, the reports of peers and
+// runners, and the ejections. All of it is in memory and is learnt again after a
+// restart. The package gets the list from the platform's adapter, the reports of peers
+// from loadshare, and the latency model of the engines from enginemodel. Readers of the
+// list use an atomically swapped snapshot.
 //
-// The rules, each without I/O or clock: load.go (how many requests are at a
-// runner), neighbourhood.go (where nobody reports), ejection.go (which runner is
-// avoided), cost.go (which one is chosen). The others keep the state that these read.
+// These files hold the rules, without I/O or clock: load.go (load estimates),
+// neighbourhood.go (utilization of runners without reports), ejection.go (outlier
+// ejection), and cost.go (comparison of runners). The other files hold the state.
 package runnerset
 
 import (
@@ -27,27 +27,28 @@
 
 // Set is the list of runners.
 //
-// Invariant: its revision never falls; a list of an older revision changes
-// nothing.
+// Invariant: its revision never decreases; a list of an older revision has no effect.
 type Set struct {
 	mutex    sync.Mutex
 	revision int64
 	byID     map[string]*Runner
-	// departed are runners removed lately; see Runner.StillServes.
-	departed []*Runner
-	snapshot atomic.Pointer[snapshot]
-	changed  chan struct{}
-	// models are what is learnt of each service's engines.
+	// recentlyRemoved are runners that may still be used; see Runner.RecentlyRemoved.
+	recentlyRemoved []*Runner
+	snapshot        atomic.Pointer[snapshot]
+	changed         chan struct{}
+	// models holds the latency model of each service's engines.
 	models map[string]*enginemodel.EngineModel
-	// neighbourhoods are all that a runner was ever listed in.
-	neighbourhoods map[subset.ServiceZone]*neighbourhood
-	refreshes      map[string]*neighbourhoodRefresh // by service
-	reporting      atomic.Pointer[func(runner *Runner) bool]
-	onOwnLoad      atomic.Pointer[func(runner *Runner, shared []PromptPart)]
-	onPeerLoad     atomic.Pointer[func(runner *Runner)]
-	// totals are how many runners there are where a part of them is listed here.
+	// zoneUtilizations has an entry for every service and zone that a runner was ever
+	// listed in.
+	zoneUtilizations map[subset.ServiceZone]*zoneUtilization
+	refreshes        map[string]*utilizationRefresh // by service
+	reporting        atomic.Pointer[func(runner *Runner) bool]
+	onOwnLoad        atomic.Pointer[func(runner *Runner, shared []PromptPart)]
+	onPeerLoad       atomic.Pointer[func(runner *Runner)]
+	// totals are the numbers of all runners, listed here or not; set if this node lists
+	// only a subset.
 	totals atomic.Pointer[subset.Totals]
-	// fullChoices counts choices that found no free slot; see TakeFullChoices.
+	// fullChoices counts choices that found no free slot; see DrainFullChoices.
 	fullChoices atomic.Int64
 }
 
@@ -62,31 +63,31 @@
 func New() *Set {
 	s := &Set{
 		byID: map[string]*Runner{}, models: map[string]*enginemodel.EngineModel{}, changed: make(chan struct{}),
-		neighbourhoods: map[subset.ServiceZone]*neighbourhood{}, refreshes: map[string]*neighbourhoodRefresh{},
+		zoneUtilizations: map[subset.ServiceZone]*zoneUtilization{}, refreshes: map[string]*utilizationRefresh{},
 	}
 	s.snapshot.Store(&snapshot{services: map[string][]*Runner{}, counts: newCounts()})
 	return s
 }
 
-// Counts are how many runners are listed; its maps must not be changed.
+// Counts are the numbers of listed runners; the maps must not be changed.
 type Counts struct {
-	Places   map[subset.ServiceZone]int
-	Services map[string]int
+	ByServiceZone map[subset.ServiceZone]int
+	ByService     map[string]int
 }
 
 func newCounts() *Counts {
-	return &Counts{Places: map[subset.ServiceZone]int{}, Services: map[string]int{}}
+	return &Counts{ByServiceZone: map[subset.ServiceZone]int{}, ByService: map[string]int{}}
 }
 
-// Counts returns how many runners are listed.
+// Counts returns the numbers of listed runners.
 func (s *Set) Counts() *Counts { return s.snapshot.Load().counts }
 
-// Totals returns how many runners there are, rounded; nil if that is not known. The
-// pointer is the same as long as the totals are.
+// Totals returns the rounded numbers of runners, including those that this node does not
+// list; nil if unknown. The pointer changes only with the totals.
 func (s *Set) Totals() *subset.Totals { return s.totals.Load() }
 
-// Total returns how many runners there are of all services, those that are not
-// listed here included, rounded.
+// Total returns the rounded number of runners of all services, including those that this
+// node does not list; 0 if unknown.
 func (s *Set) Total() int {
 	totals := s.totals.Load()
 	if totals == nil {
@@ -99,13 +100,14 @@
 	return sum
 }
 
-// Revision returns the revision of the list and since when it is held.
+// Revision returns the revision of the list and when it was applied.
 func (s *Set) Revision() (int64, time.Time) {
 	current := s.snapshot.Load()
 	return current.revision, current.at
 }
 
-// Replace takes a whole list of a revision.
+// Replace replaces the list by one of a newer revision. It returns false, and changes
+// nothing, if the revision is not newer.
 func (s *Set) Replace(records []Record, revision int64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -116,22 +118,23 @@
 	return true
 }
 
-// Select takes the part of a list of a revision that this node is to know, and how
-// many runners there are; a part of the same revision replaces the one held.
+// Select replaces the list by this node's subset of a list, and sets the totals. The
+// revision may equal the current one, since the subset can change within a revision.
+// Select returns false, and changes nothing, if the revision is older.
 func (s *Set) Select(records []Record, totals subset.Totals, revision int64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if revision < s.revision {
 		return false
 	}
-	if held := s.totals.Load(); held == nil || !maps.Equal(*held, totals) {
+	if current := s.totals.Load(); current == nil || !maps.Equal(*current, totals) {
 		s.totals.Store(&totals)
 	}
 	s.replace(records, revision, now)
 	return true
 }
 
-// replace takes a list. The mutex is held.
+// replace replaces the list. The caller holds the mutex.
 func (s *Set) replace(records []Record, revision int64, now time.Time) {
 	listed := map[string]bool{}
 	for _, record := range records {
@@ -146,7 +149,8 @@
 	s.publish(revision, now)
 }
 
-// ApplyChanges takes changes of a revision: records put, and ids removed.
+// ApplyChanges adds or updates the records put and removes the runners with the given
+// IDs. It does nothing if the revision is not newer.
 func (s *Set) ApplyChanges(put []Record, removed []string, revision int64, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,40 +169,43 @@
 func (s *Set) put(record Record) {
 	known := s.byID[record.ID]
 	if known != nil && known.sameRunner(record) {
-		known.gone.Store(record.Leaving)
+		known.notAccepting.Store(record.Leaving)
 		return
 	}
 	if known != nil {
-		known.gone.Store(true)
+		known.notAccepting.Store(true)
 	}
 	next := &Runner{
 		Record: record, set: s, model: s.modelOf(record.Service),
-		neighbourhood: s.neighbourhoodOf(subset.ServiceZone{Service: record.Service, Zone: record.Zone}),
-		refresh:       s.refreshOf(record.Service),
+		zoneUtilization: s.zoneUtilizationOf(subset.ServiceZone{Service: record.Service, Zone: record.Zone}),
+		refresh:         s.refreshOf(record.Service),
 	}
-	next.gone.Store(record.Leaving)
+	next.notAccepting.Store(record.Leaving)
 	s.byID[record.ID] = next
 }
 
-// neighbourhoodOf returns the neighbourhood of a place. The mutex is held.
-func (s *Set) neighbourhoodOf(place subset.ServiceZone) *neighbourhood {
-	known := s.neighbourhoods[place]
+// zoneUtilizationOf returns the entry of a service in a zone, and creates it if missing.
+// The caller holds the mutex.
+func (s *Set) zoneUtilizationOf(zone subset.ServiceZone) *zoneUtilization {
+	known := s.zoneUtilizations[zone]
 	if known == nil {
-		known = &neighbourhood{}
-		s.neighbourhoods[place] = known
+		known = &zoneUtilization{}
+		s.zoneUtilizations[zone] = known
 	}
 	return known
 }
 
-// refreshOf returns the state of a service's neighbourhoods. The mutex is held.
-func (s *Set) refreshOf(service string) *neighbourhoodRefresh {
+// refreshOf returns the entry of a service, and creates it if missing. The caller holds
+// the mutex.
+func (s *Set) refreshOf(service string) *utilizationRefresh {
 	if s.refreshes[service] == nil {
-		s.refreshes[service] = &neighbourhoodRefresh{}
+		s.refreshes[service] = &utilizationRefresh{}
 	}
 	return s.refreshes[service]
 }
 
-// modelOf returns the model of a service's engines. The mutex is held.
+// modelOf returns the latency model of a service's engines, and creates it if missing.
+// The caller holds the mutex.
 func (s *Set) modelOf(service string) *enginemodel.EngineModel {
 	model := s.models[service]
 	if model == nil {
@@ -215,9 +222,9 @@
 	}
 	if known.AcceptsWork() {
 		known.removed.Store(int64(time.Since(processStart)))
-		s.departed = append(s.departed, known)
+		s.recentlyRemoved = append(s.recentlyRemoved, known)
 	}
-	known.gone.Store(true)
+	known.notAccepting.Store(true)
 	delete(s.byID, id)
 }
 
@@ -225,12 +232,12 @@
 	s.revision = revision
 	next := &snapshot{services: map[string][]*Runner{}, counts: newCounts(), revision: revision, at: now}
 	for _, runner := range s.byID {
-		next.counts.Places[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}]++
-		next.counts.Services[runner.Service]++
+		next.counts.ByServiceZone[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}]++
+		next.counts.ByService[runner.Service]++
 		next.services[runner.Service] = append(next.services[runner.Service], runner)
 	}
-	s.departed = slices.DeleteFunc(s.departed, func(runner *Runner) bool { return !runner.StillServes() || s.byID[runner.ID] != nil })
-	for _, runner := range s.departed {
+	s.recentlyRemoved = slices.DeleteFunc(s.recentlyRemoved, func(runner *Runner) bool { return !runner.RecentlyRemoved() || s.byID[runner.ID] != nil })
+	for _, runner := range s.recentlyRemoved {
 		next.services[runner.Service] = append(next.services[runner.Service], runner)
 	}
 	for _, list := range next.services {
@@ -241,25 +248,26 @@
 	s.changed = make(chan struct{})
 }
 
-// Changed returns a channel that closes with the next change.
+// Changed returns a channel that is closed at the next change of the list.
 func (s *Set) Changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.changed
 }
 
-// Service lists the runners of a service; the list must not be changed.
+// Service returns the runners of a service, including recently removed ones; the slice
+// must not be changed.
 func (s *Set) Service(name string) []*Runner { return s.snapshot.Load().services[name] }
 
-// Count returns how many runners are known and how many take work.
-func (s *Set) Count() (listed, taking int) {
+// Count returns the number of known runners, and how many of them accept work.
+func (s *Set) Count() (listed, accepting int) {
 	for _, list := range s.snapshot.Load().services {
 		listed += len(list)
 		for _, runner := range list {
 			if runner.AcceptsWork() {
-				taking++
+				accepting++
 			}
 		}
 	}
-	return listed, taking
+	return listed, accepting
 }
--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -28,13 +28,13 @@
 	return choice.Runner.ID
 }
 
-// The list's revision never falls, and runners that leave or are gone are not
-// chosen.
-func TestListNeverGoesBack(t *testing.T) {
+// The revision of the list never decreases, and runners that are leaving or removed do
+// not accept work.
+func TestListRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		newest := int64(0)
-		taking := map[string]bool{}
+		accepting := map[string]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			revision := int64(rapid.IntRange(1, 20).Draw(t, "revision"))
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "runner")
@@ -44,17 +44,17 @@
 			case 0:
 				s.Replace([]Record{next}, revision, time.Now())
 				if revision > newest {
-					taking = map[string]bool{id: !leaving}
+					accepting = map[string]bool{id: !leaving}
 				}
 			case 1:
 				s.ApplyChanges([]Record{next}, nil, revision, time.Now())
 				if revision > newest {
-					taking[id] = !leaving
+					accepting[id] = !leaving
 				}
 			case 2:
 				s.ApplyChanges(nil, []string{id}, revision, time.Now())
 				if revision > newest {
-					delete(taking, id)
+					delete(accepting, id)
 				}
 			}
 			newest = max(newest, revision)
@@ -63,7 +63,7 @@
 				t.Fatalf("revision %d, want %d", held, newest)
 			}
 			for _, runner := range s.Service("s") {
-				if runner.AcceptsWork() != taking[runner.ID] {
+				if runner.AcceptsWork() != accepting[runner.ID] {
 					t.Fatalf("runner %s takes work: %v", runner.ID, runner.AcceptsWork())
 				}
 			}
@@ -71,9 +71,9 @@
 	})
 }
 
-// The runner is chosen where the first event is expected soonest: by tokens not
-// yet read, by parts that are kept, by zone.
-func TestChoice(t *testing.T) {
+// The choice minimizes the expected time to the first event by unprocessed tokens,
+// cached prefixes, and zone.
+func TestPickPrefersEarliestFirstEvent(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	big := Prompt{Tokens: 9000}
@@ -81,24 +81,24 @@
 	first := s.Pick(&Criteria{Service: "s", Zone: "z", Prompt: big}, now).Runner
 	use := s.Begin(first, big, false, now)
 	second := pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now)
-	is.True(second != first.ID) // the other has nothing to read
+	is.True(second != first.ID) // the other runner has no unprocessed tokens
 	use.RecordFirstEvent(now)
 	use.End()
 
 	shared := Prompt{Tokens: 9000, SharedParts: []PromptPart{{ID: 7, Tokens: 8000}}}
 	s.Begin(first, shared, false, now).End()
-	is.Equal(pick(s, Criteria{Zone: "z", Prompt: shared}, now), first.ID) // it keeps the shared part
+	is.Equal(pick(s, Criteria{Zone: "z", Prompt: shared}, now), first.ID) // the shared part is in its prefix cache
 
 	far := setOf(record("near", "z"), record("far", "y"))
 	is.Equal(pick(far, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "near")
 	near := far.Pick(&Criteria{Service: "s", Zone: "z"}, now).Runner
 	far.Begin(near, Prompt{Tokens: 20000}, false, now)
-	is.Equal(pick(far, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "far") // rather another zone than a long wait
+	is.Equal(pick(far, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "far") // another zone costs less than a long wait
 }
 
-// What peers report counts as the node's own, replaces what they reported before, and
-// ends after a while.
-func TestPeers(t *testing.T) {
+// A peer's report counts like this node's own load, replaces the peer's previous report,
+// and expires.
+func TestPeerReports(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"))
@@ -112,23 +112,23 @@
 	is.Equal(a.RequestCounts(now.Add(time.Hour)).Running, 0.0)
 }
 
-// Batch items go only where slots are free, and where another node places items a
-// share of them stays free.
-func TestBatchTakesFreeSlots(t *testing.T) {
+// Batch items need a free slot, and a share of the slots of non-home runners is kept
+// free.
+func TestBatchItemsUseOnlyFreeSlots(t *testing.T) {
 	notHome := func(*Record) bool { return false }
 	for _, test := range []struct {
-		limits BatchLimits
-		places int
+		limits  BatchLimits
+		allowed int
 	}{
-		{BatchLimits{MaxUnread: 1000, AwayReserve: 0.25}, 4},
-		{BatchLimits{MaxUnread: 1000, AwayReserve: 0.25, Home: notHome}, 3},
+		{BatchLimits{MaxUnread: 1000, NonHomeReserve: 0.25}, 4},
+		{BatchLimits{MaxUnread: 1000, NonHomeReserve: 0.25, Home: notHome}, 3},
 	} {
 		is := is.New(t)
 		now := time.Now()
 		s := setOf(record("a", "z"))
 		criteria := Criteria{Zone: "z", Batch: &test.limits}
 		a := s.byID["a"]
-		for range test.places {
+		for range test.allowed {
 			is.Equal(pick(s, criteria, now), "a")
 			s.Begin(a, Prompt{Tokens: 10}, true, now).RecordFirstEvent(now)
 		}
@@ -136,8 +136,8 @@
 	}
 }
 
-// A runner that fails is ejected, is used when there is no other, and comes
-// back after a good answer; a slow one is avoided.
+// A failing runner is ejected, is used if there is no other, and returns after a first
+// event; a slow runner is avoided.
 func TestFailingAndSlowRunners(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -156,24 +156,23 @@
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "b")
 }
 
-// The model of what a runner keeps is bounded and forgets what was used least
-// lately.
-func TestKeptPartsAreBounded(t *testing.T) {
+// The prefix cache is bounded and evicts the least recently used parts.
+func TestPrefixCacheIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	kept := &keptParts{}
+	cache := &prefixCache{}
 	for id := range uint64(50) {
-		kept.touch([]PromptPart{{ID: id, Tokens: 10_000}}, now.Add(time.Duration(id)*time.Second))
+		cache.touch([]PromptPart{{ID: id, Tokens: 10_000}}, now.Add(time.Duration(id)*time.Second))
 	}
-	is.True(kept.tokens <= 60_000)
-	is.Equal(kept.missing(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 49, Tokens: 10_000}}}), 5_000)
-	is.Equal(kept.missing(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}}}), 15_000)
-	// A part counts only if every part before it is kept.
-	is.Equal(kept.missing(Prompt{Tokens: 25_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}, {ID: 49, Tokens: 10_000}}}), 25_000)
+	is.True(cache.tokens <= 60_000)
+	is.Equal(cache.uncached(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 49, Tokens: 10_000}}}), 5_000)
+	is.Equal(cache.uncached(Prompt{Tokens: 15_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}}}), 15_000)
+	// A part is a hit only if every part before it is a hit too.
+	is.Equal(cache.uncached(Prompt{Tokens: 25_000, SharedParts: []PromptPart{{ID: 1, Tokens: 10_000}, {ID: 49, Tokens: 10_000}}}), 25_000)
 }
 
-// A count ends once, whatever is called how often.
-func TestUseEndsOnce(t *testing.T) {
+// A second End and a late first event do not change the counts.
+func TestInFlightEndsOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"))
@@ -185,29 +184,30 @@
 	is.Equal(s.byID["a"].own, NodeLoad{})
 }
 
-// A runner that was removed from the list, without having said that it leaves, is
-// used for a while when there is no other; one that said so is not.
-func TestRemovedRunnersAreALastResort(t *testing.T) {
+// A runner that was removed without having been marked as leaving is used for a short
+// time if there is no other; a leaving runner is not.
+func TestRecentlyRemovedRunnersAreFallback(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"))
 	s.ApplyChanges(nil, []string{"a"}, 2, now)
-	is.Equal(pick(s, Criteria{Zone: "z"}, now), "b") // there is another
+	is.Equal(pick(s, Criteria{Zone: "z"}, now), "b") // another runner is available
 	s.ApplyChanges(nil, []string{"b"}, 3, now)
 	is.True(pick(s, Criteria{Zone: "z"}, now) != "")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{MaxUnread: 1000}}, now), "")
-	s.ApplyChanges([]Record{record("a", "z")}, nil, 4, now) // it is listed again
+	s.ApplyChanges([]Record{record("a", "z")}, nil, 4, now) // listed again
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "a")
 	leaving := record("a", "z")
 	leaving.Leaving = true
 	s.ApplyChanges([]Record{leaving}, nil, 5, now)
 	s.ApplyChanges(nil, []string{"a", "b"}, 6, now)
 	for _, runner := range s.Service("s") {
-		is.True(runner.ID != "a") // it had said that it leaves
+		is.True(runner.ID != "a") // a was marked as leaving
 	}
 }
 
-// A runner at which a first event is long overdue is avoided before any request there has ended, and used again once it comes.
+// A runner with an overdue first event is avoided while the request still waits, and is
+// used again once the event arrives.
 func TestOverdueRunnersAreAvoided(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
@@ -216,29 +216,28 @@
 	mute, prompt := s.Service("s")[1], Prompt{Tokens: 100}
 	is.Equal(mute.ID, "mute")
 	use := s.Begin(mute, prompt, false, began)
-	is.Equal(pick(s, Criteria{Zone: "z"}, began.Add(20*time.Millisecond)), "mute") // nothing is late yet
+	is.Equal(pick(s, Criteria{Zone: "z"}, began.Add(20*time.Millisecond)), "mute") // not yet overdue
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "far")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}, Excluded: map[string]bool{"far": true}}, later), "")
 	use.RecordFirstEvent(later)
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "mute")
 	use.End()
 
-	// A runner that goes on with what it runs is full, not mute.
+	// A runner that still sends events of running requests is full, not unresponsive.
 	running := s.Begin(mute, prompt, false, later)
 	running.RecordFirstEvent(later)
 	s.Begin(mute, prompt, false, later)
 	running.RecordEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "mute")
-	// One that has begun with a later request has dropped the one that waits.
+	// A runner that has started a later request has dropped the waiting one.
 	overtaking := s.Begin(mute, prompt, false, later.Add(time.Second))
 	overtaking.RecordFirstEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "far")
 
 }
 
-// Peers that go on sending to a runner always have some prompt there that is not
-// read yet, and their reports are batched: that makes no runner overdue, and
-// items still go there.
+// Peers that send to a runner continuously always report some unprocessed tokens. That
+// alone must not make the runner overdue or keep batch items away.
 func TestBusyPeersMakeNoRunnerOverdue(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -250,24 +249,23 @@
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{MaxUnread: 1000}}, now), "busy")
 }
 
-// A request that ends while its first event is long overdue ejects its runner;
-// items do not go to such a runner though it looks idle.
-func TestEndedOverdueEjects(t *testing.T) {
+// A request that ends long after its first event was due ejects the runner; batch items
+// do not go there although it appears idle.
+func TestOverdueRequestEjectsRunnerWhenItEnds(t *testing.T) {
 	is := is.New(t)
 	s := setOf(record("mute", "z"))
 	now := time.Now()
 	s.Begin(s.Service("s")[0], Prompt{Tokens: 100}, false, now.Add(-3*time.Second)).End()
-	is.Equal(pick(s, Criteria{Zone: "z"}, now), "mute") // there is no other
+	is.Equal(pick(s, Criteria{Zone: "z"}, now), "mute") // there is no other runner
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now), "")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now.Add(maxEjection)), "mute")
-	s.Begin(s.Service("s")[0], Prompt{Tokens: 100}, false, time.Now()).End() // its caller left at once
+	s.Begin(s.Service("s")[0], Prompt{Tokens: 100}, false, time.Now()).End() // the caller left immediately
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now.Add(maxEjection)), "mute")
 }
 
-// A runner whose users do not report is not taken for an idle one: it is
-// expected to be as full as those that are known in its zone; where none is, as
-// those that are known anywhere, until one reports how full it is.
-func TestUnknownRunnersAreNotEmpty(t *testing.T) {
+// Unreported runners are expected to be as full as the reported runners of their zone,
+// or of all zones if theirs has none, until one of them reports its own load.
+func TestUnreportedRunnersAreNotAssumedIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("reported", "z"), record("unreported", "z"), record("far", "y"), record("asked", "y"))
@@ -284,17 +282,16 @@
 	is.Equal(load("unreported", later), 4.0)
 	is.Equal(load("far", later), 4.0)
 	s.byID["asked"].RecordLoad(&exchange.Load{Running: 4, Waiting: 1}, later)
-	is.Equal(load("far", later), 5.0) // its neighbour has reported how full it is
+	is.Equal(load("far", later), 5.0) // another runner of the zone has reported its load
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "reported")
-	is.Equal(load("far", later.Add(answeredLifetime)), 4.0) // that is too old, and the mean of the reported ones holds
+	is.Equal(load("far", later.Add(selfReportedLifetime)), 4.0) // that report has expired, so the mean of the reported runners applies
 	use := s.Begin(s.byID["unreported"], Prompt{Tokens: 10}, false, later)
-	is.Equal(load("unreported", later), 5.0) // this node's own count comes on top
+	is.Equal(load("unreported", later), 5.0) // this node's own request is added
 	use.End()
 }
 
-// The best of the runners whose users report is chosen before any other, as long as
-// it has a free slot.
-func TestReportedRunnersGoFirst(t *testing.T) {
+// A reported runner is preferred to an unreported one as long as it has a free slot.
+func TestReportedRunnersArePreferred(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"), record("b", "z"), record("unreported", "z"))
@@ -306,12 +303,12 @@
 	}
 }
 
-// Items go only to runners whose users report to this node: else nobody could have
-// it preempt them. A node that gets no reports uses what there is.
-func TestItemsGoToKnownRunners(t *testing.T) {
+// Batch items go only to reported runners, where other nodes can have them preempted; a
+// node without any reported runner uses all.
+func TestBatchItemsPreferReportedRunners(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	criteria := Criteria{Zone: "z", Bytes: 1 << 20, Batch: &BatchLimits{MaxUnread: 1000}} // another zone is dear
+	criteria := Criteria{Zone: "z", Bytes: 1 << 20, Batch: &BatchLimits{MaxUnread: 1000}} // the size makes traffic to another zone expensive
 	s := setOf(record("reported", "y"), record("unreported", "z"))
 	s.SetReporting(func(runner *Runner) bool { return runner.ID == "reported" })
 	is.Equal(pick(s, criteria, now), "reported")
@@ -320,8 +317,8 @@
 	is.Equal(pick(none, criteria, now), "unreported")
 }
 
-// A choice shows the parts of the load that it estimates, with their ages.
-func TestChoiceShowsItsSources(t *testing.T) {
+// A choice includes the components of the load estimate with their ages.
+func TestChoiceIncludesLoadSources(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"))
