--- a/internal/serving/online/answer.go
+++ b/internal/serving/online/answer.go
@@ -13,75 +13,77 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// maxWholeBytes is the largest answer that is read whole before it is passed on.
-const maxWholeBytes = 256 << 10
+// maxBufferedBytes is the largest response that is read completely before it is relayed.
+const maxBufferedBytes = 256 << 10
 
-// passOn passes an answer on. It reports whether to try another runner.
-func (s *serving) passOn(ctx context.Context, answer *exchange.Response) (bool, error) {
-	if s.history.mayReplace(s.request.Route, answer.Status) {
+// relay relays a response to the caller. It reports whether to try another runner.
+func (s *activeRequest) relay(ctx context.Context, response *exchange.Response) (bool, error) {
+	if s.history.mayReplace(s.request.Route, response.Status) {
 		s.current.runner.RecordFailure(time.Now())
-		s.lastCause = fmt.Sprintf("runner answered %d", answer.Status)
+		s.lastCause = fmt.Sprintf("runner answered %d", response.Status)
 		return true, nil
 	}
-	if answer.Status == http.StatusOK && s.request.Route.Kind == catalog.Streaming {
-		return s.passStream(ctx, answer)
+	if response.Status == http.StatusOK && s.request.Route.Kind == catalog.Streaming {
+		return s.relayStream(ctx, response)
 	}
-	if s.history.answerBegun {
-		return false, result.New(result.StreamBroken, "the stream could not go on: status %d", answer.Status)
+	if s.history.responseStarted {
+		return false, result.New(result.StreamBroken, "the stream could not go on: status %d", response.Status)
 	}
-	return s.passWhole(ctx, answer)
+	return s.relayWhole(ctx, response)
 }
 
-// passWhole passes on an answer that is not a stream.
-func (s *serving) passWhole(ctx context.Context, answer *exchange.Response) (bool, error) {
-	if !answer.FromRunner && answer.Status < http.StatusMultipleChoices {
+// relayWhole relays a response that is not a stream. It reports whether to try another
+// runner.
+func (s *activeRequest) relayWhole(ctx context.Context, response *exchange.Response) (bool, error) {
+	if !response.FromRunner && response.Status < http.StatusMultipleChoices {
 		s.current.runner.RecordFailure(time.Now())
-		return s.broken(ctx, errors.New("a success without the runner's mark"))
+		return s.interruption(ctx, errors.New("a success without the runner's mark"))
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		s.current.runner.RecordFailure(time.Now())
-		return s.broken(ctx, err)
+		return s.interruption(ctx, err)
 	}
-	s.noteFirstEvent()
-	length := answer.Length
-	if len(body) < maxWholeBytes {
+	s.recordFirstEvent()
+	length := response.Length
+	if len(body) < maxBufferedBytes {
 		length = int64(len(body))
 	}
-	s.history.answerBegun = true
-	s.responder.Head(answer.Status, answer.Headers, length)
+	s.history.responseStarted = true
+	s.responder.Head(response.Status, response.Headers, length)
 	if err := s.responder.Write(body); err != nil {
 		return false, result.New(result.CallerGone, "the caller left")
 	}
-	if len(body) < maxWholeBytes {
-		s.noteCompleted()
+	if len(body) < maxBufferedBytes {
+		s.recordCompletion()
 		return false, nil
 	}
-	return false, s.copyRest(ctx, answer)
+	return false, s.relayRest(ctx, response)
 }
 
-func (s *serving) copyRest(ctx context.Context, answer *exchange.Response) error {
+func (s *activeRequest) relayRest(ctx context.Context, response *exchange.Response) error {
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := answer.Body.Read(buffer)
+		n, err := response.Body.Read(buffer)
 		if n > 0 {
 			if writeErr := s.responder.Write(buffer[:n]); writeErr != nil {
 				return result.New(result.CallerGone, "the caller left")
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			s.noteCompleted()
+			s.recordCompletion()
 			return nil
 		}
 		if err != nil {
-			_, broken := s.broken(ctx, err)
-			return broken
+			_, interruption := s.interruption(ctx, err)
+			return interruption
 		}
 	}
 }
 
-// noteFirstEvent records the time to the first event or answer.
-func (s *serving) noteFirstEvent() {
+// recordFirstEvent records the time to the first event, or to the response if it is not
+// a stream.
+func (s *activeRequest) recordFirstEvent() {
 	now := time.Now()
 	s.current.firstEvent = now
 	if s.firstEventAfter == 0 {
@@ -91,13 +93,14 @@
 	s.current.inFlight.RecordFirstEvent(now)
 }
 
-// broken takes an answer that broke off. It reports whether to try another runner.
-func (s *serving) broken(ctx context.Context, err error) (bool, error) {
+// interruption handles a response that broke off. It reports whether to try another
+// runner.
+func (s *activeRequest) interruption(ctx context.Context, err error) (bool, error) {
 	s.lastCause = err.Error()
 	if ctx.Err() != nil {
-		return false, s.ended(ctx)
+		return false, s.contextError(ctx)
 	}
-	s.noteEnding(ctx)
+	s.reportBrokenRun(ctx)
 	if s.history.mayContinue(s.request.Route) {
 		return true, nil
 	}
--- a/internal/serving/online/attempt.go
+++ b/internal/serving/online/attempt.go
@@ -14,20 +14,21 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// attempt is one attempt at one runner.
+// attempt is one attempt to serve the request at a runner.
 type attempt struct {
 	runner   *runnerset.Runner
 	inFlight *runnerset.InFlight
-	// silenceTimer ends the attempt when the runner was silent for too long.
-	silenceTimer *time.Timer
-	// firstEvent is when its first event came; zero before.
+	// idleTimer ends the attempt when the runner has sent nothing for the idle timeout.
+	idleTimer *time.Timer
+	// firstEvent is when the first event arrived; zero before.
 	firstEvent time.Time
-	// silenced: it was ended from here, since its runner was silent for too long.
-	silenced atomic.Bool
+	// idleTimedOut is set if idleTimer has ended the attempt.
+	idleTimedOut atomic.Bool
 }
 
-// send sends the request to a runner. It reports whether to try another.
-func (s *serving) send(ctx context.Context, choice runnerset.Choice) (bool, error) {
+// send sends the request to a runner and relays the response. It reports whether to try
+// another runner.
+func (s *activeRequest) send(ctx context.Context, choice runnerset.Choice) (bool, error) {
 	runner := choice.Runner
 	started := time.Now()
 	inFlight := s.Runners.Begin(runner, s.request.Prompt, false, started)
@@ -36,41 +37,43 @@
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	s.current = &attempt{runner: runner, inFlight: inFlight}
-	s.current.silenceTimer = s.watchSilence(cancel, s.current)
-	defer s.current.silenceTimer.Stop()
-	answer, err := s.Client.Do(attemptContext, s.call(runner))
+	s.current.idleTimer = s.startIdleTimer(cancel, s.current)
+	defer s.current.idleTimer.Stop()
+	response, err := s.Client.Do(attemptContext, s.call(runner))
 	if err != nil {
 		inFlight.RecordDelay(time.Now())
-		again, err := s.notAnswered(ctx, err)
+		again, err := s.handleSendError(ctx, err)
 		s.logAttempt(choice, started, err, again)
 		return again, err
 	}
-	// Whatever closing reports, the answer was read whole or is given up.
-	defer func() { _ = answer.Body.Close() }()
-	s.noteRun()
-	runner.RecordLoad(answer.Load, time.Now())
-	again, err := s.passOn(ctx, answer)
+	// The response was read completely or abandoned, so an error of Close does not
+	// matter.
+	defer func() { _ = response.Body.Close() }()
+	s.recordRun()
+	runner.RecordLoad(response.Load, time.Now())
+	again, err := s.relay(ctx, response)
 	s.logAttempt(choice, started, err, again)
 	return again, err
 }
 
-// noteRun records that a runner may have run the request.
-func (s *serving) noteRun() {
+// recordRun records that a runner may have run the request, which uses up its admission.
+func (s *activeRequest) recordRun() {
 	s.history.runs++
 	s.admission = nil
 }
 
-// watchSilence ends an attempt that may be repeated when its runner is silent.
-func (s *serving) watchSilence(cancel context.CancelCauseFunc, current *attempt) *time.Timer {
-	return time.AfterFunc(maxSilence(s.request.Route.Target), func() {
+// startIdleTimer returns a timer that cancels the attempt at the idle timeout if the
+// route allows the request to be repeated.
+func (s *activeRequest) startIdleTimer(cancel context.CancelCauseFunc, current *attempt) *time.Timer {
+	return time.AfterFunc(idleTimeout(s.request.Route.Target), func() {
 		if s.request.Route.MayRepeat() {
-			current.silenced.Store(true)
+			current.idleTimedOut.Store(true)
 			cancel(exchange.ErrUnresponsive)
 		}
 	})
 }
 
-func (s *serving) call(runner *runnerset.Runner) *exchange.Call {
+func (s *activeRequest) call(runner *runnerset.Runner) *exchange.Call {
 	serves := runner.AcceptsWork
 	if !runner.AcceptsWork() {
 		serves = runner.RecentlyRemoved
@@ -83,34 +86,35 @@
 		RunnerID: runner.ID, Address: runner.Address, Service: runner.Service,
 		Remaining: time.Until(s.request.Deadline), ResumeAfter: s.request.ResumeAfter, MaySend: current,
 	}
-	if s.history.answerBegun {
+	if s.history.responseStarted {
 		call.ResumeAfter = s.lastEvent
 	}
 	return call
 }
 
-// notAnswered takes an attempt that got no answer. It reports whether to try another
-// runner.
-func (s *serving) notAnswered(ctx context.Context, err error) (bool, error) {
+// handleSendError handles an attempt that got no response. It reports whether to try
+// another runner.
+func (s *activeRequest) handleSendError(ctx context.Context, err error) (bool, error) {
 	s.lastCause = err.Error()
 	var notRun *exchange.NotRunError
 	if errors.As(err, &notRun) {
 		return s.notRun(ctx, notRun)
 	}
-	s.noteRun()
+	s.recordRun()
 	if ctx.Err() != nil {
-		return false, s.ended(ctx)
+		return false, s.contextError(ctx)
 	}
 	s.current.runner.RecordFailure(time.Now())
-	s.noteEnding(ctx)
+	s.reportBrokenRun(ctx)
 	if s.history.mayRunAgain(s.request.Route) {
 		return true, nil
 	}
 	return false, result.New(result.OutcomeUnknown, "the runner was lost after the request was sent: %v", err)
 }
 
-// notRun takes an attempt that surely did not run.
-func (s *serving) notRun(ctx context.Context, notRun *exchange.NotRunError) (bool, error) {
+// notRun handles an attempt that certainly did not run. It reports whether to try
+// another runner.
+func (s *activeRequest) notRun(ctx context.Context, notRun *exchange.NotRunError) (bool, error) {
 	runner := s.current.runner
 	s.history.notRun++
 	runner.RecordLoad(notRun.Load, time.Now())
@@ -118,22 +122,22 @@
 		runner.RecordFailure(time.Now())
 	}
 	if ctx.Err() != nil {
-		return false, s.ended(ctx)
+		return false, s.contextError(ctx)
 	}
-	if s.history.mayAskAnother() {
+	if s.history.mayTryAnother() {
 		return true, nil
 	}
-	return false, s.history.noneTook(result.Saturated, "%d runners did not take it, the last: %s",
+	return false, s.history.noRunnerError(result.Saturated, "%d runners did not take it, the last: %s",
 		s.history.notRun, notRun.Reason)
 }
 
-// movedOn counts attempts that ended without an answer for the caller, whose
-// request goes on at another runner.
+// movedOn is the outcome of attempts that ended without a response for the caller and
+// whose request is retried at another runner.
 const movedOn = "moved_on"
 
-// logAttempt counts and logs how an attempt ended. The cause of one that goes on
-// elsewhere is no error of the request.
-func (s *serving) logAttempt(choice runnerset.Choice, started time.Time, err error, again bool) {
+// logAttempt counts and logs the outcome of an attempt. The cause of an attempt that is
+// retried is not an error of the request.
+func (s *activeRequest) logAttempt(choice runnerset.Choice, started time.Time, err error, again bool) {
 	outcome, counted := "done", result.CodeOf(err).String()
 	switch {
 	case err != nil:
--- a/internal/serving/online/crashes.go
+++ b/internal/serving/online/crashes.go
@@ -10,44 +10,46 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// quarantined refuses a request that crashes runners, with the end of its quarantine as
-// the time to come back: before that no node will send it.
-func (s *serving) quarantined() error {
+// checkQuarantine returns an error if the request is quarantined because it crashes
+// runners. The caller may retry when the quarantine ends; until then every node refuses
+// the request.
+func (s *activeRequest) checkQuarantine() error {
 	if s.Quarantine == nil {
 		return nil
 	}
-	left, held := s.Quarantine.Held(s.fingerprint)
-	if !held {
+	remaining, quarantined := s.Quarantine.Held(s.fingerprint)
+	if !quarantined {
 		return nil
 	}
 	if s.history.mayHaveRun() {
 		return result.New(result.OutcomeUnknown,
-			"runners end under this request (fingerprint %v), and it is not sent to another", s.fingerprint).WithRetryAfter(left)
+			"runners end under this request (fingerprint %v), and it is not sent to another", s.fingerprint).WithRetryAfter(remaining)
 	}
-	return result.New(result.Quarantined, "runners end under this request (fingerprint %v)", s.fingerprint).WithRetryAfter(left)
+	return result.New(result.Quarantined, "runners end under this request (fingerprint %v)", s.fingerprint).WithRetryAfter(remaining)
 }
 
-// noteEnding reports an attempt that broke off, before the request is sent to another
-// runner: if the runner has ended, that counts against the request. An attempt that
-// was ended from here says nothing of its runner.
-func (s *serving) noteEnding(ctx context.Context) {
-	endedHere := ctx.Err() != nil || s.current.silenced.Load()
+// reportBrokenRun reports an attempt that broke off, before the request is sent to
+// another runner: if the runner has crashed, the crash counts against the request.
+// Attempts that were cancelled by the caller, the deadline or the idle timeout are not
+// reported.
+func (s *activeRequest) reportBrokenRun(ctx context.Context) {
+	endedHere := ctx.Err() != nil || s.current.idleTimedOut.Load()
 	if s.Quarantine == nil || endedHere || !quarantine.IsSuspectRun(s.current.firstEvent, time.Now()) {
 		return
 	}
 	s.Quarantine.RecordBrokenRun(s.request.ID, s.fingerprint, s.current.runner.ID, s.current.runner.Address)
 }
 
-// noteCompleted records that a runner has answered the whole request.
-func (s *serving) noteCompleted() {
+// recordCompletion records that a runner has completed the request.
+func (s *activeRequest) recordCompletion() {
 	if s.Quarantine != nil {
 		s.Quarantine.RecordCompletion(s.fingerprint)
 	}
 }
 
-// pick chooses a runner. A request under which a runner ended goes to one without
-// another such request, if there is one.
-func (s *serving) pick(criteria *runnerset.Criteria) runnerset.Choice {
+// pickRunner picks a runner. A request that is suspected of crashing a runner is kept
+// away from runners with another such request, if possible.
+func (s *activeRequest) pickRunner(criteria *runnerset.Criteria) runnerset.Choice {
 	now := time.Now()
 	if s.Quarantine == nil {
 		return s.Runners.Pick(criteria, now)
@@ -56,16 +58,16 @@
 	if len(avoided) == 0 {
 		return s.Runners.Pick(criteria, now)
 	}
-	apart := *criteria
-	apart.Excluded = avoided
-	maps.Copy(apart.Excluded, criteria.Excluded)
-	if choice := s.Runners.Pick(&apart, now); choice.Runner != nil {
+	separated := *criteria
+	separated.Excluded = avoided
+	maps.Copy(separated.Excluded, criteria.Excluded)
+	if choice := s.Runners.Pick(&separated, now); choice.Runner != nil {
 		return choice
 	}
 	return s.Runners.Pick(criteria, now)
 }
 
-func (s *serving) beginTrial(runner *runnerset.Runner) (end func()) {
+func (s *activeRequest) beginTrial(runner *runnerset.Runner) (end func()) {
 	if s.Quarantine == nil {
 		return func() {}
 	}
--- a/internal/serving/online/crashes_test.go
+++ b/internal/serving/online/crashes_test.go
@@ -15,11 +15,11 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// guard is a quarantine in memory that records what is reported to it.
+// guard is an in-memory quarantine that records the reports it gets.
 type guard struct {
 	held      map[quarantine.Fingerprint]time.Duration
 	avoid     map[string]bool
-	holdAfter int // breaks after which a request is held; 0 for never
+	holdAfter int // number of broken runs after which a request is quarantined; 0 for never
 	broke     []string
 	completed int
 }
@@ -40,7 +40,7 @@
 func (g *guard) RunnersToAvoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
 func (g *guard) Begin(quarantine.Fingerprint, string) func()           { return func() {} }
 
-// serveGuarded serves one request at runners r0 to r3.
+// serveGuarded serves one request with the runners r0 to r3.
 func serveGuarded(g *guard, client *fakeRunners, route *catalog.Route) error {
 	set := runnerset.New()
 	var records []runnerset.Record
@@ -55,8 +55,8 @@
 	return forwarder.Serve(context.Background(), request, &recorder{})
 }
 
-// A request that is held reaches no runner, and its caller learns when it may come back.
-func TestHeldRequestsAreRefusedAtOnce(t *testing.T) {
+// A quarantined request reaches no runner, and its caller learns when to retry.
+func TestQuarantinedRequestsAreRefused(t *testing.T) {
 	is := is.New(t)
 	fingerprint := (&CallerRequest{Method: http.MethodPost, URI: "/x"}).fingerprint()
 	client := &fakeRunners{}
@@ -66,45 +66,45 @@
 	is.Equal(client.runs, 0)
 }
 
-// A request that comes to be held while it is served is not sent once more, and is
-// not reported as not run.
-func TestHeldWhileServed(t *testing.T) {
+// A request that is quarantined while it is served is not retried, and is not reported
+// as not run.
+func TestQuarantinedWhileServed(t *testing.T) {
 	is := is.New(t)
-	client := &fakeRunners{fates: []fate{fateSilent, fateSilent, fateSilent, fateSilent}}
+	client := &fakeRunners{outcomes: []outcome{outcomeUnresponsive, outcomeUnresponsive, outcomeUnresponsive, outcomeUnresponsive}}
 	err := serveGuarded(&guard{holdAfter: 2}, client, routeOf(catalog.Streaming, true, 4))
 	is.Equal(result.CodeOf(err), result.OutcomeUnknown)
 	is.Equal(client.runs, 2)
 }
 
-// Each attempt that broke off is reported, whether it may be repeated or not; answers of
-// the runner itself and requests that were not run are not.
-func TestBrokenAttemptsAreTold(t *testing.T) {
+// Each broken attempt is reported, whether the request may be repeated or not; error
+// responses of the runner and requests that did not run are not reported.
+func TestBrokenAttemptsAreReported(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		fates []fate
-		route *catalog.Route
-		broke int
-		whole int
+		name     string
+		outcomes []outcome
+		route    *catalog.Route
+		broke    int
+		whole    int
 	}{
-		{"a stream that goes on elsewhere", []fate{fateBreaks, fateSilent, fateServes}, routeOf(catalog.Streaming, true, 3), 2, 1},
-		{"an answer that is lost", []fate{fateSilent}, routeOf(catalog.Once, false, 1), 1, 0},
-		{"a runner that is full", []fate{fateFull, fateServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
-		{"nobody at the address", []fate{fateRefused, fateServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
-		{"the runner's own failure", []fate{fateFails, fateServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
+		{"a stream that continues at another runner", []outcome{outcomeBreaks, outcomeUnresponsive, outcomeServes}, routeOf(catalog.Streaming, true, 3), 2, 1},
+		{"a lost response", []outcome{outcomeUnresponsive}, routeOf(catalog.Once, false, 1), 1, 0},
+		{"a full runner", []outcome{outcomeFull, outcomeServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
+		{"a refused connection", []outcome{outcomeRefused, outcomeServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
+		{"an error response of the runner", []outcome{outcomeFails, outcomeServes}, routeOf(catalog.Streaming, true, 3), 0, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			g := &guard{}
-			_ = serveGuarded(g, &fakeRunners{fates: test.fates}, test.route)
+			_ = serveGuarded(g, &fakeRunners{outcomes: test.outcomes}, test.route)
 			is.Equal(len(g.broke), test.broke)
 			is.Equal(g.completed, test.whole)
 		})
 	}
 }
 
-// A request under which a runner ended keeps away from runners with another such
+// A request that is suspected of crashing a runner avoids runners with another suspect
 // request, unless there is no other runner.
-func TestSuspectsKeepApart(t *testing.T) {
+func TestSuspectRequestsUseSeparateRunners(t *testing.T) {
 	is := is.New(t)
 	client := &fakeRunners{}
 	is.NoErr(serveGuarded(&guard{avoid: map[string]bool{"r0": true, "r1": true, "r3": true}}, client, routeOf(catalog.Streaming, true, 3)))
@@ -114,20 +114,21 @@
 	is.Equal(client.runs, 1)
 }
 
-// What was ended from here, for its silence, says nothing of its runner.
-func TestSilenceIsNotReportedAsAnEnd(t *testing.T) {
+// An attempt that was ended by the idle timeout or the caller, or that had run for long,
+// is not reported as broken.
+func TestIdleTimeoutIsNotReportedAsBrokenRun(t *testing.T) {
 	is := is.New(t)
 	g, runner := &guard{}, &runnerset.Runner{}
-	s := &serving{Forwarder: &Forwarder{Quarantine: g}, request: &CallerRequest{}, current: &attempt{runner: runner}}
-	s.noteEnding(context.Background())
+	s := &activeRequest{Forwarder: &Forwarder{Quarantine: g}, request: &CallerRequest{}, current: &attempt{runner: runner}}
+	s.reportBrokenRun(context.Background())
 	is.Equal(len(g.broke), 1)
-	s.current.silenced.Store(true)
-	s.noteEnding(context.Background())
+	s.current.idleTimedOut.Store(true)
+	s.reportBrokenRun(context.Background())
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.current = &attempt{runner: runner}
-	s.noteEnding(ended) // the caller left
+	s.reportBrokenRun(ended) // the caller has left
 	s.current = &attempt{runner: runner, firstEvent: time.Now().Add(-time.Minute)}
-	s.noteEnding(context.Background()) // it ran for long
+	s.reportBrokenRun(context.Background()) // the request had run for too long to be suspect
 	is.Equal(len(g.broke), 1)
 }
--- a/internal/serving/online/limits_test.go
+++ b/internal/serving/online/limits_test.go
@@ -21,25 +21,25 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// fewCredits is a keeper with so many credits and no shares.
-type fewCredits struct {
-	mutex sync.Mutex
-	left  int
-	given int
+// limitedKeeper grants a limited number of credits and no shares.
+type limitedKeeper struct {
+	mutex   sync.Mutex
+	left    int
+	granted int
 }
 
-func (k *fewCredits) Allot(_ context.Context, _ string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
+func (k *limitedKeeper) Allot(_ context.Context, _ string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	count := min(int(request.Credits), k.left)
 	k.left -= count
-	k.given += count
+	k.granted += count
 	return &wirev1.AllotmentReply{Credits: uint32(count), WaitMs: 700}, nil
 }
 
-func (k *fewCredits) ShardOf(string) (uint32, bool) { return 0, true }
+func (k *limitedKeeper) ShardOf(string) (uint32, bool) { return 0, true }
 
-// longLived credits do not end while a test runs.
+// longLived credits do not expire during a test.
 var longLived = allotment.Tolerance{Window: time.Hour, Overrun: 1, Slack: 20}
 
 func limitedForwarder(keeper admission.Keepers, client exchange.CallSender, runners int, tolerance allotment.Tolerance) *Forwarder {
@@ -52,7 +52,7 @@
 	forwarder := New("z", set, client, prometheus.NewRegistry())
 	forwarder.listWait = time.Millisecond
 	limit := func(string) (allotment.RateLimit, bool) { return allotment.RateLimit{Rate: 1, Burst: 1}, true }
-	forwarder.Gate = admission.New(keeper, limit, tolerance, allotment.HolderID{Node: "n", Incarnation: 1}, prometheus.NewRegistry())
+	forwarder.Admission = admission.New(keeper, limit, tolerance, allotment.HolderID{Node: "n", Incarnation: 1}, prometheus.NewRegistry())
 	return forwarder
 }
 
@@ -64,13 +64,13 @@
 	}
 }
 
-// Each run takes a credit of its own; one that no runner took is there for the
-// next; who is refused has truly not run.
-func TestEachRunTakesACredit(t *testing.T) {
+// Each run uses one credit; a credit that no runner used is kept for the next run; a
+// request that is reported as not run has not run.
+func TestEachRunUsesOneCredit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		runners := &fakeRunners{fates: rapid.SliceOfN(rapid.SampledFrom(fates), 0, 12).Draw(t, "fates")}
+		runners := &fakeRunners{outcomes: rapid.SliceOfN(rapid.SampledFrom(outcomes), 0, 12).Draw(t, "outcomes")}
 		credits := rapid.IntRange(0, 4).Draw(t, "credits")
-		keeper := &fewCredits{left: credits}
+		keeper := &limitedKeeper{left: credits}
 		forwarder := limitedForwarder(keeper, runners, 8, longLived)
 		kind := rapid.SampledFrom([]catalog.RouteKind{catalog.Once, catalog.Streaming, catalog.Repeatable}).Draw(t, "kind")
 		for range rapid.IntRange(1, 4).Draw(t, "requests") {
@@ -78,7 +78,7 @@
 			err := forwarder.Serve(context.Background(), limitedRequest(routeOf(kind, true, 3)), &recorder{})
 			ran := runners.runs - before
 			if err != nil && !errors.Is(err, ErrCut) && result.CodeOf(err).Entry().Ran == result.RanNo && ran > 0 {
-				t.Fatalf("%v, and it ran %d times", err, ran)
+				t.Fatalf("reported as not run (%v), but ran %d times", err, ran)
 			}
 		}
 		if runners.runs > credits {
@@ -87,23 +87,23 @@
 	})
 }
 
-// Who is over the limit is refused at once with a time to come back, and sent
-// nowhere.
-func TestOverTheLimitIsRefused(t *testing.T) {
+// A request over the limit is refused immediately with a retry delay, and reaches no
+// runner.
+func TestRequestsOverTheLimitAreRefused(t *testing.T) {
 	is := is.New(t)
 	runners := &fakeRunners{}
-	forwarder := limitedForwarder(&fewCredits{}, runners, 2, longLived)
+	forwarder := limitedForwarder(&limitedKeeper{}, runners, 2, longLived)
 	err := forwarder.Serve(context.Background(), limitedRequest(routeOf(catalog.Once, false, 1)), &recorder{})
 	is.True(result.Is(err, result.TenantRate))
 	is.True(result.FromError(err).RetryAfter >= 700*time.Millisecond)
 	is.Equal(runners.runs, 0)
 }
 
-// A node that stood still between the admission and the send does not send: the
-// credit has ended by then.
-func TestCreditThatEndedIsNotSpent(t *testing.T) {
+// A node that was suspended between admission and send does not send, because the credit
+// has expired.
+func TestExpiredCreditIsNotSpent(t *testing.T) {
 	is := is.New(t)
-	brief := allotment.Tolerance{Window: time.Second} // its credits live for the shortest time
+	brief := allotment.Tolerance{Window: time.Second} // gives credits the shortest lifetime
 	withdrawn := 0
 	client := clientFunc(func(_ context.Context, call *exchange.Call) (*exchange.Response, error) {
 		time.Sleep(2 * brief.CreditLife())
@@ -113,7 +113,7 @@
 		withdrawn++
 		return nil, &exchange.NotRunError{Reason: exchange.ReasonWithdrawn, Cause: errors.New("withdrawn")}
 	})
-	forwarder := limitedForwarder(&fewCredits{left: 2}, client, 4, brief)
+	forwarder := limitedForwarder(&limitedKeeper{left: 2}, client, 4, brief)
 	err := forwarder.Serve(context.Background(), limitedRequest(routeOf(catalog.Once, false, 1)), &recorder{})
 	is.True(result.Is(err, result.TenantRate))
 	is.Equal(withdrawn, 2)
--- a/internal/serving/online/online.go
+++ b/internal/serving/online/online.go
@@ -1,14 +1,15 @@
 // Package online serves callers' requests on an edge: it chooses a runner, sends the
-// request, passes the answer on, and tries again elsewhere where that cannot run work
-// twice that must not. A request is answered at once when it is given up.
+// request, relays the response, and retries at another runner unless that could repeat
+// work that must not run twice. A request that can't be served is answered immediately.
 //
-// It owns the requests in progress, and what it learns for refusals (retryafter). It
-// relies on runnerset for the choice of a runner, on admission for the tenant's limit,
-// on quarantine for requests that crash runners, and on exchange for the transport.
+// It owns the requests in progress, and the retry times of refused callers (see
+// retryafter). It uses runnerset for the choice of a runner, admission for the tenant's
+// rate limit, quarantine for requests that crash runners, and exchange for the
+// transport.
 //
-// The rules, each without I/O or clock: retry.go (whether a request is sent once more
-// and what its caller learns when it is given up) and refusal.go (whether it is
-// refused because all runners are full). serving.go and attempt.go carry them out.
+// These files hold the rules, without I/O or clock: retry.go (whether a request is
+// retried, and which error its caller gets) and refusal.go (whether a request is refused
+// because all runners are full). serving.go and attempt.go apply them.
 package online
 
 import (
@@ -24,16 +25,16 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// Forwarder serves requests.
+// Forwarder serves requests by forwarding them to runners.
 type Forwarder struct {
 	Zone    string
 	Runners *runnerset.Set
 	Client  exchange.CallSender
-	// Gate admits tenants' requests within their limits; nil admits all.
-	Gate *admission.Controller
-	// Quarantine knows the requests that crash runners; nil knows none.
+	// Admission enforces the tenants' rate limits; nil admits all requests.
+	Admission *admission.Controller
+	// Quarantine tracks the requests that crash runners; nil disables the quarantine.
 	Quarantine quarantine.Guard
-	// listWait is how long a request waits for a runner to be listed.
+	// listWait is how long a request waits for a usable runner to be listed.
 	listWait    time.Duration
 	planners    planners
 	statedTimes retryafter.StatedTimes
@@ -42,7 +43,6 @@
 	firstEvent  prometheus.Histogram
 }
 
-// New returns a forwarder.
 func New(zone string, runners *runnerset.Set, client exchange.CallSender, registry prometheus.Registerer) *Forwarder {
 	f := &Forwarder{
 		Zone: zone, Runners: runners, Client: client, listWait: maxListWait,
@@ -61,12 +61,12 @@
 	return f
 }
 
-// Serve answers a request. On a *result.Error the caller has got nothing yet; ErrCut
-// means that an answer was begun.
+// Serve serves a request. If it returns a *result.Error, nothing has been sent to the
+// caller yet; ErrCut means that a started response could not be finished.
 func (f *Forwarder) Serve(ctx context.Context, request *CallerRequest, responder Responder) error {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	s := &serving{
+	s := &activeRequest{
 		Forwarder: f, request: request, fingerprint: request.fingerprint(), responder: responder,
 		tried: map[string]bool{}, lastEvent: max(0, request.ResumeAfter),
 		usuallyStated: f.statedTimes.Note(request.Route.Name, request.Stated, request.Received),
--- a/internal/serving/online/online_test.go
+++ b/internal/serving/online/online_test.go
@@ -22,63 +22,63 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// fate is what a runner makes of a call.
-type fate string
+// outcome is how a fake runner handles a call.
+type outcome string
 
 const (
-	fateServes   fate = "serves"   // the whole answer
-	fateBreaks   fate = "breaks"   // the answer breaks off after some events
-	fateSkips    fate = "skips"    // an event is missing
-	fateRepeats  fate = "repeats"  // an event comes twice
-	fateUnmarked fate = "unmarked" // a success that is not the runner's own
-	fateFull     fate = "full"     // the runner says that it has not run it
-	fateRefused  fate = "refused"  // no connection
-	fateSilent   fate = "silent"   // sent, and nothing comes back
-	fateFails    fate = "fails"    // the runner's own 500
+	outcomeServes       outcome = "serves"       // the complete response
+	outcomeBreaks       outcome = "breaks"       // the response breaks off after some events
+	outcomeSkips        outcome = "skips"        // an event is missing
+	outcomeRepeats      outcome = "repeats"      // an event comes twice
+	outcomeUnmarked     outcome = "unmarked"     // a success status without the runner's mark
+	outcomeFull         outcome = "full"         // the runner reports that it has not run the request
+	outcomeRefused      outcome = "refused"      // the connection is refused
+	outcomeUnresponsive outcome = "unresponsive" // the request is sent, and the connection breaks without a response
+	outcomeFails        outcome = "fails"        // the runner's own 500
 )
 
-var fates = []fate{fateServes, fateBreaks, fateSkips, fateRepeats, fateUnmarked, fateFull, fateRefused, fateSilent, fateFails}
+var outcomes = []outcome{outcomeServes, outcomeBreaks, outcomeSkips, outcomeRepeats, outcomeUnmarked, outcomeFull, outcomeRefused, outcomeUnresponsive, outcomeFails}
 
 const events = 5
 
-// fakeRunners play a list of fates and record what ran.
+// fakeRunners handle calls with a list of outcomes and record the runs.
 type fakeRunners struct {
-	mutex   sync.Mutex
-	fates   []fate
-	runs    int
-	runners []string
-	resumes []int64
+	mutex    sync.Mutex
+	outcomes []outcome
+	runs     int
+	runners  []string
+	resumes  []int64
 }
 
 func (f *fakeRunners) Do(_ context.Context, call *exchange.Call) (*exchange.Response, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	next := fateServes
-	if len(f.fates) > 0 {
-		next, f.fates = f.fates[0], f.fates[1:]
+	next := outcomeServes
+	if len(f.outcomes) > 0 {
+		next, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
 	switch next {
-	case fateFull:
+	case outcomeFull:
 		return nil, &exchange.NotRunError{Reason: exchange.ReasonFull, FromRunner: true, Cause: errors.New("full")}
-	case fateRefused:
+	case outcomeRefused:
 		return nil, &exchange.NotRunError{Reason: exchange.ReasonDial, Cause: errors.New("refused")}
 	}
 	f.runs++
 	f.runners = append(f.runners, call.RunnerID)
 	f.resumes = append(f.resumes, call.ResumeAfter)
 	switch next {
-	case fateSilent:
+	case outcomeUnresponsive:
 		return nil, &exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF}
-	case fateFails:
+	case outcomeFails:
 		return &exchange.Response{Status: http.StatusInternalServerError, FromRunner: true, Length: 4, Body: io.NopCloser(strings.NewReader("fail"))}, nil
 	}
-	return &exchange.Response{Status: http.StatusOK, FromRunner: next != fateUnmarked, Length: -1, Body: &fakeStream{next: max(0, call.ResumeAfter) + 1, fate: next}}, nil
+	return &exchange.Response{Status: http.StatusOK, FromRunner: next != outcomeUnmarked, Length: -1, Body: &fakeStream{next: max(0, call.ResumeAfter) + 1, outcome: next}}, nil
 }
 
-// fakeStream is an event stream that may be spoilt.
+// fakeStream is an event stream with an optional fault.
 type fakeStream struct {
 	next    int64
-	fate    fate
+	outcome outcome
 	pending []byte
 }
 
@@ -87,16 +87,16 @@
 		if s.next > events {
 			return 0, io.EOF
 		}
-		if s.fate == fateBreaks && s.next > 2 {
+		if s.outcome == outcomeBreaks && s.next > 2 {
 			return copy(buffer, "id: 3\nda"), io.ErrUnexpectedEOF
 		}
 		s.pending = fmt.Appendf(nil, "id: %d\ndata: e%d\n\n", s.next, s.next)
-		if !(s.fate == fateRepeats && s.next == 2) {
+		if !(s.outcome == outcomeRepeats && s.next == 2) {
 			s.next++
 		} else {
-			s.fate = fateServes
+			s.outcome = outcomeServes
 		}
-		if s.fate == fateSkips && s.next == 3 {
+		if s.outcome == outcomeSkips && s.next == 3 {
 			s.next++
 		}
 	}
@@ -107,7 +107,7 @@
 
 func (*fakeStream) Close() error { return nil }
 
-// recorder is the caller's side.
+// recorder is a responder that records the response.
 type recorder struct {
 	status int
 	body   strings.Builder
@@ -147,69 +147,70 @@
 	return &catalog.Route{Name: "x", Kind: kind, Resumable: resumable, Attempts: attempts, Target: time.Minute, Services: []catalog.WeightedService{{Service: "s", Weight: 1}}}
 }
 
-// Whatever runners do: what may not be repeated runs at most once; no request
-// runs more often than its route allows; "not run" is said only when nothing
-// ran; a stream that is said to be whole is whole, and one that is not was cut
-// or never begun; no runner is asked twice.
-func TestTruthOfAnswers(t *testing.T) {
+// Whatever the runners do: a request that must not be repeated runs at most once; no
+// request runs more often than its route allows; "not run" is reported only if nothing
+// ran; a stream that ends without an error is complete, and any other is cut or was
+// never started; no runner runs a request twice.
+func TestRetriesKeepRouteGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := rapid.SliceOfN(rapid.SampledFrom(fates), 0, 8).Draw(t, "fates")
+		drawn := rapid.SliceOfN(rapid.SampledFrom(outcomes), 0, 8).Draw(t, "outcomes")
 		kind := rapid.SampledFrom([]catalog.RouteKind{catalog.Once, catalog.Streaming, catalog.Repeatable}).Draw(t, "kind")
 		resumable := rapid.Bool().Draw(t, "resumable")
 		attempts := rapid.IntRange(1, 3).Draw(t, "attempts")
 		route := routeOf(kind, resumable, attempts)
-		runners := &fakeRunners{fates: drawn}
+		runners := &fakeRunners{outcomes: drawn}
 		caller, err := serveWith(runners, route, rapid.IntRange(0, 8).Draw(t, "runners"))
 		if !route.MayRepeat() && runners.runs > 1 {
-			t.Fatalf("ran %d times what may run once", runners.runs)
+			t.Fatalf("ran %d times, but must not be repeated", runners.runs)
 		}
 		if runners.runs > attempts {
-			t.Fatalf("ran %d times, allowed are %d", runners.runs, attempts)
+			t.Fatalf("ran %d times, but the route allows %d attempts", runners.runs, attempts)
 		}
 		seen := map[string]bool{}
 		for _, runner := range runners.runners {
 			if seen[runner] {
-				t.Fatalf("runner %s ran it twice", runner)
+				t.Fatalf("runner %s ran the request twice", runner)
 			}
 			seen[runner] = true
 		}
 		if err != nil && !errors.Is(err, ErrCut) {
 			if result.CodeOf(err).Entry().Ran == result.RanNo && runners.runs > 0 {
-				t.Fatalf("%v, and it ran %d times", err, runners.runs)
+				t.Fatalf("reported as not run (%v), but ran %d times", err, runners.runs)
 			}
 			if caller.status != 0 {
-				t.Fatalf("%v after the answer was begun", err)
+				t.Fatalf("%v after the response was started", err)
 			}
 		}
 		if err == nil && caller.status == http.StatusOK && kind == catalog.Streaming && caller.body.String() != wholeStream() {
-			t.Fatalf("a whole answer that is not: %q", caller.body.String())
+			t.Fatalf("the stream ended without an error, but is incomplete: %q", caller.body.String())
 		}
 		if kind == catalog.Streaming && caller.status == http.StatusOK && !strings.HasPrefix(wholeStream(), caller.body.String()) {
-			t.Fatalf("not the beginning of the stream: %q", caller.body.String())
+			t.Fatalf("the response is not a prefix of the stream: %q", caller.body.String())
 		}
 	})
 }
 
-// A stream that may be resumed goes on at another runner after its last event;
-// the caller sees one stream.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A resumable stream continues at another runner after its last event, and the caller
+// sees a single stream.
+func TestResumableStreamContinuesAtAnotherRunner(t *testing.T) {
 	is := is.New(t)
-	runners := &fakeRunners{fates: []fate{fateBreaks, fateServes}}
+	runners := &fakeRunners{outcomes: []outcome{outcomeBreaks, outcomeServes}}
 	caller, err := serveWith(runners, routeOf(catalog.Streaming, true, 2), 3)
 	is.NoErr(err)
 	is.Equal(caller.body.String(), wholeStream())
 	is.Equal(runners.resumes, []int64{-1, 2})
 }
 
-// A stream that may not is cut, so that the caller sees that it is not whole.
-func TestStreamIsCut(t *testing.T) {
+// A stream that can't be resumed is cut, so that the caller can tell that it is
+// incomplete.
+func TestBrokenStreamIsCut(t *testing.T) {
 	is := is.New(t)
-	_, err := serveWith(&fakeRunners{fates: []fate{fateBreaks}}, routeOf(catalog.Streaming, false, 1), 3)
+	_, err := serveWith(&fakeRunners{outcomes: []outcome{outcomeBreaks}}, routeOf(catalog.Streaming, false, 1), 3)
 	is.True(errors.Is(err, ErrCut))
 }
 
-// A caller that leaves ends the run at once.
-func TestCallerLeaves(t *testing.T) {
+// When the caller disconnects, the run is cancelled immediately.
+func TestCallerDisconnectCancelsTheRun(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
 	client := clientFunc(func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
@@ -228,9 +229,9 @@
 	is.True(result.Is(err, result.CallerGone))
 }
 
-// A runner known as leaving is not chosen, and a call to one that began to
-// leave is withdrawn before its first byte.
-func TestLeavingRunners(t *testing.T) {
+// A leaving runner is not chosen, and a call to a runner that starts to leave is
+// withdrawn before its first byte.
+func TestLeavingRunnersGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	set := runnerset.New()
 	set.Replace([]runnerset.Record{{ID: "stays", Service: "s", Slots: 1}, {ID: "leaves", Service: "s", Slots: 1}}, 1, time.Now())
@@ -239,7 +240,7 @@
 		is.True(call.MaySend())
 		revision++
 		set.ApplyChanges([]runnerset.Record{{ID: call.RunnerID, Service: "s", Slots: 1, Leaving: true}}, nil, revision, time.Now())
-		is.True(!call.MaySend()) // what a client asks in the moment of writing
+		is.True(!call.MaySend()) // the check that a client makes right before it writes
 		return nil, &exchange.NotRunError{Reason: exchange.ReasonWithdrawn, Cause: errors.New("withdrawn")}
 	})
 	forwarder := New("z", set, client, prometheus.NewRegistry())
@@ -256,21 +257,21 @@
 	return f(ctx, call)
 }
 
-// An attempt that broke is not counted as done because its request goes on at
-// another runner.
-func TestAttemptsThatMoveOnAreNotDone(t *testing.T) {
+// An attempt that broke off and whose request continues at another runner is not counted
+// as done.
+func TestRetriedAttemptsAreCountedAsMovedOn(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
 	set := runnerset.New()
 	set.Replace([]runnerset.Record{{ID: "r0", Service: "s", Slots: 4}, {ID: "r1", Service: "s", Slots: 4}}, 1, time.Now())
-	forwarder := New("z", set, &fakeRunners{fates: []fate{fateSilent, fateServes}}, registry)
+	forwarder := New("z", set, &fakeRunners{outcomes: []outcome{outcomeUnresponsive, outcomeServes}}, registry)
 	now := time.Now()
 	request := &CallerRequest{ID: "id", Method: http.MethodPost, URI: "/x", Route: routeOf(catalog.Streaming, true, 2), Received: now, Deadline: now.Add(30 * time.Second), ResumeAfter: -1}
 	is.NoErr(forwarder.Serve(context.Background(), request, &recorder{}))
 	is.Equal(attemptsBy(t, registry), map[string]float64{movedOn: 1, result.OK.String(): 1})
 }
 
-// attemptsBy returns the counted attempts by outcome.
+// attemptsBy returns the number of attempts by outcome.
 func attemptsBy(t *testing.T, registry *prometheus.Registry) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
--- a/internal/serving/online/refusal.go
+++ b/internal/serving/online/refusal.go
@@ -10,46 +10,47 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// fullTargetShare of its target is when the first event of a request must be expected
-// at the latest while its service is full: what is expected is the median of what
-// comes, so that half of those admitted at the whole target would be late.
-const fullTargetShare = 0.7
+// saturatedTargetShare is the share of the target within which a first event must be
+// expected while the service is full. The expected time is a median, so half of the
+// requests that were expected exactly at the target would be late.
+const saturatedTargetShare = 0.7
 
-// refusalInputs are what decides whether a request is refused because all runners
-// are full. A request that cannot have its first event within its target would take a
-// slot from one that can: it is refused at once, as not run, and its caller learns
-// when to come back. A caller that comes back is late, so that as long as there are
-// free slots nobody is refused that may be in time; while there are none, requests are
-// refused sooner, or those admitted wait just as long as is allowed.
+// refusalInputs are the inputs to the decision whether a request is refused because all
+// runners are full. A request whose first event would miss its target would take a slot
+// from a request that can still meet its own. It is refused immediately, as not run, and
+// its caller learns when to retry. A caller that retries gets its response late, so
+// while there are free slots only requests that would miss the target are refused.
+// Without free slots the bound is stricter, since otherwise every admitted request would
+// wait up to the limit.
 //
-// Never refused: a request that was sent already; one whose expected time says little,
-// since its best runner is suspect; and a caller that was refused before, which would
-// not come a third time.
+// A request is never refused if it was sent already, if its expected time is unreliable
+// because its best runner is suspect, or if its caller was refused before, since callers
+// retry only once.
 type refusalInputs struct {
-	// sent: a runner may have worked on the request.
+	// sent is set if a runner may have worked on the request.
 	sent bool
-	// suspect: see runnerset.Choice.
+	// suspect is runnerset.Choice.Suspect.
 	suspect bool
-	// firstTry: the caller has not come before, as far as that shows.
+	// firstTry is set unless the request appears to be a retry of the caller.
 	firstTry bool
-	// full: requests of the service have lately found no free slot.
+	// full is set if recent requests of the service found no free slot.
 	full bool
-	// target is the route's time to a first event; 0 for none.
+	// target is the route's target for the time to the first event; 0 if it has none.
 	target time.Duration
-	// waited is the time since the request came, expected that from now until its
-	// first event at the best runner.
+	// waited is the time since the request arrived, and expected the time from now to
+	// its first event at the best runner.
 	waited, expected time.Duration
 }
 
-// allowed returns how long after its arrival a request may expect its first event.
+// allowed returns the longest acceptable time from the arrival of the request to its
+// first event.
 func (r *refusalInputs) allowed() time.Duration {
 	if r.full {
-		return time.Duration(fullTargetShare * float64(r.target))
+		return time.Duration(saturatedTargetShare * float64(r.target))
 	}
 	return r.target
 }
 
-// refused reports whether the request is refused.
 func (r *refusalInputs) refused() bool {
 	if r.sent || r.suspect || !r.firstTry {
 		return false
@@ -58,9 +59,9 @@
 	return allowed > 0 && r.waited+r.expected > allowed
 }
 
-// refuseIfFull refuses a request that would be late at the best runner, if its caller
-// can come back.
-func (s *serving) refuseIfFull(service string, choice runnerset.Choice) error {
+// refuseIfFull refuses a request that would miss its target at the best runner, if its
+// caller can retry.
+func (s *activeRequest) refuseIfFull(service string, choice runnerset.Choice) error {
 	now := time.Now()
 	inputs := refusalInputs{
 		sent: s.history.mayHaveRun(), suspect: choice.Suspect,
@@ -76,13 +77,15 @@
 		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).WithRetryAfter(s.planners.refuse(service, now, caller))
 }
 
-// planners are the return times of refused callers, by service.
+// planners holds the planner of each service, which schedules the retries of refused
+// callers.
 type planners struct {
 	mutex     sync.Mutex
 	byService map[string]*retryafter.Planner
 }
 
-// of returns the planner of a service. The mutex is held.
+// of returns the planner of a service, and creates it if missing. The caller holds the
+// mutex.
 func (p *planners) of(service string) *retryafter.Planner {
 	if p.byService == nil {
 		p.byService = map[string]*retryafter.Planner{}
@@ -95,15 +98,15 @@
 	return planner
 }
 
-// full reports whether requests of a service find no free slot at present.
+// full reports whether requests of a service currently find no free slot.
 func (p *planners) full(service string, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.of(service).Full(now)
 }
 
-// refuse records that a service has no free slot, and returns when a caller should
-// come back.
+// refuse records that a service has no free slot, and returns the delay after which the
+// caller should retry.
 func (p *planners) refuse(service string, now time.Time, caller retryafter.Caller) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/serving/online/refusal_test.go
+++ b/internal/serving/online/refusal_test.go
@@ -15,9 +15,9 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// fullForwarder has two runners of one slot, each with so many requests. Tests
-// of refusals run on a clock that stands still: while the process is held up, first
-// events become overdue, and an overdue runner is no reason to refuse.
+// fullForwarder has two runners of one slot, each with the given number of requests.
+// Tests of refusals use a fake clock: if the process were delayed, first events would
+// become overdue, and an overdue runner is no reason to refuse a request.
 func fullForwarder(runners *fakeRunners, requests int) *Forwarder {
 	set := runnerset.New()
 	set.Replace([]runnerset.Record{{ID: "a", Service: "s", Slots: 1}, {ID: "b", Service: "s", Slots: 1}}, 1, time.Now())
@@ -38,9 +38,9 @@
 	return &CallerRequest{ID: "id", Route: route, Received: now, Deadline: now.Add(held), Stated: held, ResumeAfter: -1}
 }
 
-// A request that would be late at every runner is refused at once as not run,
-// with a time to come back that its caller can wait.
-func TestRefusedWithoutFreeSlots(t *testing.T) {
+// A request that would be late at every runner is refused immediately as not run, with a
+// retry delay that its caller can wait.
+func TestLateRequestsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		runners := &fakeRunners{}
@@ -53,8 +53,8 @@
 	})
 }
 
-// Nobody is refused while there are free slots, nor who has come back already.
-func TestServedWithFreeSlotsOrAfterComingBack(t *testing.T) {
+// A request is not refused while there are free slots, nor if it is a retry.
+func TestServedWithFreeSlotsOrOnRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, c := range []struct {
@@ -63,16 +63,15 @@
 		}{{0, 5 * time.Second}, {5, 3500 * time.Millisecond}} {
 			runners := &fakeRunners{}
 			forwarder := fullForwarder(runners, c.requests)
-			forwarder.statedTimes.Note("x", 5*time.Second, time.Now()) // what others have stated
+			forwarder.statedTimes.Note("x", 5*time.Second, time.Now()) // a longer wait stated by other callers
 			is.NoErr(forwarder.Serve(context.Background(), targetedRequest(c.held), &recorder{}))
 			is.Equal(runners.runs, 1)
 		}
 	})
 }
 
-// Where all runners fail, what is expected of them says little: a request is sent
-// all the same.
-func TestFailingRunnersAreNotFull(t *testing.T) {
+// If all runners fail, their expected times are unreliable, so requests are sent anyway.
+func TestFailingRunnersAreNoReasonToRefuse(t *testing.T) {
 	is := is.New(t)
 	runners := &fakeRunners{}
 	forwarder := fullForwarder(runners, 5)
@@ -83,9 +82,9 @@
 	is.Equal(runners.runs, 1)
 }
 
-// Who was refused and comes back after the stated wait is not refused again,
-// whatever the route's time-out is, and however soon that was.
-func TestWhoComesBackIsNotRefusedAgain(t *testing.T) {
+// A refused caller that retries after the stated delay is not refused again, whatever
+// the route's timeout and the delay are.
+func TestRetriedRequestIsNotRefusedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, timeout := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 			is := is.New(t)
@@ -105,23 +104,22 @@
 	})
 }
 
-// A first event that is expected within the target is waited for while there are
-// free slots; once there are none, what is expected late in the target is refused,
+// Without free slots, a request that is expected late in its target is refused as well,
 // until requests find free slots again.
-func TestRefusedSoonerWhileFull(t *testing.T) {
+func TestStricterTargetWhileSaturated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		forwarder := fullForwarder(&fakeRunners{}, 0)
 		request := targetedRequest(5 * time.Second)
-		s := &serving{Forwarder: forwarder, request: request, usuallyStated: request.Stated}
+		s := &activeRequest{Forwarder: forwarder, request: request, usuallyStated: request.Stated}
 		expected := func(share float64) error {
 			return s.refuseIfFull("s", runnerset.Choice{FirstEvent: time.Duration(share * float64(request.Route.Target))})
 		}
-		is.NoErr(expected((1 + fullTargetShare) / 2))
+		is.NoErr(expected((1 + saturatedTargetShare) / 2))
 		is.True(expected(1.1) != nil)
-		is.True(expected((1+fullTargetShare)/2) != nil)
-		is.NoErr(expected(fullTargetShare / 2))
+		is.True(expected((1+saturatedTargetShare)/2) != nil)
+		is.NoErr(expected(saturatedTargetShare / 2))
 		forwarder.planners.byService["s"] = retryafter.NewPlanner() // idle again
-		is.NoErr(expected((1 + fullTargetShare) / 2))
+		is.NoErr(expected((1 + saturatedTargetShare) / 2))
 	})
 }
--- a/internal/serving/online/request.go
+++ b/internal/serving/online/request.go
@@ -10,7 +10,6 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// CallerRequest is a caller's request.
 type CallerRequest struct {
 	ID      string
 	Method  string
@@ -19,22 +18,24 @@
 	Headers []exchange.Header
 	Body    []byte
 	Route   *catalog.Route
-	// Version is that of the configuration that the route is of.
+	// Version is the version of the configuration that Route belongs to.
 	Version uint64
-	// Tenant is whose request it is; nil where there are no tenants.
+	// Tenant owns the request; nil where there are no tenants.
 	Tenant   *catalog.Tenant
 	Received time.Time
-	// Deadline is when the caller or the route's time-out ends it.
+	// Deadline is set by the caller or by the route's timeout.
 	Deadline time.Time
-	// Stated is how long the caller said that it will wait; 0 if it did not say.
+	// Stated is how long the caller has stated that it will wait; 0 if it has not.
 	Stated time.Duration
-	// ResumeAfter is the last event the caller has; negative to start anew.
+	// ResumeAfter is the ID of the last event that the caller has received; negative to
+	// start from the beginning.
 	ResumeAfter int64
-	// Prompt is what is known of the prompt.
+	// Prompt describes the request's prompt.
 	Prompt runnerset.Prompt
 }
 
-// fingerprint is the same for requests that are the same work.
+// fingerprint identifies the content of the request: requests for the same work have
+// equal fingerprints.
 func (r *CallerRequest) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.RequestContent{Tenant: r.tenantName(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body})
 }
@@ -46,14 +47,14 @@
 	return r.Tenant.Name
 }
 
-// Responder takes the answer. Before Head the caller has got nothing.
+// Responder sends the response to the caller. Before Head nothing is sent.
 type Responder interface {
-	// Head passes on the status and headers; length is negative if not known.
+	// Head sends the status and headers; length is negative if unknown.
 	Head(status int, headers []exchange.Header, length int64)
-	// Write passes on bytes at once. An error says that the caller is gone.
+	// Write sends data without buffering. It returns an error if the caller has left.
 	Write(data []byte) error
 }
 
-// ErrCut says that an answer was begun and cannot be finished: the caller must
-// see it as broken.
+// ErrCut means that a started response could not be finished: the caller must see it as
+// broken.
 var ErrCut = errors.New("the answer was cut")
--- a/internal/serving/online/rules_test.go
+++ b/internal/serving/online/rules_test.go
@@ -11,9 +11,9 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/catalog"
 )
 
-// Work runs again only where its route allows that, no more often than the route says,
-// and after a part of the answer only if it can be resumed.
-func TestWhetherWorkRunsAgain(t *testing.T) {
+// A request is retried only if its route allows repeated runs, only as often as the
+// route says, and after a part of the response only if it is resumable.
+func TestRetryRules(t *testing.T) {
 	once, stream := routeOf(catalog.Once, false, 3), routeOf(catalog.Streaming, true, 2)
 	repeatable := routeOf(catalog.Repeatable, false, 2)
 	for _, test := range []struct {
@@ -23,13 +23,13 @@
 		status              int
 		replaced, continued bool
 	}{
-		{"once", history{runs: 1}, once, http.StatusInternalServerError, false, false},
+		{"must not be repeated", history{runs: 1}, once, http.StatusInternalServerError, false, false},
 		{"a stream before its first event", history{runs: 1}, stream, http.StatusBadGateway, true, true},
-		{"a stream after it", history{runs: 1, answerBegun: true}, stream, http.StatusBadGateway, true, true},
-		{"repeatable after a part of the answer", history{runs: 1, answerBegun: true}, repeatable, http.StatusInternalServerError, true, false},
-		{"too often", history{runs: 2}, repeatable, http.StatusInternalServerError, false, false},
-		{"time is up at the runner", history{runs: 1}, repeatable, http.StatusGatewayTimeout, false, true},
-		{"an answer to the caller", history{runs: 1}, repeatable, http.StatusNotFound, false, true},
+		{"a stream after its first event", history{runs: 1, responseStarted: true}, stream, http.StatusBadGateway, true, true},
+		{"repeatable after a part of the response", history{runs: 1, responseStarted: true}, repeatable, http.StatusInternalServerError, true, false},
+		{"no attempts left", history{runs: 2}, repeatable, http.StatusInternalServerError, false, false},
+		{"deadline passed at the runner", history{runs: 1}, repeatable, http.StatusGatewayTimeout, false, true},
+		{"a client error", history{runs: 1}, repeatable, http.StatusNotFound, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -40,21 +40,21 @@
 }
 
 // Whatever ends a request, its caller gets "not run" only if no runner can have run it.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunIsReportedOnlyWithoutARun(t *testing.T) {
 	for runs, ran := range []result.Ran{result.RanNo, result.RanUnknown} {
 		is := is.New(t)
 		h := history{runs: runs, notRun: maxNotRun}
-		is.True(!h.mayAskAnother())
+		is.True(!h.mayTryAnother())
 		refusal := result.New(result.TenantRate, "over the limit")
-		for _, err := range []error{h.noneTook(result.Saturated, "full"), h.deadlinePassed(), h.notAdmitted(refusal)} {
+		for _, err := range []error{h.noRunnerError(result.Saturated, "full"), h.deadlineError(), h.admissionError(refusal)} {
 			is.Equal(result.CodeOf(err).Entry().Ran, ran)
 		}
 	}
 }
 
-// A request is refused if it is expected later than its target allows, which is less
-// while the service is full; what no refusal can help is sent.
-func TestWhoIsRefused(t *testing.T) {
+// A request is refused if its first event is expected later than allowed, which is
+// earlier while the service is full; requests that a refusal can't help are sent.
+func TestRefusalRules(t *testing.T) {
 	const target = time.Second
 	for _, test := range []struct {
 		name    string
@@ -63,11 +63,11 @@
 	}{
 		{"in time", refusalInputs{firstTry: true, target: target, waited: 400 * time.Millisecond, expected: 600 * time.Millisecond}, false},
 		{"late", refusalInputs{firstTry: true, target: target, waited: 401 * time.Millisecond, expected: 600 * time.Millisecond}, true},
-		{"late in the target of a full service", refusalInputs{firstTry: true, full: true, target: target, expected: 701 * time.Millisecond}, true},
-		{"early in it", refusalInputs{firstTry: true, full: true, target: target, expected: 700 * time.Millisecond}, false},
-		{"sent already", refusalInputs{sent: true, firstTry: true, target: target, expected: time.Minute}, false},
-		{"no runner that answers", refusalInputs{suspect: true, firstTry: true, target: target, expected: time.Minute}, false},
-		{"comes back", refusalInputs{target: target, expected: time.Minute}, false},
+		{"late in the target while the service is full", refusalInputs{firstTry: true, full: true, target: target, expected: 701 * time.Millisecond}, true},
+		{"early in the target while the service is full", refusalInputs{firstTry: true, full: true, target: target, expected: 700 * time.Millisecond}, false},
+		{"already sent", refusalInputs{sent: true, firstTry: true, target: target, expected: time.Minute}, false},
+		{"suspect runner", refusalInputs{suspect: true, firstTry: true, target: target, expected: time.Minute}, false},
+		{"retry", refusalInputs{target: target, expected: time.Minute}, false},
 		{"no target", refusalInputs{firstTry: true, expected: time.Minute}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(test.inputs.refused(), test.refused) })
--- a/internal/serving/online/serving.go
+++ b/internal/serving/online/serving.go
@@ -14,66 +14,66 @@
 )
 
 const (
-	// maxListWait is how long a request waits for a runner to be listed.
+	// maxListWait is how long a request waits for a usable runner to be listed.
 	maxListWait = 400 * time.Millisecond
-	// admitShare of a route's target, within minAdmitTimeout and maxAdmitTimeout, is
-	// what a request waits for its tenant's limit: who is refused later has no time to
-	// come back.
+	// admitShare is the share of a route's target that a request may wait for its
+	// tenant's rate limit, bounded by minAdmitTimeout and maxAdmitTimeout. A caller that
+	// is refused later would have no time left to retry.
 	admitShare      = 0.25
 	minAdmitTimeout = 40 * time.Millisecond
 	maxAdmitTimeout = 250 * time.Millisecond
 )
 
-// serving is one request in progress.
-type serving struct {
+// activeRequest is a request in progress.
+type activeRequest struct {
 	*Forwarder
 	request *CallerRequest
-	// fingerprint is of the request's content.
+	// fingerprint identifies the content of the request.
 	fingerprint quarantine.Fingerprint
-	// usuallyStated is how long callers of the route usually say that they will wait.
+	// usuallyStated is how long callers of the route usually state that they will wait.
 	usuallyStated time.Duration
 	responder     Responder
 	history       history
-	// tried are the ids of the runners that it was sent to.
+	// tried holds the IDs of the runners that the request was sent to.
 	tried map[string]bool
-	// lastEvent is the id of the last event that the caller has.
+	// lastEvent is the ID of the last event that was sent to the caller.
 	lastEvent int64
-	// admission is the right to send the request once more; nil if there is none,
-	// or none is needed.
+	// admission permits the next attempt; nil if none was granted or none is needed.
 	admission *admission.Admission
-	// firstEventAfter is how long the first event or answer took; 0 before.
+	// firstEventAfter is the time to the first event or response; 0 before.
 	firstEventAfter time.Duration
-	// lastCause is why the last attempt failed, for the log.
+	// lastCause is the cause of the last failure, for the log.
 	lastCause string
 	// current is the attempt in progress.
 	current *attempt
 }
 
-func (s *serving) serve(ctx context.Context) error {
+func (s *activeRequest) serve(ctx context.Context) error {
 	for {
-		if err := s.quarantined(); err != nil {
-			return s.cutIfBegun(err)
+		if err := s.checkQuarantine(); err != nil {
+			return s.cutIfStarted(err)
 		}
-		choice, err := s.choose(ctx)
+		choice, err := s.chooseRunner(ctx)
 		if err != nil {
-			return s.cutIfBegun(err)
+			return s.cutIfStarted(err)
 		}
 		if err := s.admit(ctx); err != nil {
-			return s.cutIfBegun(err)
+			return s.cutIfStarted(err)
 		}
 		again, err := s.send(ctx, choice)
 		if !again {
-			return s.cutIfBegun(err)
+			return s.cutIfStarted(err)
 		}
 		s.tried[choice.Runner.ID] = true
 		if ctx.Err() != nil {
-			return s.cutIfBegun(s.ended(ctx))
+			return s.cutIfStarted(s.contextError(ctx))
 		}
 	}
 }
 
-// choose picks a runner, and waits a little if none is listed.
-func (s *serving) choose(ctx context.Context) (runnerset.Choice, error) {
+// chooseRunner picks a runner. If there is none, it waits a short time for one to be
+// listed.
+func (s *activeRequest) chooseRunner(ctx context.Context) (runnerset.Choice, error) {
 	service := s.request.Route.ServiceFor(s.request.ID)
 	criteria := &runnerset.Criteria{
 		Service: service, Zone: s.Zone, Prompt: s.request.Prompt, Bytes: len(s.request.Body), Excluded: s.tried,
@@ -81,13 +81,13 @@
 	until := time.Now().Add(s.listWait)
 	for {
 		changed := s.Runners.Changed()
-		choice := s.pick(criteria)
+		choice := s.pickRunner(criteria)
 		if choice.Runner != nil {
 			return choice, s.refuseIfFull(service, choice)
 		}
 		wait := time.Until(until)
 		if wait <= 0 || s.history.notRun > 0 || s.history.mayHaveRun() {
-			return choice, s.history.noneTook(result.NoRunner, "no runner of service %s is left to try", service)
+			return choice, s.history.noRunnerError(result.NoRunner, "no runner of service %s is left to try", service)
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -97,50 +97,51 @@
 		}
 		timer.Stop()
 		if ctx.Err() != nil {
-			return choice, s.ended(ctx)
+			return choice, s.contextError(ctx)
 		}
 	}
 }
 
-// admit takes the right to send the request, which each send uses up. A send
-// that a runner turns down leaves it for the next.
-func (s *serving) admit(ctx context.Context) error {
-	if s.Gate == nil || s.admission != nil && s.admission.Valid() {
+// admit acquires the admission for an attempt. An attempt that did not run leaves the
+// admission to the next.
+func (s *activeRequest) admit(ctx context.Context) error {
+	if s.Admission == nil || s.admission != nil && s.admission.Valid() {
 		return nil
 	}
 	timeout := time.Duration(admitShare * float64(s.request.Route.Target))
 	timeout = min(max(timeout, minAdmitTimeout), maxAdmitTimeout)
-	admitted, err := s.Gate.Admit(ctx, s.request.ID, s.request.Tenant, timeout)
+	admitted, err := s.Admission.Admit(ctx, s.request.ID, s.request.Tenant, timeout)
 	if err != nil {
 		s.lastCause = err.Error()
 		if ctx.Err() != nil {
-			return s.ended(ctx)
+			return s.contextError(ctx)
 		}
-		return s.history.notAdmitted(err)
+		return s.history.admissionError(err)
 	}
 	s.admission = admitted
 	return nil
 }
 
-// cutIfBegun turns the error of a request whose answer was begun into a cut.
-func (s *serving) cutIfBegun(err error) error {
-	if err != nil && s.history.answerBegun {
+// cutIfStarted returns ErrCut in place of an error if the response has been started.
+func (s *activeRequest) cutIfStarted(err error) error {
+	if err != nil && s.history.responseStarted {
 		s.lastCause = err.Error()
 		return ErrCut
 	}
 	return err
 }
 
-// ended says why a context ended: the caller left, or time is up.
-func (s *serving) ended(ctx context.Context) error {
+// contextError returns the caller's error for a context that has ended: the caller has
+// left, or the deadline has passed.
+func (s *activeRequest) contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return s.history.deadlinePassed()
+		return s.history.deadlineError()
 	}
 	return result.New(result.CallerGone, "the caller left")
 }
 
-// logEnd counts and logs the end of the request.
-func (s *serving) logEnd(err error) {
+// logEnd counts and logs the outcome of the request.
+func (s *activeRequest) logEnd(err error) {
 	outcome := "served"
 	if err != nil {
 		outcome = "cut"
--- a/internal/serving/online/stream.go
+++ b/internal/serving/online/stream.go
@@ -11,37 +11,37 @@
 	"cobaltramp.example/cobaltramp/internal/transport/eventstream"
 )
 
-// passStream passes on events as they come, only whole ones and only in order. The
-// head goes out with the first event, so that a run that breaks before it can
-// be replaced unseen; the head of the first runner stays.
-func (s *serving) passStream(ctx context.Context, answer *exchange.Response) (bool, error) {
-	if !answer.FromRunner {
+// relayStream relays complete events in order as they arrive. It sends the head with the
+// first event, so a run that breaks before its first event can be replaced without the
+// caller noticing. The head is not sent again after a retry.
+func (s *activeRequest) relayStream(ctx context.Context, response *exchange.Response) (bool, error) {
+	if !response.FromRunner {
 		s.current.runner.RecordFailure(time.Now())
-		return s.broken(ctx, errors.New("a success without the runner's mark"))
+		return s.interruption(ctx, errors.New("a success without the runner's mark"))
 	}
-	events := eventstream.NewDecoder(answer.Body)
+	events := eventstream.NewDecoder(response.Body)
 	first := true
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return s.finished(answer)
+			return s.finishStream(response)
 		}
 		if err == nil && event.HasID && event.ID != s.lastEvent+1 {
 			err = &eventstream.BrokenError{Reason: "an event out of order"}
 		}
 		if err != nil {
-			s.noteBroken(ctx, first)
-			return s.broken(ctx, err)
+			s.recordStreamFailure(ctx, first)
+			return s.interruption(ctx, err)
 		}
-		s.current.silenceTimer.Reset(maxSilence(s.request.Route.Target))
+		s.current.idleTimer.Reset(idleTimeout(s.request.Route.Target))
 		s.current.inFlight.RecordEvent(time.Now())
 		if first {
 			first = false
-			s.noteFirstEvent()
+			s.recordFirstEvent()
 		}
-		if !s.history.answerBegun {
-			s.history.answerBegun = true
-			s.responder.Head(answer.Status, answer.Headers, -1)
+		if !s.history.responseStarted {
+			s.history.responseStarted = true
+			s.responder.Head(response.Status, response.Headers, -1)
 		}
 		if err := s.responder.Write(event.Raw); err != nil {
 			return false, result.New(result.CallerGone, "the caller left")
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *serving) noteBroken(ctx context.Context, first bool) {
+func (s *activeRequest) recordStreamFailure(ctx context.Context, first bool) {
 	if ctx.Err() != nil {
 		if first {
 			s.current.inFlight.RecordDelay(time.Now())
@@ -62,12 +62,12 @@
 	s.current.runner.RecordFailure(time.Now())
 }
 
-// finished ends a stream whose body is whole.
-func (s *serving) finished(answer *exchange.Response) (bool, error) {
-	s.noteCompleted()
-	if !s.history.answerBegun {
-		s.history.answerBegun = true
-		s.responder.Head(answer.Status, answer.Headers, 0)
+// finishStream ends a complete stream.
+func (s *activeRequest) finishStream(response *exchange.Response) (bool, error) {
+	s.recordCompletion()
+	if !s.history.responseStarted {
+		s.history.responseStarted = true
+		s.responder.Head(response.Status, response.Headers, 0)
 	}
 	return false, nil
 }
