--- a/internal/serving/enginemodel/enginemodel.go
+++ b/internal/serving/enginemodel/enginemodel.go
@@ -1,15 +1,16 @@
-// Package enginemodel learns, while a service is served, how its engines behave:
-// how long a first event takes by the prompt tokens to be read before it and by
-// the requests that run, and how long a request holds its slot. Nothing about an
-// engine is set; before anything is learnt, modest figures are assumed. Edges and
-// storage nodes run it, one EngineModel for each service.
+// Package enginemodel learns the latency of a service's engines from the requests they
+// serve: the time to the first event, as a function of the prompt tokens to process and
+// the running requests, and the time for which a request holds its slot. Engines are not
+// configured; until samples arrive, the model uses the assumed constants. Edges and
+// storage nodes use one EngineModel for each service.
 //
-// It owns what is learnt, in memory. It relies on runnerset, which hands it samples and
-// asks it what to expect; it does no I/O and reads no clock.
+// The package owns the learnt parameters, in memory. runnerset provides the samples and
+// asks for the expected times. The package does no I/O and reads no clock.
 //
-// The first event is fitted as a line by recursive least squares with slow
-// forgetting. A sample far off the line counts only as far as samples usually
-// are: a failing runner does not spoil what is known of the others.
+// The time to the first event is a linear function, fitted by recursive least squares
+// with exponential forgetting. The residual of an outlier is clipped to a multiple of
+// the typical residual, so that a failing runner does not distort the model of the
+// others.
 package enginemodel
 
 import (
@@ -18,71 +19,77 @@
 	"time"
 )
 
-// EngineModel is what is learnt of one service's engines.
+// EngineModel is the latency model of one service's engines.
 type EngineModel struct {
 	mutex   sync.Mutex
-	first   line
+	first   linearModel
 	samples int
-	// scale is the median distance of a sample from the line, in seconds.
+	// scale is the approximate median of the absolute residuals, in seconds.
 	scale float64
-	// hold is the moving average of how long a request holds a slot, in seconds.
+	// hold is the moving average of the time for which a request holds its slot, in
+	// seconds.
 	hold float64
-	// waitFactor is how much longer a first event takes by requests that wait before it,
-	// as a multiple of the time that their holds would take if slots came free
-	// evenly; a moving average. Requests that began together end together.
+	// waitFactor is the moving average of the ratio of the actual wait for a slot to the
+	// wait if slots came free at even intervals. The two differ because requests that
+	// start together also end together.
 	waitFactor float64
 }
 
-// EngineLoad is what a runner has when a request is sent.
+// EngineLoad is the load of a runner when a request is sent.
 type EngineLoad struct {
-	// Tokens of prompts that are read before the first event, its own included.
+	// Tokens is the number of prompt tokens to process before the first event, including
+	// those of the request.
 	Tokens float64
-	// Running are the requests that run there.
+	// Running is the number of running requests.
 	Running float64
 }
 
 const (
-	// Assumed of an engine of which nothing is known yet, in seconds: for a first
-	// event, for each 1,000 tokens and each running request more, and for a slot.
+	// Initial estimates for an unknown engine, in seconds: the time to the first event
+	// without load, its increase for each 1,000 tokens and for each running request, and
+	// the time for which a request holds its slot.
 	assumedBase       = 0.030
 	assumedPerKToken  = 0.020
 	assumedPerRunning = 0.0003
 	assumedHold       = 0.4
 
-	// runningUnit and tokensUnit bring the features to about one.
+	// runningUnit and tokensUnit scale the features to values around 1.
 	runningUnit = 10.0
 	tokensUnit  = 1000.0
 
-	// assumedVariance is the variance of what is assumed, relative to that of a sample:
-	// it counts as much as ten samples.
-	assumedVariance = 0.1
-	// forgetting is how much a sample counts when the next one comes.
+	// initialVariance is the variance of the initial estimates relative to that of a
+	// sample; they weigh as much as ten samples.
+	initialVariance = 0.1
+	// forgetting is the factor by which each new sample reduces the weight of the
+	// earlier ones.
 	forgetting = 0.995
-	// outlierFactor bounds what a sample counts, in usual distances from the line, once
-	// scaleSamples samples have shown what is usual; before that it is bounded by
-	// earlyOutlierFactor times what is expected.
+	// outlierFactor bounds a residual to a multiple of scale. The first scaleSamples
+	// samples are bounded by the expected value times, or divided by, earlyOutlierFactor
+	// instead, since scale is not reliable yet.
 	earlyOutlierFactor = 2.0
 	outlierFactor      = 3.0
 	scaleSamples       = 20
-	// scaleStep is by how much a sample moves the usual distance, and minScale its
-	// lower bound in seconds.
+	// scaleStep is the relative change of scale for each sample, and minScale its lower
+	// bound in seconds.
 	scaleStep = 0.05
 	minScale  = 0.001
 
-	// holdWeight is the weight of a new sample of hold, maxHoldFactor bounds it.
+	// holdWeight is the weight of a new sample of the hold time, and maxHoldFactor
+	// bounds a sample to a multiple of the average.
 	holdWeight    = 0.02
 	maxHoldFactor = 5.0
 
-	// waitWeight is the weight of a new sample of wait, which is bounded: one
-	// request's wait says little, and a failing runner's nothing.
+	// waitWeight is the weight of a new sample of waitFactor, which is clamped to
+	// minWaitFactor and maxWaitFactor. The weight is low because single waits vary
+	// widely.
 	waitWeight    = 0.01
 	minWaitFactor = 0.3
 	maxWaitFactor = 3.0
 )
 
-// New returns a model that has learnt nothing.
+// New returns a model with the initial estimates.
 func New() *EngineModel {
-	assumed := newLine([features]float64{assumedBase, assumedPerKToken, assumedPerRunning * runningUnit})
+	assumed := newLinearModel([features]float64{assumedBase, assumedPerKToken, assumedPerRunning * runningUnit})
 	return &EngineModel{first: assumed, hold: assumedHold, waitFactor: 1}
 }
 
@@ -90,36 +97,37 @@
 	return [features]float64{1, l.Tokens / tokensUnit, l.Running / runningUnit}
 }
 
-// First returns how long a first event is expected to take.
-func (m *EngineModel) First(load EngineLoad) time.Duration {
+// ExpectedFirstEvent returns the expected time to the first event of a request sent at
+// this load.
+func (m *EngineModel) ExpectedFirstEvent(load EngineLoad) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return seconds(m.first.at(load.features()))
+	return seconds(m.first.predict(load.features()))
 }
 
-// ObserveFirst learns from a first event that came.
-func (m *EngineModel) ObserveFirst(load EngineLoad, took time.Duration) {
+// ObserveFirstEvent adds a sample of the time to a first event.
+func (m *EngineModel) ObserveFirstEvent(load EngineLoad, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	x := load.features()
-	expected := m.first.at(x)
+	expected := m.first.predict(x)
 	residual := took.Seconds() - expected
 	m.samples++
-	m.noteDistance(math.Abs(residual))
+	m.updateScale(math.Abs(residual))
 	lowest, highest := -expected/earlyOutlierFactor, earlyOutlierFactor*expected
 	if m.samples > scaleSamples {
 		lowest, highest = -outlierFactor*m.scale, outlierFactor*m.scale
 	}
 	residual = max(lowest, min(highest, residual))
-	m.first.learn(x, residual)
+	m.first.update(x, residual)
 }
 
-// noteDistance moves the median distance towards a sample's.
-func (m *EngineModel) noteDistance(distance float64) {
+// updateScale moves scale towards the median with one sample.
+func (m *EngineModel) updateScale(deviation float64) {
 	switch {
 	case m.samples == 1:
-		m.scale = distance
-	case distance > m.scale:
+		m.scale = deviation
+	case deviation > m.scale:
 		m.scale *= 1 + scaleStep
 	default:
 		m.scale *= 1 - scaleStep
@@ -127,28 +135,27 @@
 	m.scale = max(m.scale, minScale)
 }
 
-// Wait returns how long a request is expected to wait for a slot behind so many
-// others, as a share of the slots: the time in which so many slots come free, as it is
-// learnt, since requests that began together end together.
-func (m *EngineModel) Wait(before float64) time.Duration {
+// ExpectedWait returns the expected time until a slot is free for a request that has
+// others ahead of it. ahead is their number as a share of the slots.
+func (m *EngineModel) ExpectedWait(ahead float64) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return seconds(before * m.hold * m.waitFactor)
+	return seconds(ahead * m.hold * m.waitFactor)
 }
 
-// ObserveWait learns from a request that had so many before it and waited.
-func (m *EngineModel) ObserveWait(before float64, took time.Duration) {
+// ObserveWait adds a sample of the wait for a slot; ahead is as in ExpectedWait.
+func (m *EngineModel) ObserveWait(ahead float64, took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	even := before * m.hold
-	if even <= 0 {
+	evenWait := ahead * m.hold
+	if evenWait <= 0 {
 		return
 	}
-	sample := min(max(took.Seconds()/even, minWaitFactor), maxWaitFactor)
+	sample := min(max(took.Seconds()/evenWait, minWaitFactor), maxWaitFactor)
 	m.waitFactor += waitWeight * (sample - m.waitFactor)
 }
 
-// ObserveHold learns from a request that ran through.
+// ObserveHold adds a sample of the time for which a completed request held its slot.
 func (m *EngineModel) ObserveHold(took time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -76,7 +76,7 @@
 		s.Select(known, totals, 1, time.Now())
 		choice := s.Pick(&Criteria{Service: "s", Zone: "z0"}, time.Now())
 		if choice.Candidates != len(known) || len(known) > 2*(64+16)+64 {
-			t.Fatalf("%d runners: a choice among %d of %d known", count, choice.Candidates, len(known))
+			t.Fatalf("%d runners: chose among %d candidates of %d known runners", count, choice.Candidates, len(known))
 		}
 	}
 }
--- a/internal/serving/runnerset/cost.go
+++ b/internal/serving/runnerset/cost.go
@@ -117,9 +117,9 @@
 // processing time of the engine, one preemption for each batch item that occupies a
 // needed slot, and the wait for further slots to come free.
 func expectedFirstEvent(model *enginemodel.EngineModel, current load, slots float64, uncached int) time.Duration {
-	expected := model.First(enginemodel.EngineLoad{Tokens: current.unread + float64(uncached), Running: current.running})
+	expected := model.ExpectedFirstEvent(enginemodel.EngineLoad{Tokens: current.unread + float64(uncached), Running: current.running})
 	preempted, ahead := slotsToFree(current, slots)
-	return expected + time.Duration(preempted*float64(preemptionTime)) + model.Wait(ahead)
+	return expected + time.Duration(preempted*float64(preemptionTime)) + model.ExpectedWait(ahead)
 }
 
 // slotsToFree returns how many batch items have to be preempted to make room for one
--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -66,9 +66,9 @@
 	took := now.Sub(f.sent)
 	switch {
 	case !f.queued:
-		f.runner.model.ObserveFirst(f.load, took)
+		f.runner.model.ObserveFirstEvent(f.load, took)
 	case f.ahead > 0:
-		f.runner.model.ObserveWait(f.ahead, took-f.runner.model.First(f.load))
+		f.runner.model.ObserveWait(f.ahead, took-f.runner.model.ExpectedFirstEvent(f.load))
 	}
 	f.runner.mutex.Lock()
 	f.firstEvent = now
@@ -102,7 +102,7 @@
 			f.runner.ejection.fail(now)
 		}
 		if !f.firstEvent.IsZero() && !f.batch { // the wait for a slot is not part of the hold time
-			f.runner.model.ObserveHold(now.Sub(f.firstEvent) + f.runner.model.First(f.load))
+			f.runner.model.ObserveHold(now.Sub(f.firstEvent) + f.runner.model.ExpectedFirstEvent(f.load))
 		}
 		f.clearUnread()
 		f.runner.own.Running--
--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -64,7 +64,7 @@
 			}
 			for _, runner := range s.Service("s") {
 				if runner.AcceptsWork() != accepting[runner.ID] {
-					t.Fatalf("runner %s takes work: %v", runner.ID, runner.AcceptsWork())
+					t.Fatalf("runner %s accepts work: %v", runner.ID, runner.AcceptsWork())
 				}
 			}
 		}
