--- a/internal/serving/health/health.go
+++ b/internal/serving/health/health.go
@@ -1,37 +1,39 @@
-// Package health ejects a target that fails, a runner or an owner node, from the
-// choice for a while (outlier ejection): each failure in a row doubles the time,
-// up to a bound, and one success ends it. Plain nodes use it. It does no I/O and
-// reads no clock, and is not safe for concurrent use.
+// Package health implements outlier ejection: a failing runner or owner node is
+// temporarily excluded from the choice. Each consecutive failure doubles the duration of
+// the ejection up to a maximum, and one success ends it. Plain nodes use the package. It
+// does no I/O, reads no clock, and is not safe for concurrent use.
 package health
 
 import "time"
 
 const (
-	// firstEjection is how long a target is ejected at its first failure.
+	// firstEjection is the duration of the ejection after the first failure.
 	firstEjection = 250 * time.Millisecond
 	maxEjection   = 15 * time.Second
-	// doublings is how often the time is doubled before it is maxEjection.
-	doublings = 6
+	// maxDoublings is the number of consecutive failures after which the ejection lasts
+	// for maxEjection.
+	maxDoublings = 6
 )
 
-// Failures are one target's failures in a row. The zero value has none.
+// Failures counts the consecutive failures of one target. The zero value has none.
 type Failures struct {
-	inRow        int
+	consecutive  int
 	ejectedUntil time.Time
 }
 
-// RecordFailure records a failure at a time.
+// RecordFailure records a failure at the given time.
 func (f *Failures) RecordFailure(now time.Time) {
 	ejection := maxEjection
-	if f.inRow < doublings {
-		ejection = min(maxEjection, firstEjection<<f.inRow)
+	if f.consecutive < maxDoublings {
+		ejection = min(maxEjection, firstEjection<<f.consecutive)
 	}
-	f.inRow++
+	f.consecutive++
 	f.ejectedUntil = now.Add(ejection)
 }
 
-// RecordSuccess ends the row of failures and the ejection.
+// RecordSuccess resets the failures and ends the ejection.
 func (f *Failures) RecordSuccess() { *f = Failures{} }
 
-// EjectedUntil returns the time until which the target is ejected.
+// EjectedUntil returns the end of the last ejection; zero if the target has not failed
+// since its last success.
 func (f *Failures) EjectedUntil() time.Time { return f.ejectedUntil }
