--- a/internal/serving/exchange/exchange.go
+++ b/internal/serving/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange declares one request to one runner and its possible outcomes.
-// The package that speaks a runner's protocol implements CallSender; the packages that
-// decide where requests run (online, queuerun) use it. It holds types only and owns
-// no state. Edges and storage nodes run it.
+// Package exchange declares a request to a runner and its possible outcomes. The client
+// of the runner protocol implements CallSender; the packages that choose runners for
+// requests (online, queuerun) use it. It holds only types and owns no state. Edges and
+// storage nodes use it.
 package exchange
 
 import (
@@ -11,60 +11,61 @@
 	"time"
 )
 
-// Header is one header field of a request or an answer.
+// Header is a header field of a request or a response.
 type Header struct{ Name, Value string }
 
-// Call is one request to one runner.
+// Call is a request to a runner.
 type Call struct {
-	// ID is the caller's id of the request.
+	// ID is the caller's ID for the request.
 	ID     string
 	Method string
-	// URI is the path with its query, as the caller sent it.
+	// URI is the path with the query, as sent by the caller.
 	URI  string
 	Host string
-	// Headers are the caller's, without those of a single connection and those
-	// the client sets itself.
+	// Headers are the caller's headers, without hop-by-hop headers and headers that the
+	// client sets itself.
 	Headers []Header
 	Body    []byte
-	// Tenant is whose request it is; empty where there are no tenants.
+	// Tenant owns the request; empty where there are no tenants.
 	Tenant string
-	// RunnerID and Address name the incarnation that the call is for.
+	// RunnerID and Address identify the incarnation of the runner that the call is for.
 	RunnerID string
 	Address  string
-	// Service names the pool, for limits on connections.
+	// Service selects the connection pool, whose connections are limited.
 	Service string
-	// Remaining is the time the runner may use; 0 sets no limit.
+	// Remaining is the time left for the runner to respond; 0 sets no limit.
 	Remaining time.Duration
-	// ResumeAfter is the last event the caller has; negative to start anew.
+	// ResumeAfter is the ID of the last event that the caller has received; negative to
+	// start from the beginning.
 	ResumeAfter int64
-	// MaySend reports whether the call may still be sent. The client checks it right
-	// before it writes; nil allows every call.
+	// MaySend reports whether the call may still be sent. The client calls it right
+	// before it writes; nil permits every call.
 	MaySend func() bool
 }
 
-// Load is a runner's own report of its requests.
+// Load is a runner's report of its running and waiting requests.
 type Load struct{ Running, Waiting int }
 
-// Response is a runner's answer. Body must be closed.
+// Response is a runner's response. The receiver must close Body.
 type Response struct {
 	Status  int
 	Headers []Header
-	// Length of the body, negative when it is not stated.
+	// Length is the length of the body; negative if not stated.
 	Length int64
-	// Body ends with io.EOF only where the protocol says it is whole.
+	// Body ends with io.EOF only if the body is complete according to the protocol.
 	Body io.ReadCloser
-	// Load is nil when the runner reports none.
+	// Load is nil if the runner reports none.
 	Load *Load
-	// FromRunner: the answer carries the runner's mark, so it comes from the runner
-	// itself and not from something before it.
+	// FromRunner is set if the response carries the runner's mark, so that it was sent
+	// by the runner itself and not by a proxy in front of it.
 	FromRunner bool
 }
 
-// NotRunError says that the request has not run and will not.
+// NotRunError means that the request has not run and will not run.
 type NotRunError struct {
-	// Reason is one of the constants below.
+	// Reason is one of the Reason constants.
 	Reason string
-	// FromRunner: the runner itself answered so.
+	// FromRunner is set if the runner itself reported that the request has not run.
 	FromRunner bool
 	Load       *Load
 	Cause      error
@@ -76,13 +77,13 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Cause }
 
-// Absent reports whether the runner counts as failed: nothing answers at its
-// address, or another incarnation does.
+// Absent reports whether the runner counts as failed: nothing responds at its address,
+// or another incarnation does.
 func (e *NotRunError) Absent() bool {
 	return e.Reason == ReasonMisdirected || e.Reason == ReasonDial && !e.FromRunner
 }
 
-// OutcomeUnknownError says that the request was sent and may have run.
+// OutcomeUnknownError means that the request was sent and may have run.
 type OutcomeUnknownError struct{ Cause error }
 
 // Error implements error.
@@ -91,22 +92,23 @@
 // Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// Reasons of NotRunError.
+// These are the values of NotRunError.Reason.
 const (
-	// ReasonDial: no connection could be opened.
+	// ReasonDial means that no connection could be opened.
 	ReasonDial = "dial"
-	// ReasonWithdrawn: Call.MaySend withdrew the call before its first byte.
+	// ReasonWithdrawn means that Call.MaySend withdrew the call before its first byte
+	// was sent.
 	ReasonWithdrawn = "gone"
-	// ReasonFull: the runner rejected it.
+	// ReasonFull means that the runner rejected the request because it is full.
 	ReasonFull = "full"
-	// ReasonMisdirected: another incarnation answers at the address.
+	// ReasonMisdirected means that another incarnation responds at the address.
 	ReasonMisdirected = "misdirected"
 )
 
 // CallSender sends calls to runners.
 type CallSender interface {
-	// Do sends a call and reads the answer's head. The error is a *NotRunError
-	// or an *OutcomeUnknownError. Ending the context closes the connection, by which
-	// the runner drops the request.
+	// Do sends a call and reads the head of the response. The error is a *NotRunError or
+	// an *OutcomeUnknownError. Cancelling the context closes the connection, which makes
+	// the runner drop the request.
 	Do(ctx context.Context, call *Call) (*Response, error)
 }
--- a/internal/serving/exchange/unresponsive.go
+++ b/internal/serving/exchange/unresponsive.go
@@ -2,6 +2,6 @@
 
 import "errors"
 
-// ErrUnresponsive is the cause by which a request is ended whose runner has sent
-// nothing within the time that the sender allows.
+// ErrUnresponsive is the cancellation cause of an attempt whose runner has sent nothing
+// within the idle timeout.
 var ErrUnresponsive = errors.New("the runner was silent for too long")
