--- a/internal/serving/online/online.go
+++ b/internal/serving/online/online.go
@@ -43,6 +43,7 @@
 	firstEvent  prometheus.Histogram
 }
 
+// New returns a forwarder and registers its metrics.
 func New(zone string, runners *runnerset.Set, client exchange.CallSender, registry prometheus.Registerer) *Forwarder {
 	f := &Forwarder{
 		Zone: zone, Runners: runners, Client: client, listWait: maxListWait,
--- a/internal/serving/online/request.go
+++ b/internal/serving/online/request.go
@@ -10,6 +10,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
+// CallerRequest is a request of a caller, with its route, tenant and deadline.
 type CallerRequest struct {
 	ID      string
 	Method  string
