--- a/internal/batch/placement/placement.go
+++ b/internal/batch/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement chooses the disks that hold the replicas of a shard. It is a pure
-// decision: no I/O, no clock. Storage nodes (queuestore) and plain nodes
-// (modules/batch/store) use it when they make the first member sets and when a member
-// is replaced.
+// Package placement chooses the disks that hold the replicas of a shard. Its functions
+// are pure: they do no I/O and read no clock. Storage nodes (queuestore) and plain nodes
+// (modules/batch/store) use them to create the initial member sets and to replace a
+// member.
 package placement
 
 import (
@@ -11,30 +11,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Disk is one that may hold a replica.
+// Disk is a candidate for holding a replica.
 type Disk struct {
 	ID, Zone string
-	// Shards is how many replicas of other shards it holds.
+	// Shards is the number of replicas of other shards on the disk.
 	Shards int
 }
 
-// Rule says how many members a shard has and how they lie in zones.
+// Rule defines the number of members of a shard and their distribution over zones.
 type Rule struct {
-	// MemberCount is how many members are wanted.
+	// MemberCount is the target number of members.
 	MemberCount int
-	// ZoneRank orders zones by how many of the shard's members they have: the next
-	// member comes from the zone of the lowest rank.
+	// ZoneRank returns the rank of a zone that has the given number of the shard's
+	// members. The next member is taken from the zone with the lowest rank.
 	ZoneRank func(members int) int
 }
 
-// FewestFirst takes the next member from a zone that has the fewest.
+// FewestFirst is a ZoneRank that prefers the zones with the fewest members.
 func FewestFirst(members int) int { return members }
 
-// Choose returns the members of a shard: those kept, then, one by one up to the number
-// wanted, the disk of the zone that ranks lowest; of these the one that holds the
-// fewest shards, and of these the one of the highest weight. It returns fewer if there
-// are not enough disks. zoneOf tells the zone of a kept member, false if it is not
-// known.
+// Choose returns the members of a shard. It starts with the kept members and adds disks
+// one at a time until MemberCount is reached or no disk is left. Each time it picks a
+// disk from the zone with the lowest rank, then the disk with the fewest shards, then the
+// disk with the highest weight. zoneOf returns the zone of a kept member, and false if
+// the zone is unknown.
 func (r Rule) Choose(shard uint32, disks []Disk, kept []string, zoneOf func(disk string) (string, bool)) []string {
 	chosen := slices.Clone(kept)
 	perZone := map[string]int{}
@@ -46,7 +46,7 @@
 	ranked := slices.Clone(disks)
 	sort.Slice(ranked, func(i, j int) bool { return Weight(shard, ranked[i].ID) > Weight(shard, ranked[j].ID) })
 	for len(chosen) < r.MemberCount {
-		best, found := r.next(ranked, chosen, perZone)
+		best, found := r.bestCandidate(ranked, chosen, perZone)
 		if !found {
 			break
 		}
@@ -56,8 +56,9 @@
 	return chosen
 }
 
-// next returns the best disk that is not chosen yet.
-func (r Rule) next(ranked []Disk, chosen []string, perZone map[string]int) (best Disk, found bool) {
+// bestCandidate returns the best disk that has not been chosen yet. The disks are
+// expected in descending order of weight.
+func (r Rule) bestCandidate(ranked []Disk, chosen []string, perZone map[string]int) (best Disk, found bool) {
 	for _, disk := range ranked {
 		if slices.Contains(chosen, disk.ID) {
 			continue
@@ -74,19 +75,20 @@
 	return rank < bestRank || rank == bestRank && disk.Shards < best.Shards
 }
 
-// Weight is the rendezvous weight of a name at a shard: nodes that know the same names
-// order them alike, and a name that comes or goes moves no other.
+// Weight returns the rendezvous hashing weight of a name for a shard. All nodes that know
+// the same names order them identically, and adding or removing a name does not change
+// the order of the others.
 func Weight(shard uint32, name string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(uint64(shard))
-	_, _ = digest.WriteString(name) // a digest takes all bytes
+	_, _ = digest.WriteString(name) // never fails
 	return digest.Sum64()
 }
 
-// SameMembers reports whether two member sets have the same members, in any order.
-func SameMembers(a, b []string) bool { return len(a) == len(b) && len(Without(a, b)) == 0 }
+// SameMembers reports whether two member sets have the same members in any order.
+func SameMembers(a, b []string) bool { return len(a) == len(b) && len(Difference(a, b)) == 0 }
 
-// Without lists the members of a set that another does not have.
-func Without(set, other []string) []string {
+// Difference returns the members of a set that are not in the other set.
+func Difference(set, other []string) []string {
 	return slices.DeleteFunc(slices.Clone(set), func(member string) bool { return slices.Contains(other, member) })
 }
--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -11,9 +11,8 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// Kept members stay, in order; the others are different disks, spread evenly over the
-// zones as far as the kept ones allow; nodes that list the disks in another order
-// choose the same.
+// Kept members come first and in order, added members are distinct and spread evenly over
+// the zones, and the result does not depend on the order of the disks.
 func TestMembersAreSpreadOverZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
@@ -43,10 +42,10 @@
 		for _, member := range chosen[len(kept):] {
 			in[zoneOf[member]]++
 		}
-		for _, disk := range disks { // a zone with a disk left over has no member less than another
+		for _, disk := range disks { // a zone with an unused disk has at most one member fewer than any other
 			for _, count := range in {
 				if !slices.Contains(chosen, disk.ID) && in[disk.Zone] < count-1 {
-					t.Fatalf("%v of %v: %s could have been taken", chosen, disks, disk.ID)
+					t.Fatalf("%v of %v: %s could have been chosen", chosen, disks, disk.ID)
 				}
 			}
 		}
@@ -57,17 +56,18 @@
 	})
 }
 
-// Weights decide where shards lie and which shard a job falls to: they never change.
-func TestWeightsStay(t *testing.T) {
+// Weights determine the placement of shards and the shard of a job, so they must stay the
+// same in every version.
+func TestWeightsAreStable(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Weight(0, "job-1"), uint64(6878543372071759679))
 	is.Equal(Weight(7, "disk-7852727576314e55"), uint64(14105168027055400718))
 }
 
-func TestSets(t *testing.T) {
+func TestMemberSetOperations(t *testing.T) {
 	is := is.New(t)
 	is.True(SameMembers([]string{"a", "b"}, []string{"b", "a"}))
 	is.True(!SameMembers([]string{"a", "b"}, []string{"a", "b", "c"}))
 	is.True(!SameMembers([]string{"a", "b"}, []string{"a", "c"}))
-	is.Equal(Without([]string{"a", "b", "c"}, []string{"b"}), []string{"a", "c"})
+	is.Equal(Difference([]string{"a", "b", "c"}, []string{"b"}), []string{"a", "c"})
 }
--- a/internal/batch/shardhost/handover.go
+++ b/internal/batch/shardhost/handover.go
@@ -58,7 +58,7 @@
 	h.next = replica.MemberSet{Generation: config.Generation + 1, Members: next, Copies: config.Copies}
 	h.began = now
 	h.frozenAt = time.Time{}
-	s.Replica.SetLearners(now, placement.Without(next, config.Members))
+	s.Replica.SetLearners(now, placement.Difference(next, config.Members))
 	s.log("hand-over begun", "generation", h.next.Generation, "from", config.Members, "to", next)
 }
 
