--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -103,7 +103,7 @@
 		wait := min(left, maxHeldWait)
 		klog.InfoS("item held: runners end under it", "job", work.Key.Job, "item", work.Item.Id, "fingerprint", fingerprint,
 			"heldMs", left.Milliseconds(), "waitMs", wait.Milliseconds())
-		return e.tasks.Go(func() { done(queuestore.Outcome{Output: work.Output, Wait: wait, Reason: "quarantined"}) })
+		return e.tasks.Go(func() { done(queuestore.Outcome{Output: work.Output, RetryDelay: wait, Reason: "quarantined"}) })
 	}
 	choice := e.pick(route, work, fingerprint, now)
 	if choice.Runner == nil {
@@ -128,7 +128,7 @@
 		outcome := one.run(ctx)
 		one.inFlight.End()
 		outcome.Attempts = one.route.Attempts
-		outcome.Events, outcome.Took = one.output.LastEventID-one.work.Output.LastEventID, time.Since(one.began)
+		outcome.Events, outcome.Duration = one.output.LastEventID-one.work.Output.LastEventID, time.Since(one.began)
 		one.logEnd(choice, catalogVersion, outcome.Reason)
 		done(outcome)
 	})
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -30,7 +30,7 @@
 // own answer (stamped) ends the item for good or counts as a failed attempt; anything
 // else says nothing of the item and counts as a failure of the runner.
 func statusOutcome(status int, stamped bool) (outcome queuestore.Outcome, runnerFailed bool) {
-	outcome.Wait = retryDelay
+	outcome.RetryDelay = retryDelay
 	switch {
 	case status == http.StatusUnprocessableEntity && stamped:
 		outcome.Dead, outcome.Reason = true, "can never be done"
@@ -55,10 +55,10 @@
 
 // notAnswered takes a run that got no answer.
 func (r *run) notAnswered(parent context.Context, err error) queuestore.Outcome {
-	outcome := queuestore.Outcome{Output: r.output, Wait: retryDelay, Reason: "unanswered"}
+	outcome := queuestore.Outcome{Output: r.output, RetryDelay: retryDelay, Reason: "unanswered"}
 	var notRun *exchange.NotRunError
 	if errors.As(err, &notRun) {
-		outcome.Wait, outcome.Reason = notTakenDelay, "not run: "+notRun.Reason
+		outcome.RetryDelay, outcome.Reason = notTakenDelay, "not run: "+notRun.Reason
 		r.runner.RecordLoad(notRun.Load, time.Now())
 	}
 	if parent.Err() != nil {
@@ -79,7 +79,7 @@
 
 // broken takes a run whose stream broke off.
 func (r *run) broken(parent context.Context, err error) queuestore.Outcome {
-	outcome := queuestore.Outcome{Output: r.output, Wait: notTakenDelay, Reason: "stream broken"}
+	outcome := queuestore.Outcome{Output: r.output, RetryDelay: notTakenDelay, Reason: "stream broken"}
 	if parent.Err() != nil {
 		outcome.Reason = "cancelled"
 		return outcome
@@ -97,7 +97,7 @@
 // preemptedOutcome corrects the outcome of a run that ended because it was preempted.
 func preemptedOutcome(ctx context.Context, outcome queuestore.Outcome) queuestore.Outcome {
 	if !outcome.Done && errors.Is(context.Cause(ctx), errPreempted) {
-		outcome.Wait, outcome.Reason = preemptedDelay, reasonPreempted
+		outcome.RetryDelay, outcome.Reason = preemptedDelay, reasonPreempted
 	}
 	return outcome
 }
--- a/internal/batch/queuerun/queuerun_test.go
+++ b/internal/batch/queuerun/queuerun_test.go
@@ -214,7 +214,7 @@
 	outcome := runOnce(t, executor, workOf(begun))
 	is.Equal(len(client.calls), 0)
 	is.True(!outcome.Dead && !outcome.Done && !outcome.Failed)
-	is.Equal(outcome.Wait, maxHeldWait)
+	is.Equal(outcome.RetryDelay, maxHeldWait)
 	is.Equal(outcome.Output, begun)
 }
 
--- a/internal/batch/queuestore/allotments.go
+++ b/internal/batch/queuestore/allotments.go
@@ -12,15 +12,15 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// The leader of a shard keeps the limits on requests of the tenants whose names
-// fall to the shard, as jobs do by their ids. What it has lent is not in the log:
-// a new leader begins with a keeper that knows of nothing (package allotment).
+// The leader of a shard grants allotments of the request limits of all tenants whose names
+// map to the shard by ShardOf. Granted allotments are not stored in the log: a new leader
+// starts with an empty keeper (package allotment).
 
 func (n *StorageNode) newKeeper() *allotment.Keeper {
 	return allotment.NewKeeper(time.Now(), n.Tolerance)
 }
 
-// serveAllotment answers nodes that admit requests of tenants.
+// serveAllotment serves claims and credit requests of nodes that admit tenants' requests.
 func (n *StorageNode) serveAllotment(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.AllotmentRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -30,28 +30,28 @@
 	if tenant == "" && len(request.Claims) > 0 {
 		tenant = request.Claims[0].Tenant
 	}
-	s, err := n.serving(tenant)
+	s, err := n.shardForJob(tenant)
 	if err != nil {
 		return err
 	}
 	reply := &wirev1.AllotmentReply{}
 	var refused error
-	if err := s.RunInLoop(ctx, func() { refused = s.allot(&request, reply) }); err != nil {
+	if err := s.RunInLoop(ctx, func() { refused = s.grantAllotments(&request, reply) }); err != nil {
 		return err
 	}
 	if refused != nil {
 		return refused
 	}
-	// Only who still leads the shard may lend: another may do so by now.
-	if err := s.confirmTogether(ctx); err != nil {
+	// Another node may lead the shard by now; only the current leader may grant.
+	if err := s.confirmBatched(ctx); err != nil {
 		return err
 	}
 	return stream.Send(reply)
 }
 
-func (s *shard) allot(request *wirev1.AllotmentRequest, reply *wirev1.AllotmentReply) error {
+func (s *shard) grantAllotments(request *wirev1.AllotmentRequest, reply *wirev1.AllotmentReply) error {
 	l := s.leader
-	if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
+	if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
 		return result.New(result.NotLeader, "shard %d is not led here", s.ID)
 	}
 	now := time.Now()
@@ -84,7 +84,7 @@
 func (s *shard) renewShare(now time.Time, holder allotment.HolderID, number uint64, claim allotment.Claim) (allotment.Grant, error) {
 	limit, known := s.node.TenantLimit(claim.Tenant)
 	if !known {
-		claim.Wanted = 0 // dropped: what is held of it ends
+		claim.Wanted = 0 // releases the allotment of a removed tenant
 	}
 	grant, valid := s.leader.allotments.Renew(now, holder, number, limit, claim)
 	if !valid {
--- a/internal/batch/queuestore/applied.go
+++ b/internal/batch/queuestore/applied.go
@@ -9,32 +9,32 @@
 	"cobaltramp.example/cobaltramp/internal/batch/queue"
 )
 
-// noteApplied keeps the table in line with what was applied.
-func (s *shard) noteApplied(applied *queue.Applied) {
+// recordApplied updates the leader's state after a command was applied.
+func (s *shard) recordApplied(applied *queue.Applied) {
 	l := s.leader
 	if l == nil || applied == nil {
 		return
 	}
 	if applied.Record != nil && !applied.Known && !applied.Ended && !applied.Record.Ended {
 		now := time.Now()
-		l.taken[applied.Record.Id] = applied.Record.AcceptedUnixMs
+		l.acceptedAt[applied.Record.Id] = applied.Record.AcceptedUnixMs
 		l.table.Add(applied.Record, now, now)
 	}
 	for _, finished := range applied.Finished {
-		s.noteFinished(finished)
+		s.recordFinished(finished)
 	}
 	for _, refused := range applied.Refused {
-		s.noteRefused(refused)
+		s.resendRefused(refused)
 	}
 	if applied.Ended {
-		s.noteEnded(applied.Record.Id)
+		s.recordJobEnded(applied.Record.Id)
 	}
 	for _, job := range applied.Dropped {
-		delete(l.taken, job)
+		delete(l.acceptedAt, job)
 	}
 }
 
-func (s *shard) noteFinished(finished *wirev1.QueueResult) {
+func (s *shard) recordFinished(finished *wirev1.QueueResult) {
 	l := s.leader
 	key := queue.ItemKey{Job: finished.JobId, Number: finished.Item}
 	l.table.Finish(key)
@@ -45,21 +45,22 @@
 		kind = "dead"
 	}
 	s.node.metrics.results.WithLabelValues(kind).Inc()
-	l.wake(finished.JobId)
+	l.notifyWatchers(finished.JobId)
 }
 
-// noteRefused sends a result again that did not follow what is saved, whole.
-func (s *shard) noteRefused(refused *wirev1.QueueResult) {
+// resendRefused proposes the complete result again after an incremental one was refused
+// because it did not continue the saved progress.
+func (s *shard) resendRefused(refused *wirev1.QueueResult) {
 	l := s.leader
 	key := queue.ItemKey{Job: refused.JobId, Number: refused.Item}
 	l.table.Forget(key)
-	if decided := l.decided[key]; decided != nil && l.suspended.IsZero() {
-		klog.InfoS("item's result sent again, whole", "job", key.Job, "item", decided.ItemId, "from", refused.From)
+	if decided := l.decided[key]; decided != nil && l.suspendedAt.IsZero() {
+		klog.InfoS("item result proposed again with its complete text", "job", key.Job, "item", decided.ItemId, "from", refused.From)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
 	}
 }
 
-func (s *shard) noteEnded(job string) {
+func (s *shard) recordJobEnded(job string) {
 	l := s.leader
 	for key := range l.runs {
 		if key.Job == job {
@@ -72,5 +73,5 @@
 		}
 	}
 	l.table.End(job)
-	l.wake(job)
+	l.notifyWatchers(job)
 }
--- a/internal/batch/queuestore/disk_test.go
+++ b/internal/batch/queuestore/disk_test.go
@@ -18,8 +18,8 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// slowDisk is a file system whose syncs take a time that can be changed, and hang
-// while its gate is locked.
+// slowDisk is a file system whose syncs take an adjustable time and block while its gate is
+// locked.
 type slowDisk struct {
 	vfs.FS
 	delay atomic.Int64
@@ -68,9 +68,9 @@
 	return f.File.SyncData()
 }
 
-// With the leader's disk many times slower jobs are still taken, many by one
-// sync, and run and read to the end.
-func TestSlowDisk(t *testing.T) {
+// With a slow disk on the leader, jobs are still accepted, run and read, and one sync serves
+// many submissions.
+func TestJobsRunWithSlowLeaderDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.submit("first", 1)
@@ -84,7 +84,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for range 100 { // until it is taken
+			for range 100 { // until it is accepted
 				if c.trySubmit(fmt.Sprintf("job-%d", i), 1, 0) == nil {
 					return
 				}
@@ -98,14 +98,13 @@
 		is.True(leader.disk.syncs.Load()-before < jobs) // one sync serves many
 	}
 	for i := range jobs {
-		c.finished(fmt.Sprintf("job-%d", i), 1)
+		c.waitFinished(fmt.Sprintf("job-%d", i), 1)
 	}
 }
 
-// A disk that hangs, also the leader's, keeps no job from being taken, run and
-// read by way of the others; what was on its way to it is taken once; when it goes
-// on its member catches up, and the next may hang.
-func TestDiskHangs(t *testing.T) {
+// While the leader's disk hangs, jobs are accepted once, run and read on the other members.
+// When the disk recovers, its member catches up, and another disk may hang.
+func TestJobsRunWhileDiskHangs(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.submit("first", 2)
 	for round := range 2 {
@@ -113,28 +112,28 @@
 		hanging.disk.gate.Lock()
 		name := fmt.Sprintf("while-%d", round)
 		c.submit(name, 3)
-		c.finished(name, 3)
+		c.waitFinished(name, 3)
 		hanging.disk.gate.Unlock()
 		c.eventually("the member has caught up", func() bool {
 			leader := c.leader()
 			return leader != "" && hanging.node.shard(reportingShard) != nil && hanging.applied() >= c.nodes[leader].applied()
 		})
 	}
-	c.finished("first", 2)
+	c.waitFinished("first", 2)
 }
 
-// applied returns how far the node's replica of the first shard has applied its log.
+// applied returns the applied index of the node's replica of shard 0.
 func (n *testNode) applied() uint64 {
 	applied := uint64(0)
 	_ = n.node.shard(reportingShard).RunInLoop(context.Background(), func() { applied = n.node.shard(reportingShard).AppliedIndex() })
 	return applied
 }
 
-// A job that the leader's disk has no room for is refused as not run, and not
-// known after; the jobs taken before run to their end.
+// A job that does not fit on the leader's disk is refused as not run and is not stored. Jobs
+// accepted before complete.
 func TestFullDiskRefusesJobs(t *testing.T) {
 	is := is.New(t)
-	c := newClusterOf(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
+	c := newClusterWithLimits(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
 	c.executor.setHold(true)
 	c.submit("small", 1)
 	var refusal error
@@ -142,7 +141,7 @@
 	for i := range 40 {
 		id := fmt.Sprintf("big-%d", i)
 		c.eventually("an answer to "+id, func() bool {
-			refusal = c.trySubmitOf(id, 1, 0, 256<<10)
+			refusal = c.trySubmitPadded(id, 1, 0, 256<<10)
 			return refusal == nil || result.Is(refusal, result.StoreFull)
 		})
 		if refusal != nil {
@@ -165,11 +164,11 @@
 	}
 }
 
-// A job is refused as not run as well while another member's disk has no room: a
-// member that is full would stop, and all it holds would have to be copied.
+// A job is also refused as not run if it does not fit on the disk of another member, whose
+// replica would stop otherwise.
 func TestFullMemberRefusesJobs(t *testing.T) {
 	is := is.New(t)
-	c := newClusterOf(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
+	c := newClusterWithLimits(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
 	c.executor.setHold(true)
 	c.submit("small", 1)
 	const size = 400 << 10
@@ -183,13 +182,13 @@
 		full = n.db.DiskID()
 		break
 	}
-	c.eventually("the leader is told", func() bool {
+	c.eventually("the leader knows the free space of the full disk", func() bool {
 		leader := c.nodes[c.leader()]
 		return leader != nil && leader.node.shard(0).freeSpaceOf(full) < logstore.WriteAmplification*size
 	})
 	var err error
-	c.eventually("the job is answered", func() bool {
-		err = c.trySubmitOf("big", 1, 0, size)
+	c.eventually("the job is decided on", func() bool {
+		err = c.trySubmitPadded("big", 1, 0, size)
 		return err == nil || result.Is(err, result.StoreFull)
 	})
 	is.True(result.Is(err, result.StoreFull))
@@ -197,21 +196,21 @@
 	is.NoErr(err)
 	is.True(!reply.Found)
 	c.executor.setHold(false)
-	c.finished("small", 1)
+	c.waitFinished("small", 1)
 }
 
-// freeSpaceOf returns what a member reported of its disk.
+// freeSpaceOf returns the free space that a member has reported.
 func (s *shard) freeSpaceOf(member string) uint64 {
 	room := uint64(math.MaxUint64)
 	_ = s.RunInLoop(context.Background(), func() {
-		if reported, known := s.freeSpace[member]; known {
+		if reported, known := s.memberFreeBytes[member]; known {
 			room = reported
 		}
 	})
 	return room
 }
 
-// randomBytes can't be stored shorter.
+// randomBytes returns incompressible data.
 func randomBytes(size int) []byte {
 	bytes := make([]byte, size)
 	random := rand.NewChaCha8([32]byte{1})
--- a/internal/batch/queuestore/freespace.go
+++ b/internal/batch/queuestore/freespace.go
@@ -7,42 +7,43 @@
 	"cobaltramp.example/cobaltramp/internal/batch/logstore"
 )
 
-// freeSpace remembers for a moment how much this node's disk may still take: to work
-// it out costs more than an answer to a leader should.
-type freeSpace struct {
-	mutex sync.Mutex
-	at    time.Time
-	bytes uint64
+// freeSpaceCache caches the free space of this node's disk, because computing it is too
+// expensive to do for every message to a leader.
+type freeSpaceCache struct {
+	mutex  sync.Mutex
+	readAt time.Time
+	bytes  uint64
 }
 
-// freeSpaceAge is how long a reading of the free space is used.
-const freeSpaceAge = 100 * time.Millisecond
+// freeSpaceMaxAge is how long the cached free space is used.
+const freeSpaceMaxAge = 100 * time.Millisecond
 
-// freeBytes returns how many bytes this node's disk may still take.
+// freeBytes returns the free space of this node's disk in bytes, possibly cached.
 func (n *StorageNode) freeBytes() uint64 {
 	now := time.Now()
-	n.free.mutex.Lock()
-	defer n.free.mutex.Unlock()
-	if n.free.at.IsZero() || now.Sub(n.free.at) > freeSpaceAge {
-		n.free.at, n.free.bytes = now, n.DB.FreeBytes()
+	n.freeSpace.mutex.Lock()
+	defer n.freeSpace.mutex.Unlock()
+	if n.freeSpace.readAt.IsZero() || now.Sub(n.freeSpace.readAt) > freeSpaceMaxAge {
+		n.freeSpace.readAt, n.freeSpace.bytes = now, n.DB.FreeBytes()
 	}
-	return n.free.bytes
+	return n.freeSpace.bytes
 }
 
-// noteFreeBytes takes what a member reported of its disk.
-func (s *shard) noteFreeBytes(member string, bytes uint64) {
-	if s.freeSpace == nil {
-		s.freeSpace = map[string]uint64{}
+// recordFreeBytes records the free disk space that a member has reported.
+func (s *shard) recordFreeBytes(member string, bytes uint64) {
+	if s.memberFreeBytes == nil {
+		s.memberFreeBytes = map[string]uint64{}
 	}
-	s.freeSpace[member] = bytes
+	s.memberFreeBytes[member] = bytes
 }
 
-// fits reports whether a submission fits on the disks of all members that have
-// reported theirs: one that is full stops, and what it holds has to be copied.
+// fits reports whether a submission of the given size fits on the disks of all members that
+// have reported their free space. A replica whose disk is full stops, and all its data must
+// then be copied to another disk.
 func (s *shard) fits(bytes int) bool {
 	need := uint64(logstore.WriteAmplification * bytes)
 	for _, member := range s.Replica.MemberSet().Members {
-		if free, reported := s.freeSpace[member]; reported && free <= need {
+		if free, reported := s.memberFreeBytes[member]; reported && free <= need {
 			return false
 		}
 	}
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -24,16 +24,16 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// testStore is the platform's store: values with their revisions, and who follows
-// it. While down it answers nobody.
+// testStore is an in-memory platform store that sends changes to its followers. While it is
+// down, all calls fail.
 type testStore struct {
-	mutex    sync.Mutex
-	values   map[string]ports.Value
-	revision int64
-	down     bool
-	fenced   int // changes by which a hand-over was given up
-	follow   []*Layouts
-	retired  map[string]bool
+	mutex     sync.Mutex
+	values    map[string]ports.Value
+	revision  int64
+	down      bool
+	fenced    int // commits that fence a hand-over
+	followers []*Layouts
+	retired   map[string]bool
 }
 
 func (s *testStore) Get(_ context.Context, key string) (ports.Value, bool, error) {
@@ -72,14 +72,14 @@
 	if bytes.Contains(value.Value, []byte(`"attempt"`)) {
 		s.fenced++
 	}
-	for _, layouts := range s.follow {
+	for _, layouts := range s.followers {
 		layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "test")
 	}
 	return true, nil
 }
 
-// tell tells all there is, unless the store is down.
-func (s *testStore) tell(layouts *Layouts) {
+// sendAll sends all values to a Layouts, unless the store is down.
+func (s *testStore) sendAll(layouts *Layouts) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for key, value := range s.values {
@@ -109,12 +109,12 @@
 	return s.retired[node]
 }
 
-// testExecutor answers each item with its body in two events.
+// testExecutor outputs each item's body in two events. While hold is set, it has no free slot.
 type testExecutor struct {
 	mutex sync.Mutex
 	hold  bool
 	runs  map[string]int
-	// refused counts the items that were tried in vain.
+	// refused counts the refused attempts to start a run.
 	refused int
 }
 
@@ -157,39 +157,38 @@
 	running  bool
 }
 
-// testCluster runs nodes in this process over loopback.
+// testCluster runs storage nodes in the test process, connected over the loopback interface.
 type testCluster struct {
-	t        *testing.T
-	store    *testStore
-	executor *testExecutor
-	nodes    map[string]*testNode
-	records  map[string]*wirev1.NodeRecord
-	retiring map[string]bool
-	layouts  *Layouts // the test's own, as an edge has it
-	client   *rpc.Pool
-	life     uint64
-	limits   logstore.DiskLimits
-	// retention is how long nodes that are started keep finished jobs.
+	t           *testing.T
+	store       *testStore
+	executor    *testExecutor
+	nodes       map[string]*testNode
+	records     map[string]*wirev1.NodeRecord
+	retiring    map[string]bool
+	layouts     *Layouts // as on an edge
+	client      *rpc.Pool
+	incarnation uint64
+	limits      logstore.DiskLimits
+	// retention is the Retention option of nodes that are started.
 	retention time.Duration
-	// truncateInterval is how often nodes that are started look at the length of their
-	// logs; zero is as often as usual.
+	// truncateInterval is the TruncateInterval option of nodes that are started.
 	truncateInterval time.Duration
 }
 
 func newCluster(t *testing.T, names ...string) *testCluster {
 	t.Helper()
-	return newClusterOf(t, logstore.DiskLimits{}, names...)
+	return newClusterWithLimits(t, logstore.DiskLimits{}, names...)
 }
 
-// newClusterOf has disks of a size.
-func newClusterOf(t *testing.T, limits logstore.DiskLimits, names ...string) *testCluster {
+// newClusterWithLimits starts a cluster whose disks have the given limits.
+func newClusterWithLimits(t *testing.T, limits logstore.DiskLimits, names ...string) *testCluster {
 	t.Helper()
 	c := &testCluster{
 		t: t, limits: limits, store: &testStore{retired: map[string]bool{}}, executor: &testExecutor{runs: map[string]int{}},
 		nodes: map[string]*testNode{}, records: map[string]*wirev1.NodeRecord{}, retiring: map[string]bool{},
 		retention: time.Hour, layouts: NewLayouts(), client: rpc.NewPool("test", "test", nil, &rpc.Counters{}),
 	}
-	c.store.follow = append(c.store.follow, c.layouts)
+	c.store.followers = append(c.store.followers, c.layouts)
 	for _, name := range names {
 		c.start(name)
 	}
@@ -202,7 +201,7 @@
 	return c
 }
 
-// start starts a node on the folder it had, at the address it had.
+// start starts a node, reusing its folder and address if it ran before.
 func (c *testCluster) start(name string) {
 	c.t.Helper()
 	n := c.nodes[name]
@@ -218,13 +217,13 @@
 	if n.db, err = logstore.OpenOn(&n.disk, n.folder, c.limits); err != nil {
 		c.t.Fatal(err)
 	}
-	c.life++
-	record := &wirev1.NodeRecord{NodeId: name, Address: n.address, Zone: name, Region: "r", DiskId: n.db.DiskID(), Incarnation: c.life}
+	c.incarnation++
+	record := &wirev1.NodeRecord{NodeId: name, Address: n.address, Zone: name, Region: "r", DiskId: n.db.DiskID(), Incarnation: c.incarnation}
 	directory := peers.NewDirectory(record)
 	layouts := NewLayouts()
-	c.store.tell(layouts)
+	c.store.sendAll(layouts)
 	c.store.mutex.Lock()
-	c.store.follow = append(c.store.follow, layouts)
+	c.store.followers = append(c.store.followers, layouts)
 	c.store.mutex.Unlock()
 	n.server = rpc.NewServer(name, "test", &rpc.Counters{})
 	n.pool = rpc.NewPool(name, "test", nil, &rpc.Counters{})
@@ -242,11 +241,11 @@
 		c.t.Fatal(err)
 	}
 	c.records[name] = record
-	c.spread()
+	c.exchangeRecords()
 }
 
-// spread tells every running node of every record, as the exchange does.
-func (c *testCluster) spread() {
+// exchangeRecords sends every node record to every running node.
+func (c *testCluster) exchangeRecords() {
 	now := time.Now()
 	for _, n := range c.nodes {
 		if !n.running {
@@ -286,23 +285,23 @@
 
 func (c *testCluster) retire(name string) {
 	c.retiring = map[string]bool{name: true}
-	c.spread()
+	c.exchangeRecords()
 }
 
-// eventually waits for a condition; the bound only ends a test that hangs.
+// eventually waits for a condition and fails the test if it takes too long.
 func (c *testCluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(60 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
-		c.spread()
+		c.exchangeRecords()
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// leader names the node that leads shard 0 and serves, "" if none does.
+// leader returns the name of the node that leads shard 0, or "" if none does.
 func (c *testCluster) leader() string {
 	for name, n := range c.nodes {
 		if n.running && n.node.leads(reportingShard) {
@@ -314,7 +313,7 @@
 
 const testHost = "h.example"
 
-// call tries all running nodes.
+// call sends a request to the running nodes until one accepts it.
 func (c *testCluster) call(method wirev1.Method, request, reply protoMessage) error {
 	var last error
 	for _, n := range c.nodes {
@@ -331,20 +330,20 @@
 	return last
 }
 
-// submit hands a job in until it is taken.
+// submit retries the submission of a job until it is accepted.
 func (c *testCluster) submit(id string, items int) {
 	c.t.Helper()
-	c.eventually("job "+id+" is taken", func() bool {
+	c.eventually("job "+id+" is accepted", func() bool {
 		return c.trySubmit(id, items, 0) == nil
 	})
 }
 
 func (c *testCluster) trySubmit(id string, items int, limit uint64) error {
-	return c.trySubmitOf(id, items, limit, 0)
+	return c.trySubmitPadded(id, items, limit, 0)
 }
 
-// trySubmitOf pads each body to a size.
-func (c *testCluster) trySubmitOf(id string, items int, limit uint64, bytes int) error {
+// trySubmitPadded submits a job once, with item bodies padded to the given size.
+func (c *testCluster) trySubmitPadded(id string, items int, limit uint64, bytes int) error {
 	job := &wirev1.QueueJob{Id: id, Host: testHost, Route: "route", DueAfterMs: 60000, GiveUpMs: 120000}
 	for i := range items {
 		job.Items = append(job.Items, &wirev1.QueueItem{Id: fmt.Sprintf("%s-%d", id, i), Path: "/x", Tokens: 10, Body: padded(fmt.Appendf(nil, "body %s %d", id, i), bytes)})
@@ -361,8 +360,8 @@
 	return reply, c.call(wirev1.Method_METHOD_QUEUE_READ, &wirev1.QueueReadRequest{JobId: id, Host: testHost, MaxBytes: 1 << 20}, reply)
 }
 
-// finished waits until a job has all results and checks each.
-func (c *testCluster) finished(id string, items int) {
+// waitFinished waits until a job has all results and checks each of them.
+func (c *testCluster) waitFinished(id string, items int) {
 	c.t.Helper()
 	var reply *wirev1.QueueReadReply
 	c.eventually("job "+id+" is finished", func() bool {
--- a/internal/batch/queuestore/home.go
+++ b/internal/batch/queuestore/home.go
@@ -10,98 +10,100 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// homes remembers which nodes place items where.
-type homes struct {
-	mutex  sync.Mutex
-	at     time.Time
-	totals *subset.Totals
-	zones  map[string][]home
-	all    []home
-	// answers are those given since the lists last changed, by runner: a choice asks
-	// for each runner that it reads.
-	answers map[string]bool
+// homeCache caches which node is the home of each runner.
+type homeCache struct {
+	mutex            sync.Mutex
+	checkedAt        time.Time
+	totals           *subset.Totals
+	candidatesByZone map[string][]homeCandidate
+	candidates       []homeCandidate
+	// decisions holds the results of isHome by runner since the candidates last changed.
+	// Each choice of a runner asks for every runner that it considers.
+	decisions map[string]bool
 }
 
-// home is a node that places items, and the runners that it knows.
-type home struct {
+// homeCandidate is a node that dispatches items, with the subset of runners it knows.
+type homeCandidate struct {
 	node   string
-	subset *subset.Subset // nil for all
+	subset *subset.Subset // nil if the node knows all runners
 }
 
-func (h *home) knows(place subset.ServiceZone, position uint64) bool {
-	return h.subset == nil || h.subset.Contains(place, position)
+func (h *homeCandidate) knowsRunner(serviceZone subset.ServiceZone, position uint64) bool {
+	return h.subset == nil || h.subset.Contains(serviceZone, position)
 }
 
-// homesLife is how long the live disks are taken to be the same.
-const homesLife = 250 * time.Millisecond
+// homeCacheTTL is how long the list of live disks is reused.
+const homeCacheTTL = 250 * time.Millisecond
 
-// IsHomeOf reports whether this node is the one that places batch items at a
-// runner before others do: of the live storage nodes of its zone that know it, the
-// one of highest rendezvous weight. A single shard has a single node that runs items,
-// whose home all runners are.
-func (n *StorageNode) IsHomeOf(runner string, place subset.ServiceZone) bool {
+// IsHomeOf reports whether this node is the home of a runner, which is the node that
+// dispatches batch items to the runner in preference to other nodes. The home is the node
+// with the highest rendezvous weight among the live storage nodes that know the runner, in
+// the runner's zone if that zone has any. With a single shard, only one node dispatches
+// items, so it is the home of every runner.
+func (n *StorageNode) IsHomeOf(runner string, serviceZone subset.ServiceZone) bool {
 	layout := n.Layouts.Current()
 	if layout == nil || len(layout.Shards) < 2 {
 		return true
 	}
-	h := &n.homes
+	h := &n.homeCache
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.refresh(n, layout, time.Now())
-	answer, given := h.answers[runner]
-	if !given {
-		answer = h.isHome(n.Node, runner, place)
-		h.answers[runner] = answer
+	decision, cached := h.decisions[runner]
+	if !cached {
+		decision = h.isHome(n.Node, runner, serviceZone)
+		h.decisions[runner] = decision
 	}
-	return answer
+	return decision
 }
 
-// isHome works out an answer. The mutex is held.
-func (h *homes) isHome(self, runner string, place subset.ServiceZone) bool {
+// isHome computes the result of IsHomeOf. The caller holds the mutex.
+func (h *homeCache) isHome(self, runner string, serviceZone subset.ServiceZone) bool {
 	position := subset.PositionOf(runner)
-	list := h.zones[place.Zone]
+	list := h.candidatesByZone[serviceZone.Zone]
 	if len(list) == 0 {
-		list = h.all
+		list = h.candidates
 	}
-	best, most := "", uint64(0)
+	bestNode, bestWeight := "", uint64(0)
 	for i := range list {
-		if !list[i].knows(place, position) {
+		if !list[i].knowsRunner(serviceZone, position) {
 			continue
 		}
-		if weight := ownership.NodeWeight(runner, list[i].node); best == "" || weight > most {
-			best, most = list[i].node, weight
+		if weight := ownership.NodeWeight(runner, list[i].node); bestNode == "" || weight > bestWeight {
+			bestNode, bestWeight = list[i].node, weight
 		}
 	}
-	return best == "" || best == self
+	return bestNode == "" || bestNode == self
 }
 
-// refresh lists the live disks that hold shards, by zone: a node that joined later
-// and leads nothing would keep its runners from items. The mutex is held.
-func (h *homes) refresh(n *StorageNode, layout *Layout, now time.Time) {
+// refresh updates the candidates to the live nodes whose disks hold shards. A node without
+// shards dispatches no items, so its runners would receive none. The caller holds the
+// mutex.
+func (h *homeCache) refresh(n *StorageNode, layout *Layout, now time.Time) {
 	totals := n.totals()
-	if h.zones != nil && now.Sub(h.at) <= homesLife && h.totals == totals {
+	if h.candidatesByZone != nil && now.Sub(h.checkedAt) <= homeCacheTTL && h.totals == totals {
 		return
 	}
 	var live []*wirev1.NodeRecord
-	held := layout.held()
+	shardsPerDisk := layout.shardsPerDisk()
 	for _, disk := range n.placingDisks(now) {
-		if held[disk.DiskId] > 0 {
+		if shardsPerDisk[disk.DiskId] > 0 {
 			live = append(live, disk)
 		}
 	}
-	h.at = now
-	same := slices.EqualFunc(h.all, live, func(one home, disk *wirev1.NodeRecord) bool { return one.node == disk.NodeId })
-	if h.zones != nil && same && h.totals == totals {
+	h.checkedAt = now
+	same := slices.EqualFunc(h.candidates, live, func(candidate homeCandidate, disk *wirev1.NodeRecord) bool { return candidate.node == disk.NodeId })
+	if h.candidatesByZone != nil && same && h.totals == totals {
 		return
 	}
-	h.totals, h.all, h.zones, h.answers = totals, nil, map[string][]home{}, map[string]bool{}
+	h.totals, h.candidates, h.candidatesByZone, h.decisions = totals, nil, map[string][]homeCandidate{}, map[string]bool{}
 	for _, disk := range live {
-		one := home{node: disk.NodeId}
+		candidate := homeCandidate{node: disk.NodeId}
 		if totals != nil {
-			one.subset = subset.Compute(subset.DefaultInterest(disk.NodeId, disk.Zone, true), *totals)
+			candidate.subset = subset.Compute(subset.DefaultInterest(disk.NodeId, disk.Zone, true), *totals)
 		}
-		h.all = append(h.all, one)
-		h.zones[disk.Zone] = append(h.zones[disk.Zone], one)
+		h.candidates = append(h.candidates, candidate)
+		h.candidatesByZone[disk.Zone] = append(h.candidatesByZone[disk.Zone], candidate)
 	}
 }
 
@@ -112,8 +114,9 @@
 	return n.Totals()
 }
 
-// placingDisks are the usable disks that place items: those that report, or in a
-// large fleet, where few others report to a node, those not known to be silent.
+// placingDisks returns the usable disks of live nodes. In a large fleet, where each node is
+// in contact with few others, it returns all disks whose nodes are not known to be
+// unresponsive.
 func (n *StorageNode) placingDisks(now time.Time) []*wirev1.NodeRecord {
 	if !n.Directory.Large() {
 		return n.liveDisks(now)
--- a/internal/batch/queuestore/idle.go
+++ b/internal/batch/queuestore/idle.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// minIdleShards is from how many shards on those that nothing is asked of are idle:
-	// a few cost little, and the loss of their leader is then noticed at once.
+	// minIdleShards is the minimum number of shards for making unused shards idle. A few
+	// busy shards cost little, and the loss of their leaders is detected sooner.
 	minIdleShards = 16
-	// idleAfter is how long nothing is asked of a shard before it is idle: about as long
-	// as callers pause between two reads of a job, several times.
+	// idleAfter is how long a shard must be unused before it becomes idle. It is several
+	// times the usual interval at which callers poll a job.
 	idleAfter = 2 * time.Second
 )
 
-// How often a replica looks at its times. A node holds several replicas, and each
-// look wakes its process.
+// Tick intervals of a replica. A node holds several replicas, and each tick wakes its
+// process.
 const (
-	// leaderTick is for a leader, which starts items and saves what they produce, and
-	// for one that wants to lead.
-	leaderTick = 20 * time.Millisecond
-	// followerTick is for a member that waits for its leader: a tenth of the election
-	// time.
-	followerTick = 40 * time.Millisecond
-	// idleTick is for members of an idle shard: half of its heartbeat.
-	idleTick = 320 * time.Millisecond
+	// leaderTickInterval applies to leaders, which start items and save their progress,
+	// and to candidates.
+	leaderTickInterval = 20 * time.Millisecond
+	// followerTickInterval applies to followers of a busy shard; it is about a tenth of
+	// the election timeout.
+	followerTickInterval = 40 * time.Millisecond
+	// idleTickInterval applies to members of an idle shard; it is half the heartbeat
+	// interval of an idle shard.
+	idleTickInterval = 320 * time.Millisecond
 )
 
 // TickInterval implements shardhost.LeaderWork.
 func (s *shard) TickInterval() time.Duration {
 	switch {
 	case s.Replica.Idle():
-		return idleTick
+		return idleTickInterval
 	case s.leader == nil && s.Replica.Role() == replica.Follower:
-		return followerTick
+		return followerTickInterval
 	default:
-		return leaderTick
+		return leaderTickInterval
 	}
 }
 
-// setIdle makes a shard idle that has nothing to do. What is asked of it anywhere
-// wakes it (serving).
+// setIdle makes the shard idle if it has nothing to do. A request for the shard on any of its
+// members ends the idle state; see shardForJob.
 func (s *shard) setIdle(now time.Time) {
 	s.Replica.SetIdle(now, s.mayBeIdle(now))
 }
@@ -49,23 +50,23 @@
 func (s *shard) mayBeIdle(now time.Time) bool {
 	l := s.leader
 	switch {
-	case l == nil || !l.suspended.IsZero() || s.node.shardCount() < minIdleShards:
+	case l == nil || !l.suspendedAt.IsZero() || s.node.shardCount() < minIdleShards:
 		return false
-	case s.ID == ledgerShard: // all other leaders ask it
+	case s.ID == ledgerShard: // it receives the reports of all other leaders
 		return false
 	case l.table.Len() > 0 || len(l.decided) > 0 || !s.Quiet():
 		return false
 	default:
-		return now.Sub(s.needed) >= idleAfter
+		return now.Sub(s.lastUsed) >= idleAfter
 	}
 }
 
-// wakeUp makes the shard busy: it is needed. It does not wait, and is for any other
+// wakeUp ends the shard's idle state. It does not block and may be called from any other
 // goroutine.
 func (s *shard) wakeUp() {
-	// A shard that can't take the question has a lot to do and is not idle.
+	// Post fails only if the queue of the shard is full, and then the shard is not idle.
 	s.Post(func() {
-		s.needed = time.Now()
-		s.Replica.Wake(s.needed)
+		s.lastUsed = time.Now()
+		s.Replica.Wake(s.lastUsed)
 	})
 }
--- a/internal/batch/queuestore/layout.go
+++ b/internal/batch/queuestore/layout.go
@@ -16,29 +16,30 @@
 
 const (
 	layoutInterval = 500 * time.Millisecond
-	// foundingWait is how long the known disks must have been the same before the
-	// first layout is made of them, and foundingWaitFew if they are fewer than wanted.
-	foundingWait    = time.Second
-	foundingWaitFew = 3 * time.Second
-	// foundingTurn is how much longer each node waits than the one before it by
-	// name, so that one of them makes the layout and not all at once.
-	foundingTurn = 200 * time.Millisecond
+	// bootstrapDelay is how long the set of known disks must be unchanged before the
+	// initial layout is created; bootstrapDelayFewDisks applies while there are fewer
+	// disks than a shard has members.
+	bootstrapDelay         = time.Second
+	bootstrapDelayFewDisks = 3 * time.Second
+	// bootstrapStagger is the additional delay of each node in the order of node names,
+	// so that usually only one node tries to create the layout.
+	bootstrapStagger = 200 * time.Millisecond
 )
 
-// membersWanted is how many disks a shard has so that it goes on when as many
-// as may be lost are lost.
-func (n *StorageNode) membersWanted() int { return 2*n.DiskLosses + 1 }
+// wantedMemberCount returns the number of members of a shard that keeps a quorum after
+// DiskLosses disks are lost.
+func (n *StorageNode) wantedMemberCount() int { return 2*n.DiskLosses + 1 }
 
-// layoutLoop applies layouts as they become known, and makes the first.
+// layoutLoop applies each new layout and creates the initial one.
 func (n *StorageNode) layoutLoop(ctx context.Context) {
-	var waiting founding
+	var waiting bootstrapWait
 	for ctx.Err() == nil {
 		changed := n.Layouts.Changed()
 		if layout := n.Layouts.Current(); layout != nil {
 			n.applyLayout(layout)
 			n.reportRetired(ctx, layout)
 		} else {
-			n.found(ctx, &waiting)
+			n.bootstrapLayout(ctx, &waiting)
 		}
 		select {
 		case <-ctx.Done():
@@ -68,65 +69,66 @@
 		before := s.Replica.MemberSet().Generation
 		s.Replica.Observe(time.Now(), config)
 		if after := s.Replica.MemberSet().Generation; after != before {
-			klog.InfoS("queue member set in force", "shard", s.ID, "generation", after, "members", config.Members)
+			klog.InfoS("queue member set updated", "shard", s.ID, "generation", after, "members", config.Members)
 		}
 	})
 }
 
-// founding is what a node that makes the first layout waits for.
-type founding struct {
+// bootstrapWait records since when the set of known disks has been unchanged.
+type bootstrapWait struct {
 	disks []string
 	since time.Time
 }
 
-// ready reports whether the known disks have been the same for long enough.
-func (f *founding) ready(disks []string, wanted, turn int, now time.Time) bool {
+// ready reports whether the known disks have been unchanged for long enough. Rank is the
+// node's position in the order of node names.
+func (f *bootstrapWait) ready(disks []string, wanted, rank int, now time.Time) bool {
 	if f.since.IsZero() || !placement.SameMembers(f.disks, disks) {
 		f.disks, f.since = disks, now
 	}
-	wait := foundingWait
+	wait := bootstrapDelay
 	if len(disks) < wanted {
-		wait = foundingWaitFew
+		wait = bootstrapDelayFewDisks
 	}
-	return now.Sub(f.since) >= wait+time.Duration(turn)*foundingTurn
+	return now.Sub(f.since) >= wait+time.Duration(rank)*bootstrapStagger
 }
 
-// found makes the first layout once the known disks stay the same. Every
-// storage node may try; the compare-and-swap lets one win.
-func (n *StorageNode) found(ctx context.Context, waiting *founding) {
+// bootstrapLayout creates the initial layout once the set of known disks is stable. Every
+// storage node may try; the compare-and-swap in the store lets one succeed.
+func (n *StorageNode) bootstrapLayout(ctx context.Context, waiting *bootstrapWait) {
 	disks := n.usableDisks()
 	if len(disks) == 0 || n.Contact.Lost() {
-		*waiting = founding{}
+		*waiting = bootstrapWait{}
 		return
 	}
 	ids := make([]string, 0, len(disks))
-	turn := 0
+	rank := 0
 	for _, disk := range disks {
 		ids = append(ids, disk.DiskId)
 		if disk.NodeId < n.Node {
-			turn++
+			rank++
 		}
 	}
-	if !waiting.ready(ids, n.membersWanted(), turn, time.Now()) {
+	if !waiting.ready(ids, n.wantedMemberCount(), rank, time.Now()) {
 		return
 	}
-	layout := n.firstLayout(disks)
-	committed, err := n.commitLayout(ctx, layout)
+	layout := n.initialLayout(disks)
+	committed, err := n.commitInitialLayout(ctx, layout)
 	klog.InfoS("queue layout founded", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
 }
 
-// firstLayout places every shard on the disks there are.
-func (n *StorageNode) firstLayout(disks []*wirev1.NodeRecord) *Layout {
+// initialLayout returns a layout with the members of every shard.
+func (n *StorageNode) initialLayout(disks []*wirev1.NodeRecord) *Layout {
 	layout := &Layout{}
-	for id := range shardsWanted(len(disks), n.membersWanted()) {
-		members := n.place(uint32(id), disks, nil, layout.held())
+	for id := range wantedShardCount(len(disks), n.wantedMemberCount()) {
+		members := n.chooseMembers(uint32(id), disks, nil, layout.shardsPerDisk())
 		layout.Shards = append(layout.Shards, replica.MemberSet{Generation: 1, Members: members, Copies: n.DiskLosses + 1})
 	}
 	return layout
 }
 
-// shardCount is how many shards there are, 0 while no layout is known: a node
-// that starts while the store is down leads what its disk holds all the same.
+// shardCount returns the number of shards, or 0 while no layout is known. A node that starts
+// while the store is down leads the shards on its disk without knowing a layout.
 func (n *StorageNode) shardCount() int {
 	layout := n.Layouts.Current()
 	if layout == nil {
@@ -135,20 +137,20 @@
 	return len(layout.Shards)
 }
 
-// spreadFrom is how many times the disks of a shard there must be for more
-// shards than one: with fewer, each disk would hold most of all shards anyway.
-const spreadFrom = 2
+// minSpreadFactor is the minimum ratio of disks to members per shard for using more than one
+// shard. With fewer disks, each would hold most of the shards anyway.
+const minSpreadFactor = 2
 
-// shardsWanted is how many shards the jobs are spread over, for good: one for
-// each disk where a shard takes a small part of the disks only.
-func shardsWanted(disks, members int) int {
-	if disks < spreadFrom*members {
+// wantedShardCount returns the number of shards of a new layout: one per disk, or a single
+// shard if there are few disks. The number never changes later.
+func wantedShardCount(disks, members int) int {
+	if disks < minSpreadFactor*members {
 		return 1
 	}
 	return disks
 }
 
-// usableDisks are those of nodes that are not being emptied or leaving.
+// usableDisks returns the disks of this region's nodes that are neither retiring nor leaving.
 func (n *StorageNode) usableDisks() []*wirev1.NodeRecord {
 	var usable []*wirev1.NodeRecord
 	for _, disk := range n.Directory.Disks() {
@@ -159,16 +161,16 @@
 	return usable
 }
 
-// commitLayout stores the first layout if there is none. A lost answer is resolved
-// by reading.
-func (n *StorageNode) commitLayout(ctx context.Context, first *Layout) (bool, error) {
-	committed, err := n.commit(ctx, LayoutKey, 0, first)
-	n.reread(ctx, LayoutKey)
+// commitInitialLayout stores the initial layout if there is none, and then reads the stored
+// one, which also resolves a lost response.
+func (n *StorageNode) commitInitialLayout(ctx context.Context, initial *Layout) (bool, error) {
+	committed, err := n.commitValue(ctx, LayoutKey, 0, initial)
+	n.refreshValue(ctx, LayoutKey)
 	return committed, err
 }
 
-// commit stores a value of the layout if the stored one is still of a revision.
-func (n *StorageNode) commit(ctx context.Context, key string, revision int64, value any) (bool, error) {
+// commitValue stores a value of the layout if the stored value still has the given revision.
+func (n *StorageNode) commitValue(ctx context.Context, key string, revision int64, value any) (bool, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return false, trace.Wrap(err)
@@ -176,46 +178,46 @@
 	return n.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: revision}}, []ports.Put{{Key: key, Value: text}})
 }
 
-// reread reads a value of the layout. What can't be read now comes with the store's
-// changes later.
-func (n *StorageNode) reread(ctx context.Context, key string) {
+// refreshValue reads a value of the layout from the store. If that fails, the value arrives
+// later with the watched changes of the store.
+func (n *StorageNode) refreshValue(ctx context.Context, key string) {
 	if value, found, err := n.Store.Get(ctx, key); err == nil && found {
 		n.Layouts.UpdateIfNewer(key, value.Value, value.Revision, "read")
 	}
 }
 
-// swapConfig replaces one shard's member set if nothing changed it since the
-// layout was read. It reports whether the change is known to be stored.
-func (n *StorageNode) swapConfig(ctx context.Context, id uint32, before, after replica.MemberSet) (bool, error) {
+// swapMemberSet replaces the member set of a shard if it has not changed since the layout
+// was read. It reports whether the change is known to be stored.
+func (n *StorageNode) swapMemberSet(ctx context.Context, id uint32, before, after replica.MemberSet) (bool, error) {
 	layout := n.Layouts.Current()
 	if layout == nil || int(id) >= len(layout.Shards) {
-		return false, trace.NotFound("no layout")
+		return false, trace.NotFound("no queue layout with this shard is known")
 	}
-	held := layout.Shards[id]
-	if held.Generation != before.Generation || held.Attempt != before.Attempt {
+	current := layout.Shards[id]
+	if current.Generation != before.Generation || current.Attempt != before.Attempt {
 		return false, nil
 	}
-	committed, err := n.commit(ctx, shardKey(id), layout.changed[id], after)
-	n.reread(ctx, shardKey(id))
+	committed, err := n.commitValue(ctx, shardKey(id), layout.changed[id], after)
+	n.refreshValue(ctx, shardKey(id))
 	return committed, err
 }
 
-// reportRetired says of nodes that are being emptied how far it is, once none
-// of their disks is a member any more.
+// reportRetired reports for each retiring node whether its disks still hold replicas. Only
+// the leader of reportingShard reports.
 func (n *StorageNode) reportRetired(ctx context.Context, layout *Layout) {
 	retiring := n.Directory.Retiring()
 	if len(retiring) == 0 || !n.leads(reportingShard) {
 		return
 	}
 	for _, node := range retiring {
-		n.Retirement.Report(ctx, node, n.emptied(layout, node))
+		n.Retirement.Report(ctx, node, n.hasNoReplicas(layout, node))
 	}
 }
 
-// emptied reports whether a node holds nothing any more: every member of
-// every shard is the present disk of another node. A member that no node has is
-// a loss that is not made good yet, perhaps the node's own disk.
-func (n *StorageNode) emptied(layout *Layout, node string) bool {
+// hasNoReplicas reports whether a node holds no replicas, which means that every member of
+// every shard is the current disk of another node. A member that no node has is a lost disk
+// that has not been replaced yet, and may have belonged to the node.
+func (n *StorageNode) hasNoReplicas(layout *Layout, node string) bool {
 	for _, config := range layout.Shards {
 		for _, member := range config.Members {
 			record, known := n.Directory.Disk(member)
@@ -227,10 +229,10 @@
 	return true
 }
 
-// reportingShard is the shard whose leader speaks for all.
+// reportingShard is the shard whose leader reports the progress of retiring nodes.
 const reportingShard = 0
 
-// leads reports whether this node leads a shard, with a quorum in contact.
+// leads reports whether this node leads a shard and is in contact with a quorum.
 func (n *StorageNode) leads(id uint32) bool {
 	s := n.shard(id)
 	if s == nil {
@@ -238,7 +240,7 @@
 	}
 	leads := false
 	s.runIfRunning(func() {
-		leads = s.leader != nil && s.leader.suspended.IsZero() && s.leader.aloneSince.IsZero() && s.Replica.Serving()
+		leads = s.leader != nil && s.leader.suspendedAt.IsZero() && s.leader.quorumLostAt.IsZero() && s.Replica.Serving()
 	})
 	return leads
 }
--- a/internal/batch/queuestore/layouts.go
+++ b/internal/batch/queuestore/layouts.go
@@ -15,74 +15,74 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// The layout lies below the product's own keys: what it was founded as in one
-// value, written once, and the member set of each shard that has changed since in a
-// value of the shard. A change costs its own 150 bytes, whatever the number of
-// shards, and those of different shards do not meet.
+// Keys of the layout in the platform's store. The initial layout is one value that is
+// written once. Each shard whose member set has changed since has a value of its own, so
+// the size of a change does not depend on the number of shards, and changes of different
+// shards do not conflict.
 const (
 	LayoutKey = "cobaltramp/queues/layout"
-	// shardKeys is followed by the number of a shard.
-	shardKeys = "cobaltramp/queues/shards/"
+	// shardKeyPrefix is followed by the number of a shard.
+	shardKeyPrefix = "cobaltramp/queues/shards/"
 )
 
-func shardKey(id uint32) string { return shardKeys + strconv.FormatUint(uint64(id), 10) }
+func shardKey(id uint32) string { return shardKeyPrefix + strconv.FormatUint(uint64(id), 10) }
 
-// Layout is the member set of every queue shard. It changes by compare-and-swap in
-// the platform's store: on founding and when a disk joins, is lost or is emptied;
-// never per job.
+// Layout holds the member set of every queue shard. It changes by compare-and-swap in the
+// platform's store when it is created and when a disk joins, is lost or is retired; it does
+// not change with jobs.
 type Layout struct {
 	Shards []replica.MemberSet `json:"shards"`
-	// changed holds the revision of each shard's own value; 0 if it has none.
+	// changed holds the revision of each shard's own value, or 0 if there is none.
 	changed []int64
 }
 
-// Layouts holds the newest layout known.
+// Layouts holds the newest known layout.
 //
-// Invariant: the revision of no value in it falls.
+// Invariant: the revision of each stored value never decreases.
 type Layouts struct {
 	mutex sync.Mutex
-	// founded is the value that the layout was founded with, first what it says, and
-	// own the values of shards.
-	founded *wirev1.StoredItem
-	first   *Layout
-	own     map[uint32]ownValue
-	current *Layout
-	changed chan struct{}
+	// initialItem is the stored initial layout and initial its decoded form; own holds
+	// the values of single shards.
+	initialItem *wirev1.StoredItem
+	initial     *Layout
+	own         map[uint32]shardValue
+	current     *Layout
+	changed     chan struct{}
 }
 
-// ownValue is a shard's own value and what it says.
-type ownValue struct {
+// shardValue is the stored value of a single shard with its decoded member set.
+type shardValue struct {
 	item   *wirev1.StoredItem
 	config replica.MemberSet
 }
 
-// NewLayouts returns a holder without a layout.
+// NewLayouts returns a Layouts that knows no layout.
 func NewLayouts() *Layouts {
-	return &Layouts{own: map[uint32]ownValue{}, changed: make(chan struct{})}
+	return &Layouts{own: map[uint32]shardValue{}, changed: make(chan struct{})}
 }
 
-// Current returns the layout, nil if none is known. It must not be changed.
+// Current returns the newest layout, or nil if none is known. Callers must not modify it.
 func (l *Layouts) Current() *Layout {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.current
 }
 
-// Documents returns the stored form, for peers.
+// Documents returns the stored values of the layout, to be sent to peers.
 func (l *Layouts) Documents() []*wirev1.StoredItem {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.founded == nil {
+	if l.initialItem == nil {
 		return nil
 	}
-	items := []*wirev1.StoredItem{l.founded}
+	items := []*wirev1.StoredItem{l.initialItem}
 	for _, own := range l.own {
 		items = append(items, own.item)
 	}
 	return items
 }
 
-// Digest is the same for holders of the same values; 0 for one without any.
+// Digest returns a hash of the keys and revisions of all values; 0 if there are none.
 func (l *Layouts) Digest() uint64 {
 	digest := uint64(0)
 	for _, item := range l.Documents() {
@@ -91,47 +91,47 @@
 	return digest
 }
 
-// HasKey reports whether a key is of the layout.
+// HasKey reports whether a key belongs to the layout.
 func (l *Layouts) HasKey(key string) bool {
-	return key == LayoutKey || strings.HasPrefix(key, shardKeys)
+	return key == LayoutKey || strings.HasPrefix(key, shardKeyPrefix)
 }
 
-// UpdateIfNewer takes a value of the layout if it is newer.
+// UpdateIfNewer replaces a value of the layout if the given revision is newer.
 func (l *Layouts) UpdateIfNewer(key string, value []byte, revision int64, source string) {
 	item := &wirev1.StoredItem{Key: key, Value: value, Revision: revision}
 	var err error
 	if key == LayoutKey {
-		err = l.updateFounded(item, source)
+		err = l.updateInitial(item, source)
 	} else {
-		err = l.updateOwn(item)
+		err = l.updateShard(item)
 	}
 	if err != nil {
-		klog.ErrorS(err, "stored layout is unreadable", "key", key, "revision", revision)
+		klog.ErrorS(err, "stored queue layout cannot be decoded", "key", key, "revision", revision)
 	}
 }
 
-func (l *Layouts) updateFounded(item *wirev1.StoredItem, source string) error {
-	first := &Layout{}
-	if err := json.Unmarshal(item.Value, first); err != nil {
+func (l *Layouts) updateInitial(item *wirev1.StoredItem, source string) error {
+	initial := &Layout{}
+	if err := json.Unmarshal(item.Value, initial); err != nil {
 		return err
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.founded != nil && l.founded.Revision >= item.Revision {
+	if l.initialItem != nil && l.initialItem.Revision >= item.Revision {
 		return nil
 	}
-	l.founded, l.first = item, first
+	l.initialItem, l.initial = item, initial
 	l.publish()
-	klog.InfoS("queue layout taken", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.own))
+	klog.InfoS("queue layout updated", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.own))
 	return nil
 }
 
-func (l *Layouts) updateOwn(item *wirev1.StoredItem) error {
-	id, err := strconv.ParseUint(strings.TrimPrefix(item.Key, shardKeys), 10, 32)
+func (l *Layouts) updateShard(item *wirev1.StoredItem) error {
+	id, err := strconv.ParseUint(strings.TrimPrefix(item.Key, shardKeyPrefix), 10, 32)
 	if err != nil {
 		return err
 	}
-	own := ownValue{item: item}
+	own := shardValue{item: item}
 	if err := json.Unmarshal(item.Value, &own.config); err != nil {
 		return err
 	}
@@ -145,14 +145,15 @@
 	return nil
 }
 
-// publish makes the layout of the values. The mutex is held.
+// publish builds the current layout from the values and signals the change. The caller holds
+// the mutex.
 func (l *Layouts) publish() {
-	if l.founded == nil {
+	if l.initialItem == nil {
 		return
 	}
-	next := &Layout{Shards: slices.Clone(l.first.Shards), changed: make([]int64, len(l.first.Shards))}
+	next := &Layout{Shards: slices.Clone(l.initial.Shards), changed: make([]int64, len(l.initial.Shards))}
 	for id, own := range l.own {
-		if int(id) < len(next.Shards) && own.item.Revision > l.founded.Revision {
+		if int(id) < len(next.Shards) && own.item.Revision > l.initialItem.Revision {
 			next.Shards[id], next.changed[id] = own.config, own.item.Revision
 		}
 	}
@@ -161,7 +162,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Changed returns a channel that closes with the next layout.
+// Changed returns a channel that is closed when the layout changes next.
 func (l *Layouts) Changed() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/batch/queuestore/layouts_test.go
+++ b/internal/batch/queuestore/layouts_test.go
@@ -15,7 +15,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-func foundedLayout(shards int) *Layout {
+func testLayout(shards int) *Layout {
 	layout := &Layout{}
 	for id := range shards {
 		config := replica.MemberSet{Generation: 1, Copies: 3}
@@ -27,7 +27,7 @@
 	return layout
 }
 
-// countingStore counts the bytes that are written, and what was refused.
+// countingStore counts the bytes written and the refused commits.
 type countingStore struct {
 	testStore
 	bytes, refused int
@@ -44,21 +44,21 @@
 	return done, err
 }
 
-// A change of a shard's members costs the same, whatever the number of shards, and
-// changes of all shards at once do not meet: none is refused for another.
-func TestChangesOfShardsDoNotMeet(t *testing.T) {
+// The size of a member set change does not depend on the number of shards, and concurrent
+// changes of different shards do not conflict.
+func TestShardChangesDoNotConflict(t *testing.T) {
 	is := is.New(t)
 	each := map[int]int{}
 	for _, shards := range []int{10, 150, 300} {
 		store := &countingStore{}
 		var nodes []*StorageNode
-		for range 3 { // each has followed the store so far
+		for range 3 { // all are up to date with the store
 			layouts := NewLayouts()
-			store.follow = append(store.follow, layouts)
+			store.followers = append(store.followers, layouts)
 			nodes = append(nodes, &StorageNode{NodeOptions: NodeOptions{Layouts: layouts, Store: store, Directory: peers.NewDirectory(&wirev1.NodeRecord{NodeId: "n"})}})
 		}
 		ctx := context.Background()
-		committed, err := nodes[0].commitLayout(ctx, foundedLayout(shards))
+		committed, err := nodes[0].commitInitialLayout(ctx, testLayout(shards))
 		is.NoErr(err)
 		is.True(committed)
 		founded := store.bytes
@@ -66,13 +66,13 @@
 		for id := range shards {
 			after := before.Shards[id]
 			after.Generation++
-			committed, err := nodes[id%3].swapConfig(ctx, uint32(id), before.Shards[id], after)
+			committed, err := nodes[id%3].swapMemberSet(ctx, uint32(id), before.Shards[id], after)
 			is.NoErr(err)
 			is.True(committed)
 		}
 		is.Equal(store.refused, 0)
 		each[shards] = (store.bytes - founded) / shards
-		t.Logf("%d shards: %d bytes a change, %d at the founding", shards, each[shards], founded)
+		t.Logf("%d shards: %d bytes per change, %d for the initial layout", shards, each[shards], founded)
 		for _, config := range nodes[1].Layouts.Current().Shards {
 			is.Equal(config.Generation, uint64(2))
 		}
@@ -80,36 +80,36 @@
 	is.True(each[300] <= each[10]+10)
 }
 
-// Two that change the same shard at once: one wins, and both know which.
-func TestOneChangeOfAShardWins(t *testing.T) {
+// Of two concurrent changes of the same shard one succeeds, and both nodes learn which.
+func TestOneConcurrentShardChangeWins(t *testing.T) {
 	is := is.New(t)
 	store := &countingStore{}
 	slow, quick := NewLayouts(), NewLayouts()
-	store.follow = []*Layouts{quick}
+	store.followers = []*Layouts{quick}
 	node := func(layouts *Layouts) *StorageNode {
 		return &StorageNode{NodeOptions: NodeOptions{Layouts: layouts, Store: store}}
 	}
 	ctx := context.Background()
-	_, err := node(quick).commitLayout(ctx, foundedLayout(3))
+	_, err := node(quick).commitInitialLayout(ctx, testLayout(3))
 	is.NoErr(err)
-	store.tell(slow)
+	store.sendAll(slow)
 	before := quick.Current().Shards[1]
 	one, other := before, before
 	one.Generation, other.Attempt = 2, 1
-	committed, err := node(quick).swapConfig(ctx, 1, before, one)
+	committed, err := node(quick).swapMemberSet(ctx, 1, before, one)
 	is.NoErr(err)
 	is.True(committed)
-	committed, err = node(slow).swapConfig(ctx, 1, before, other)
+	committed, err = node(slow).swapMemberSet(ctx, 1, before, other)
 	is.NoErr(err)
 	is.True(!committed)
 	is.Equal(slow.Current().Shards[1].Generation, uint64(2))
 }
 
-// Whatever the order in which values come, and however often, holders that were told
-// the same come to the same layout, and none goes back.
-func TestLayoutsAgree(t *testing.T) {
+// Holders that receive the same values in any order converge to the same layout, and no
+// member set is replaced by an older one.
+func TestLayoutsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text, err := json.Marshal(foundedLayout(4))
+		text, err := json.Marshal(testLayout(4))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,8 +124,8 @@
 		holders := []*Layouts{NewLayouts(), NewLayouts()}
 		for _, holder := range holders {
 			seen := map[int]uint64{}
-			for _, place := range rapid.Permutation(items).Draw(t, "order") {
-				holder.UpdateIfNewer(place.Key, place.Value, place.Revision, "test")
+			for _, item := range rapid.Permutation(items).Draw(t, "order") {
+				holder.UpdateIfNewer(item.Key, item.Value, item.Revision, "test")
 				if layout := holder.Current(); layout != nil {
 					for id, config := range layout.Shards {
 						if config.Generation < seen[id] {
@@ -137,7 +137,7 @@
 			}
 		}
 		if holders[0].Digest() != holders[1].Digest() {
-			t.Fatal("holders of the same values have two digests")
+			t.Fatal("holders of the same values have different digests")
 		}
 		for id, generation := range newest {
 			if held := holders[0].Current().Shards[id].Generation; held != generation {
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -12,58 +12,59 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// leadership is what only a serving leader has: the table of unfinished items,
-// the runs in progress, and those who wait for results. While this replica has
-// lost its epoch and no other leads yet it is kept, suspended: a change of the
-// member set then interrupts no run.
+// leadership is the state of a serving leader: the table of unfinished items, the runs in
+// progress and the watchers of jobs. When the replica loses its epoch, the leadership is
+// suspended until another replica leads or maxSuspension has passed, so that a member set
+// change does not interrupt runs.
 type leadership struct {
 	epoch   uint64
 	table   *queue.ItemTable
 	context context.Context
 	cancel  context.CancelFunc
 	runs    map[queue.ItemKey]context.CancelFunc
-	// saves is what runs have produced that is not proposed yet.
+	// saves holds progress of runs that has not been proposed yet.
 	saves queue.Saves
-	// decided are results on their way through the log.
+	// decided holds results that are not applied yet.
 	decided map[queue.ItemKey]*wirev1.QueueResult
+	// changed holds a channel for each watched job, closed on the job's next change.
 	changed map[string]chan struct{}
-	// taken are the acceptance times of all jobs, for retention.
-	taken map[string]int64
-	// accepting are tokens of submissions on their way through the log.
-	accepting map[queue.TokenAccount]uint64
-	// acceptingBytes are their sizes.
-	acceptingBytes int
-	// ledger is what all shards have reported, on the leader of ledgerShard.
+	// acceptedAt holds the acceptance times of all jobs in Unix milliseconds.
+	acceptedAt map[string]int64
+	// pendingTokens holds the tokens of submissions that are not applied yet.
+	pendingTokens map[queue.TokenAccount]uint64
+	// pendingBytes is the total size of those submissions.
+	pendingBytes int
+	// ledger holds the reports of all shards; only the leader of ledgerShard has one.
 	ledger *queue.Ledger
-	// allotments are the tenants' limits on requests that this leader lends.
+	// allotments grants shares of the tenants' request limits.
 	allotments *allotment.Keeper
-	// reports counts those of this shard to the ledger; reportedSum and reportedAt
-	// are of the last time.
-	reports     uint64
-	reportedSum uint64
-	reportedAt  time.Time
-	retained    time.Time
-	preferred   time.Time // when the first member was last considered as leader
-	// full holds until when no item is tried at a service that had no free slot.
-	full map[string]time.Time
-	// aloneSince is when contact to a quorum was lost.
-	aloneSince time.Time
-	// suspended is when the epoch was lost; zero while this replica serves.
-	suspended time.Time
+	// reportNumber is the number of the last report to the ledger; reportedTotal and
+	// reportedAt are the total and the time of the last periodic report.
+	reportNumber        uint64
+	reportedTotal       uint64
+	reportedAt          time.Time
+	retentionCheckedAt  time.Time
+	preferenceCheckedAt time.Time // last check by transferToPreferredLeader
+	// fullUntil holds, for each service without a free slot, when it is tried again.
+	fullUntil map[string]time.Time
+	// quorumLostAt is when contact to a quorum was lost; zero while there is contact.
+	quorumLostAt time.Time
+	// suspendedAt is when the epoch was lost; zero while this replica serves.
+	suspendedAt time.Time
 }
 
-// suspendTime is how long runs go on without a leader.
-const suspendTime = 1200 * time.Millisecond
+// maxSuspension is how long runs continue while the shard has no leader.
+const maxSuspension = 1200 * time.Millisecond
 
-// FollowLeadership implements shardhost.LeaderWork: it takes leadership up when this
-// replica comes to serve, suspends it when it no longer leads, and drops it when
-// another does.
+// FollowLeadership implements shardhost.LeaderWork. It starts or resumes leadership when
+// this replica begins to serve, suspends it when the replica loses its epoch, and drops it
+// when another replica leads.
 func (s *shard) FollowLeadership() {
 	if s.Replica.Role() != replica.Leader {
 		s.suspendLeadership()
 		return
 	}
-	if s.leader != nil && s.leader.epoch == s.Replica.Epoch() && s.leader.suspended.IsZero() {
+	if s.leader != nil && s.leader.epoch == s.Replica.Epoch() && s.leader.suspendedAt.IsZero() {
 		return
 	}
 	if !s.Replica.Serving() || s.AppliedIndex() < s.Replica.Commit() {
@@ -73,7 +74,7 @@
 		s.resumeLeadership()
 		return
 	}
-	s.takeLeadership()
+	s.startLeadership()
 }
 
 func (s *shard) suspendLeadership() {
@@ -82,26 +83,26 @@
 		return
 	}
 	now := time.Now()
-	if l.suspended.IsZero() {
-		l.suspended = now
+	if l.suspendedAt.IsZero() {
+		l.suspendedAt = now
 		klog.InfoS("queue leadership lost", "shard", s.ID, "epoch", l.epoch, "runs", len(l.runs))
 	}
 	other := s.Replica.Leader()
 	if other != "" && other != s.Disk {
 		s.DropLeadership("another leads")
-	} else if now.Sub(l.suspended) > suspendTime {
+	} else if now.Sub(l.suspendedAt) > maxSuspension {
 		s.DropLeadership("no leader for too long")
 	}
 }
 
-// resumeLeadership goes on after an interruption. The table has followed the
-// log; only what was on its way to it has to be sent again.
+// resumeLeadership ends a suspension. The table is up to date with the log; only proposals
+// that may have been lost are repeated.
 func (s *shard) resumeLeadership() {
 	l := s.leader
-	l.epoch, l.suspended = s.Replica.Epoch(), time.Time{}
-	l.ledger = nil // others may have reported to another meanwhile
+	l.epoch, l.suspendedAt = s.Replica.Epoch(), time.Time{}
+	l.ledger = nil // other shards may have reported to another leader in the meantime
 	l.allotments = s.node.newKeeper()
-	klog.InfoS("queue shard led again", "shard", s.ID, "epoch", l.epoch, "unfinished", l.table.Len(), "runs", len(l.runs), "decided", len(l.decided))
+	klog.InfoS("queue leadership resumed", "shard", s.ID, "epoch", l.epoch, "unfinished", l.table.Len(), "runs", len(l.runs), "decided", len(l.decided))
 	for key := range l.runs {
 		l.table.Forget(key)
 	}
@@ -111,12 +112,12 @@
 	}
 }
 
-func (s *shard) takeLeadership() {
+func (s *shard) startLeadership() {
 	ctx, cancel := context.WithCancel(s.node.context)
 	l := &leadership{
 		epoch: s.Replica.Epoch(), allotments: s.node.newKeeper(), table: queue.NewItemTable(), context: ctx, cancel: cancel,
 		runs: map[queue.ItemKey]context.CancelFunc{}, decided: map[queue.ItemKey]*wirev1.QueueResult{},
-		changed: map[string]chan struct{}{}, taken: map[string]int64{}, accepting: map[queue.TokenAccount]uint64{}, full: map[string]time.Time{}, preferred: time.Now(),
+		changed: map[string]chan struct{}{}, acceptedAt: map[string]int64{}, pendingTokens: map[queue.TokenAccount]uint64{}, fullUntil: map[string]time.Time{}, preferenceCheckedAt: time.Now(),
 	}
 	if err := s.fillTable(l); err != nil {
 		cancel()
@@ -125,16 +126,16 @@
 	}
 	s.leader = l
 	s.node.metrics.leading.Inc()
-	klog.InfoS("queue shard led", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.taken), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
+	klog.InfoS("queue shard led", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
 }
 
-// fillTable builds the table from the state, with what runs have saved.
+// fillTable builds the table from the stored records and the saved progress of runs.
 func (s *shard) fillTable(l *leadership) error {
 	now := time.Now()
 	view := s.Store.View()
 	var failed error
 	err := queue.Records(view, func(record *wirev1.QueueRecord) {
-		l.taken[record.Id] = record.AcceptedUnixMs
+		l.acceptedAt[record.Id] = record.AcceptedUnixMs
 		l.table.Add(record, now, now)
 		if record.Ended || !l.table.Open(record.Id) {
 			return
@@ -166,44 +167,44 @@
 	klog.InfoS("queue leadership dropped", "shard", s.ID, "epoch", s.leader.epoch, "reason", reason, "runs", len(s.leader.runs))
 	s.leader = nil
 	s.node.metrics.leading.Dec()
-	s.node.metrics.unfinish.Set(0)
+	s.node.metrics.unfinished.Set(0)
 }
 
-// aloneTime is how long a leader without contact to a quorum lets its runs go on: an
-// item of a job that another leader has ended must not be sent, and what a run makes
-// now another leader's run makes again.
-const aloneTime = 250 * time.Millisecond
+// quorumLossGracePeriod is how long runs continue on a leader without contact to a quorum.
+// Another leader may already have ended the job or started the same item.
+const quorumLossGracePeriod = 250 * time.Millisecond
 
-// tickLeader starts items that are ready and proposes what time has decided.
+// tickLeader does the periodic work of a leader: it starts ready items and proposes
+// progress, expired items and expired jobs.
 func (s *shard) tickLeader(now time.Time) {
 	l := s.leader
-	if l == nil || !l.suspended.IsZero() {
+	if l == nil || !l.suspendedAt.IsZero() {
 		return
 	}
-	if !s.inContact(now) {
+	if !s.hasQuorumContact(now) {
 		return
 	}
-	s.proposeSaves(now)
+	s.proposeProgress(now)
 	s.startReady(now)
-	s.giveUpExpired(now)
-	s.retain(now)
-	s.tickPreference(now)
-	s.node.metrics.unfinish.Set(float64(l.table.Len()))
+	s.expireItems(now)
+	s.dropExpiredJobs(now)
+	s.transferToPreferredLeader(now)
+	s.node.metrics.unfinished.Set(float64(l.table.Len()))
 }
 
-// inContact reports whether a quorum answered lately; runs of a leader that is
-// alone for long are ended.
-func (s *shard) inContact(now time.Time) bool {
+// hasQuorumContact reports whether a quorum has responded recently. It cancels all runs
+// once contact has been lost for longer than quorumLossGracePeriod.
+func (s *shard) hasQuorumContact(now time.Time) bool {
 	l := s.leader
 	if s.Replica.LiveMembers(now) >= s.Replica.MemberSet().WriteQuorum() {
-		l.aloneSince = time.Time{}
+		l.quorumLostAt = time.Time{}
 		return true
 	}
-	if l.aloneSince.IsZero() {
-		l.aloneSince = now
+	if l.quorumLostAt.IsZero() {
+		l.quorumLostAt = now
 	}
-	if now.Sub(l.aloneSince) > aloneTime && len(l.runs) > 0 {
-		klog.InfoS("runs ended: no contact to a quorum", "shard", s.ID, "epoch", l.epoch, "runs", len(l.runs))
+	if now.Sub(l.quorumLostAt) > quorumLossGracePeriod && len(l.runs) > 0 {
+		klog.InfoS("runs canceled: leader has lost contact to a quorum", "shard", s.ID, "epoch", l.epoch, "runs", len(l.runs))
 		for key := range l.runs {
 			s.cancelRun(key)
 		}
@@ -211,15 +212,15 @@
 	return false
 }
 
-// wake notifies readers that a job has changed.
-func (l *leadership) wake(job string) {
+// notifyWatchers notifies all watchers of a job that it has changed.
+func (l *leadership) notifyWatchers(job string) {
 	if changed := l.changed[job]; changed != nil {
 		close(changed)
 		delete(l.changed, job)
 	}
 }
 
-// watch returns a channel that closes with the job's next change.
+// watch returns a channel that is closed on the job's next change.
 func (l *leadership) watch(job string) <-chan struct{} {
 	changed := l.changed[job]
 	if changed == nil {
--- a/internal/batch/queuestore/limits.go
+++ b/internal/batch/queuestore/limits.go
@@ -13,30 +13,30 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Limits of waiting tokens hold over all shards. The leader of one shard keeps a
-// ledger of what waits in each: every other leader asks it before it takes a job of a
-// limited route. The ledger is soft state: a new one lets nothing in before every
-// shard's leader has reported what waits there.
+// Limits of waiting tokens apply to the sum over all shards. The leader of ledgerShard keeps
+// a ledger of the tokens that wait in each shard, and the other leaders ask it before they
+// accept a job of a limited route. The ledger is soft state: a new one grants nothing until
+// the leader of every shard has reported.
 
 // ledgerShard is the shard whose leader keeps the ledger.
 const ledgerShard = 0
 
 const (
-	// reportInterval is how often leaders look whether there is something to report,
-	// and maxReportInterval the time after which they report in any case.
-	reportInterval    = 200 * time.Millisecond
-	maxReportInterval = time.Second
-	// ledgerTimeout bounds one question to a node that may have the ledger.
-	ledgerTimeout = 300 * time.Millisecond
-	// ledgerWaitLimit is how long a submission waits for a ledger that knows
-	// enough, and ledgerPause the time between two questions.
-	ledgerWaitLimit = 700 * time.Millisecond
-	ledgerPause     = 40 * time.Millisecond
+	// reportCheckInterval is the time between checks for changed totals, and
+	// maxReportInterval the maximum time between two reports.
+	reportCheckInterval = 200 * time.Millisecond
+	maxReportInterval   = time.Second
+	// ledgerCallTimeout bounds one call to a node that may keep the ledger.
+	ledgerCallTimeout = 300 * time.Millisecond
+	// ledgerRetryTimeout is how long a submission retries its request to the ledger, and
+	// ledgerRetryInterval the time between two tries.
+	ledgerRetryTimeout  = 700 * time.Millisecond
+	ledgerRetryInterval = 40 * time.Millisecond
 )
 
-// limitsLoop reports to the ledger what waits in the shards led here.
-func (n *StorageNode) limitsLoop(ctx context.Context) {
-	ticker := time.NewTicker(reportInterval)
+// reportLoop periodically reports the waiting tokens of the shards led here.
+func (n *StorageNode) reportLoop(ctx context.Context) {
+	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -53,88 +53,89 @@
 	}
 }
 
-// reportWaiting reports what waits in a shard, if it is led here and has changed.
+// reportWaiting reports the waiting tokens of a shard that is led here if their total has
+// changed or maxReportInterval has passed.
 func (s *shard) reportWaiting(ctx context.Context) {
 	var request *wirev1.QueueReserveRequest
 	err := s.RunInLoop(ctx, func() {
 		l := s.leader
-		if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
+		if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
 			return
 		}
 		now := time.Now()
-		if sum := l.sum(); sum != l.reportedSum || now.Sub(l.reportedAt) >= maxReportInterval {
-			l.reportedSum, l.reportedAt = sum, now
-			request = s.report()
+		if totalWaiting := l.totalWaiting(); totalWaiting != l.reportedTotal || now.Sub(l.reportedAt) >= maxReportInterval {
+			l.reportedTotal, l.reportedAt = totalWaiting, now
+			request = s.nextReport()
 		}
 	})
 	if err != nil || request == nil {
 		return
 	}
-	reply, err := s.node.askLedger(ctx, request)
+	reply, err := s.node.callLedger(ctx, request)
 	if err != nil || reply.Incomplete {
-		s.runIfRunning(s.reportAgain)
+		s.runIfRunning(s.scheduleReport)
 	}
 }
 
-// reportAgain has what waits reported at the next look: the ledger may be new.
-func (s *shard) reportAgain() {
+// scheduleReport makes the next check report unconditionally, because the ledger may be new.
+func (s *shard) scheduleReport() {
 	if s.leader != nil {
 		s.leader.reportedAt = time.Time{}
 	}
 }
 
-// sum of the tokens that wait on all routes.
-func (l *leadership) sum() uint64 {
-	sum := uint64(0)
+// totalWaiting returns the number of tokens that wait on all routes.
+func (l *leadership) totalWaiting() uint64 {
+	totalWaiting := uint64(0)
 	for _, tokens := range l.waiting() {
-		sum += tokens
+		totalWaiting += tokens
 	}
-	return sum
+	return totalWaiting
 }
 
-// waiting returns the tokens that wait, those on their way included.
+// waiting returns the waiting tokens by account, including pending submissions.
 func (l *leadership) waiting() map[queue.TokenAccount]uint64 {
 	waiting := l.table.WaitingByAccount()
-	for account, tokens := range l.accepting {
+	for account, tokens := range l.pendingTokens {
 		waiting[account] += tokens
 	}
 	return waiting
 }
 
-// report makes the next report of a shard that is led here.
-func (s *shard) report() *wirev1.QueueReserveRequest {
+// nextReport returns a new report of the waiting tokens. The shard must be led here.
+func (s *shard) nextReport() *wirev1.QueueReserveRequest {
 	l := s.leader
-	l.reports++
-	request := &wirev1.QueueReserveRequest{Shard: s.ID, Epoch: l.epoch, Number: l.reports}
+	l.reportNumber++
+	request := &wirev1.QueueReserveRequest{Shard: s.ID, Epoch: l.epoch, Number: l.reportNumber}
 	for account, tokens := range l.waiting() {
 		request.Waiting = append(request.Waiting, &wirev1.RouteTokens{Tenant: account.Tenant, Route: account.Route, Tokens: tokens})
 	}
 	return request
 }
 
-// askLedger sends a report or a question to whoever has the ledger.
-func (n *StorageNode) askLedger(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
+// callLedger sends a report or a request for tokens to the node that keeps the ledger.
+func (n *StorageNode) callLedger(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
 	var last error = result.New(result.NotReady, "no ledger of waiting tokens is known")
 	for _, member := range n.ledgerCandidates() {
-		reply, err := n.askMember(ctx, member, request)
+		reply, err := n.callLedgerAt(ctx, member, request)
 		if err == nil {
-			n.noteLedgerDisk(member)
+			n.recordLedgerDisk(member)
 			return reply, nil
 		}
 		last = err
 		if result.Is(err, result.NotReady) {
-			n.noteLedgerDisk(member)
-			break // it has the ledger, and does not know enough yet
+			n.recordLedgerDisk(member)
+			break // this node keeps the ledger, but the ledger is incomplete
 		}
 	}
 	return nil, last
 }
 
-func (n *StorageNode) askMember(ctx context.Context, member string, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
+func (n *StorageNode) callLedgerAt(ctx context.Context, member string, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout)
 	defer cancel()
 	if member == n.DB.DiskID() {
-		return n.reserveHere(ctx, request)
+		return n.reserveLocally(ctx, request)
 	}
 	record, known := n.Directory.Disk(member)
 	if !known {
@@ -144,8 +145,8 @@
 	return reply, n.Pool.Call(ctx, record.Address, rpc.ClassControl, wirev1.Method_METHOD_QUEUE_RESERVE, request, reply)
 }
 
-// ledgerCandidates lists the members that may have the ledger, the one that
-// did last first.
+// ledgerCandidates returns the members of ledgerShard, beginning with the last known
+// keeper of the ledger.
 func (n *StorageNode) ledgerCandidates() []string {
 	layout := n.Layouts.Current()
 	if layout == nil {
@@ -166,7 +167,7 @@
 	return list
 }
 
-func (n *StorageNode) noteLedgerDisk(member string) {
+func (n *StorageNode) recordLedgerDisk(member string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.ledgerDisk != member {
@@ -175,22 +176,22 @@
 	}
 }
 
-// serveReserve answers other leaders.
+// serveReserve serves reports and requests for tokens from the leaders of other shards.
 func (n *StorageNode) serveReserve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReserveRequest
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	reply, err := n.reserveHere(ctx, &request)
+	reply, err := n.reserveLocally(ctx, &request)
 	if err != nil {
 		return err
 	}
 	return stream.Send(reply)
 }
 
-// reserveHere takes a report and decides on the submission it names, if this
-// node has the ledger.
-func (n *StorageNode) reserveHere(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
+// reserveLocally processes a report, and decides on the submission in it if there is one.
+// It fails unless this node keeps the ledger.
+func (n *StorageNode) reserveLocally(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
 	s := n.shard(ledgerShard)
 	if s == nil {
 		return nil, result.New(result.NotLeader, "shard %d is not here", ledgerShard)
@@ -203,13 +204,13 @@
 	if refused != nil || !reply.Granted {
 		return reply, refused
 	}
-	// Only who still has the ledger may let a job in.
+	// Another node may keep the ledger by now; only the current keeper may grant.
 	return reply, s.Confirm(ctx)
 }
 
 func (s *shard) reserveInLedger(request *wirev1.QueueReserveRequest, reply *wirev1.QueueReserveReply) error {
 	l := s.leader
-	if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
+	if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
 		return result.New(result.NotLeader, "shard %d is not led here", s.ID)
 	}
 	shards := s.node.shardCount()
--- a/internal/batch/queuestore/logsize.go
+++ b/internal/batch/queuestore/logsize.go
@@ -1,26 +1,26 @@
 package queuestore
 
-// logSize knows how many bytes of a shard's log lie after an index, as far as
-// the log was written since the start.
+// logSize tracks the size in bytes of the part of a shard's log that was written since the
+// replica started.
 type logSize struct {
 	marks []logMark
 	total uint64
 }
 
-// logMark is the end of one durable write: the last index, and the bytes
-// written up to it.
+// logMark is the end of one durable write: the index of the last entry and the total bytes
+// up to and including the entry.
 type logMark struct {
 	index, bytes uint64
 }
 
-// wrote records a durable write of entries up to an index.
-func (l *logSize) wrote(index, bytes uint64) {
+// recordWrite records a durable write whose last entry has the given index.
+func (l *logSize) recordWrite(index, bytes uint64) {
 	l.total += bytes
 	l.marks = append(l.marks, logMark{index, l.total})
 }
 
-// cut forgets entries from an index on, which a newer leader does not have.
-func (l *logSize) cut(from uint64) {
+// discardFrom removes the entries from an index on, which a newer leader has overwritten.
+func (l *logSize) discardFrom(from uint64) {
 	for len(l.marks) > 0 && l.marks[len(l.marks)-1].index >= from {
 		l.marks = l.marks[:len(l.marks)-1]
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// dropped forgets entries up to an index.
-func (l *logSize) dropped(upTo uint64) {
+// discardUpTo removes the entries up to and including an index.
+func (l *logSize) discardUpTo(upTo uint64) {
 	kept := 0
 	for kept < len(l.marks) && l.marks[kept].index <= upTo {
 		kept++
@@ -47,9 +47,9 @@
 	l.total -= gone
 }
 
-// leaving returns the highest index up to which entries may be dropped so that
-// at least so many bytes stay; 0 if there are not as many.
-func (l *logSize) leaving(bytes uint64) uint64 {
+// truncationIndex returns the highest index up to which entries can be dropped while at
+// least the given number of bytes remains, or 0 if no entries can be dropped.
+func (l *logSize) truncationIndex(bytes uint64) uint64 {
 	index := uint64(0)
 	for _, mark := range l.marks {
 		if l.total-mark.bytes < bytes {
--- a/internal/batch/queuestore/members.go
+++ b/internal/batch/queuestore/members.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// lostDiskTime is how long a member's disk must be silent before a spare
-	// disk takes its place; a restart is shorter.
-	lostDiskTime     = 2500 * time.Millisecond
-	handOverInterval = 250 * time.Millisecond
-	handOverTimeout  = 20 * time.Second
-	frozenTimeout    = 1500 * time.Millisecond
-	swapTimeout      = 3 * time.Second
+	// unresponsiveDiskTimeout is how long a member must be unresponsive before a spare
+	// disk replaces it; it is longer than a restart of a node.
+	unresponsiveDiskTimeout = 2500 * time.Millisecond
+	handOverInterval        = 250 * time.Millisecond
+	handOverTimeout         = 20 * time.Second
+	freezeTimeout           = 1500 * time.Millisecond
+	swapTimeout             = 3 * time.Second
 )
 
-var handOverTimes = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: frozenTimeout, SwapTimeout: swapTimeout}
+var handOverTiming = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: freezeTimeout, SwapTimeout: swapTimeout}
 
-// NextMembers implements shardhost.MemberPolicy: members that are being emptied or
-// whose disk is gone are replaced, and spare disks added up to the number wanted. A
-// silent member stays as long as there is no disk to take its place.
+// NextMembers implements shardhost.MemberPolicy. It replaces retiring members and members
+// whose disk is lost, and adds spare disks up to the wanted number of members. An
+// unresponsive member stays until a disk is available to replace it.
 func (s *shard) NextMembers(now time.Time, config replica.MemberSet) []string {
 	if s.node.Layouts.Current() == nil || s.node.draining.Load() {
 		return config.Members
 	}
-	next := s.plan(now, config)
+	next := s.planMembers(now, config)
 	if len(next) < config.Copies {
 		return config.Members
 	}
 	return next
 }
 
-func (s *shard) plan(now time.Time, config replica.MemberSet) []string {
-	by := map[standing][]string{}
+func (s *shard) planMembers(now time.Time, config replica.MemberSet) []string {
+	byStatus := map[memberStatus][]string{}
 	for _, member := range config.Members {
-		at := s.standing(now, member)
-		by[at] = append(by[at], member)
+		status := s.memberStatus(now, member)
+		byStatus[status] = append(byStatus[status], member)
 	}
-	if len(by[standingGood]) == len(config.Members) && len(config.Members) >= s.node.membersWanted() {
+	if len(byStatus[statusHealthy]) == len(config.Members) && len(config.Members) >= s.node.wantedMemberCount() {
 		return config.Members
 	}
-	s.node.askForSpares(s.ID, config.Members, now)
-	next := s.node.place(s.ID, s.node.liveDisks(now), by[standingGood], s.node.Layouts.Current().held())
-	next = fill(next, by[standingSilent], s.node.membersWanted())
-	// Nodes that are to be emptied stay as long as others make too few copies.
-	next = fill(next, by[standingRetiring], config.Copies)
-	// A set is made smaller only for a member that is being emptied.
+	s.node.probeSpares(s.ID, config.Members, now)
+	next := s.node.chooseMembers(s.ID, s.node.liveDisks(now), byStatus[statusHealthy], s.node.Layouts.Current().shardsPerDisk())
+	next = fill(next, byStatus[statusUnresponsive], s.node.wantedMemberCount())
+	// Retiring nodes stay members until the other members hold enough copies.
+	next = fill(next, byStatus[statusRetiring], config.Copies)
+	// Only a retiring member may be removed without a replacement.
 	if len(next) < len(config.Members) && !s.anyRetiring(config) {
 		return config.Members
 	}
 	return next
 }
 
-// fill adds members to a set until it has as many as wanted.
+// fill adds members to a set until it has the wanted number.
 func fill(set, members []string, wanted int) []string {
 	for _, member := range members {
 		if len(set) < wanted && !slices.Contains(set, member) {
@@ -75,55 +75,55 @@
 	return false
 }
 
-type standing uint8
+type memberStatus uint8
 
 const (
-	standingGood standing = iota
-	// standingSilent: has not answered for a while.
-	standingSilent
-	// standingRetiring: its node answers and is to be emptied.
-	standingRetiring
-	// standingLost: its node has another disk now.
-	standingLost
+	statusHealthy memberStatus = iota
+	// statusUnresponsive: the member has not responded within unresponsiveDiskTimeout.
+	statusUnresponsive
+	// statusRetiring: the member responds, but its node is retiring.
+	statusRetiring
+	// statusLost: the member's node has a different disk now.
+	statusLost
 )
 
-func (s *shard) standing(now time.Time, member string) standing {
+func (s *shard) memberStatus(now time.Time, member string) memberStatus {
 	if s.node.Directory.DiskLost(member) {
-		return standingLost
+		return statusLost
 	}
-	if member != s.Disk && s.Replica.UnseenFor(member, now) >= lostDiskTime {
-		return standingSilent
+	if member != s.Disk && s.Replica.UnseenFor(member, now) >= unresponsiveDiskTimeout {
+		return statusUnresponsive
 	}
 	record, known := s.node.Directory.Disk(member)
 	if known && s.node.Directory.IsRetiring(record.NodeId) {
-		return standingRetiring
+		return statusRetiring
 	}
-	return standingGood
+	return statusHealthy
 }
 
-// answers reports whether a member's node takes part, emptied or not.
-func (s *shard) answers(now time.Time, member string) bool {
-	at := s.standing(now, member)
-	return at == standingGood || at == standingRetiring
+// isResponsive reports whether a member responds, including members on retiring nodes.
+func (s *shard) isResponsive(now time.Time, member string) bool {
+	status := s.memberStatus(now, member)
+	return status == statusHealthy || status == statusRetiring
 }
 
-// MaySeal implements shardhost.MemberPolicy: all members of the next set that answer
-// have caught up, and they are enough. It waits for the store: a shard that is frozen
-// while the store does not answer takes no jobs.
+// MaySeal implements shardhost.MemberPolicy. It requires that all responsive members of the
+// next set have caught up and form a write quorum, and that the store is reachable: a
+// shard that is sealed while the store is unavailable cannot accept jobs.
 func (s *shard) MaySeal(now time.Time, next replica.MemberSet) bool {
 	for _, member := range next.Members {
-		if s.answers(now, member) && !s.Replica.CaughtUp(member) {
+		if s.isResponsive(now, member) && !s.Replica.CaughtUp(member) {
 			return false
 		}
 	}
-	return !s.node.Contact.Lost() && s.quorumOfNext(now, next)
+	return !s.node.Contact.Lost() && s.hasCaughtUpQuorum(now, next)
 }
 
-// quorumOfNext reports whether enough of the next members are there to seal.
-func (s *shard) quorumOfNext(now time.Time, next replica.MemberSet) bool {
+// hasCaughtUpQuorum reports whether a write quorum of the next member set has caught up.
+func (s *shard) hasCaughtUpQuorum(now time.Time, next replica.MemberSet) bool {
 	count := 0
 	for _, member := range next.Members {
-		if s.answers(now, member) && s.Replica.CaughtUp(member) {
+		if s.isResponsive(now, member) && s.Replica.CaughtUp(member) {
 			count++
 		}
 	}
@@ -132,11 +132,11 @@
 
 // Swap implements shardhost.MemberPolicy.
 func (s *shard) Swap(ctx context.Context, before, after replica.MemberSet) (bool, error) {
-	return s.node.swapConfig(ctx, s.ID, before, after)
+	return s.node.swapMemberSet(ctx, s.ID, before, after)
 }
 
 // Fence implements shardhost.MemberPolicy.
 func (s *shard) Fence(ctx context.Context, before, after replica.MemberSet) (bool, error) {
-	s.node.reread(ctx, shardKey(s.ID))
-	return s.node.swapConfig(ctx, s.ID, before, after)
+	s.node.refreshValue(ctx, shardKey(s.ID))
+	return s.node.swapMemberSet(ctx, s.ID, before, after)
 }
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -1,12 +1,12 @@
-// Package queuestore holds the batch jobs of the platform's deployment: queue shards,
-// replicated over the disks of the storage nodes, whose program it runs in. Edges use
-// Layouts and ShardOf of it to find a shard.
+// Package queuestore stores batch jobs in queue shards that are replicated over the disks
+// of the storage nodes. It runs in the storage nodes' process; edges use its Layouts and
+// ShardOf to find the shard of a job.
 //
-// It owns the jobs (through the log of their shard), the layout of the shards, the
-// ledger of waiting tokens, and what leaders lend of tenants' limits; on the leader of a
-// shard also the runs of its items. It relies on shardhost for the replicas, on package
-// queue for what commands mean, on the platform's store for member sets only, and on an
-// Executor for the sending of items to runners.
+// The package owns the jobs (through the log of their shard), the layout of the shards,
+// the ledger of waiting tokens and the allotments of tenants' limits that leaders grant.
+// The leader of a shard also runs the shard's items. Package shardhost runs the replicas,
+// package queue defines the commands, the platform's store holds only the member sets, and
+// an Executor sends items to runners.
 package queuestore
 
 import (
@@ -31,71 +31,72 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Work is one item to be run.
+// Work describes one run of an item.
 type Work struct {
 	Key   queue.ItemKey
 	Host  string
 	Route string
-	// Tenant is whose job it is of; empty where there are no tenants.
+	// Tenant is the owner of the job; empty if the deployment has no tenants.
 	Tenant string
 	Item   *wirev1.QueueItem
 	Output queue.ItemOutput
 	Due    time.Time
-	// Slack is the time to spare at the start of the run; negative if the item
-	// will be late.
+	// Slack is the time to spare until the item's due time when the run starts; it is
+	// negative if the item will be late.
 	Slack    time.Duration
 	Failures int
-	// Save keeps what the run has produced so far; the run may be ended any time.
+	// Save records the output produced so far, so that a later run can continue from it.
 	Save func(output queue.ItemOutput)
-	// FullService is set by an executor that found no free slot there for the item.
+	// FullService is set by the executor to the service that had no free slot.
 	FullService string
 }
 
-// Outcome is what came of a run.
+// Outcome is the result of a run.
 type Outcome struct {
-	// Done: Output is whole. Dead: the item can never be done.
+	// Done reports that Output is complete, Dead that the item can never succeed.
 	Done, Dead bool
-	// Failed: the runner's own failure, which counts as an attempt; Attempts is
-	// how many the route allows.
+	// Failed reports a failure of the runner, which counts as an attempt. Attempts is
+	// the number of attempts that the route allows.
 	Failed   bool
 	Attempts int
-	// Output is what is known of the output, for the next run.
+	// Output is the output so far; the next run continues from it.
 	Output queue.ItemOutput
-	// Wait is how long to wait before the next run.
-	Wait time.Duration
-	// Events and Took are what the run made and how long it worked.
-	Events int64
-	Took   time.Duration
-	Reason string
+	// RetryDelay is the time to wait before the next run.
+	RetryDelay time.Duration
+	// Events is the number of events that the run produced, Duration its running time.
+	Events   int64
+	Duration time.Duration
+	Reason   string
 }
 
 // Executor runs items at runners.
 type Executor interface {
-	// TryStart starts an item if a runner has a free slot for it, and calls done once
-	// when the run has ended. It does not block. If it finds no free slot it names the
-	// service in work.FullService.
+	// TryStart starts a run if a runner has a free slot for the item, and calls done
+	// once when the run has ended. It does not block. If there is no free slot, it
+	// returns false and sets work.FullService.
 	TryStart(ctx context.Context, work *Work, done func(Outcome)) bool
 }
 
-// Retirement reports to operators how far the emptying of a node is.
+// Retirement reports to operators whether a retiring node still holds replicas.
 type Retirement interface {
 	Report(ctx context.Context, node string, done bool)
 }
 
-// StoreContact reports whether the platform's store does not answer this node.
+// StoreContact reports whether this node has lost contact to the platform's store.
 type StoreContact interface{ Lost() bool }
 
-// NodeOptions are what a node needs.
+// NodeOptions configures a StorageNode.
 type NodeOptions struct {
 	Node       string
 	Region     string
 	DiskLosses int
-	// Retention is how long after its acceptance a finished job is kept.
+	// Retention is how long a finished job is kept, counted from its acceptance.
 	Retention time.Duration
-	// LogBytes is how much of the applied log is kept for replicas that lag.
+	// LogBytes is the size of the applied log entries kept for lagging replicas, summed
+	// over all shards.
 	LogBytes uint64
-	// TruncateInterval is the time between two looks at the length of a log; zero is
-	// one second.
+	// TruncateInterval is the time between checks for log truncation; zero means one
+	// second.
 	TruncateInterval time.Duration
 	DB               *logstore.DB
 	Directory        *peers.Directory
@@ -103,37 +104,37 @@
 	Pool             *rpc.Pool
 	Store            ports.KeyValueStore
 	Contact          StoreContact
-	// Totals returns how many runners there are, if nodes know a part of them each;
-	// nil stands for not.
+	// Totals returns the numbers of runners if each node knows only a subset of them.
+	// A nil function or result means that every node knows all runners.
 	Totals func() *subset.Totals
-	// Retirement is notified what becomes of nodes that are being emptied.
+	// Retirement is notified of the progress of retiring nodes.
 	Retirement Retirement
 	Executor   Executor
-	// TenantLimit returns a tenant's limit on requests; false for one that is not
-	// known. Tolerance is by how much limits may be exceeded.
+	// TenantLimit returns a tenant's request rate limit, and false for an unknown
+	// tenant. Tolerance bounds by how much limits may be exceeded.
 	TenantLimit func(tenant string) (allotment.RateLimit, bool)
 	Tolerance   allotment.Tolerance
 	Registry    prometheus.Registerer
 }
 
-// StorageNode runs this machine's replicas.
+// StorageNode runs the queue shard replicas on this node's disk.
 type StorageNode struct {
 	NodeOptions
 
-	metrics *metrics
-	mutex   sync.Mutex
-	host    *shardhost.Host[*wirev1.QueueCommand, *queue.Applied]
-	tasks   tasks.Group
-	homes   homes
-	free    freeSpace
-	// ledgerDisk is that of the last known leader of ledgerShard.
+	metrics   *metrics
+	mutex     sync.Mutex
+	host      *shardhost.Host[*wirev1.QueueCommand, *queue.Applied]
+	tasks     tasks.Group
+	homeCache homeCache
+	freeSpace freeSpaceCache
+	// ledgerDisk is the disk of the last known leader of ledgerShard.
 	ledgerDisk string
 	context    context.Context
 	cancel     context.CancelFunc
 	draining   atomic.Bool
 }
 
-// New returns a node that does not run yet.
+// New returns a node that has not been started.
 func New(options NodeOptions) *StorageNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &StorageNode{NodeOptions: options, metrics: newMetrics(options.Registry), context: ctx, cancel: cancel}
@@ -142,30 +143,30 @@
 }
 
 type metrics struct {
-	leading   prometheus.Gauge
-	unfinish  prometheus.Gauge
-	persists  prometheus.Histogram
-	jobs      *prometheus.CounterVec
-	results   *prometheus.CounterVec
-	runs      *prometheus.CounterVec
-	handOvers *prometheus.CounterVec
+	leading         prometheus.Gauge
+	unfinished      prometheus.Gauge
+	persistDuration prometheus.Histogram
+	jobs            *prometheus.CounterVec
+	results         *prometheus.CounterVec
+	runs            *prometheus.CounterVec
+	handOvers       *prometheus.CounterVec
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
 	m := &metrics{
-		leading:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_queue_shards_leading", Help: "Queue shards this node leads."}),
-		unfinish:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_queue_items_unfinished", Help: "Accepted items without a result, on the leader."}),
-		persists:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_queue_persist_seconds", Help: "Time of one durable write.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 13)}),
-		jobs:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_jobs_total", Help: "Submissions by outcome."}, []string{"outcome"}),
-		results:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_results_total", Help: "Listed results by kind."}, []string{"kind"}),
-		runs:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_runs_total", Help: "Ended runs of items by reason."}, []string{"reason"}),
-		handOvers: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_handovers_total", Help: "Member set changes driven here by outcome."}, []string{"outcome"}),
+		leading:         prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_queue_shards_leading", Help: "Queue shards this node leads."}),
+		unfinished:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_queue_items_unfinished", Help: "Accepted items without a result, on the leader."}),
+		persistDuration: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_queue_persist_seconds", Help: "Time of one durable write.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 13)}),
+		jobs:            prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_jobs_total", Help: "Submissions by outcome."}, []string{"outcome"}),
+		results:         prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_results_total", Help: "Listed results by kind."}, []string{"kind"}),
+		runs:            prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_runs_total", Help: "Ended runs of items by reason."}, []string{"reason"}),
+		handOvers:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_queue_handovers_total", Help: "Member set changes driven here by outcome."}, []string{"outcome"}),
 	}
-	registry.MustRegister(m.leading, m.unfinish, m.persists, m.jobs, m.results, m.runs, m.handOvers)
+	registry.MustRegister(m.leading, m.unfinished, m.persistDuration, m.jobs, m.results, m.runs, m.handOvers)
 	return m
 }
 
-// Handle registers the node's calls.
+// Handle registers the node's RPC handlers.
 func (n *StorageNode) Handle(server *rpc.Server) {
 	n.host.Handle(server)
 	server.Handle(wirev1.Method_METHOD_QUEUE_SUBMIT, n.serveSubmit)
@@ -176,18 +177,18 @@
 	server.Handle(wirev1.Method_METHOD_ALLOTMENT, n.serveAllotment)
 }
 
-// Start starts the shards the disk holds, before the platform's store is
-// asked: elections need only the shards' own replicas.
+// Start starts the replicas on the disk without waiting for the platform's store:
+// elections need only the replicas themselves.
 func (n *StorageNode) Start() error {
 	if err := n.host.Restore(); err != nil {
 		return trace.Wrap(err)
 	}
 	n.tasks.Go(func() { n.layoutLoop(n.context) })
-	n.tasks.Go(func() { n.limitsLoop(n.context) })
+	n.tasks.Go(func() { n.reportLoop(n.context) })
 	return nil
 }
 
-// shard returns a shard that has a replica here, nil if it has none.
+// shard returns the local replica of a shard, or nil if there is none.
 func (n *StorageNode) shard(id uint32) *shard {
 	s := n.host.Shard(id)
 	if s == nil {
@@ -204,7 +205,8 @@
 	return list
 }
 
-// Drain hands leaderships on; the node takes no new part in changes.
+// Drain transfers leadership of all shards to other nodes. From then on the node starts
+// no items and plans no member changes.
 func (n *StorageNode) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	for _, s := range n.allShards() {
@@ -212,7 +214,7 @@
 	}
 }
 
-// Stop ends all replicas.
+// Stop stops all replicas.
 func (n *StorageNode) Stop() {
 	n.cancel()
 	n.host.Stop()
--- a/internal/batch/queuestore/placement.go
+++ b/internal/batch/queuestore/placement.go
@@ -9,18 +9,18 @@
 	"cobaltramp.example/cobaltramp/internal/batch/placement"
 )
 
-// place picks a shard's disks: those kept, then each time one of the zone that
-// zoneRank puts first.
-func (n *StorageNode) place(shard uint32, disks []*wirev1.NodeRecord, keep []string, held map[string]int) []string {
+// chooseMembers returns the members of a shard: the kept ones and then disks in the order of
+// zoneRank.
+func (n *StorageNode) chooseMembers(shard uint32, disks []*wirev1.NodeRecord, keep []string, shardsPerDisk map[string]int) []string {
 	candidates := make([]placement.Disk, 0, len(disks))
 	for _, disk := range disks {
-		candidates = append(candidates, placement.Disk{ID: disk.DiskId, Zone: disk.Zone, Shards: held[disk.DiskId]})
+		candidates = append(candidates, placement.Disk{ID: disk.DiskId, Zone: disk.Zone, Shards: shardsPerDisk[disk.DiskId]})
 	}
-	rule := placement.Rule{MemberCount: n.membersWanted(), ZoneRank: n.zoneRank}
+	rule := placement.Rule{MemberCount: n.wantedMemberCount(), ZoneRank: n.zoneRank}
 	return rule.Choose(shard, candidates, keep, n.zoneOf)
 }
 
-// zoneOf returns the zone of a known disk.
+// zoneOf returns the zone of a disk, and false if the disk is unknown.
 func (n *StorageNode) zoneOf(disk string) (string, bool) {
 	record, known := n.Directory.Disk(disk)
 	if !known {
@@ -29,11 +29,10 @@
 	return record.Zone, true
 }
 
-// zoneRank orders zones by how many of a shard's members they have, the zone to
-// take the next from first: one that has some, but fewer than may be lost, since
-// bytes between zones are dear; then one that has none. So a zone that is lost
-// takes no more members along than may be lost, and the others go on. Where there
-// are too few zones for that, the one with the fewest comes first.
+// zoneRank ranks zones by their number of members of a shard, for placement.Rule. Zones with
+// fewer members than DiskLosses, but at least one, come first, which saves traffic between
+// zones. Then come the zones with the fewest members. If there are enough zones, none has
+// more than DiskLosses members, and the shard keeps a quorum when a zone is lost.
 func (n *StorageNode) zoneRank(members int) int {
 	switch {
 	case members > 0 && members < n.DiskLosses:
@@ -43,27 +42,26 @@
 	}
 }
 
-// held counts the shards of each disk.
-func (l *Layout) held() map[string]int {
-	held := map[string]int{}
+// shardsPerDisk returns the number of shards on each disk.
+func (l *Layout) shardsPerDisk() map[string]int {
+	shardsPerDisk := map[string]int{}
 	if l == nil {
-		return held
+		return shardsPerDisk
 	}
 	for _, config := range l.Shards {
 		for _, member := range config.Members {
-			held[member]++
+			shardsPerDisk[member]++
 		}
 	}
-	return held
+	return shardsPerDisk
 }
 
-// sparesAsked is how many disks that may take a member's place are asked at once
-// whether they answer.
-const sparesAsked = 4
+// maxProbedSpares bounds the number of spare disks that are probed at once.
+const maxProbedSpares = 4
 
-// askForSpares has some disks asked that may take the place of members of a shard:
-// in a large fleet few others report to a node without a reason.
-func (n *StorageNode) askForSpares(shard uint32, members []string, now time.Time) {
+// probeSpares requests probes of some disks that could replace members of a shard. It is
+// needed in a large fleet, where each node is in contact with few others.
+func (n *StorageNode) probeSpares(shard uint32, members []string, now time.Time) {
 	if !n.Directory.Large() {
 		return
 	}
@@ -73,16 +71,16 @@
 	sort.Slice(disks, func(i, j int) bool {
 		return placement.Weight(shard, disks[i].DiskId) > placement.Weight(shard, disks[j].DiskId)
 	})
-	for _, disk := range disks[:min(sparesAsked, len(disks))] {
+	for _, disk := range disks[:min(maxProbedSpares, len(disks))] {
 		n.Directory.RequestProbe(disk.NodeId, now)
 	}
 }
 
-// liveDisks are usable disks whose nodes answer.
+// liveDisks returns the usable disks whose nodes have responded recently.
 func (n *StorageNode) liveDisks(now time.Time) []*wirev1.NodeRecord {
 	var live []*wirev1.NodeRecord
 	for _, disk := range n.usableDisks() {
-		if n.Directory.InContactWithin(disk.NodeId, now, lostDiskTime) {
+		if n.Directory.InContactWithin(disk.NodeId, now, unresponsiveDiskTimeout) {
 			live = append(live, disk)
 		}
 	}
--- a/internal/batch/queuestore/preference.go
+++ b/internal/batch/queuestore/preference.go
@@ -6,27 +6,27 @@
 	"k8s.io/klog/v2"
 )
 
-// preferInterval is how often a leader looks whether its shard's first member
+// preferenceCheckInterval is the time between two checks of whether the shard's first member
 // should lead instead.
-const preferInterval = 2 * time.Second
+const preferenceCheckInterval = 2 * time.Second
 
-// tickPreference hands leadership on to the first member, so that each disk
-// leads about as many shards as the others, while no run would be interrupted.
-func (s *shard) tickPreference(now time.Time) {
+// transferToPreferredLeader transfers leadership to the shard's first member, which balances
+// leadership over the disks. It does nothing while a run would be interrupted.
+func (s *shard) transferToPreferredLeader(now time.Time) {
 	l := s.leader
 	config := s.Replica.MemberSet()
-	if l == nil || !l.suspended.IsZero() || len(l.runs) > 0 || len(config.Members) == 0 || now.Sub(l.preferred) < preferInterval {
+	if l == nil || !l.suspendedAt.IsZero() || len(l.runs) > 0 || len(config.Members) == 0 || now.Sub(l.preferenceCheckedAt) < preferenceCheckInterval {
 		return
 	}
-	l.preferred = now
+	l.preferenceCheckedAt = now
 	if s.node.shardCount() < 2 {
-		return // one shard is led where it is
+		return // a single shard needs no balancing
 	}
 	first := config.Members[0]
-	if first == s.Disk || s.HandingOver() || s.standing(now, first) != standingGood {
+	if first == s.Disk || s.HandingOver() || s.memberStatus(now, first) != statusHealthy {
 		return
 	}
 	if s.Replica.TransferLeadership(now, func(member string) bool { return member == first }) {
-		klog.InfoS("leadership offered to the first member", "shard", s.ID, "disk", first)
+		klog.InfoS("leadership transfer to the first member started", "shard", s.ID, "disk", first)
 	}
 }
--- a/internal/batch/queuestore/replicas.go
+++ b/internal/batch/queuestore/replicas.go
@@ -6,8 +6,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// sendReplica sends one message between replicas. All go by one link, so that
-// a heartbeat does not overtake the entries before it; any may be lost.
+// sendReplica sends a message to another replica. All messages use the same connection
+// class, so that a heartbeat does not overtake earlier entries. Messages may be lost.
 func (n *StorageNode) sendReplica(message *wirev1.ReplicaMessage) {
 	record, known := n.Directory.Disk(message.To)
 	if !known {
@@ -20,7 +20,7 @@
 	n.Pool.Notify(record.Address, rpc.ClassBulk, wirev1.Method_METHOD_REPLICA, batch)
 }
 
-// peer returns the node that has a disk.
+// peer returns the node that has the given disk, and false if the disk is unknown.
 func (n *StorageNode) peer(disk string) (shardhost.Peer, bool) {
 	record, known := n.Directory.Disk(disk)
 	if !known {
--- a/internal/batch/queuestore/retention.go
+++ b/internal/batch/queuestore/retention.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// retainInterval is the time between two looks for jobs past their retention.
-	retainInterval = 5 * time.Second
-	// retainLimit bounds the jobs that one command drops.
-	retainLimit = 64
+	// retentionCheckInterval is the time between two searches for expired jobs.
+	retentionCheckInterval = 5 * time.Second
+	// maxDropsPerCommand bounds the jobs that one command drops.
+	maxDropsPerCommand = 64
 )
 
-// retain proposes to drop jobs past their retention that have nothing open.
-func (s *shard) retain(now time.Time) {
+// dropExpiredJobs proposes to drop jobs that are past their retention and have no unfinished
+// items.
+func (s *shard) dropExpiredJobs(now time.Time) {
 	l := s.leader
-	if now.Sub(l.retained) < retainInterval {
+	if now.Sub(l.retentionCheckedAt) < retentionCheckInterval {
 		return
 	}
-	l.retained = now
+	l.retentionCheckedAt = now
 	before := now.Add(-s.node.Retention).UnixMilli()
 	var old []string
-	for job, taken := range l.taken {
-		if taken < before && !l.table.Open(job) && len(old) < retainLimit {
+	for job, acceptedAt := range l.acceptedAt {
+		if acceptedAt < before && !l.table.Open(job) && len(old) < maxDropsPerCommand {
 			old = append(old, job)
 		}
 	}
 	if len(old) > 0 {
-		klog.InfoS("jobs past their retention dropped", "shard", s.ID, "jobs", len(old))
+		klog.InfoS("dropping jobs past their retention", "shard", s.ID, "jobs", len(old))
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Drop{Drop: &wirev1.QueueDrop{JobIds: old}}})
 	}
 }
--- a/internal/batch/queuestore/rounds.go
+++ b/internal/batch/queuestore/rounds.go
@@ -8,34 +8,34 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// rounds coalesces those who wait for a confirmation of a shard's leader, so that
-// one round serves all who came within a moment. A round that begins after a
-// decision was made proves that its maker led at that time.
-type rounds struct {
+// confirmations batches leadership confirmations of a shard, so that one quorum round serves
+// all callers within confirmationDelay. A round that begins after a decision proves that
+// the replica led when it made the decision.
+type confirmations struct {
 	mutex sync.Mutex
-	next  *round
+	next  *confirmation
 }
 
-// round is one confirmation that has not begun yet, or is on its way.
-type round struct {
+// confirmation is one round, either pending or in progress.
+type confirmation struct {
 	done chan struct{}
 	err  error
 }
 
 const (
-	// roundDelay is how long those who wait are collected: it comes on top of each
-	// request that asks for a credit, and should be no more than a round takes
-	// itself, one or two milliseconds between zones.
-	roundDelay = 2 * time.Millisecond
-	// roundTimeout bounds one round.
-	roundTimeout = 500 * time.Millisecond
+	// confirmationDelay is how long callers are collected before a round begins. It adds
+	// to the latency of each request for credits, so it is no longer than a round trip
+	// between zones.
+	confirmationDelay = 2 * time.Millisecond
+	// confirmationTimeout bounds one round.
+	confirmationTimeout = 500 * time.Millisecond
 )
 
-// confirmTogether confirms that this replica leads, in one round with others
-// that ask within a moment.
-func (s *shard) confirmTogether(ctx context.Context) error {
-	joined := s.rounds.join(func(begun *round) {
-		ctx, cancel := context.WithTimeout(s.node.context, roundTimeout)
+// confirmBatched confirms that this replica leads, sharing one round with concurrent
+// callers.
+func (s *shard) confirmBatched(ctx context.Context) error {
+	joined := s.confirmations.join(func(begun *confirmation) {
+		ctx, cancel := context.WithTimeout(s.node.context, confirmationTimeout)
 		defer cancel()
 		begun.err = s.Confirm(ctx)
 		close(begun.done)
@@ -48,16 +48,17 @@
 	}
 }
 
-// join returns the next round, and has it run after roundDelay if it is new.
-func (r *rounds) join(run func(*round)) *round {
+// join returns the pending round. If there is none, it creates one and runs it after
+// confirmationDelay.
+func (r *confirmations) join(run func(*confirmation)) *confirmation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.next == nil {
-		begun := &round{done: make(chan struct{})}
+		begun := &confirmation{done: make(chan struct{})}
 		r.next = begun
-		time.AfterFunc(roundDelay, func() {
+		time.AfterFunc(confirmationDelay, func() {
 			r.mutex.Lock()
-			r.next = nil // who decides from now on needs a later one
+			r.next = nil // later decisions need a new round
 			r.mutex.Unlock()
 			run(begun)
 		})
--- a/internal/batch/queuestore/rounds_test.go
+++ b/internal/batch/queuestore/rounds_test.go
@@ -7,16 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// Who joins before a round begins is served by it, who joins later by another:
-// a round that has begun proves nothing of what is decided now.
-func TestRoundsServeThoseWhoCameBefore(t *testing.T) {
+// A round serves the callers that joined before it began; later callers get a new round.
+func TestConfirmationServesEarlierCallersOnly(t *testing.T) {
 	is := is.New(t)
-	var r rounds
+	var r confirmations
 	var mutex sync.Mutex
 	runs := 0
 	release := make(chan struct{})
 	began := make(chan struct{}, 2)
-	run := func(begun *round) {
+	run := func(begun *confirmation) {
 		mutex.Lock()
 		runs++
 		mutex.Unlock()
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// giveUpSlack covers clocks that disagree or jump.
-	giveUpSlack = 6 * time.Second
-	// startsPerTick bounds the items that one look at the table starts.
-	startsPerTick = 32
-	// refusalsPerTick bounds the items tried in vain: those behind may be of a
-	// service that has free slots.
-	refusalsPerTick = 8
-	// fullPause is how long no item is tried at a service that had no free slot, unless
-	// a run of this shard ends: nodes report their load to each other that often
-	// (loadshare). To try an item its body is read and all runners are weighed.
-	fullPause = 60 * time.Millisecond
-	// missingBodyPause is how long an item waits whose body could not be read.
-	missingBodyPause = time.Second
+	// expirySlack delays the expiry of items to tolerate clock skew and clock jumps.
+	expirySlack = 6 * time.Second
+	// maxStartsPerTick bounds the runs started per tick.
+	maxStartsPerTick = 32
+	// maxRefusalsPerTick bounds the failed attempts to start a run per tick. It is more
+	// than one because later items may be for a service that has free slots.
+	maxRefusalsPerTick = 8
+	// fullServicePause is how long a service without a free slot is not tried again,
+	// unless a run of this shard ends. It matches the interval at which nodes exchange
+	// their load (package loadshare). Each try reads the item's body and evaluates all
+	// runners, which is expensive.
+	fullServicePause = 60 * time.Millisecond
+	// missingBodyRetryDelay is the delay before an item is tried again whose body could
+	// not be read.
+	missingBodyRetryDelay = time.Second
 )
 
 func (s *shard) startReady(now time.Time) {
 	l := s.leader
 	started, refused := 0, 0
 	for _, entry := range l.table.Ready(now) {
-		if started >= startsPerTick || refused >= refusalsPerTick || s.node.draining.Load() {
+		if started >= maxStartsPerTick || refused >= maxRefusalsPerTick || s.node.draining.Load() {
 			return
 		}
-		if now.Before(l.full[entry.Service]) {
+		if now.Before(l.fullUntil[entry.Service]) {
 			continue
 		}
-		if s.start(entry) {
+		if s.startRun(entry) {
 			started++
 		} else {
 			refused++
@@ -44,14 +46,14 @@
 	}
 }
 
-// start begins a run of an item. It reports false if no runner has a free slot.
-func (s *shard) start(entry *queue.ItemEntry) bool {
+// startRun starts a run of an item. It returns false if no runner has a free slot.
+func (s *shard) startRun(entry *queue.ItemEntry) bool {
 	l := s.leader
 	view := s.Store.View()
 	item, err := queue.Item(view, entry.Key.Job, entry.Key.Number)
 	if err != nil || item == nil {
-		klog.ErrorS(err, "item's body is missing", "shard", s.ID, "job", entry.Key.Job, "item", entry.ID)
-		l.table.Return(entry.Key, entry.Output, false, time.Now().Add(missingBodyPause))
+		klog.ErrorS(err, "item body cannot be read", "shard", s.ID, "job", entry.Key.Job, "item", entry.ID)
+		l.table.Return(entry.Key, entry.Output, false, time.Now().Add(missingBodyRetryDelay))
 		return true
 	}
 	record, err := queue.Record(view, entry.Key.Job)
@@ -62,16 +64,16 @@
 	key := entry.Key
 	work := &Work{Key: key, Host: record.Host, Route: record.Route, Tenant: record.Tenant, Item: item, Output: entry.Output, Due: entry.Due, Slack: l.table.Slack(entry, time.Now()), Failures: entry.Failures}
 	work.Save = func(output queue.ItemOutput) {
-		// A run that has ended meanwhile has nothing to keep: its outcome has all of it.
-		_ = s.RunInLoop(ctx, func() { s.noteProgress(l, key, item.Id, output) })
+		// If the run has ended, its outcome contains the complete progress.
+		_ = s.RunInLoop(ctx, func() { s.recordProgress(l, key, item.Id, output) })
 	}
 	if !s.node.Executor.TryStart(ctx, work, func(outcome Outcome) {
 		cancel()
-		s.runIfRunning(func() { s.ended(l, key, work, outcome) })
+		s.runIfRunning(func() { s.runEnded(l, key, work, outcome) })
 	}) {
 		cancel()
 		if entry.Service = work.FullService; entry.Service != "" {
-			l.full[entry.Service] = time.Now().Add(fullPause)
+			l.fullUntil[entry.Service] = time.Now().Add(fullServicePause)
 		}
 		return false
 	}
@@ -80,48 +82,49 @@
 	return true
 }
 
-// noteProgress takes what a run has produced, to be kept in the log.
-func (s *shard) noteProgress(l *leadership, key queue.ItemKey, item string, output queue.ItemOutput) {
+// recordProgress records the output of a run, to be proposed by proposeProgress.
+func (s *shard) recordProgress(l *leadership, key queue.ItemKey, item string, output queue.ItemOutput) {
 	if s.leader == l && l.table.Entry(key) != nil && l.decided[key] == nil {
 		l.saves.Note(key, item, output, time.Now())
 	}
 }
 
-// proposeSaves proposes to keep what runs have produced.
-func (s *shard) proposeSaves(now time.Time) {
+// proposeProgress proposes to save the recorded progress that is due.
+func (s *shard) proposeProgress(now time.Time) {
 	if due := s.leader.saves.Due(s.leader.table, now); due != nil {
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: due}})
 	}
 }
 
-// ended takes what came of a run.
-func (s *shard) ended(l *leadership, key queue.ItemKey, work *Work, outcome Outcome) {
+// runEnded processes the outcome of a run.
+func (s *shard) runEnded(l *leadership, key queue.ItemKey, work *Work, outcome Outcome) {
 	s.node.metrics.runs.WithLabelValues(outcome.Reason).Inc()
 	if s.leader != l {
 		return
 	}
 	delete(l.runs, key)
-	clear(l.full)
+	clear(l.fullUntil)
 	if l.table.Entry(key) == nil {
 		return
 	}
 	if outcome.Done {
-		l.table.Observe(l.table.Entry(key), outcome.Events, outcome.Took)
+		l.table.Observe(l.table.Entry(key), outcome.Events, outcome.Duration)
 	}
 	final := outcome.Done || outcome.Dead || outcome.Failed && work.Failures+1 >= outcome.Attempts
 	if !final {
-		s.noteProgress(l, key, work.Item.Id, outcome.Output)
-		l.table.Return(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.Wait))
+		s.recordProgress(l, key, work.Item.Id, outcome.Output)
+		l.table.Return(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.RetryDelay))
 		return
 	}
 	klog.InfoS("item decided", "job", key.Job, "item", work.Item.Id, "done", outcome.Done, "reason", outcome.Reason, "failures", work.Failures, "bytes", len(outcome.Output.Text))
-	s.list(key, work.Item.Id, !outcome.Done, outcome.Output)
+	s.proposeResult(key, work.Item.Id, !outcome.Done, outcome.Output)
 }
 
-// list proposes an item's result. Until it is applied the item counts as
-// running, so it is not started again; the whole is kept in case that what was
-// on its way did not come there.
-func (s *shard) list(key queue.ItemKey, item string, dead bool, output queue.ItemOutput) {
+// proposeResult proposes an item's result. The item counts as running until the result is
+// applied, so that it is not started again. If progress was proposed before, the proposal
+// contains only the rest of the output; the complete result is kept in case that progress
+// was not committed.
+func (s *shard) proposeResult(key queue.ItemKey, item string, dead bool, output queue.ItemOutput) {
 	l := s.leader
 	whole := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.LastEventID, Text: output.Text}
 	if dead {
@@ -129,7 +132,7 @@
 	}
 	l.decided[key] = whole
 	l.saves.Drop(key)
-	if !l.suspended.IsZero() {
+	if !l.suspendedAt.IsZero() {
 		return
 	}
 	result := whole
@@ -139,11 +142,11 @@
 	s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{result}}}})
 }
 
-func (s *shard) giveUpExpired(now time.Time) {
-	for _, entry := range s.leader.table.Expired(now.Add(-giveUpSlack)) {
+func (s *shard) expireItems(now time.Time) {
+	for _, entry := range s.leader.table.Expired(now.Add(-expirySlack)) {
 		klog.InfoS("item given up", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
-		entry.GiveUp = now.Add(giveUpSlack) // proposed once in a while, until applied
-		s.list(entry.Key, entry.ID, true, queue.ItemOutput{})
+		entry.GiveUp = now.Add(expirySlack) // proposed again after this time unless applied
+		s.proposeResult(entry.Key, entry.ID, true, queue.ItemOutput{})
 	}
 }
 
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -13,14 +13,14 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// retryAfter is when a refused submission may fit.
-const retryAfter = 500 * time.Millisecond
+// tokenLimitRetryAfter is the retry delay sent with submissions over the token limit.
+const tokenLimitRetryAfter = 500 * time.Millisecond
 
-// diskFullAfter is when a submission may fit that did not fit on the disk.
-const diskFullAfter = time.Second
+// diskFullRetryAfter is the retry delay sent with submissions that do not fit on a disk.
+const diskFullRetryAfter = time.Second
 
-// serving finds the shard of a job if this node may lead it.
-func (n *StorageNode) serving(job string) (*shard, error) {
+// shardForJob returns the local replica of a job's shard and ends the shard's idle state.
+func (n *StorageNode) shardForJob(job string) (*shard, error) {
 	layout := n.Layouts.Current()
 	if layout == nil {
 		return nil, result.New(result.NotReady, "no queue layout is known yet")
@@ -33,21 +33,21 @@
 	return nil, result.New(result.NotLeader, "shard %d is not here", id)
 }
 
-// ShardOf returns the shard of a job: jobs are spread over all disks, and every
-// node finds one by its id alone.
+// ShardOf returns the shard of a job. It depends only on the job's id and the number of
+// shards, so every node finds the same shard.
 func ShardOf(job string, shards int) uint32 { return uint32(placement.Weight(0, job) % uint64(shards)) }
 
-// serveSubmit takes a job. A job taken before is known whatever the limit is.
+// serveSubmit accepts a job. Resubmitting an accepted job succeeds regardless of limits.
 func (n *StorageNode) serveSubmit(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueSubmitRequest
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.serving(request.Job.Id)
+	s, err := n.shardForJob(request.Job.Id)
 	if err != nil {
 		return err
 	}
-	reply, err := s.take(ctx, &request)
+	reply, err := s.submit(ctx, &request)
 	outcome := "taken"
 	if err != nil {
 		outcome = result.CodeOf(err).String()
@@ -62,7 +62,7 @@
 	return stream.Send(reply)
 }
 
-func (s *shard) take(ctx context.Context, request *wirev1.QueueSubmitRequest) (*wirev1.QueueSubmitReply, error) {
+func (s *shard) submit(ctx context.Context, request *wirev1.QueueSubmitRequest) (*wirev1.QueueSubmitReply, error) {
 	job := request.Job
 	want := reservation{account: queue.TokenAccount{Tenant: job.Tenant, Route: job.Route}, limit: request.MaxWaitingTokens}
 	for _, item := range job.Items {
@@ -79,60 +79,62 @@
 		}
 		return &wirev1.QueueSubmitReply{Known: true}, nil
 	}
-	if err := s.reserveOverAll(ctx, &want); err != nil {
-		s.unreserve(&want)
+	if err := s.reserveOverAllShards(ctx, &want); err != nil {
+		s.releaseReservation(&want)
 		return nil, err
 	}
 	job.AcceptedUnixMs = time.Now().UnixMilli()
 	command := &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Accept{Accept: job}}
-	applied, err := s.ProposeWithCallback(ctx, command, func() { s.unreserve(&want) })
+	applied, err := s.ProposeWithCallback(ctx, command, func() { s.releaseReservation(&want) })
 	if err != nil {
 		return nil, err
 	}
 	return &wirev1.QueueSubmitReply{Known: applied.Known}, nil
 }
 
-// reservation is what a submission takes until it is applied or dropped.
+// reservation holds the tokens and bytes of a submission until it is applied or dropped.
 type reservation struct {
 	account queue.TokenAccount
 	tokens  uint64
 	bytes   int
-	// limit of the account's waiting tokens; 0 is none.
+	// limit bounds the account's waiting tokens; 0 means no limit.
 	limit uint64
-	// below: what waits here with it is below the shard's floor.
-	below bool
-	// holder is the leadership that counts it; gone is set when it is no more.
-	holder *leadership
-	gone   bool
+	// belowFloor reports that the tokens waiting in this shard, including this submission,
+	// do not exceed the shard's floor, so the ledger need not be asked.
+	belowFloor bool
+	// reservedBy is the leadership that counts the reservation; leadershipLost is set
+	// when that leadership has ended.
+	reservedBy     *leadership
+	leadershipLost bool
 }
 
-// reserve counts a submission against its account's limit and the disks' free
-// space until it is applied. It reports true for a job that is known already.
+// reserve counts a submission against its account's limit and the disks' free space until
+// the submission is applied. It returns true if the job has been accepted before.
 func (s *shard) reserve(ctx context.Context, job string, want *reservation) (bool, error) {
 	var known bool
 	var refused error
 	err := s.RunInLoop(ctx, func() {
 		l := s.leader
-		if l == nil || !l.suspended.IsZero() || !s.Replica.Serving() {
+		if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
 			refused = result.New(result.NotLeader, "shard %d is not led here", s.ID)
 			return
 		}
-		if _, known = l.taken[job]; known {
+		if _, known = l.acceptedAt[job]; known {
 			return
 		}
-		waiting := l.table.Waiting(want.account) + l.accepting[want.account]
+		waiting := l.table.Waiting(want.account) + l.pendingTokens[want.account]
 		if want.limit > 0 && waiting+want.tokens > want.limit {
 			refused = tooManyTokens(want, waiting)
 			return
 		}
-		if !s.fits(want.bytes + l.acceptingBytes) {
-			refused = result.New(result.StoreFull, "a disk of shard %d has no room: %d bytes come, the job has %d", s.ID, l.acceptingBytes, want.bytes).WithRetryAfter(diskFullAfter)
+		if !s.fits(want.bytes + l.pendingBytes) {
+			refused = result.New(result.StoreFull, "a disk of shard %d has no room: %d bytes come, the job has %d", s.ID, l.pendingBytes, want.bytes).WithRetryAfter(diskFullRetryAfter)
 			return
 		}
-		want.holder = l
-		want.below = waiting+want.tokens <= queue.Floor(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
-		l.accepting[want.account] += want.tokens
-		l.acceptingBytes += want.bytes
+		want.reservedBy = l
+		want.belowFloor = waiting+want.tokens <= queue.Floor(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
+		l.pendingTokens[want.account] += want.tokens
+		l.pendingBytes += want.bytes
 	})
 	if err != nil {
 		return false, err
@@ -141,64 +143,65 @@
 }
 
 func tooManyTokens(want *reservation, waiting uint64) error {
-	return result.New(result.TenantTokens, "%d tokens wait on route %s of tenant %q, the job has %d, allowed are %d", waiting, want.account.Route, want.account.Tenant, want.tokens, want.limit).WithRetryAfter(retryAfter)
+	return result.New(result.TenantTokens, "%d tokens wait on route %s of tenant %q, the job has %d, allowed are %d", waiting, want.account.Route, want.account.Tenant, want.tokens, want.limit).WithRetryAfter(tokenLimitRetryAfter)
 }
 
-// reserveOverAll asks the ledger of waiting tokens whether a submission fits, and
-// waits a moment for one that knows enough.
-func (s *shard) reserveOverAll(ctx context.Context, want *reservation) error {
-	if want.limit == 0 || want.below || s.node.shardCount() < 2 {
+// reserveOverAllShards asks the ledger whether a submission fits within the limit over all
+// shards. It retries for up to ledgerRetryTimeout while the ledger is unavailable or
+// incomplete.
+func (s *shard) reserveOverAllShards(ctx context.Context, want *reservation) error {
+	if want.limit == 0 || want.belowFloor || s.node.shardCount() < 2 {
 		return nil
 	}
-	for until := time.Now().Add(ledgerWaitLimit); ; time.Sleep(ledgerPause) {
-		reply, err := s.askLedgerForTokens(ctx, want)
+	for until := time.Now().Add(ledgerRetryTimeout); ; time.Sleep(ledgerRetryInterval) {
+		reply, err := s.requestTokens(ctx, want)
 		if err == nil && !reply.Granted {
 			return tooManyTokens(want, reply.Waiting)
 		}
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(until) || ctx.Err() != nil || want.gone {
+		if time.Now().After(until) || ctx.Err() != nil || want.leadershipLost {
 			return result.New(result.StoreUnavailable, "the limit of route %s can't be asked for: %v", want.account.Route, err)
 		}
 	}
 }
 
-// askLedgerForTokens asks once. Each question has a report of its own: what the ledger
-// took of the one before may be given back already.
-func (s *shard) askLedgerForTokens(ctx context.Context, want *reservation) (*wirev1.QueueReserveReply, error) {
+// requestTokens sends one request to the ledger. Each request carries a new report,
+// because the ledger may already have released the tokens of an earlier request.
+func (s *shard) requestTokens(ctx context.Context, want *reservation) (*wirev1.QueueReserveReply, error) {
 	var request *wirev1.QueueReserveRequest
 	err := s.RunInLoop(ctx, func() {
-		if s.leader == want.holder {
-			request = s.report()
+		if s.leader == want.reservedBy {
+			request = s.nextReport()
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
 	if request == nil {
-		want.gone = true
+		want.leadershipLost = true
 		return nil, result.New(result.NotLeader, "shard %d is not led here any more", s.ID)
 	}
 	request.Tenant, request.Route, request.Tokens, request.Limit = want.account.Tenant, want.account.Route, want.tokens, want.limit
-	return s.node.askLedger(ctx, request)
+	return s.node.callLedger(ctx, request)
 }
 
-// unreserve gives back what a submission that is applied or dropped had taken.
-func (s *shard) unreserve(want *reservation) {
+// releaseReservation releases the reservation of a submission that was applied or dropped.
+func (s *shard) releaseReservation(want *reservation) {
 	s.runIfRunning(func() {
-		want.holder.accepting[want.account] -= want.tokens
-		want.holder.acceptingBytes -= want.bytes
+		want.reservedBy.pendingTokens[want.account] -= want.tokens
+		want.reservedBy.pendingBytes -= want.bytes
 	})
 }
 
-// serveRead answers what a job has listed, for sure or not at all.
+// serveRead returns the results of a job after confirming leadership.
 func (n *StorageNode) serveRead(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReadRequest
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.serving(request.JobId)
+	s, err := n.shardForJob(request.JobId)
 	if err != nil {
 		return err
 	}
@@ -209,7 +212,8 @@
 	return stream.Send(reply)
 }
 
-// read returns results, waiting for one as long as the request allows.
+// read returns the results of a job. If there are none yet, it waits for up to the time
+// that the request allows.
 func (s *shard) read(ctx context.Context, request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	until := time.Now().Add(time.Duration(request.WaitMs) * time.Millisecond)
 	for {
@@ -225,7 +229,7 @@
 		if err := s.Confirm(ctx); err != nil {
 			return nil, err
 		}
-		reply, err := s.lookUp(request)
+		reply, err := s.readResults(request)
 		if err != nil {
 			return nil, err
 		}
@@ -243,7 +247,7 @@
 	}
 }
 
-func (s *shard) lookUp(request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
+func (s *shard) readResults(request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	view := s.Store.Snapshot()
 	defer view.Close()
 	record, err := queue.Record(view, request.JobId)
@@ -259,7 +263,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.serving(request.JobId)
+	s, err := n.shardForJob(request.JobId)
 	if err != nil {
 		return err
 	}
@@ -298,7 +302,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.serving(request.JobId)
+	s, err := n.shardForJob(request.JobId)
 	if err != nil {
 		return err
 	}
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -13,45 +13,47 @@
 	"cobaltramp.example/cobaltramp/internal/batch/shardhost"
 )
 
-// hosted is a replica of a queue shard as the host of shards runs it.
+// hosted is the shardhost replica of a queue shard.
 type hosted = shardhost.Shard[*wirev1.QueueCommand, *queue.Applied]
 
-// shard is a queue shard on this node: the state machine of its jobs, and what its
-// leader does. Unless they say otherwise its methods are for the shard's goroutine.
+// shard is the local replica of a queue shard: the state machine of its jobs and, on the
+// leader, the work of the leader. Unless documented otherwise, methods must be called on
+// the shard's goroutine.
 type shard struct {
 	*hosted
 	shardhost.NoEvents
 	node *StorageNode
-	// rounds coalesces confirmations for what is lent.
-	rounds rounds
-	leader *leadership // on a serving leader only
-	log    logSize
-	// freeSpace is what members reported of their disks, in bytes.
-	freeSpace map[string]uint64
-	// needed is when the shard was last asked for anything; see setIdle.
-	needed time.Time
+	// confirmations batches the leadership confirmations for allotments.
+	confirmations confirmations
+	leader        *leadership // nil unless this replica leads or its leadership is suspended
+	log           logSize
+	// memberFreeBytes holds the free disk space that members have reported.
+	memberFreeBytes map[string]uint64
+	// lastUsed is the time of the last request or proposal; see setIdle.
+	lastUsed time.Time
 }
 
 var _ shardhost.Application[*wirev1.QueueCommand, *queue.Applied] = (*shard)(nil)
 
 const (
-	// keepEntries of the log stay for followers that lag, or as many bytes as the
-	// disk has for it; a follower further behind gets a snapshot.
-	keepEntries      = 4000
+	// retainedEntries is the number of applied log entries kept for lagging followers,
+	// unless they exceed the bytes that the disk has for the log. A follower that lags
+	// further behind receives a snapshot.
+	retainedEntries  = 4000
 	truncateInterval = time.Second
 	snapshotTimeout  = time.Minute
 )
 
-// timing suits a few shards on near machines.
-func timing() replica.ElectionTiming {
+// electionTiming returns the heartbeat interval and election timeout of queue shards.
+func electionTiming() replica.ElectionTiming {
 	return replica.ElectionTiming{Heartbeat: 80 * time.Millisecond, Election: 350 * time.Millisecond}
 }
 
-// newHost returns the host of this node's shards.
+// newHost returns the shardhost.Host of this node's replicas.
 func (n *StorageNode) newHost() *shardhost.Host[*wirev1.QueueCommand, *queue.Applied] {
 	options := shardhost.HostOptions{
-		DB: n.DB, Pool: n.Pool, Timing: timing(), Peer: n.peer, Send: n.sendReplica,
-		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTimes,
+		DB: n.DB, Pool: n.Pool, Timing: electionTiming(), Peer: n.peer, Send: n.sendReplica,
+		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTiming,
 		DeclineSnapshots: true, BatchLoopCalls: true,
 	}
 	return shardhost.New(n.context, options, func(s *hosted) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
@@ -59,11 +61,11 @@
 	})
 }
 
-// runIfRunning runs a function on the shard's goroutine and waits for it, unless the
-// shard or the node has stopped: what the function would change has ended then too. It
-// is for any other goroutine.
+// runIfRunning runs a function on the shard's goroutine and waits for it. It does nothing if
+// the shard or the node has stopped, because the state that the function would change is
+// gone. It must not be called on the shard's goroutine.
 func (s *shard) runIfRunning(call func()) {
-	_ = s.RunInLoop(s.node.context, call) // fails only then
+	_ = s.RunInLoop(s.node.context, call) // fails only if the shard or the node has stopped
 }
 
 // Apply implements shardhost.StateMachine.
@@ -72,7 +74,7 @@
 }
 
 // Applied implements shardhost.StateMachine.
-func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.Applied) { s.noteApplied(applied) }
+func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.Applied) { s.recordApplied(applied) }
 
 // BeforeTick implements shardhost.LeaderWork.
 func (s *shard) BeforeTick(time.Time) {}
@@ -84,13 +86,13 @@
 }
 
 // Proposed implements shardhost.LogPolicy.
-func (s *shard) Proposed([][]byte, bool) { s.needed = time.Now() }
+func (s *shard) Proposed([][]byte, bool) { s.lastUsed = time.Now() }
 
 // Persisted implements shardhost.LogPolicy.
 func (s *shard) Persisted(ready *replica.Ready, took time.Duration) {
-	s.node.metrics.persists.Observe(took.Seconds())
+	s.node.metrics.persistDuration.Observe(took.Seconds())
 	if ready.TruncateFrom > 0 {
-		s.log.cut(ready.TruncateFrom)
+		s.log.discardFrom(ready.TruncateFrom)
 	}
 	if len(ready.Entries) == 0 {
 		return
@@ -99,7 +101,7 @@
 	for _, entry := range ready.Entries {
 		bytes += uint64(len(entry.Command))
 	}
-	s.log.wrote(ready.Entries[len(ready.Entries)-1].Index, bytes)
+	s.log.recordWrite(ready.Entries[len(ready.Entries)-1].Index, bytes)
 }
 
 // Started implements shardhost.Events.
@@ -110,24 +112,24 @@
 
 // Failed implements shardhost.Events.
 func (s *shard) Failed(err error) {
-	klog.ErrorS(err, "queue replica stopped: its disk cannot be trusted", "shard", s.ID, "disk", s.Disk)
+	klog.ErrorS(err, "queue replica stopped: its disk is no longer trusted", "shard", s.ID, "disk", s.Disk)
 }
 
 // Received implements shardhost.Events.
 func (s *shard) Received(message *wirev1.ReplicaMessage) {
-	if message.Room > 0 { // plus one; 0 is no report
-		s.noteFreeBytes(message.From, message.Room-1)
+	if message.Room > 0 { // free bytes plus one; 0 if not reported
+		s.recordFreeBytes(message.From, message.Room-1)
 	}
 }
 
 // Dropped implements shardhost.Events.
 func (s *shard) Dropped(err error) {
-	klog.InfoS("replaced queue replica dropped", "shard", s.ID, "err", err)
+	klog.InfoS("removal of a former member's queue replica ended", "shard", s.ID, "err", err)
 }
 
 // SnapshotRequested implements shardhost.Events.
 func (s *shard) SnapshotRequested(from shardhost.Peer, index uint64) {
-	klog.InfoS("snapshot asked for", "shard", s.ID, "from", from.Node, "index", index, "applied", s.AppliedIndex())
+	klog.InfoS("snapshot requested", "shard", s.ID, "from", from.Node, "index", index, "applied", s.AppliedIndex())
 }
 
 // SnapshotReceived implements shardhost.Events.
@@ -142,10 +144,10 @@
 
 // SwapEnded implements shardhost.Events.
 func (s *shard) SwapEnded(after replica.MemberSet, committed bool, err error) {
-	klog.InfoS("member set swap", "shard", s.ID, "generation", after.Generation, "committed", committed, "err", err)
+	klog.InfoS("member set swap ended", "shard", s.ID, "generation", after.Generation, "committed", committed, "err", err)
 }
 
 // FenceEnded implements shardhost.Events.
 func (s *shard) FenceEnded(after replica.MemberSet, committed bool, err error) {
-	klog.InfoS("frozen member set fenced", "shard", s.ID, "generation", after.Generation, "attempt", after.Attempt, "committed", committed, "err", err)
+	klog.InfoS("member set fence ended", "shard", s.ID, "generation", after.Generation, "attempt", after.Attempt, "committed", committed, "err", err)
 }
--- a/internal/batch/queuestore/spread_test.go
+++ b/internal/batch/queuestore/spread_test.go
@@ -18,9 +18,9 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// Jobs lie in shards on all disks. The limit of waiting tokens holds over all
-// shards, also right after the node is lost that keeps it; with a disk lost
-// every job runs to its end.
+// Jobs are spread over several shards. The limit of waiting tokens applies to all shards
+// together, also after the node that keeps the ledger is lost, and all jobs complete after
+// the loss of a disk.
 func TestJobsAreSpreadOverAllDisks(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c", "d", "e", "f")
@@ -29,7 +29,7 @@
 	taken := map[uint32]bool{}
 	for i := range jobs {
 		id := fmt.Sprintf("job-%d", i)
-		c.eventually(id+" is taken", func() bool { return c.trySubmit(id, 1, limit) == nil })
+		c.eventually(id+" is accepted", func() bool { return c.trySubmit(id, 1, limit) == nil })
 		taken[ShardOf(id, len(c.layouts.Current().Shards))] = true
 	}
 	is.Equal(len(c.layouts.Current().Shards), 6)
@@ -40,21 +40,20 @@
 	c.wipe(keeper)
 	for range 3 {
 		err := c.trySubmit("one-too-many", 1, limit)
-		is.True(err != nil) // refused, or not known yet whether it fits
+		is.True(err != nil) // refused, or the ledger is incomplete
 	}
 	c.start(keeper)
 	c.eventually("the limit is reached again", full)
 	c.executor.setHold(false)
 	for i := range jobs {
-		c.finished(fmt.Sprintf("job-%d", i), 1)
+		c.waitFinished(fmt.Sprintf("job-%d", i), 1)
 	}
-	c.eventually("there is room again", func() bool { return c.trySubmit("one-too-many", 1, limit) == nil })
-	c.finished("one-too-many", 1)
+	c.eventually("the job fits within the limit", func() bool { return c.trySubmit("one-too-many", 1, limit) == nil })
+	c.waitFinished("one-too-many", 1)
 }
 
-// However many disks there are in however many zones, each shard has as many
-// members as wanted, of as many zones as there are, and no disk holds many more
-// shards than another.
+// For any number of disks and zones, each shard has the wanted number of members, spread
+// over as few zones as tolerate the loss of one, and the disks hold similar numbers of shards.
 func TestShardsAreSpreadEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 7).Draw(t, "zones")
@@ -69,31 +68,31 @@
 			disks = append(disks, record)
 			zoneOf[record.DiskId] = record.Zone
 		}
-		layout := n.firstLayout(disks)
+		layout := n.initialLayout(disks)
 		for _, config := range layout.Shards {
 			in := map[string]int{}
 			for _, member := range config.Members {
 				in[zoneOf[member]]++
 			}
-			want := min(len(disks), n.membersWanted())
+			want := min(len(disks), n.wantedMemberCount())
 			if len(config.Members) != want {
 				t.Fatalf("shard of %v has %d members, want %d", config.Members, len(config.Members), want)
 			}
-			// A lost zone takes no more members along than may be lost, or than it
-			// must where there are few zones; and no more zones are used than that needs.
+			// A zone has at most as many members as may be lost, or an even part if there
+			// are too few zones. No more zones are used than necessary.
 			for zone, count := range in {
 				if most := max(min(losses, perZone), (want+zones-1)/zones); count > most {
-					t.Fatalf("%d members of %v lie in %s, at most %d may", count, config.Members, zone, most)
+					t.Fatalf("%d members of %v are in %s, want at most %d", count, config.Members, zone, most)
 				}
 			}
 			if fewest := min(zones, (want+min(losses, perZone)-1)/min(losses, perZone)); len(in) != fewest {
-				t.Fatalf("shard of %v lies in %d zones, want %d", config.Members, len(in), fewest)
+				t.Fatalf("shard of %v is in %d zones, want %d", config.Members, len(in), fewest)
 			}
 		}
-		held := layout.held()
+		shardsPerDisk := layout.shardsPerDisk()
 		least, most := len(layout.Shards), 0
 		for _, disk := range disks {
-			least, most = min(least, held[disk.DiskId]), max(most, held[disk.DiskId])
+			least, most = min(least, shardsPerDisk[disk.DiskId]), max(most, shardsPerDisk[disk.DiskId])
 		}
 		if len(layout.Shards) > 1 && most-least > 2 {
 			t.Fatalf("disks hold %d to %d shards of %d", least, most, len(layout.Shards))
@@ -101,8 +100,8 @@
 	})
 }
 
-// The log is dropped by the bytes it takes: what stays is at least as much as is
-// kept, and entries that a newer leader does not have count no more.
+// Truncation leaves at least the given number of bytes, and the counted size matches the
+// entries that remain.
 func TestLogSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log logSize
@@ -116,11 +115,11 @@
 					sizes[last] = uint64(rapid.IntRange(0, 50).Draw(t, "bytes"))
 					bytes += sizes[last]
 				}
-				log.wrote(last, bytes)
+				log.recordWrite(last, bytes)
 			},
 			"drop": func(t *rapid.T) {
 				keep := uint64(rapid.IntRange(0, 100).Draw(t, "bytes"))
-				index := log.leaving(keep)
+				index := log.truncationIndex(keep)
 				if index <= base {
 					return
 				}
@@ -129,25 +128,25 @@
 					left += sizes[i]
 				}
 				if left < keep {
-					t.Fatalf("%d bytes stay, %d are to be kept", left, keep)
+					t.Fatalf("%d bytes remain, want at least %d", left, keep)
 				}
-				log.dropped(index)
+				log.discardUpTo(index)
 				base = index
 				if log.total != left {
-					t.Fatalf("%d bytes are counted, %d stay", log.total, left)
+					t.Fatalf("counted %d bytes, %d remain", log.total, left)
 				}
 			},
 		})
 	})
 }
 
-// Nodes that start while the store is down, and know no layout yet, lead what
-// their disks hold, and say that they can't keep limits.
-func TestLedWithoutALayout(t *testing.T) {
+// Nodes that start without a known layout while the store is down lead the shards on their
+// disks and refuse requests to the ledger.
+func TestShardsAreLedWithoutLayout(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.submit("one", 2)
-	c.finished("one", 2)
+	c.waitFinished("one", 2)
 	for _, name := range []string{"a", "b", "c"} {
 		c.stop(name)
 	}
@@ -157,24 +156,24 @@
 	for _, name := range []string{"a", "b", "c"} {
 		c.start(name)
 	}
-	c.eventually("one leads", func() bool { return c.leader() != "" })
+	c.eventually("a leader is elected", func() bool { return c.leader() != "" })
 	leader := c.nodes[c.leader()].node
 	is.Equal(leader.shardCount(), 0)
-	_, err := leader.reserveHere(context.Background(), &wirev1.QueueReserveRequest{Route: "route", Epoch: 1, Number: 1})
+	_, err := leader.reserveLocally(context.Background(), &wirev1.QueueReserveRequest{Route: "route", Epoch: 1, Number: 1})
 	is.True(result.Is(err, result.NotReady) || result.Is(err, result.NotLeader))
 	s := leader.shard(ledgerShard)
 	started := time.Now()
-	c.eventually("the first member was thought of", func() bool {
+	c.eventually("the preferred leader was checked", func() bool {
 		thought := false
-		_ = s.RunInLoop(context.Background(), func() { thought = s.leader == nil || s.leader.preferred.After(started) })
+		_ = s.RunInLoop(context.Background(), func() { thought = s.leader == nil || s.leader.preferenceCheckedAt.After(started) })
 		return thought
 	})
 	is.True(c.leader() != "")
 }
 
-// Each runner is the home of one live node that holds shards, in its own zone
-// where there is one; a node that holds none is nobody's home.
-func TestHomesAreOfNodesThatHoldShards(t *testing.T) {
+// The home of each runner is exactly one live node that holds shards, in the runner's zone if
+// there is one there.
+func TestHomesAreNodesThatHoldShards(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	nodes := map[string]*StorageNode{}
--- a/internal/batch/queuestore/stored_test.go
+++ b/internal/batch/queuestore/stored_test.go
@@ -18,10 +18,10 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// The disk in testdata/queue-disk.zip was written by a storage node of an earlier
-// version: a truncated log of shard 0 with finished jobs, one with saved progress
-// and one that was ended, and shard 1 as a frozen member holds it that installed a
-// snapshot. It must not be written anew: it stands for the disks in use.
+// The disk in testdata/queue-disk.zip was written by a storage node of an earlier version and
+// must not be regenerated, because it checks that existing disks remain readable. It holds a
+// truncated log of shard 0 with finished jobs, a job with saved progress and an ended job, and
+// shard 1 as held by a frozen member that installed a snapshot.
 const (
 	storedDisk   = "testdata/queue-disk.zip"
 	storedDiskID = "disk-7852727576314e55"
@@ -75,8 +75,7 @@
 	}
 }
 
-// checkStoredJobs checks the jobs of the stored disk: their items, results and what
-// runs have saved.
+// checkStoredJobs checks the jobs of the stored disk: their items, results and saved progress.
 func checkStoredJobs(t *testing.T, state queue.StateReader) {
 	t.Helper()
 	is := is.New(t)
@@ -100,7 +99,7 @@
 			is.Equal(info.Id, fmt.Sprintf("%s-%d", id, number))
 			is.Equal(info.Tokens, uint64(10))
 			is.Equal(info.Position > 0, id != "half")
-			is.Equal(item == nil, info.Position > 0) // a result drops the item's body
+			is.Equal(item == nil, info.Position > 0) // the body is deleted when the item has a result
 			if item != nil {
 				is.Equal(string(item.Body), fmt.Sprintf("body %s %d", id, number))
 			}
@@ -134,22 +133,22 @@
 	}
 }
 
-// A node that starts on the stored disk leads its shard, answers reads of what was
-// finished, and completes the items that were left after their last saved event.
+// A node that starts on the stored disk leads its shard, serves reads of finished jobs, and
+// continues unfinished items after their last saved event.
 func TestNodeStartsOnStoredDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t)
-	c.retention = 100 * 365 * 24 * time.Hour // the jobs' acceptance lies as far back as the disk
+	c.retention = 100 * 365 * 24 * time.Hour // longer than the age of the stored disk
 	c.store.values = map[string]ports.Value{LayoutKey: {Key: LayoutKey, Value: []byte(storedLayout), Revision: 1}}
-	c.store.tell(c.layouts)
+	c.store.sendAll(c.layouts)
 	folder := logstoretest.Unpack(t, storedDisk)
 	c.nodes["a"] = &testNode{name: "a", disk: slowDisk{FS: vfs.Default}, folder: filepath.Clean(folder), address: "127.0.0.1:0"}
 	c.start("a")
 	is.Equal(c.nodes["a"].db.DiskID(), storedDiskID)
 	for i := range 10 {
-		c.finished(fmt.Sprint("old-", i), 3)
+		c.waitFinished(fmt.Sprint("old-", i), 3)
 	}
-	c.finished("half", 2)
+	c.waitFinished("half", 2)
 	var done *wirev1.QueueReadReply
 	c.eventually("the finished job is read", func() bool {
 		var err error
@@ -166,7 +165,7 @@
 	is.Equal(c.executor.runs["half-0"], 1)
 	is.Equal(c.executor.runs["done-2"], 0)
 	c.submit("new", 2)
-	c.finished("new", 2)
+	c.waitFinished("new", 2)
 	config := c.layouts.Current().Shards[0]
 	is.Equal(config, replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1})
 }
--- a/internal/batch/queuestore/truncate.go
+++ b/internal/batch/queuestore/truncate.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// longLog is how many times the bytes kept the log may have before it is
-	// dropped, and hardLog how many before live members that lag are not minded.
-	longLog = 2
-	hardLog = 8
+	// longLogFactor and maxLogFactor are multiples of logBytesPerShard. A log longer than
+	// longLogFactor is truncated, as far as live members have it; a log longer than
+	// maxLogFactor is truncated regardless of members that lag.
+	longLogFactor = 2
+	maxLogFactor  = 8
 )
 
-// TruncationPoint implements shardhost.LogPolicy: up to where the log is long enough to be dropped; at or
-// below base it is not.
+// TruncationPoint implements shardhost.LogPolicy. It returns an index at or below base if the
+// log is not long enough to be truncated.
 func (s *shard) TruncationPoint(now time.Time, base, settled uint64) uint64 {
 	index := uint64(0)
-	if settled >= base+2*keepEntries {
-		index = settled - keepEntries
+	if settled >= base+2*retainedEntries {
+		index = settled - retainedEntries
 	}
-	share := s.node.logShare()
-	if s.log.total > longLog*share {
-		index = max(index, s.log.leaving(share))
+	share := s.node.logBytesPerShard()
+	if s.log.total > longLogFactor*share {
+		index = max(index, s.log.truncationIndex(share))
 	}
-	if s.log.total <= hardLog*share {
+	if s.log.total <= maxLogFactor*share {
 		index = min(index, s.Replica.LiveMatch(now))
 	}
 	return index
 }
 
 // Truncated implements shardhost.LogPolicy.
-func (s *shard) Truncated(index uint64) { s.log.dropped(index) }
+func (s *shard) Truncated(index uint64) { s.log.discardUpTo(index) }
 
-// logShare is how many bytes of the log each shard here keeps.
-func (n *StorageNode) logShare() uint64 {
+// logBytesPerShard returns the number of log bytes that each local shard retains.
+func (n *StorageNode) logBytesPerShard() uint64 {
 	return n.LogBytes / uint64(max(1, len(n.host.Shards())))
 }
