--- a/internal/batch/queuestore/allotments.go
+++ b/internal/batch/queuestore/allotments.go
@@ -16,7 +16,7 @@
 // map to the shard by ShardOf. Granted allotments are not stored in the log: a new leader
 // starts with an empty keeper (package allotment).
 
-func (n *StorageNode) newKeeper() *allotment.Keeper {
+func (n *StorageNode) newAllotmentKeeper() *allotment.Keeper {
 	return allotment.NewKeeper(time.Now(), n.Tolerance)
 }
 
@@ -30,7 +30,7 @@
 	if tenant == "" && len(request.Claims) > 0 {
 		tenant = request.Claims[0].Tenant
 	}
-	s, err := n.shardForJob(tenant)
+	s, err := n.localShardOf(tenant)
 	if err != nil {
 		return err
 	}
@@ -71,11 +71,11 @@
 	if !known {
 		return result.New(result.NotReady, "tenant %q is not known here yet", request.Tenant)
 	}
-	given, wait := l.allotments.Credits(now, request.Tenant, limit, int(request.Credits))
-	reply.Credits, reply.WaitMs = uint32(given), uint32(wait.Milliseconds())
-	if given < int(request.Credits) {
+	granted, wait := l.allotments.Credits(now, request.Tenant, limit, int(request.Credits))
+	reply.Credits, reply.WaitMs = uint32(granted), uint32(wait.Milliseconds())
+	if granted < int(request.Credits) {
 		state := l.allotments.State(request.Tenant)
-		klog.InfoS("tenant's credits refused", "tenant", request.Tenant, "shard", s.ID, "node", request.Node, "wanted", request.Credits, "given", given,
+		klog.InfoS("tenant's credits refused", "tenant", request.Tenant, "shard", s.ID, "node", request.Node, "wanted", request.Credits, "given", granted,
 			"rate", limit.Rate, "burst", limit.Burst, "lent", state.InUse, "holders", state.Holders, "retryAfterMs", reply.WaitMs, "keeperMs", now.Sub(l.allotments.Started()).Milliseconds())
 	}
 	return nil
--- a/internal/batch/queuestore/allotments_test.go
+++ b/internal/batch/queuestore/allotments_test.go
@@ -50,7 +50,7 @@
 	is.True(given < 1<<20)
 }
 
-// A leader without contact to a quorum grants nothing, even before it steps down.
+// A leader without contact with a quorum grants nothing, even before it steps down.
 func TestIsolatedLeaderGrantsNoCredits(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.eventually("a credit is granted", func() bool {
--- a/internal/batch/queuestore/disk_test.go
+++ b/internal/batch/queuestore/disk_test.go
@@ -137,26 +137,26 @@
 	c.executor.setHold(true)
 	c.submit("small", 1)
 	var refusal error
-	taken := []string{}
+	accepted := []string{}
 	for i := range 40 {
 		id := fmt.Sprintf("big-%d", i)
-		c.eventually("an answer to "+id, func() bool {
+		c.eventually("decision on "+id, func() bool {
 			refusal = c.trySubmitPadded(id, 1, 0, 256<<10)
 			return refusal == nil || result.Is(refusal, result.StoreFull)
 		})
 		if refusal != nil {
 			break
 		}
-		taken = append(taken, id)
+		accepted = append(accepted, id)
 	}
 	is.True(result.Is(refusal, result.StoreFull))
-	is.True(len(taken) > 0)
+	is.True(len(accepted) > 0)
 	is.True(result.FromError(refusal).RetryAfter > 0)
-	reply, err := c.read(fmt.Sprintf("big-%d", len(taken)))
+	reply, err := c.read(fmt.Sprintf("big-%d", len(accepted)))
 	is.NoErr(err)
 	is.True(!reply.Found)
 	c.executor.setHold(false)
-	for _, id := range append(taken, "small") {
+	for _, id := range append(accepted, "small") {
 		c.eventually(id+" is finished", func() bool {
 			reply, err := c.read(id)
 			return err == nil && len(reply.Results) == 1
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -294,7 +294,7 @@
 	deadline := time.Now().Add(60 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("timed out waiting until %s", what)
+			c.t.Fatalf("timed out waiting for: %s", what)
 		}
 		c.exchangeRecords()
 		time.Sleep(20 * time.Millisecond)
--- a/internal/batch/queuestore/home.go
+++ b/internal/batch/queuestore/home.go
@@ -86,7 +86,7 @@
 	}
 	var live []*wirev1.NodeRecord
 	shardsPerDisk := layout.shardsPerDisk()
-	for _, disk := range n.placingDisks(now) {
+	for _, disk := range n.homeCandidateDisks(now) {
 		if shardsPerDisk[disk.DiskId] > 0 {
 			live = append(live, disk)
 		}
@@ -114,10 +114,10 @@
 	return n.Totals()
 }
 
-// placingDisks returns the usable disks of live nodes. In a large fleet, where each node is
+// homeCandidateDisks returns the usable disks of live nodes. In a large fleet, where each node is
 // in contact with few others, it returns all disks whose nodes are not known to be
 // unresponsive.
-func (n *StorageNode) placingDisks(now time.Time) []*wirev1.NodeRecord {
+func (n *StorageNode) homeCandidateDisks(now time.Time) []*wirev1.NodeRecord {
 	if !n.Directory.Large() {
 		return n.liveDisks(now)
 	}
--- a/internal/batch/queuestore/idle.go
+++ b/internal/batch/queuestore/idle.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// minIdleShards is the minimum number of shards for making unused shards idle. A few
-	// busy shards cost little, and the loss of their leaders is detected sooner.
+	// minIdleShards is the number of shards in the layout below which no shard becomes
+	// idle. A few busy shards cost little, and the loss of their leaders is detected
+	// sooner.
 	minIdleShards = 16
 	// idleAfter is how long a shard must be unused before it becomes idle. It is several
 	// times the usual interval at which callers poll a job.
@@ -42,7 +43,7 @@
 }
 
 // setIdle makes the shard idle if it has nothing to do. A request for the shard on any of its
-// members ends the idle state; see shardForJob.
+// members ends the idle state; see localShardOf.
 func (s *shard) setIdle(now time.Time) {
 	s.Replica.SetIdle(now, s.mayBeIdle(now))
 }
--- a/internal/batch/queuestore/layout.go
+++ b/internal/batch/queuestore/layout.go
@@ -52,7 +52,7 @@
 func (n *StorageNode) applyLayout(layout *Layout) {
 	for id, config := range layout.Shards {
 		if s := n.shard(uint32(id)); s != nil {
-			s.observe(config)
+			s.observeMemberSet(config)
 			continue
 		}
 		if !config.Has(n.DB.DiskID()) {
@@ -64,7 +64,8 @@
 	}
 }
 
-func (s *shard) observe(config replica.MemberSet) {
+// observeMemberSet passes the member set of the layout to the replica.
+func (s *shard) observeMemberSet(config replica.MemberSet) {
 	s.runIfRunning(func() {
 		before := s.Replica.MemberSet().Generation
 		s.Replica.Observe(time.Now(), config)
@@ -82,15 +83,15 @@
 
 // ready reports whether the known disks have been unchanged for long enough. Rank is the
 // node's position in the order of node names.
-func (f *bootstrapWait) ready(disks []string, wanted, rank int, now time.Time) bool {
-	if f.since.IsZero() || !placement.SameMembers(f.disks, disks) {
-		f.disks, f.since = disks, now
+func (w *bootstrapWait) ready(disks []string, wanted, rank int, now time.Time) bool {
+	if w.since.IsZero() || !placement.SameMembers(w.disks, disks) {
+		w.disks, w.since = disks, now
 	}
 	wait := bootstrapDelay
 	if len(disks) < wanted {
 		wait = bootstrapDelayFewDisks
 	}
-	return now.Sub(f.since) >= wait+time.Duration(rank)*bootstrapStagger
+	return now.Sub(w.since) >= wait+time.Duration(rank)*bootstrapStagger
 }
 
 // bootstrapLayout creates the initial layout once the set of known disks is stable. Every
@@ -117,7 +118,7 @@
 	klog.InfoS("queue layout founded", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
 }
 
-// initialLayout returns a layout with the members of every shard.
+// initialLayout chooses the members of every shard from the given disks.
 func (n *StorageNode) initialLayout(disks []*wirev1.NodeRecord) *Layout {
 	layout := &Layout{}
 	for id := range wantedShardCount(len(disks), n.wantedMemberCount()) {
--- a/internal/batch/queuestore/layouts.go
+++ b/internal/batch/queuestore/layouts.go
@@ -122,7 +122,7 @@
 	}
 	l.initialItem, l.initial = item, initial
 	l.publish()
-	klog.InfoS("queue layout updated", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.own))
+	klog.InfoS("initial queue layout loaded", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.own))
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if held := l.own[uint32(id)].item; held != nil && held.Revision >= item.Revision {
+	if known := l.own[uint32(id)].item; known != nil && known.Revision >= item.Revision {
 		return nil
 	}
 	l.own[uint32(id)] = own
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -47,7 +47,7 @@
 	preferenceCheckedAt time.Time // last check by transferToPreferredLeader
 	// fullUntil holds, for each service without a free slot, when it is tried again.
 	fullUntil map[string]time.Time
-	// quorumLostAt is when contact to a quorum was lost; zero while there is contact.
+	// quorumLostAt is when contact with a quorum was lost; zero while there is contact.
 	quorumLostAt time.Time
 	// suspendedAt is when the epoch was lost; zero while this replica serves.
 	suspendedAt time.Time
@@ -101,7 +101,7 @@
 	l := s.leader
 	l.epoch, l.suspendedAt = s.Replica.Epoch(), time.Time{}
 	l.ledger = nil // other shards may have reported to another leader in the meantime
-	l.allotments = s.node.newKeeper()
+	l.allotments = s.node.newAllotmentKeeper()
 	klog.InfoS("queue leadership resumed", "shard", s.ID, "epoch", l.epoch, "unfinished", l.table.Len(), "runs", len(l.runs), "decided", len(l.decided))
 	for key := range l.runs {
 		l.table.Forget(key)
@@ -115,7 +115,7 @@
 func (s *shard) startLeadership() {
 	ctx, cancel := context.WithCancel(s.node.context)
 	l := &leadership{
-		epoch: s.Replica.Epoch(), allotments: s.node.newKeeper(), table: queue.NewItemTable(), context: ctx, cancel: cancel,
+		epoch: s.Replica.Epoch(), allotments: s.node.newAllotmentKeeper(), table: queue.NewItemTable(), context: ctx, cancel: cancel,
 		runs: map[queue.ItemKey]context.CancelFunc{}, decided: map[queue.ItemKey]*wirev1.QueueResult{},
 		changed: map[string]chan struct{}{}, acceptedAt: map[string]int64{}, pendingTokens: map[queue.TokenAccount]uint64{}, fullUntil: map[string]time.Time{}, preferenceCheckedAt: time.Now(),
 	}
@@ -170,8 +170,9 @@
 	s.node.metrics.unfinished.Set(0)
 }
 
-// quorumLossGracePeriod is how long runs continue on a leader without contact to a quorum.
-// Another leader may already have ended the job or started the same item.
+// quorumLossGracePeriod is how long runs continue on a leader without contact with a quorum.
+// It is short because another leader may already have ended the job or started the same
+// item.
 const quorumLossGracePeriod = 250 * time.Millisecond
 
 // tickLeader does the periodic work of a leader: it starts ready items and proposes
@@ -185,7 +186,7 @@
 		return
 	}
 	s.proposeProgress(now)
-	s.startReady(now)
+	s.startReadyItems(now)
 	s.expireItems(now)
 	s.dropExpiredJobs(now)
 	s.transferToPreferredLeader(now)
@@ -204,7 +205,7 @@
 		l.quorumLostAt = now
 	}
 	if now.Sub(l.quorumLostAt) > quorumLossGracePeriod && len(l.runs) > 0 {
-		klog.InfoS("runs canceled: leader has lost contact to a quorum", "shard", s.ID, "epoch", l.epoch, "runs", len(l.runs))
+		klog.InfoS("runs canceled: leader has lost contact with a quorum", "shard", s.ID, "epoch", l.epoch, "runs", len(l.runs))
 		for key := range l.runs {
 			s.cancelRun(key)
 		}
--- a/internal/batch/queuestore/members.go
+++ b/internal/batch/queuestore/members.go
@@ -46,9 +46,9 @@
 	}
 	s.node.probeSpares(s.ID, config.Members, now)
 	next := s.node.chooseMembers(s.ID, s.node.liveDisks(now), byStatus[statusHealthy], s.node.Layouts.Current().shardsPerDisk())
-	next = fill(next, byStatus[statusUnresponsive], s.node.wantedMemberCount())
+	next = addMembers(next, byStatus[statusUnresponsive], s.node.wantedMemberCount())
 	// Retiring nodes stay members until the other members hold enough copies.
-	next = fill(next, byStatus[statusRetiring], config.Copies)
+	next = addMembers(next, byStatus[statusRetiring], config.Copies)
 	// Only a retiring member may be removed without a replacement.
 	if len(next) < len(config.Members) && !s.anyRetiring(config) {
 		return config.Members
@@ -56,8 +56,8 @@
 	return next
 }
 
-// fill adds members to a set until it has the wanted number.
-func fill(set, members []string, wanted int) []string {
+// addMembers adds members to a set until it has the wanted number.
+func addMembers(set, members []string, wanted int) []string {
 	for _, member := range members {
 		if len(set) < wanted && !slices.Contains(set, member) {
 			set = append(set, member)
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -82,7 +82,7 @@
 	Report(ctx context.Context, node string, done bool)
 }
 
-// StoreContact reports whether this node has lost contact to the platform's store.
+// StoreContact reports whether this node has lost contact with the platform's store.
 type StoreContact interface{ Lost() bool }
 
 // NodeOptions configures a StorageNode.
--- a/internal/batch/queuestore/rounds.go
+++ b/internal/batch/queuestore/rounds.go
@@ -24,7 +24,7 @@
 
 const (
 	// confirmationDelay is how long callers are collected before a round begins. It adds
-	// to the latency of each request for credits, so it is no longer than a round trip
+	// to the latency of each request for credits, so it must not exceed a round trip
 	// between zones.
 	confirmationDelay = 2 * time.Millisecond
 	// confirmationTimeout bounds one round.
@@ -34,11 +34,11 @@
 // confirmBatched confirms that this replica leads, sharing one round with concurrent
 // callers.
 func (s *shard) confirmBatched(ctx context.Context) error {
-	joined := s.confirmations.join(func(begun *confirmation) {
+	joined := s.confirmations.join(func(round *confirmation) {
 		ctx, cancel := context.WithTimeout(s.node.context, confirmationTimeout)
 		defer cancel()
-		begun.err = s.Confirm(ctx)
-		close(begun.done)
+		round.err = s.Confirm(ctx)
+		close(round.done)
 	})
 	select {
 	case <-joined.done:
@@ -50,18 +50,18 @@
 
 // join returns the pending round. If there is none, it creates one and runs it after
 // confirmationDelay.
-func (r *confirmations) join(run func(*confirmation)) *confirmation {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.next == nil {
-		begun := &confirmation{done: make(chan struct{})}
-		r.next = begun
+func (c *confirmations) join(run func(*confirmation)) *confirmation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.next == nil {
+		round := &confirmation{done: make(chan struct{})}
+		c.next = round
 		time.AfterFunc(confirmationDelay, func() {
-			r.mutex.Lock()
-			r.next = nil // later decisions need a new round
-			r.mutex.Unlock()
-			run(begun)
+			c.mutex.Lock()
+			c.next = nil // later decisions need a new round
+			c.mutex.Unlock()
+			run(round)
 		})
 	}
-	return r.next
+	return c.next
 }
--- a/internal/batch/queuestore/rounds_test.go
+++ b/internal/batch/queuestore/rounds_test.go
@@ -15,13 +15,13 @@
 	runs := 0
 	release := make(chan struct{})
 	began := make(chan struct{}, 2)
-	run := func(begun *confirmation) {
+	run := func(round *confirmation) {
 		mutex.Lock()
 		runs++
 		mutex.Unlock()
 		began <- struct{}{}
 		<-release
-		close(begun.done)
+		close(round.done)
 	}
 	first := r.join(run)
 	is.Equal(r.join(run), first)
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -28,7 +28,7 @@
 	missingBodyRetryDelay = time.Second
 )
 
-func (s *shard) startReady(now time.Time) {
+func (s *shard) startReadyItems(now time.Time) {
 	l := s.leader
 	started, refused := 0, 0
 	for _, entry := range l.table.Ready(now) {
@@ -126,16 +126,16 @@
 // was not committed.
 func (s *shard) proposeResult(key queue.ItemKey, item string, dead bool, output queue.ItemOutput) {
 	l := s.leader
-	whole := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.LastEventID, Text: output.Text}
+	complete := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.LastEventID, Text: output.Text}
 	if dead {
-		whole.Text, whole.Last = nil, 0
+		complete.Text, complete.Last = nil, 0
 	}
-	l.decided[key] = whole
+	l.decided[key] = complete
 	l.saves.Drop(key)
 	if !l.suspendedAt.IsZero() {
 		return
 	}
-	result := whole
+	result := complete
 	if from, text := l.table.Unsaved(key, output); !dead && from > 0 {
 		result = &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, From: from, Last: output.LastEventID, Text: text}
 	}
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -19,13 +19,14 @@
 // diskFullRetryAfter is the retry delay sent with submissions that do not fit on a disk.
 const diskFullRetryAfter = time.Second
 
-// shardForJob returns the local replica of a job's shard and ends the shard's idle state.
-func (n *StorageNode) shardForJob(job string) (*shard, error) {
+// localShardOf returns the local replica of the shard of a job or tenant, and ends the
+// shard's idle state.
+func (n *StorageNode) localShardOf(name string) (*shard, error) {
 	layout := n.Layouts.Current()
 	if layout == nil {
 		return nil, result.New(result.NotReady, "no queue layout is known yet")
 	}
-	id := ShardOf(job, len(layout.Shards))
+	id := ShardOf(name, len(layout.Shards))
 	if s := n.shard(id); s != nil {
 		s.wakeUp()
 		return s, nil
@@ -33,8 +34,8 @@
 	return nil, result.New(result.NotLeader, "shard %d is not here", id)
 }
 
-// ShardOf returns the shard of a job. It depends only on the job's id and the number of
-// shards, so every node finds the same shard.
+// ShardOf returns the shard of a job id or tenant name. It depends only on the name and the
+// number of shards, so every node finds the same shard.
 func ShardOf(job string, shards int) uint32 { return uint32(placement.Weight(0, job) % uint64(shards)) }
 
 // serveSubmit accepts a job. Resubmitting an accepted job succeeds regardless of limits.
@@ -43,7 +44,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.shardForJob(request.Job.Id)
+	s, err := n.localShardOf(request.Job.Id)
 	if err != nil {
 		return err
 	}
@@ -201,7 +202,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.shardForJob(request.JobId)
+	s, err := n.localShardOf(request.JobId)
 	if err != nil {
 		return err
 	}
@@ -263,7 +264,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.shardForJob(request.JobId)
+	s, err := n.localShardOf(request.JobId)
 	if err != nil {
 		return err
 	}
@@ -302,7 +303,7 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	s, err := n.shardForJob(request.JobId)
+	s, err := n.localShardOf(request.JobId)
 	if err != nil {
 		return err
 	}
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -13,14 +13,14 @@
 	"cobaltramp.example/cobaltramp/internal/batch/shardhost"
 )
 
-// hosted is the shardhost replica of a queue shard.
-type hosted = shardhost.Shard[*wirev1.QueueCommand, *queue.Applied]
+// hostedShard is the shardhost replica of a queue shard.
+type hostedShard = shardhost.Shard[*wirev1.QueueCommand, *queue.Applied]
 
 // shard is the local replica of a queue shard: the state machine of its jobs and, on the
 // leader, the work of the leader. Unless documented otherwise, methods must be called on
 // the shard's goroutine.
 type shard struct {
-	*hosted
+	*hostedShard
 	shardhost.NoEvents
 	node *StorageNode
 	// confirmations batches the leadership confirmations for allotments.
@@ -56,8 +56,8 @@
 		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTiming,
 		DeclineSnapshots: true, BatchLoopCalls: true,
 	}
-	return shardhost.New(n.context, options, func(s *hosted) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
-		return &shard{hosted: s, node: n}
+	return shardhost.New(n.context, options, func(s *hostedShard) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
+		return &shard{hostedShard: s, node: n}
 	})
 }
 
--- a/internal/batch/queuestore/spread_test.go
+++ b/internal/batch/queuestore/spread_test.go
@@ -26,14 +26,14 @@
 	c := newCluster(t, "a", "b", "c", "d", "e", "f")
 	c.executor.setHold(true)
 	const jobs, limit = 6, 60
-	taken := map[uint32]bool{}
+	usedShards := map[uint32]bool{}
 	for i := range jobs {
 		id := fmt.Sprintf("job-%d", i)
 		c.eventually(id+" is accepted", func() bool { return c.trySubmit(id, 1, limit) == nil })
-		taken[ShardOf(id, len(c.layouts.Current().Shards))] = true
+		usedShards[ShardOf(id, len(c.layouts.Current().Shards))] = true
 	}
 	is.Equal(len(c.layouts.Current().Shards), 6)
-	is.True(len(taken) > 1)
+	is.True(len(usedShards) > 1)
 	full := func() bool { return result.Is(c.trySubmit("one-too-many", 1, limit), result.TenantTokens) }
 	c.eventually("the limit is reached", full)
 	keeper := c.leader()
@@ -164,9 +164,9 @@
 	s := leader.shard(ledgerShard)
 	started := time.Now()
 	c.eventually("the preferred leader was checked", func() bool {
-		thought := false
-		_ = s.RunInLoop(context.Background(), func() { thought = s.leader == nil || s.leader.preferenceCheckedAt.After(started) })
-		return thought
+		checked := false
+		_ = s.RunInLoop(context.Background(), func() { checked = s.leader == nil || s.leader.preferenceCheckedAt.After(started) })
+		return checked
 	})
 	is.True(c.leader() != "")
 }
