--- a/internal/batch/queuestore/rounds.go
+++ b/internal/batch/queuestore/rounds.go
@@ -8,37 +8,37 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// rounds coalesces those who wait for a confirmation of a shard's leader, so that
-// one round serves all who came within a moment. A round that begins after a
-// decision was made proves that its maker led at that time.
-type rounds struct {
+// confirmations batches leadership confirmations of a shard, so that one quorum round serves
+// all callers within confirmationDelay. A round that begins after a decision proves that
+// the replica led when it made the decision.
+type confirmations struct {
 	mutex sync.Mutex
-	next  *round
+	next  *confirmation
 }
 
-// round is one confirmation that has not begun yet, or is on its way.
-type round struct {
+// confirmation is one round, either pending or in progress.
+type confirmation struct {
 	done chan struct{}
 	err  error
 }
 
 const (
-	// roundDelay is how long those who wait are collected: it comes on top of each
-	// request that asks for a credit, and should be no more than a round takes
-	// itself, one or two milliseconds between zones.
-	roundDelay = 2 * time.Millisecond
-	// roundTimeout bounds one round.
-	roundTimeout = 500 * time.Millisecond
+	// confirmationDelay is how long callers are collected before a round begins. It adds
+	// to the latency of each request for credits, so it must not exceed a round trip
+	// between zones.
+	confirmationDelay = 2 * time.Millisecond
+	// confirmationTimeout bounds one round.
+	confirmationTimeout = 500 * time.Millisecond
 )
 
-// confirmTogether confirms that this replica leads, in one round with others
-// that ask within a moment.
-func (s *shard) confirmTogether(ctx context.Context) error {
-	joined := s.rounds.join(func(begun *round) {
-		ctx, cancel := context.WithTimeout(s.node.context, roundTimeout)
+// confirmBatched confirms that this replica leads, sharing one round with concurrent
+// callers.
+func (s *shard) confirmBatched(ctx context.Context) error {
+	joined := s.confirmations.join(func(round *confirmation) {
+		ctx, cancel := context.WithTimeout(s.node.context, confirmationTimeout)
 		defer cancel()
-		begun.err = s.Confirm(ctx)
-		close(begun.done)
+		round.err = s.Confirm(ctx)
+		close(round.done)
 	})
 	select {
 	case <-joined.done:
@@ -48,19 +48,20 @@
 	}
 }
 
-// join returns the next round, and has it run after roundDelay if it is new.
-func (r *rounds) join(run func(*round)) *round {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.next == nil {
-		begun := &round{done: make(chan struct{})}
-		r.next = begun
-		time.AfterFunc(roundDelay, func() {
-			r.mutex.Lock()
-			r.next = nil // who decides from now on needs a later one
-			r.mutex.Unlock()
-			run(begun)
+// join returns the pending round. If there is none, it creates one and runs it after
+// confirmationDelay.
+func (c *confirmations) join(run func(*confirmation)) *confirmation {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.next == nil {
+		round := &confirmation{done: make(chan struct{})}
+		c.next = round
+		time.AfterFunc(confirmationDelay, func() {
+			c.mutex.Lock()
+			c.next = nil // later decisions need a new round
+			c.mutex.Unlock()
+			run(round)
 		})
 	}
-	return r.next
+	return c.next
 }
