--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -1,14 +1,13 @@
-// Package admission admits tenants' requests on one node, within what the node
-// holds of their limits on requests a second (package allotment). Shares are
-// renewed in the background; only a request for which the node holds nothing
-// asks the tenant's keeper, together with others that do.
+// Package admission admits tenants' requests on one node within the node's part of their
+// request rate limits (package allotment). Shares are renewed in the background. Only a
+// request for which the node holds no credit contacts the tenant's keeper; concurrent
+// requests share one call.
 //
-// It owns the node's allowances and its questions to keepers. It relies on the
-// configuration in force for the limits (package catalog) and on a client of queue
-// shards that reaches the keepers, the leaders of the shards (package queueclient).
-// The edge runs it, after package authn has found the tenant; the storage node uses
-// LimitOf for the tenants that it keeps. The plain node admits by packages limits and
-// quota.
+// The package owns the node's allowances and its calls to keepers. It reads the limits from
+// the current configuration (package catalog) and reaches keepers, which are the leaders of
+// queue shards, through a client (package queueclient). The edge runs a Controller after
+// package authn has identified the tenant; the storage node uses LimitOf for the tenants
+// whose keeper it runs. The plain node uses packages limits and quota instead.
 package admission
 
 import (
@@ -28,16 +27,16 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// Keepers reaches the keepers of tenants' limits.
-type Keepers interface {
-	// Allot asks the keeper of a tenant.
+// KeeperClient calls the keepers of tenants' limits.
+type KeeperClient interface {
+	// Allot sends a request to the keeper of a tenant.
 	Allot(ctx context.Context, tenant string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error)
-	// ShardOf returns the shard whose leader keeps the tenant's limit; false if it is
-	// not known.
+	// ShardOf returns the shard whose leader is the keeper of the tenant's limit; false if
+	// it is unknown.
 	ShardOf(tenant string) (uint32, bool)
 }
 
-// LimitOf returns tenants' limits by the configuration in force.
+// LimitOf returns a function that looks up tenants' limits in the current configuration.
 func LimitOf(catalogs *catalog.Holder) func(tenant string) (allotment.RateLimit, bool) {
 	return func(name string) (allotment.RateLimit, bool) {
 		held := catalogs.Current()
@@ -49,7 +48,7 @@
 			return allotment.RateLimit{}, false
 		}
 		limit := limitOf(tenant)
-		limit.Steady = catalogs.Age(time.Now()) >= allotment.Term
+		limit.Steady = catalogs.Age(time.Now()) >= allotment.LeaseTTL
 		return limit, true
 	}
 }
@@ -58,57 +57,57 @@
 	return allotment.RateLimit{Rate: tenant.RatePerSecond, Burst: tenant.Burst}
 }
 
-// Controller admits requests.
+// Controller admits requests on one node.
 type Controller struct {
-	keepers   Keepers
-	limit     func(tenant string) (allotment.RateLimit, bool)
-	tolerance allotment.Tolerance
-	holder    allotment.HolderID
-	number    atomic.Uint64
-	// now counts the time in which the machine was suspended: what was lent ends by
-	// the keeper's clock, which went on.
+	keepers       KeeperClient
+	limit         func(tenant string) (allotment.RateLimit, bool)
+	tolerance     allotment.Tolerance
+	holderID      allotment.HolderID
+	requestNumber atomic.Uint64
+	// now includes the time for which the machine was suspended, since leases expire by the
+	// keeper's clock, which keeps running.
 	now      func() time.Time
 	outcomes *prometheus.CounterVec
 
-	// pausedUntil holds until when the keepers of shards are not asked, by shard.
+	// pausedUntil maps a shard to the time until which its leader is not called.
 	pausedUntil sync.Map
 
-	// questions are the goroutines that ask keepers; they end with the lifetime,
-	// which Run ends.
-	questions tasks.Group
-	lifetime  context.Context
-	end       context.CancelFunc
+	// keeperRequests are the goroutines that call keepers. Run cancels their context when it
+	// ends.
+	keeperRequests tasks.Group
+	requestContext context.Context
+	cancelRequests context.CancelFunc
 
 	mutex      sync.Mutex
 	allowances map[string]*allowance
 }
 
-// allowance is what the node holds of one tenant's limit.
+// allowance is the node's part of one tenant's limit.
 type allowance struct {
 	mutex sync.Mutex
 	*allotment.Allowance
-	// asking: a question to the keeper is on its way. waiting are requests that
-	// the next answer goes to.
-	asking  bool
-	waiting []chan settlement
+	// requesting reports that a credit request to the keeper is in flight. waiting are the
+	// requests that wait for the next reply.
+	requesting bool
+	waiting    []chan creditResult
 }
 
-// settlement is what the keeper's answer means for one request.
-type settlement struct {
+// creditResult is the result of a credit request for one of the waiting requests.
+type creditResult struct {
 	credit allotment.Credit
 	err    error
 }
 
-// New returns the controller of one life of a node.
+// New returns the controller for one process of a node.
 func New(
-	keepers Keepers, limit func(string) (allotment.RateLimit, bool), tolerance allotment.Tolerance, holder allotment.HolderID,
+	keepers KeeperClient, limit func(string) (allotment.RateLimit, bool), tolerance allotment.Tolerance, holderID allotment.HolderID,
 	registry prometheus.Registerer,
 ) *Controller {
-	lifetime, end := context.WithCancel(context.Background())
+	requestContext, cancelRequests := context.WithCancel(context.Background())
 	c := &Controller{
-		keepers: keepers, limit: limit, tolerance: tolerance, holder: holder,
+		keepers: keepers, limit: limit, tolerance: tolerance, holderID: holderID,
 		allowances: map[string]*allowance{}, now: boottime.Now,
-		lifetime: lifetime, end: end,
+		requestContext: requestContext, cancelRequests: cancelRequests,
 		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cobaltramp_admissions_total", Help: "Requests of limited tenants by outcome.",
 		}, []string{"outcome"}),
@@ -117,7 +116,7 @@
 	return c
 }
 
-// Admission is the right to send a request of a tenant once.
+// Admission is the permission to send one request of a tenant.
 type Admission struct {
 	now       func() time.Time
 	allowance *allowance
@@ -125,11 +124,11 @@
 	credit    allotment.Credit
 }
 
-// Valid reports whether the request may still be sent. It is asked in the
-// moment of sending. No admission is needed without a limit.
+// Valid reports whether the request may still be sent; callers check it immediately before
+// sending. A nil Admission, for tenants without a limit, is always valid.
 func (a *Admission) Valid() bool { return a == nil || a.credit.Valid(a.now()) }
 
-// Return gives the right back: no runner has run the request.
+// Return gives the credit back if the request did not run on any runner.
 func (a *Admission) Return() {
 	if a == nil {
 		return
@@ -141,27 +140,28 @@
 
 // Outcomes that are counted.
 const (
-	outcomeShare    = "share"
-	outcomePool     = "pool"
-	outcomeRefused  = "refused"
-	outcomeNoAnswer = "keeper_silent"
+	// Values of the outcome label.
+	outcomeShare      = "share"
+	outcomePool       = "pool"
+	outcomeRefused    = "refused"
+	outcomeNoResponse = "keeper_silent"
 )
 
-// Admit takes a credit for a request of a tenant, and waits for the keeper no longer
-// than maxWait. It returns nil for tenants without a limit. The error says that the
-// request is not run, and when to come back.
+// Admit acquires a credit for a request of a tenant and waits for the keeper for at most
+// maxWait. It returns nil for tenants without a limit. An error means that the request must
+// not run, and carries the retry delay.
 func (c *Controller) Admit(ctx context.Context, id string, tenant *catalog.Tenant, maxWait time.Duration) (*Admission, error) {
 	if !tenant.Limited() {
 		return nil, nil
 	}
 	limit := limitOf(tenant)
 	admission := &Admission{now: c.now, allowance: c.allowance(tenant.Name), limit: limit}
-	credit, answer, err := c.take(admission.allowance, tenant.Name, limit)
+	credit, answer, err := c.acquire(admission.allowance, tenant.Name, limit)
 	if err == nil && answer != nil {
-		credit, err = await(ctx, answer, maxWait)
+		credit, err = awaitCredit(ctx, answer, maxWait)
 	}
 	if result.Is(err, result.NotReady) {
-		credit, err = admission.allowance.spareFor(err, c.now())
+		credit, err = admission.allowance.acquireSpareOr(err, c.now())
 	}
 	switch {
 	case err == nil && credit.Pooled:
@@ -169,58 +169,58 @@
 	case err == nil:
 		c.outcomes.WithLabelValues(outcomeShare).Inc()
 	default:
-		c.refused(id, tenant, admission.allowance, err)
+		c.logRefusal(id, tenant, admission.allowance, err)
 		return nil, err
 	}
 	admission.credit = credit
 	return admission, nil
 }
 
-// take takes a credit that is held, or has the keeper asked for one: the settlement then
-// comes on the channel. It refuses at once while the keeper's pool is known to be
-// empty, and while the keeper is not asked since it did not answer.
-func (c *Controller) take(a *allowance, tenant string, limit allotment.RateLimit) (allotment.Credit, <-chan settlement, error) {
+// acquire returns a credit that the node holds, or requests one from the keeper; then the
+// result arrives on the channel. It refuses at once while the keeper's pool is known to be
+// empty, and while calls to the keeper are paused after a failure.
+func (c *Controller) acquire(a *allowance, tenant string, limit allotment.RateLimit) (allotment.Credit, <-chan creditResult, error) {
 	now := c.now()
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.Note(now)
-	if credit, ok := a.Take(now, limit); ok {
+	a.RecordRequest(now)
+	if credit, ok := a.AcquireCredit(now, limit); ok {
 		return credit, nil, nil
 	}
 	if wait, empty := a.PoolEmpty(now); empty {
 		return allotment.Credit{}, nil, overLimit(tenant, limit, wait)
 	}
 	if c.keeperPaused(tenant, now) {
-		return allotment.Credit{}, nil, noAnswer()
+		return allotment.Credit{}, nil, keeperUnavailable()
 	}
-	answer := make(chan settlement, 1)
+	answer := make(chan creditResult, 1)
 	a.waiting = append(a.waiting, answer)
-	if !a.asking && !c.startAsking(a, tenant, limit) {
-		a.waiting = nil // only this one: the node is ending
-		return allotment.Credit{}, nil, noAnswer()
+	if !a.requesting && !c.startRequest(a, tenant, limit) {
+		a.waiting = nil // only this request: the node is shutting down
+		return allotment.Credit{}, nil, keeperUnavailable()
 	}
 	return allotment.Credit{}, answer, nil
 }
 
-// startAsking begins to ask the keeper of a tenant; false if the node is ending. The
-// allowance is locked.
-func (c *Controller) startAsking(a *allowance, tenant string, limit allotment.RateLimit) bool {
-	a.asking = c.questions.Go(func() { c.ask(a, tenant, limit) })
-	return a.asking
+// startRequest starts to request credits from a tenant's keeper; it returns false if the
+// node is shutting down. The caller holds the allowance's mutex.
+func (c *Controller) startRequest(a *allowance, tenant string, limit allotment.RateLimit) bool {
+	a.requesting = c.keeperRequests.Go(func() { c.requestCredits(a, tenant, limit) })
+	return a.requesting
 }
 
-// spareFor takes the spare request in place of a refusal: the keeper does not answer.
-func (a *allowance) spareFor(refusal error, now time.Time) (allotment.Credit, error) {
+// acquireSpareOr returns the spare request's credit if there is one, else the given refusal.
+func (a *allowance) acquireSpareOr(refusal error, now time.Time) (allotment.Credit, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if credit, ok := a.TakeSpare(now); ok {
+	if credit, ok := a.AcquireSpare(now); ok {
 		return credit, nil
 	}
 	return allotment.Credit{}, refusal
 }
 
-// await waits for the keeper's answer for one request.
-func await(ctx context.Context, answer <-chan settlement, maxWait time.Duration) (allotment.Credit, error) {
+// awaitCredit waits for the keeper's reply for one request.
+func awaitCredit(ctx context.Context, answer <-chan creditResult, maxWait time.Duration) (allotment.Credit, error) {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
@@ -229,12 +229,13 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return allotment.Credit{}, noAnswer()
+	return allotment.Credit{}, keeperUnavailable()
 }
 
-// refused logs a request that is not admitted, with what is believed here.
-func (c *Controller) refused(id string, tenant *catalog.Tenant, a *allowance, err error) {
-	outcome := outcomeNoAnswer
+// logRefusal logs and counts a request that is not admitted, with this node's view of the
+// tenant.
+func (c *Controller) logRefusal(id string, tenant *catalog.Tenant, a *allowance, err error) {
+	outcome := outcomeNoResponse
 	if result.Is(err, result.TenantRate) {
 		outcome = outcomeRefused
 	}
@@ -243,7 +244,7 @@
 	a.mutex.Lock()
 	share, level := a.Share()
 	demand := a.Demand(now)
-	age := a.Age(now)
+	age := a.GrantAge(now)
 	a.mutex.Unlock()
 	klog.InfoS("request not admitted", "id", id, "tenant", tenant.Name, "outcome", outcome,
 		"rate", tenant.RatePerSecond, "burst", tenant.Burst, "share", share, "credit", level, "demandHere", demand,
--- a/internal/serving/admission/controller_test.go
+++ b/internal/serving/admission/controller_test.go
@@ -21,7 +21,7 @@
 
 var tolerance = allotment.Tolerance{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
-// scriptedKeepers answer as a test says.
+// scriptedKeepers is a KeeperClient that responds as a test defines.
 type scriptedKeepers struct {
 	calls atomic.Int64
 	allot func(request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error)
@@ -36,14 +36,14 @@
 
 var limited = &catalog.Tenant{Name: "t", RatePerSecond: 50, Burst: 50}
 
-func controllerOf(keepers Keepers) *Controller {
+func controllerOf(keepers KeeperClient) *Controller {
 	return New(keepers, func(string) (allotment.RateLimit, bool) { return limitOf(limited), true }, tolerance, allotment.HolderID{Node: "n", Incarnation: 1}, prometheus.NewRegistry())
 }
 
-const maxWait = 5 * time.Second // of tests that don't wait it out
+const maxWait = 5 * time.Second // for tests that do not wait this long
 
-// A tenant without a limit, and nobody's request, ask no keeper.
-func TestUnlimitedTenantsAskNobody(t *testing.T) {
+// Requests without a tenant, or of a tenant without a limit, call no keeper.
+func TestUnlimitedTenantsNeedNoKeeper(t *testing.T) {
 	is := is.New(t)
 	keepers := &scriptedKeepers{}
 	controller := controllerOf(keepers)
@@ -57,9 +57,9 @@
 	is.Equal(keepers.calls.Load(), int64(0))
 }
 
-// Requests that come together are admitted by one question after the other, as
-// many as the keeper gives credits, and the others learn when to come back.
-func TestRequestsShareQuestions(t *testing.T) {
+// Concurrent requests share calls to the keeper. As many are admitted as the keeper grants
+// credits; the others get a retry delay.
+func TestConcurrentRequestsShareKeeperCalls(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	var asked atomic.Int64
@@ -85,7 +85,7 @@
 		}()
 	}
 	send()
-	eventually.Require(t, "the keeper holds the question of the first request", func() bool { return keepers.calls.Load() == 1 }, func() any { return keepers.calls.Load() })
+	eventually.Require(t, "the keeper has received the call of the first request", func() bool { return keepers.calls.Load() == 1 }, func() any { return keepers.calls.Load() })
 	for range 11 {
 		send()
 	}
@@ -100,10 +100,10 @@
 	group.Wait()
 	is.Equal(admitted.Load()+refused.Load(), int64(12))
 	is.True(admitted.Load() >= 1)
-	is.Equal(keepers.calls.Load(), int64(2)) // the first request's, and one for the eleven
+	is.Equal(keepers.calls.Load(), int64(2)) // one for the first request, one for the other eleven
 }
 
-// A credit whose request no runner has run admits the next request.
+// A returned credit admits the next request.
 func TestReturnedCreditIsUsed(t *testing.T) {
 	is := is.New(t)
 	keepers := &scriptedKeepers{allot: func(*wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
@@ -118,9 +118,9 @@
 	is.Equal(keepers.calls.Load(), int64(1))
 }
 
-// A keeper that does not answer keeps no request for longer than it may wait; the
-// refusal says that it has not run and when to come back.
-func TestSilentKeeperRefusesSoon(t *testing.T) {
+// A request waits for an unresponsive keeper for at most maxWait; its error says that it did
+// not run and carries a retry delay.
+func TestUnresponsiveKeeperIsBoundedByMaxWait(t *testing.T) {
 	is := is.New(t)
 	never := make(chan struct{})
 	defer close(never)
@@ -131,11 +131,11 @@
 	_, err := controllerOf(keepers).Admit(context.Background(), "id", limited, time.Millisecond)
 	is.True(result.Is(err, result.NotReady))
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
-	is.True(result.FromError(err).RetryAfter >= noAnswerRetryAfter)
+	is.True(result.FromError(err).RetryAfter >= unavailableRetryAfter)
 }
 
-// Renewals carry what is held, one message for all tenants of a keeper, and the
-// share that is granted admits without a question.
+// A renewal claims all tenants of a keeper in one message, and the granted share then admits
+// requests without a call.
 func TestRenewalsGiveShares(t *testing.T) {
 	is := is.New(t)
 	var mutex sync.Mutex
@@ -155,10 +155,10 @@
 		_, err := controller.Admit(context.Background(), "id", &catalog.Tenant{Name: name, RatePerSecond: 10, Burst: 10}, maxWait)
 		is.NoErr(err)
 	}
-	controller.renewAt(context.Background(), []string{"t", "u"})
+	controller.renewShares(context.Background(), []string{"t", "u"})
 	is.Equal(len(claims), 2)
 	is.True(claims[0].Wanted > 0 && claims[0].Held == 0)
-	controller.renewAt(context.Background(), []string{"t", "u"})
+	controller.renewShares(context.Background(), []string{"t", "u"})
 	is.Equal(claims[2].Held, 0.4)
 	is.True(claims[2].Spare)
 	calls := keepers.calls.Load()
@@ -166,13 +166,13 @@
 	hasCredit := func() bool {
 		allowance.mutex.Lock()
 		defer allowance.mutex.Unlock()
-		credit, ok := allowance.Take(controller.now(), limitOf(limited))
+		credit, ok := allowance.AcquireCredit(controller.now(), limitOf(limited))
 		if ok {
 			allowance.Allowance.Return(controller.now(), limitOf(limited), credit)
 		}
 		return ok
 	}
-	eventually.Require(t, "credit comes together at the share's rate", hasCredit, func() any {
+	eventually.Require(t, "credit accrues at the share's rate", hasCredit, func() any {
 		allowance.mutex.Lock()
 		defer allowance.mutex.Unlock()
 		share, level := allowance.Share()
@@ -184,9 +184,8 @@
 	is.Equal(keepers.calls.Load(), calls)
 }
 
-// While a keeper does not answer, requests are refused without a question for
-// each: all nodes of a fleet would ask at once.
-func TestSilentKeeperIsNotAskedForEachRequest(t *testing.T) {
+// Calls to an unavailable keeper are paused for all tenants of its shard.
+func TestUnavailableKeeperIsNotCalledForEachRequest(t *testing.T) {
 	is := is.New(t)
 	keepers := &scriptedKeepers{allot: func(*wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 		return nil, errors.New("no leader")
@@ -199,20 +198,20 @@
 	before := controller.now()
 	is.True(result.Is(admit("t"), result.NotReady))
 	until, paused := controller.pausedUntil.Load(uint32(0))
-	is.True(paused && until.(time.Time).After(before.Add(noAnswerPause)))
-	controller.pausedUntil.Store(uint32(0), before.Add(time.Hour)) // the pause itself, not its length
-	for _, name := range []string{"t", "u", "v", "t"} {            // of one shard
+	is.True(paused && until.(time.Time).After(before.Add(minKeeperPause)))
+	controller.pausedUntil.Store(uint32(0), before.Add(time.Hour)) // tests the pause, not its length
+	for _, name := range []string{"t", "u", "v", "t"} {            // all of one shard
 		is.True(result.Is(admit(name), result.NotReady))
 	}
 	is.Equal(keepers.calls.Load(), int64(1))
-	controller.pausedUntil.Store(uint32(0), before) // it is over
+	controller.pausedUntil.Store(uint32(0), before) // the pause is over
 	is.True(result.Is(admit("u"), result.NotReady))
 	is.Equal(keepers.calls.Load(), int64(2))
 }
 
-// What was lent ends while the machine is suspended: the keeper lends it to others
-// meanwhile. The steady clock stands still then.
-func TestSuspendedMachineHoldsNothing(t *testing.T) {
+// Leases expire while the machine is suspended, since the keeper then grants them to others.
+// The monotonic clock stops during suspension.
+func TestLeasesExpireDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	keepers := &scriptedKeepers{allot: func(request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 		reply := &wirev1.AllotmentReply{Credits: 2 * request.Credits}
@@ -224,34 +223,34 @@
 	controller := controllerOf(keepers)
 	suspended := time.Duration(0)
 	controller.now = func() time.Time { return boottime.Now().Add(suspended) }
-	admitted, err := controller.Admit(context.Background(), "id", limited, maxWait) // one more is in stock
+	admitted, err := controller.Admit(context.Background(), "id", limited, maxWait) // leaves one credit unused
 	is.NoErr(err)
-	controller.renewAt(context.Background(), []string{limited.Name})
+	controller.renewShares(context.Background(), []string{limited.Name})
 	allowance := controller.allowance(limited.Name)
 	share, _ := allowance.Share()
 	is.Equal(share, 0.4)
 	is.True(admitted.Valid())
-	suspended = allotment.Term
+	suspended = allotment.LeaseTTL
 	is.True(!admitted.Valid())
 	allowance.mutex.Lock()
 	defer allowance.mutex.Unlock()
-	_, ok := allowance.Take(controller.now(), limitOf(limited))
+	_, ok := allowance.AcquireCredit(controller.now(), limitOf(limited))
 	is.True(!ok)
-	_, ok = allowance.TakeSpare(controller.now())
+	_, ok = allowance.AcquireSpare(controller.now())
 	is.True(!ok)
 	share, _ = allowance.Share()
 	is.Equal(share, 0.0)
 }
 
-// A controller measures terms by the clock that counts suspensions.
-func TestTermsCountSuspensions(t *testing.T) {
+// The controller's default clock includes suspensions.
+func TestClockCountsSuspensions(t *testing.T) {
 	is := is.New(t)
 	before := boottime.Now()
 	now := controllerOf(&scriptedKeepers{}).now()
 	is.True(!now.Before(before) && !now.After(boottime.Now()))
 }
 
-// unresponsiveKeepers answer nothing until the question's context ends.
+// unresponsiveKeepers does not respond until the context of the call ends.
 type unresponsiveKeepers struct{ asked chan struct{} }
 
 func (k *unresponsiveKeepers) Allot(ctx context.Context, _ string, _ *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
@@ -262,9 +261,8 @@
 
 func (k *unresponsiveKeepers) ShardOf(string) (uint32, bool) { return 0, true }
 
-// A node that ends leaves no question to a keeper behind, and refuses requests that
-// come later at once.
-func TestQuestionsEndWithTheNode(t *testing.T) {
+// Shutdown cancels calls to keepers, and later requests are refused at once.
+func TestKeeperCallsEndWithTheNode(t *testing.T) {
 	is := is.New(t)
 	keepers := &unresponsiveKeepers{asked: make(chan struct{})}
 	controller := controllerOf(keepers)
@@ -276,7 +274,7 @@
 	}()
 	<-keepers.asked
 	cancel()
-	controller.Run(ctx) // returns, since it waits for nothing but the question
+	controller.Run(ctx) // returns once the call has ended
 	is.True(result.Is(<-refused, result.NotReady))
 	controller.pausedUntil.Clear()
 	_, err := controller.Admit(context.Background(), "id", limited, maxWait)
--- a/internal/serving/admission/renewal.go
+++ b/internal/serving/admission/renewal.go
@@ -13,16 +13,16 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// renewTimeout bounds a renewal, less than the time between two.
+// renewTimeout limits a renewal; it is shorter than the renewal interval.
 const renewTimeout = 800 * time.Millisecond
 
-// Run renews shares until the context ends, and ends the questions to keepers then.
-// Nodes that started together do not renew together.
+// Run renews shares until the context ends, then cancels the calls to keepers and waits for
+// them. A random delay at the start spreads the renewals of nodes that started together.
 func (c *Controller) Run(ctx context.Context) {
 	var renewals tasks.Group
 	defer renewals.Wait()
-	defer c.questions.Wait()
-	defer c.end()
+	defer c.keeperRequests.Wait()
+	defer c.cancelRequests()
 	select {
 	case <-ctx.Done():
 		return
@@ -35,28 +35,27 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.renew(ctx, &renewals)
+			c.renewAll(ctx, &renewals)
 		}
 	}
 }
 
-// renew renews all shares, with one message to each keeper.
-func (c *Controller) renew(ctx context.Context, renewals *tasks.Group) {
-	for _, tenants := range c.byKeeper() {
-		renewals.Go(func() { c.renewAt(ctx, tenants) })
+// renewAll renews all shares, with one message to each keeper.
+func (c *Controller) renewAll(ctx context.Context, renewals *tasks.Group) {
+	for _, tenants := range c.tenantsByShard() {
+		renewals.Go(func() { c.renewShares(ctx, tenants) })
 	}
 }
 
-// byKeeper groups the tenants in use by their keepers, and drops those that
-// nobody uses.
-func (c *Controller) byKeeper() map[uint32][]string {
+// tenantsByShard groups the tenants in use by their keepers' shards, and drops idle ones.
+func (c *Controller) tenantsByShard() map[uint32][]string {
 	now := c.now()
 	groups := map[uint32][]string{}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for name, a := range c.allowances {
 		a.mutex.Lock()
-		idle := a.Idle(now) && !a.asking
+		idle := a.Idle(now) && !a.requesting
 		a.mutex.Unlock()
 		if idle {
 			delete(c.allowances, name)
@@ -69,11 +68,11 @@
 	return groups
 }
 
-// renewAt renews the shares of tenants that have the same keeper. Renewals of a
-// keeper follow one another: each ends before the next begins.
-func (c *Controller) renewAt(ctx context.Context, tenants []string) {
+// renewShares renews the shares of tenants that have the same keeper. A renewal times out
+// before the next one for the same keeper starts.
+func (c *Controller) renewShares(ctx context.Context, tenants []string) {
 	sort.Strings(tenants)
-	request := &wirev1.AllotmentRequest{Node: c.holder.Node, Incarnation: c.holder.Incarnation, Number: c.number.Add(1)}
+	request := &wirev1.AllotmentRequest{Node: c.holderID.Node, Incarnation: c.holderID.Incarnation, Number: c.requestNumber.Add(1)}
 	sent := c.now()
 	for _, name := range tenants {
 		limit, known := c.limit(name)
@@ -92,16 +91,16 @@
 	defer cancel()
 	reply, err := c.keepers.Allot(ctx, tenants[0], request)
 	if err != nil {
-		klog.InfoS("shares of limits not renewed", "tenants", len(tenants), "first", tenants[0],
+		klog.InfoS("failed to renew shares of rate limits", "tenants", len(tenants), "first", tenants[0],
 			"ms", c.now().Sub(sent).Milliseconds(), "err", err)
 		return
 	}
 	for _, grant := range reply.Grants {
-		c.granted(grant, sent)
+		c.applyGrant(grant, sent)
 	}
 }
 
-func (c *Controller) granted(grant *wirev1.AllotmentGrant, sent time.Time) {
+func (c *Controller) applyGrant(grant *wirev1.AllotmentGrant, sent time.Time) {
 	limit, known := c.limit(grant.Tenant)
 	if !known {
 		limit = allotment.RateLimit{}
@@ -109,5 +108,5 @@
 	a := c.allowance(grant.Tenant)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.Granted(c.now(), sent, limit, allotment.Grant{Share: grant.Share, Spare: grant.Spare})
+	a.ApplyGrant(c.now(), sent, limit, allotment.Grant{Share: grant.Share, Spare: grant.Spare})
 }
--- a/internal/serving/allotment/allotment.go
+++ b/internal/serving/allotment/allotment.go
@@ -1,107 +1,109 @@
-// Package allotment holds tenants to their requests a second over many nodes
-// without a message for each request, and never lets them have more, whoever is
-// cut off, frozen or restarted. It is pure decision logic.
+// Package allotment enforces tenants' request rates across many nodes without a message for
+// each request. A tenant never exceeds its limit by more than the configured tolerance, even
+// if nodes are partitioned, suspended or restarted. The package is pure decision logic.
 //
-// One keeper a tenant owns the tenant's whole limit. Up to half of it stands:
-// nodes hold shares of it, for a term, and admit requests from their share
-// without asking anybody, also while the keeper does not answer. All that is not
-// lent is a pool from which the keeper gives single credits to who asks; a credit
-// must be spent within a moment.
+// Each tenant has one keeper, which owns the tenant's whole limit. The keeper leases shares
+// of up to half of the limit to nodes. A node admits requests from its share without
+// contacting the keeper, and may use the share until the lease expires, even while the
+// keeper is unavailable. The rest of the limit is a pool from which the keeper grants single
+// credits on request. A credit has to be spent before it expires.
 //
-// Invariants, by which no sliding window holds more than the limit and the
-// tolerance allow:
-//   - shares that may be in use add up to at most the standing half: a share
-//     counts until its holder has said that it uses less, or its term has ended
-//     by the keeper's clock, which began to count later than the holder's;
-//   - a new keeper knows nothing of what the one before has lent. It grants no
-//     share beyond what a holder says that it has until a whole term is over,
-//     and its pool begins empty;
-//   - a share begins with no credit, and what a holder gives up of a share takes
-//     the credit with it;
-//   - what is admitted must be sent within CreditLife;
-//   - spare requests, for when the keeper does not answer, come out of the
-//     tolerance: a holder sends one a window at most, and few have one.
+// The following invariants keep the requests in every sliding window within the limit and
+// its tolerance:
+//   - The shares that may be in use add up to at most maxSharedPart. The keeper counts
+//     a share until its holder has confirmed a smaller one or the lease has expired by
+//     the keeper's clock, which starts to count later than the holder's.
+//   - A new keeper does not know which shares its predecessor leased. Until a full
+//     lease has passed it grants no holder more than the share that the holder reports,
+//     and its pool starts empty.
+//   - A share starts without credit, and a node that gives up a part of its share loses
+//     the credit of that part.
+//   - An admitted request has to be sent within CreditLife.
+//   - Spare requests, which nodes may send while the keeper is unavailable, count
+//     against the tolerance. A holder sends at most one in each window, and the number
+//     of holders that have one is bounded.
 //
-// The rules of what is lent, and when refused callers return, are in decision.go;
-// Keeper and Allowance keep the state. A storage node that leads a shard runs the
-// Keeper of the tenants whose names fall to the shard (package queuestore); an edge
-// runs an Allowance for each tenant (package admission). The plain node divides limits
-// in another way: packages limits and quota.
-// docs/design/tenant-quotas.md weighs this against other ways.
+// The rules for granting shares and for the delays of refused callers are in decision.go;
+// Keeper and Allowance hold the state. A storage node that leads a shard runs the Keeper of
+// the tenants whose names map to the shard (package queuestore). An edge runs an Allowance
+// for each tenant (package admission). The plain node divides limits by packages limits and
+// quota instead.
 package allotment
 
 import "time"
 
 const (
-	// Term is how long a share may be used without a grant from the keeper. It
-	// covers a machine that is cut off for some seconds.
-	Term = 7 * time.Second
-	// termSlack covers clocks that run at different speeds.
-	termSlack = 200 * time.Millisecond
-	// RenewInterval is how often a holder renews its shares.
+	// LeaseTTL is how long a share may be used without a renewal. It outlasts a network
+	// partition of a few seconds.
+	LeaseTTL = 7 * time.Second
+	// leaseSlack allows for clocks that run at different speeds.
+	leaseSlack = 200 * time.Millisecond
+	// RenewInterval is the time between two renewals by a holder.
 	RenewInterval = time.Second
 )
 
-// RateLimit is a tenant's limit. A rate of 0 is no limit.
+// RateLimit is the request rate limit of a tenant. A rate of 0 means unlimited.
 type RateLimit struct {
-	// Rate is requests a second, Burst requests above that at once.
+	// Rate is in requests per second. Burst is how many requests may exceed it at once.
 	Rate, Burst float64
-	// Steady: the limit has been the same for a term where it is looked at.
+	// Steady reports that the limit has not changed for at least LeaseTTL, as far as this
+	// node knows.
 	Steady bool
 }
 
-// Tolerance is by how much the users let a limit be exceeded in any window.
+// Tolerance is the amount by which a limit may be exceeded in any window.
 type Tolerance struct {
 	Window time.Duration
-	// Overrun is a share of what a window allows, Slack a number of requests.
+	// Overrun is a fraction of the requests that a window allows, Slack a number of
+	// requests.
 	Overrun float64
 	Slack   int
 }
 
 const (
-	// lifeShare of what the overrun allows is used by the life of credits: a
-	// credit spent at the end of its life counts in a later window.
-	lifeShare = 0.8
-	// minLife lets credits reach a runner at all where no overrun is allowed.
-	minLife = 50 * time.Millisecond
-	// spareShare of the slack is lent as spare requests, one each to so many
-	// holders, and poolShare is what the pool may hold beside its burst: small
-	// tenants' requests come together by chance. The rest covers what is written
-	// in the moment of a freeze.
-	spareShare = 0.5
-	poolShare  = 0.4
+	// creditLifeFraction is the part of the overrun that the lifetime of credits uses up: a
+	// credit that is spent just before it expires counts in a later window.
+	creditLifeFraction = 0.8
+	// minCreditLife leaves enough time to reach a runner if no overrun is allowed.
+	minCreditLife = 50 * time.Millisecond
+	// spareSlackFraction is the part of the slack that is granted as spare requests, one for
+	// each holder. poolSlackFraction is the part that the pool may hold above its burst,
+	// since requests of small tenants arrive in clusters. The remainder covers requests that
+	// are being sent when a machine is suspended.
+	spareSlackFraction = 0.5
+	poolSlackFraction  = 0.4
 )
 
-// CreditLife is how long after it was asked for or taken a credit may be spent.
+// CreditLife returns how long a credit is valid after it was requested from the pool or
+// acquired from a share.
 func (t Tolerance) CreditLife() time.Duration {
-	return max(minLife, time.Duration(lifeShare*t.Overrun*float64(t.Window)))
+	return max(minCreditLife, time.Duration(creditLifeFraction*t.Overrun*float64(t.Window)))
 }
 
-// spares is how many holders of a tenant may have a spare request.
-func (t Tolerance) spares() int { return int(spareShare * float64(t.Slack)) }
+// spares returns how many holders of a tenant may have a spare request.
+func (t Tolerance) spares() int { return int(spareSlackFraction * float64(t.Slack)) }
 
-// poolSlack is what the pool may hold beside its burst.
-func (t Tolerance) poolSlack() float64 { return poolShare * float64(t.Slack) }
+// poolSlack returns how many requests the pool may hold above its burst.
+func (t Tolerance) poolSlack() float64 { return poolSlackFraction * float64(t.Slack) }
 
-// bucket holds the credit that has come together at a rate. Parts of a limit are
-// fractions, which is why no library's bucket serves.
+// bucket is a token bucket with fractional rates and bursts, which parts of a limit need.
 type bucket struct {
-	level float64
-	at    time.Time
+	level   float64
+	updated time.Time
 }
 
-// fill adds what has come since it was last filled, up to a limit.
+// fill adds the credit that has accrued since the last update, up to a maximum level.
 func (b *bucket) fill(now time.Time, rate, limit float64) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 && !b.at.IsZero() {
+	if passed := now.Sub(b.updated).Seconds(); passed > 0 && !b.updated.IsZero() {
 		b.level += passed * rate
 	}
-	if b.at.IsZero() || now.After(b.at) {
-		b.at = now
+	if b.updated.IsZero() || now.After(b.updated) {
+		b.updated = now
 	}
 	b.level = min(b.level, limit)
 }
 
-// take takes one request's credit if it is there.
+// take removes the credit for one request if the bucket holds enough.
 func (b *bucket) take() bool {
 	if b.level < 1 {
 		return false
--- a/internal/serving/allotment/allotment_test.go
+++ b/internal/serving/allotment/allotment_test.go
@@ -15,30 +15,30 @@
 
 const testTenant = "tenant"
 
-// fleet is a model of nodes that hold allowances and of keepers that follow one
-// another. Messages take time, are lost, or come late; nodes are cut off, stop
-// for a while between taking a credit and sending, and start anew.
+// fleet models nodes with allowances and a sequence of keepers. Messages may be lost or
+// delayed; nodes may be partitioned, stall between acquiring a credit and sending, or
+// restart.
 type fleet struct {
 	now    time.Time
 	limit  RateLimit
 	keeper *Keeper
 	nodes  []*modelNode
-	// sent are the moments at which requests reached a runner.
+	// sent holds the times at which requests reached a runner.
 	sent []time.Time
-	// asked counts requests that came, refused those that were not sent.
-	asked, refused int
-	// turn spreads requests over the nodes.
-	turn int
+	// requests counts incoming requests, refused those that were not sent.
+	requests, refused int
+	// requestCount selects the node of the next request.
+	requestCount int
 }
 
 type modelNode struct {
-	holder    HolderID
-	number    uint64
-	allowance *Allowance
-	cut       bool
-	// late is a claim that is still on its way to the keeper.
+	holder      HolderID
+	number      uint64
+	allowance   *Allowance
+	partitioned bool
+	// late holds claims that have not reached the keeper yet.
 	late []lateClaim
-	// pending are credits taken whose requests are not sent yet.
+	// pending holds acquired credits whose requests are not sent yet.
 	pending []Credit
 	stalled bool
 }
@@ -58,22 +58,21 @@
 	return f
 }
 
-// renew sends a claim; the answer may be lost.
+// renew sends a claim; the request or the reply may be lost.
 func (f *fleet) renew(n *modelNode, lostRequest, lostAnswer bool) {
 	n.number++
 	claim := n.allowance.Claim(f.now, testTenant, f.limit)
-	if n.cut || lostRequest {
+	if n.partitioned || lostRequest {
 		n.late = append(n.late, lateClaim{n.holder, n.number, claim})
 		return
 	}
 	grant, valid := f.keeper.Renew(f.now, n.holder, n.number, f.limit, claim)
 	if valid && !lostAnswer {
-		n.allowance.Granted(f.now, f.now, f.limit, grant)
+		n.allowance.ApplyGrant(f.now, f.now, f.limit, grant)
 	}
 }
 
-// deliverLate brings claims that were lost to the keeper after all: their
-// answers come to nobody.
+// deliverLate delivers delayed claims to the keeper; the replies are lost.
 func (f *fleet) deliverLate(n *modelNode) {
 	for _, late := range n.late {
 		f.keeper.Renew(f.now, late.holder, late.number, f.limit, late.claim)
@@ -81,21 +80,21 @@
 	n.late = nil
 }
 
-// request brings a request to a node.
+// request sends a request to a node.
 func (f *fleet) request(n *modelNode, slow bool) {
-	f.asked++
-	n.allowance.Note(f.now)
-	credit, ok := n.allowance.Take(f.now, f.limit)
-	if _, empty := n.allowance.PoolEmpty(f.now); !ok && !n.cut && !empty {
+	f.requests++
+	n.allowance.RecordRequest(f.now)
+	credit, ok := n.allowance.AcquireCredit(f.now, f.limit)
+	if _, empty := n.allowance.PoolEmpty(f.now); !ok && !n.partitioned && !empty {
 		given, wait := f.keeper.Credits(f.now, testTenant, f.limit, 1)
-		n.allowance.Stock(f.now, given)
+		n.allowance.AddPoolCredits(f.now, given)
 		if given == 0 {
-			n.allowance.NotePoolEmpty(f.now, wait)
+			n.allowance.RecordPoolEmpty(f.now, wait)
 		}
-		credit, ok = n.allowance.Take(f.now, f.limit)
+		credit, ok = n.allowance.AcquireCredit(f.now, f.limit)
 	}
-	if !ok && n.cut {
-		credit, ok = n.allowance.TakeSpare(f.now)
+	if !ok && n.partitioned {
+		credit, ok = n.allowance.AcquireSpare(f.now)
 	}
 	if !ok {
 		f.refused++
@@ -108,14 +107,14 @@
 	f.send(credit)
 }
 
-// send reaches a runner, if the credit may still be spent.
+// send passes a request to a runner if its credit is still valid.
 func (f *fleet) send(credit Credit) {
 	if credit.Valid(f.now) {
 		f.sent = append(f.sent, f.now)
 	}
 }
 
-func (f *fleet) flush(n *modelNode) {
+func (f *fleet) sendPending(n *modelNode) {
 	for _, credit := range n.pending {
 		f.send(credit)
 	}
@@ -127,8 +126,8 @@
 	n.number, n.allowance, n.pending, n.stalled = 0, NewAllowance(f.now, tolerance), nil, false
 }
 
-// most is the largest number of requests in any window.
-func (f *fleet) most() int {
+// maxInWindow returns the largest number of requests in any window.
+func (f *fleet) maxInWindow() int {
 	most, first := 0, 0
 	for i, at := range f.sent {
 		for at.Sub(f.sent[first]) >= tolerance.Window {
@@ -139,36 +138,36 @@
 	return most
 }
 
-func (f *fleet) bound(limit RateLimit) float64 {
+func (f *fleet) allowedInWindow(limit RateLimit) float64 {
 	return (limit.Rate*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Overrun) + float64(tolerance.Slack)
 }
 
-// No window holds more than the limit and the tolerance, whatever is lost, late,
-// cut off, stopped, restarted, and however often the keeper changes.
+// No window exceeds the limit and its tolerance, despite lost and late messages, partitions,
+// stalls, restarts and changes of the keeper.
 func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := RateLimit{Rate: rapid.SampledFrom([]float64{3, 40, 400}).Draw(rt, "rate")}
 		limit.Steady = rapid.Bool().Draw(rt, "steady")
 		limit.Burst = limit.Rate * rapid.SampledFrom([]float64{0, 1, 3}).Draw(rt, "burst")
 		f := newFleet(rapid.IntRange(1, 25).Draw(rt, "nodes"), limit)
-		for range 25 { // each a second, with one thing that happens
+		for range 25 { // seconds, with one event in each
 			f.step(rt)
 			load := rapid.SampledFrom([]float64{0.2, 0.8, 2, 4}).Draw(rt, "load")
 			few := rapid.IntRange(1, len(f.nodes)).Draw(rt, "few")
-			f.second(load, few)
-			if problem := f.lent(); problem != "" {
+			f.runSecond(load, few)
+			if problem := f.checkLeases(); problem != "" {
 				rt.Fatal(problem)
 			}
 		}
-		if float64(f.most()) > f.bound(limit) {
-			rt.Fatalf("%d requests in a window, allowed are %.1f", f.most(), f.bound(limit))
+		if float64(f.maxInWindow()) > f.allowedInWindow(limit) {
+			rt.Fatalf("%d requests in a window, allowed are %.1f", f.maxInWindow(), f.allowedInWindow(limit))
 		}
 	})
 }
 
-// lent checks what is lent at this moment: shares within the standing half, no
-// more extra requests than the slack allows, no share without a term.
-func (f *fleet) lent() string {
+// checkLeases checks that shares stay within maxSharedPart and their leases, and that spare
+// requests stay within the slack.
+func (f *fleet) checkLeases() string {
 	shares, spares := 0.0, 0
 	for _, n := range f.nodes {
 		n.allowance.fill(f.now, f.limit)
@@ -176,18 +175,18 @@
 		if n.allowance.spare {
 			spares++
 		}
-		if n.allowance.share > 0 && n.allowance.until.After(f.now.Add(Term)) {
-			return "a share is held beyond its term"
+		if n.allowance.share > 0 && n.allowance.shareExpires.After(f.now.Add(LeaseTTL)) {
+			return "a share is held beyond its lease"
 		}
 		if n.allowance.bucket.level > n.allowance.share*f.limit.Burst+1e-9 {
 			return "a share holds more credit than its burst"
 		}
 	}
 	switch {
-	case shares > standingPart+1e-9:
+	case shares > maxSharedPart+1e-9:
 		return fmt.Sprintf("shares of %.3f are in use", shares)
 	case spares > tolerance.spares():
-		return fmt.Sprintf("%d spare requests are lent", spares)
+		return fmt.Sprintf("%d spare requests are granted", spares)
 	}
 	return ""
 }
@@ -200,7 +199,7 @@
 	case 1:
 		f.restart(n)
 	case 2:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 3:
 		f.deliverLate(n)
 	case 4:
@@ -210,15 +209,16 @@
 	case 6:
 		n.stalled = !n.stalled
 	case 7:
-		for _, one := range f.nodes { // all lose power
+		for _, one := range f.nodes { // power failure of all nodes
 			f.restart(one)
 		}
 		f.keeper = NewKeeper(f.now, tolerance)
 	}
 }
 
-// second plays a second: each node renews, and requests come to some nodes.
-func (f *fleet) second(load float64, few int) {
+// runSecond simulates a second in which each node renews and requests arrive at the first
+// nodes.
+func (f *fleet) runSecond(load float64, few int) {
 	const steps = 50
 	for i := range steps {
 		f.now = f.now.Add(time.Second / steps)
@@ -229,33 +229,33 @@
 		}
 		count := int(load*f.limit.Rate/steps*float64(i+1)) - int(load*f.limit.Rate/steps*float64(i))
 		for range count {
-			f.turn++
-			f.request(f.nodes[f.turn%few], f.turn%5 == 0)
+			f.requestCount++
+			f.request(f.nodes[f.requestCount%few], f.requestCount%5 == 0)
 		}
 		if i%10 == 9 {
 			for _, n := range f.nodes {
 				if !n.stalled {
-					f.flush(n)
+					f.sendPending(n)
 				}
 			}
 		}
 	}
 }
 
-// play plays seconds of a load that comes to the first nodes, and returns the
-// share that was refused.
-func (f *fleet) play(seconds int, load float64, few int) float64 {
-	f.asked, f.refused = 0, 0
+// run simulates seconds of load on the first nodes and returns the fraction of requests that
+// were refused.
+func (f *fleet) run(seconds int, load float64, few int) float64 {
+	f.requests, f.refused = 0, 0
 	for range seconds {
-		f.second(load, few)
+		f.runSecond(load, few)
 	}
-	return float64(f.refused) / float64(max(1, f.asked))
+	return float64(f.refused) / float64(max(1, f.requests))
 }
 
-// settledFleet is one whose keeper has been there for longer than a term.
+// settledFleet returns a fleet whose keeper has run for longer than LeaseTTL.
 func settledFleet(nodes int, limit RateLimit) *fleet {
 	f := newFleet(nodes, limit)
-	f.now = f.now.Add(2 * Term)
+	f.now = f.now.Add(2 * LeaseTTL)
 	return f
 }
 
@@ -264,81 +264,80 @@
 	for _, nodes := range []int{1, 3, 25} {
 		is := is.New(t)
 		f := settledFleet(nodes, RateLimit{Rate: 40, Burst: 40})
-		f.play(3, 0.3, nodes)
-		is.Equal(f.play(20, 0.8, nodes), 0.0)
+		f.run(3, 0.3, nodes)
+		is.Equal(f.run(20, 0.8, nodes), 0.0)
 	}
 }
 
-// A tenant gets nearly all of its limit, and no more, when it asks for twice of it.
+// A tenant that requests twice its limit gets nearly all of the limit and no more.
 func TestAboveTheLimitTheLimitIsServed(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(5, RateLimit{Rate: 40, Burst: 40})
-	f.play(5, 2, 5)
-	refused := f.play(20, 2, 5)
+	f.run(5, 2, 5)
+	refused := f.run(20, 2, 5)
 	is.True(refused > 0.4)
 	is.True(refused < 0.55)
 }
 
 // Traffic that moves to other nodes is served there within a second.
-func TestTrafficThatMoves(t *testing.T) {
+func TestTrafficMovesToOtherNodes(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(6, RateLimit{Rate: 40, Burst: 40})
-	f.play(10, 0.6, 3)
+	f.run(10, 0.6, 3)
 	f.nodes[0], f.nodes[1], f.nodes[2], f.nodes[3], f.nodes[4], f.nodes[5] = f.nodes[3], f.nodes[4], f.nodes[5], f.nodes[0], f.nodes[1], f.nodes[2]
-	f.play(1, 0.6, 3)
-	is.Equal(f.play(10, 0.6, 3), 0.0)
+	f.run(1, 0.6, 3)
+	is.Equal(f.run(10, 0.6, 3), 0.0)
 }
 
-// A keeper that does not answer changes nothing for its term: nodes go on with their
-// shares.
-func TestSilentKeeper(t *testing.T) {
+// Nodes continue with their shares until the leases expire if the keeper does not respond.
+func TestSharesOutlastUnresponsiveKeeper(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(3, RateLimit{Rate: 40, Burst: 40})
-	f.play(10, 0.4, 3)
+	f.run(10, 0.4, 3)
 	for _, n := range f.nodes {
-		n.cut = true
+		n.partitioned = true
 	}
-	is.Equal(f.play(6, 0.4, 3), 0.0)
-	f.play(2, 0.4, 3)
-	is.Equal(f.play(3, 0.4, 3), 1.0) // what is isolated can only spend what it was lent
+	is.Equal(f.run(6, 0.4, 3), 0.0)
+	f.run(2, 0.4, 3)
+	is.Equal(f.run(3, 0.4, 3), 1.0) // a partitioned node has only its share
 }
 
-// A small tenant's nodes hold no shares, in which credit would lie unused; each
-// goes on with a spare request while the keeper does not answer.
-func TestSmallTenant(t *testing.T) {
+// Nodes hold no shares of a small limit; each has a spare request while the keeper is
+// unavailable.
+func TestSmallTenantHasNoShares(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(8, RateLimit{Rate: 5, Burst: 5})
-	is.Equal(f.play(20, 0.8, 8), 0.0)
+	is.Equal(f.run(20, 0.8, 8), 0.0)
 	is.Equal(f.keeper.State(testTenant).InUse, 0.0)
 	for _, n := range f.nodes {
-		n.cut = true
+		n.partitioned = true
 	}
-	f.play(5, 0.8, 8)
-	is.Equal(f.asked-f.refused, 8)
+	f.run(5, 0.8, 8)
+	is.Equal(f.requests-f.refused, 8)
 }
 
-// A new keeper serves from its pool at once, and keeps up what holders have.
-func TestKeeperThatIsReplaced(t *testing.T) {
+// A new keeper serves from its pool at once and extends existing shares.
+func TestReplacedKeeperServesAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(3, RateLimit{Rate: 40, Burst: 40})
-	f.play(10, 0.6, 3)
+	f.run(10, 0.6, 3)
 	f.keeper = NewKeeper(f.now, tolerance)
-	is.Equal(f.play(10, 0.6, 3), 0.0)
+	is.Equal(f.run(10, 0.6, 3), 0.0)
 }
 
-// A limit that falls holds at once, wherever shares are.
-func TestLimitThatFalls(t *testing.T) {
+// A lowered limit applies at once, whichever nodes hold shares.
+func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(8, RateLimit{Rate: 80, Burst: 80})
-	f.play(10, 1, 8)
+	f.run(10, 1, 8)
 	f.limit = RateLimit{Rate: 5, Burst: 5}
 	f.sent = nil
-	f.play(15, 16, 8)
-	is.True(float64(f.most()) <= f.bound(f.limit))
+	f.run(15, 16, 8)
+	is.True(float64(f.maxInWindow()) <= f.allowedInWindow(f.limit))
 }
 
-// A node that starts anew or whose message is late is distinguished from its later self.
-func TestLateAndEarlierClaimsAreNotAnswered(t *testing.T) {
+// The keeper rejects claims that arrive out of order or from an earlier process of a node.
+func TestLateAndOldClaimsAreRejected(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper(time.Unix(0, 0), tolerance)
 	now := time.Unix(100, 0)
@@ -356,8 +355,8 @@
 	is.Equal(k.State(testTenant).InUse, 0.0)
 }
 
-// Refused callers get times of their own to come back.
-func TestRetryMomentsDiffer(t *testing.T) {
+// Refused callers get different retry delays.
+func TestRetryDelaysDiffer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	k := NewKeeper(now, tolerance)
@@ -371,23 +370,23 @@
 	is.Equal(len(seen), 10)
 }
 
-// An allowance that nobody uses holds nothing and says nothing.
-func TestIdleAccount(t *testing.T) {
+// An idle tenant's allowance and the keeper's state for it are dropped.
+func TestIdleAllowanceIsDropped(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, RateLimit{Rate: 40, Burst: 40})
-	f.play(5, 0.5, 1)
+	f.run(5, 0.5, 1)
 	is.True(!f.nodes[0].allowance.Idle(f.now))
-	f.play(demandSeconds+2, 0, 1)
+	f.run(demandWindowSeconds+2, 0, 1)
 	is.True(f.nodes[0].allowance.Idle(f.now))
-	f.now = f.now.Add(2 * Term) // its report, and a spare request that it may have sent, are over
-	f.keeper.sweep(f.now)
+	f.now = f.now.Add(2 * LeaseTTL) // its lease and its spare request have expired
+	f.keeper.removeExpired(f.now)
 	is.Equal(f.keeper.State(testTenant).Holders, 0)
-	f.keeper.sweep(f.now.Add(2 * sweepInterval))
+	f.keeper.removeExpired(f.now.Add(2 * expiryCheckInterval))
 	is.Equal(len(f.keeper.tenants), 0)
 }
 
-// A new keeper lends no more of its pool than the keeper before can't have lent:
-// it begins with nothing, and has half of the rate until a term is over.
+// The pool of a new keeper starts empty and has only the part that cannot be leased until
+// earlier leases have expired.
 func TestPoolOfANewKeeper(t *testing.T) {
 	is := is.New(t)
 	limit := RateLimit{Rate: 100, Burst: 300}
@@ -396,43 +395,43 @@
 	given, _ := k.Credits(start, testTenant, limit, 1000)
 	is.Equal(given, 0)
 	total := 0
-	for at := start; at.Sub(start) < Term; at = at.Add(100 * time.Millisecond) {
+	for at := start; at.Sub(start) < LeaseTTL; at = at.Add(100 * time.Millisecond) {
 		given, _ = k.Credits(at, testTenant, limit, 1000)
 		total += given
 	}
-	is.True(float64(total) <= (1-standingPart)*limit.Rate*Term.Seconds())
-	later := start.Add(2 * Term)
+	is.True(float64(total) <= (1-maxSharedPart)*limit.Rate*LeaseTTL.Seconds())
+	later := start.Add(2 * LeaseTTL)
 	k.Credits(later, testTenant, limit, 1000)
 	given, _ = k.Credits(later.Add(time.Second), testTenant, limit, 1000)
-	is.True(given >= int(0.9*limit.Rate)) // then all that is not lent
+	is.True(given >= int(0.9*limit.Rate)) // then everything that is not leased
 }
 
-// A credit that was not spent within its life must not be.
-func TestCreditsEnd(t *testing.T) {
+// An expired credit can neither be spent nor returned.
+func TestCreditsExpire(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(1, RateLimit{Rate: 40, Burst: 40})
-	f.play(12, 0.2, 1)
+	f.run(12, 0.2, 1)
 	allowance := f.nodes[0].allowance
-	credit, ok := allowance.Take(f.now, f.limit)
+	credit, ok := allowance.AcquireCredit(f.now, f.limit)
 	is.True(ok)
 	is.True(credit.Valid(f.now))
 	is.True(!credit.Valid(f.now.Add(tolerance.CreditLife())))
-	allowance.Stock(f.now, 1)
+	allowance.AddPoolCredits(f.now, 1)
 	allowance.bucket.level = 0
-	_, ok = allowance.Take(f.now.Add(tolerance.CreditLife()), RateLimit{})
+	_, ok = allowance.AcquireCredit(f.now.Add(tolerance.CreditLife()), RateLimit{})
 	is.True(!ok)
 	allowance.Return(f.now.Add(tolerance.CreditLife()), RateLimit{}, credit)
-	is.Equal(allowance.bucket.level, 0.0) // nor comes back
+	is.Equal(allowance.bucket.level, 0.0) // not returned either
 }
 
-// A spare request that a holder may just have sent is lent to no other in the
-// same window.
-func TestSpareThatWasGivenUp(t *testing.T) {
+// A spare request that a holder gives up is not granted to another holder within the same
+// window, since the first may just have sent it.
+func TestReturnedSpareIsNotGrantedWithinWindow(t *testing.T) {
 	is := is.New(t)
 	limit := RateLimit{Rate: 5, Burst: 5}
 	start := time.Unix(100, 0)
 	k := NewKeeper(start, tolerance)
-	now := start.Add(2 * Term)
+	now := start.Add(2 * LeaseTTL)
 	claim := func(node string, spare bool, wanted float64) bool {
 		grant, valid := k.Renew(now, HolderID{node, 1}, uint64(now.UnixNano()), limit, Claim{Tenant: testTenant, Wanted: wanted, Spare: spare})
 		is.True(valid)
@@ -442,7 +441,7 @@
 		is.True(claim(fmt.Sprint("n", i), false, 0.1))
 	}
 	now = now.Add(time.Second)
-	is.True(!claim("n0", true, 0)) // it is idle and gives it up
+	is.True(!claim("n0", true, 0)) // idle: gives up its spare request
 	is.True(!claim("other", false, 0.1))
 	now = now.Add(time.Second)
 	is.True(!claim("n0", false, 0))
@@ -454,9 +453,8 @@
 	is.True(claim("other", false, 0.1))
 }
 
-// A new keeper has the whole limit of a small tenant to give at once, from an
-// empty pool: no share of it can be lent. It is not sure of a limit that has just
-// become small.
+// A new keeper grants the whole limit of a small tenant at once, from an empty pool, but not
+// if the limit has just become small.
 func TestNewKeeperOfASmallTenant(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(100, 0)
@@ -474,11 +472,11 @@
 	}
 }
 
-// A node whose tenant's limit becomes small drops its share.
-func TestShareOfALimitThatBecomesSmall(t *testing.T) {
+// A node drops its share when the tenant's limit becomes too small for shares.
+func TestShareIsDroppedWhenLimitBecomesSmall(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(1, RateLimit{Rate: 80, Burst: 80})
-	f.play(10, 0.5, 1)
+	f.run(10, 0.5, 1)
 	allowance := f.nodes[0].allowance
 	is.True(allowance.share > 0)
 	f.limit = RateLimit{Rate: 10, Burst: 10}
--- a/internal/serving/allotment/allowance.go
+++ b/internal/serving/allotment/allowance.go
@@ -4,7 +4,7 @@
 
 // Credit is the right to send one request of a tenant.
 type Credit struct {
-	// Pooled: it came from the keeper's pool, not from a share.
+	// Pooled reports that the credit came from the keeper's pool, not from a share.
 	Pooled  bool
 	expires time.Time
 }
@@ -12,112 +12,114 @@
 // Valid reports whether the request may still be sent.
 func (c Credit) Valid(now time.Time) bool { return now.Before(c.expires) }
 
-// Allowance is what one node holds of one tenant's limit. Not safe for concurrent
-// use.
+// Allowance is the part of one tenant's limit that one node holds. It is not safe for
+// concurrent use.
 type Allowance struct {
-	// life is how long a credit may be spent; window is the users' for limits.
-	life   time.Duration
-	window time.Duration
-	// share of the limit, which may be used until a moment.
-	share  float64
-	until  time.Time
-	bucket bucket
-	// spare: the node may send one request a window beside, last at spareSent.
+	// creditLife is how long a credit is valid; window is the window of the tolerance.
+	creditLife time.Duration
+	window     time.Duration
+	// share is the leased part of the limit, valid until shareExpires.
+	share        float64
+	shareExpires time.Time
+	bucket       bucket
+	// spare reports that the node may send one request in each window in addition to its
+	// share. lastSpare is when it last sent one.
 	spare     bool
-	spareSent time.Time
-	// stock are credits of the pool.
-	stock []Credit
-	// seconds counts the requests of the last seconds, the current one last; second is
-	// the current one's number, from began.
-	seconds [demandSeconds]float64
-	second  int64
-	began   time.Time
-	// emptyUntil is until when the pool is known to have nothing.
-	emptyUntil time.Time
-}
-
-// demandSeconds is over how long demand is measured: traffic swings within seconds,
-// and a share is to cover its peaks.
-const demandSeconds = 8
-
-// NewAllowance returns the allowance of a node that holds nothing.
+	lastSpare time.Time
+	// poolCredits are unused credits from the pool.
+	poolCredits []Credit
+	// requestCounts holds the number of requests in each of the last seconds, ending with
+	// the current one. currentSecond counts from start.
+	requestCounts [demandWindowSeconds]float64
+	currentSecond int64
+	start         time.Time
+	// poolEmptyUntil is when the pool may have credits again.
+	poolEmptyUntil time.Time
+}
+
+// demandWindowSeconds is the period over which demand is averaged, so that a share covers
+// short peaks.
+const demandWindowSeconds = 8
+
+// NewAllowance returns the allowance of a node without a share.
 func NewAllowance(now time.Time, tolerance Tolerance) *Allowance {
-	return &Allowance{life: tolerance.CreditLife(), window: tolerance.Window, began: now, spareSent: now}
+	return &Allowance{creditLife: tolerance.CreditLife(), window: tolerance.Window, start: now, lastSpare: now}
 }
 
-// Note counts a request that has come, whatever becomes of it.
-func (a *Allowance) Note(now time.Time) {
-	a.turn(now)
-	a.seconds[demandSeconds-1]++
+// RecordRequest counts an incoming request, whether or not it is admitted.
+func (a *Allowance) RecordRequest(now time.Time) {
+	a.advance(now)
+	a.requestCounts[demandWindowSeconds-1]++
 }
 
-// turn moves the counts on to the current second.
-func (a *Allowance) turn(now time.Time) {
-	second := int64(now.Sub(a.began) / time.Second)
-	steps := min(second-a.second, demandSeconds)
+// advance shifts the request counts to the current second.
+func (a *Allowance) advance(now time.Time) {
+	currentSecond := int64(now.Sub(a.start) / time.Second)
+	steps := min(currentSecond-a.currentSecond, demandWindowSeconds)
 	for range steps {
-		copy(a.seconds[:], a.seconds[1:])
-		a.seconds[demandSeconds-1] = 0
+		copy(a.requestCounts[:], a.requestCounts[1:])
+		a.requestCounts[demandWindowSeconds-1] = 0
 	}
 	if steps > 0 {
-		a.second = second
+		a.currentSecond = currentSecond
 	}
 }
 
-// Demand returns the requests a second of the last seconds.
+// Demand returns the average request rate, per second, over the demand window.
 func (a *Allowance) Demand(now time.Time) float64 {
-	a.turn(now)
+	a.advance(now)
 	sum := 0.0
-	for _, count := range a.seconds {
+	for _, count := range a.requestCounts {
 		sum += count
 	}
-	return sum / demandSeconds
+	return sum / demandWindowSeconds
 }
 
-// Idle reports whether no request has come lately and no share is held: nothing
-// has to be kept or renewed.
+// Idle reports whether the node has neither recent requests nor a share or spare request of
+// the tenant, so that the allowance may be dropped.
 func (a *Allowance) Idle(now time.Time) bool {
 	return a.Demand(now) == 0 && a.share == 0 && !a.spare
 }
 
-// Claim returns what the node claims from the keeper.
+// Claim returns the claim that the node sends to the keeper.
 func (a *Allowance) Claim(now time.Time, tenant string, limit RateLimit) Claim {
 	a.fill(now, limit)
 	return Claim{Tenant: tenant, Held: a.share, Spare: a.spare, Wanted: wantedShare(a.Demand(now), limit)}
 }
 
-// Granted takes the answer to a claim that was sent at a moment.
-func (a *Allowance) Granted(now, sent time.Time, limit RateLimit, grant Grant) {
+// ApplyGrant applies the keeper's reply to a claim that was sent at the given time.
+func (a *Allowance) ApplyGrant(now, sent time.Time, limit RateLimit, grant Grant) {
 	a.fill(now, limit)
 	a.share, a.spare = grant.Share, grant.Spare
-	a.until = sent.Add(Term)
+	a.shareExpires = sent.Add(LeaseTTL)
 	a.fill(now, limit)
 }
 
-// expire drops a share whose term has ended.
+// expire drops the share and the spare request once the lease has expired.
 func (a *Allowance) expire(now time.Time) {
-	if (a.share > 0 || a.spare) && !now.Before(a.until) {
+	if (a.share > 0 || a.spare) && !now.Before(a.shareExpires) {
 		a.share, a.spare, a.bucket = 0, false, bucket{}
 	}
 }
 
 func (a *Allowance) fill(now time.Time, limit RateLimit) {
 	a.expire(now)
-	if !limit.shared() {
+	if !limit.usesShares() {
 		a.share, a.bucket = 0, bucket{}
 	}
 	a.bucket.fill(now, a.share*limit.Rate, a.share*limit.Burst)
 }
 
-// Take takes a credit of the share, or one of the pool that is in stock.
-func (a *Allowance) Take(now time.Time, limit RateLimit) (Credit, bool) {
+// AcquireCredit returns a credit from the share or, if the share has none, an unused credit
+// from the pool.
+func (a *Allowance) AcquireCredit(now time.Time, limit RateLimit) (Credit, bool) {
 	a.fill(now, limit)
 	if a.bucket.take() {
-		return Credit{expires: earlier(now.Add(a.life), a.until)}, true
+		return Credit{expires: earlier(now.Add(a.creditLife), a.shareExpires)}, true
 	}
-	for len(a.stock) > 0 {
-		credit := a.stock[len(a.stock)-1]
-		a.stock = a.stock[:len(a.stock)-1]
+	for len(a.poolCredits) > 0 {
+		credit := a.poolCredits[len(a.poolCredits)-1]
+		a.poolCredits = a.poolCredits[:len(a.poolCredits)-1]
 		if credit.Valid(now) {
 			return credit, true
 		}
@@ -125,57 +127,58 @@
 	return Credit{}, false
 }
 
-// TakeSpare takes the spare request, for when the keeper does not answer. A node that
-// has started anew has none for a window.
-func (a *Allowance) TakeSpare(now time.Time) (Credit, bool) {
+// AcquireSpare returns the credit for the spare request, which is for the time when the
+// keeper is unavailable. A node that has just started has none for one window.
+func (a *Allowance) AcquireSpare(now time.Time) (Credit, bool) {
 	a.expire(now)
-	if !a.spare || now.Sub(a.spareSent) < a.window+a.life {
+	if !a.spare || now.Sub(a.lastSpare) < a.window+a.creditLife {
 		return Credit{}, false
 	}
-	a.spareSent = now
-	return Credit{Pooled: true, expires: earlier(now.Add(a.life), a.until)}, true
+	a.lastSpare = now
+	return Credit{Pooled: true, expires: earlier(now.Add(a.creditLife), a.shareExpires)}, true
 }
 
-// Stock takes credits of the pool that were asked for at a moment.
-func (a *Allowance) Stock(asked time.Time, count int) {
+// AddPoolCredits adds credits from the pool that were requested at the given time.
+func (a *Allowance) AddPoolCredits(asked time.Time, count int) {
 	for range count {
-		a.stock = append(a.stock, Credit{Pooled: true, expires: asked.Add(a.life)})
+		a.poolCredits = append(a.poolCredits, Credit{Pooled: true, expires: asked.Add(a.creditLife)})
 	}
 }
 
-// Return takes back a credit whose request no runner has run.
+// Return puts back a credit whose request did not run on any runner.
 func (a *Allowance) Return(now time.Time, limit RateLimit, credit Credit) {
 	if !credit.Valid(now) {
 		return
 	}
 	if credit.Pooled {
-		a.stock = append(a.stock, credit)
+		a.poolCredits = append(a.poolCredits, credit)
 		return
 	}
 	a.fill(now, limit)
 	a.bucket.level = min(a.bucket.level+1, a.share*limit.Burst)
 }
 
-// NotePoolEmpty records that the pool had nothing, and in how long the keeper says
-// that it is worth asking again.
-func (a *Allowance) NotePoolEmpty(now time.Time, wait time.Duration) {
-	a.emptyUntil = now.Add(emptyTime(wait))
+// RecordPoolEmpty records that the pool was empty, and after which delay the keeper expects
+// credit again.
+func (a *Allowance) RecordPoolEmpty(now time.Time, wait time.Duration) {
+	a.poolEmptyUntil = now.Add(poolPause(wait))
 }
 
-// PoolEmpty reports whether asking the pool is in vain, and for how long.
+// PoolEmpty reports whether the pool is known to be empty, and for how long.
 func (a *Allowance) PoolEmpty(now time.Time) (time.Duration, bool) {
-	return a.emptyUntil.Sub(now), now.Before(a.emptyUntil)
+	return a.poolEmptyUntil.Sub(now), now.Before(a.poolEmptyUntil)
 }
 
-// Age returns how old the keeper's grant of the share is; 0 without a share.
-func (a *Allowance) Age(now time.Time) time.Duration {
-	if a.until.IsZero() {
+// GrantAge returns the time since the node requested its latest grant; 0 if it has received
+// none.
+func (a *Allowance) GrantAge(now time.Time) time.Duration {
+	if a.shareExpires.IsZero() {
 		return 0
 	}
-	return Term - a.until.Sub(now)
+	return LeaseTTL - a.shareExpires.Sub(now)
 }
 
-// Share returns the share held and how much credit has come together.
+// Share returns the share and the credit that it has accrued.
 func (a *Allowance) Share() (share, level float64) { return a.share, a.bucket.level }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/serving/allotment/decision.go
+++ b/internal/serving/allotment/decision.go
@@ -3,109 +3,113 @@
 import "time"
 
 const (
-	// standingPart of a limit may be held in shares, the rest is the pool's. A
-	// tenant whose keeper is new has the rest alone for a term, and what holders
-	// say that they have; one whose keeper does not answer has its shares alone.
-	standingPart = 0.5
-	// minSharedBurst is the burst, in requests, from which on shares of a limit are
-	// lent.
-	minSharedBurst = 40
-	// minShareBurst is how many requests a share must hold to be lent.
-	minShareBurst = 2
-	// headroom is how much more than its demand a node wants, as a factor; baseRate is
-	// wanted beside, in requests a second: small numbers vary more.
-	headroom = 1.25
-	baseRate = 0.2
-	// maxRetryAfter bounds the time to return: how things stand later is not known.
+	// maxSharedPart is the part of a limit that may be leased as shares; the rest belongs to
+	// the pool. While a new keeper waits for earlier leases to expire, a tenant has only the
+	// pool's part and the shares that holders report. While no keeper is available, a tenant
+	// has only its shares.
+	maxSharedPart = 0.5
+	// minBurstForShares is the smallest burst, in requests, of a limit that is leased as
+	// shares.
+	minBurstForShares = 40
+	// minRequestsPerShare is the smallest burst, in requests, of a share.
+	minRequestsPerShare = 2
+	// demandHeadroom is the factor by which the claimed share exceeds the demand.
+	// demandMargin is added to that, in requests per second, since low rates vary more.
+	demandHeadroom = 1.25
+	demandMargin   = 0.2
+	// maxRetryAfter limits the retry delay, since later load cannot be predicted.
 	maxRetryAfter = 3 * time.Second
-	// maxEmptyTime bounds how long the pool is taken for empty after it was.
-	maxEmptyTime = 100 * time.Millisecond
+	// maxPoolPause limits how long a node regards the pool as empty.
+	maxPoolPause = 100 * time.Millisecond
 )
 
-// shared decides whether shares of the limit are lent at all. The requests of a
-// smaller tenant come thinly to many nodes, where shares would lie unused; and a new
-// keeper has its whole limit to give at once, since nothing of it can be lent in
-// shares.
-func (l RateLimit) shared() bool { return l.Burst >= minSharedBurst }
+// usesShares reports whether shares of the limit are leased at all. The requests of a
+// smaller tenant are spread too thinly over the nodes to use shares. Without shares, a new
+// keeper can grant the whole limit at once, since its predecessor cannot have leased any of
+// it.
+func (l RateLimit) usesShares() bool { return l.Burst >= minBurstForShares }
 
-// lentIsKnown decides whether a keeper knows all that is lent of a limit: a whole term
-// has passed since it began (settled), or none of it has been lent since a term.
-func lentIsKnown(limit RateLimit, settled bool) bool {
-	return settled || limit.Steady && !limit.shared()
+// allLeasesKnown reports whether a keeper knows every lease of a limit: either all leases of
+// earlier keepers have expired (settled), or the limit has not been leased for at least
+// LeaseTTL.
+func allLeasesKnown(limit RateLimit, settled bool) bool {
+	return settled || limit.Steady && !limit.usesShares()
 }
 
-// firstPoolPart decides which part of a limit a new keeper's pool has had since the
-// keeper began: all that an earlier keeper can't have lent.
-func firstPoolPart(limit RateLimit) float64 {
-	if lentIsKnown(limit, false) {
+// initialPoolPart returns the part of a limit that belongs to a new keeper's pool:
+// everything that an earlier keeper cannot have leased.
+func initialPoolPart(limit RateLimit) float64 {
+	if allLeasesKnown(limit, false) {
 		return 1
 	}
-	return 1 - standingPart
+	return 1 - maxSharedPart
 }
 
-// shareRequest is what the share of a holder depends on. All are parts of the whole
-// limit.
+// shareRequest is the input for computing a holder's share. All values are fractions of the
+// whole limit.
 type shareRequest struct {
-	// wanted is what the holder's traffic needs, inUse the most that it may be using.
-	wanted, inUse float64
-	// wantedByAll adds up what all holders want, inUseByOthers what the others may be
+	// wanted is the share that the holder claims, inUse the largest share that it may be
 	// using.
+	wanted, inUse float64
+	// wantedByAll is the sum of the claims of all holders, inUseByOthers the sum of the
+	// shares that the others may be using.
 	wantedByAll, inUseByOthers float64
-	// settled: what an earlier keeper had lent is over.
+	// settled reports that all leases of earlier keepers have expired.
 	settled bool
 }
 
-// lendableShare decides which share a holder gets for the next term: what it wants if
-// all that is wanted fits into the standing half, else its part by what is wanted;
-// never more than is surely free. A keeper that is not settled doesn't know what else
-// is lent, and leaves a holder what it has. A share that holds less than minShareBurst
-// is not lent: credit would come together where nobody asks for it.
-func lendableShare(limit RateLimit, request shareRequest) float64 {
+// grantableShare returns the share that a holder gets with its next lease. A holder gets the
+// share that it claims if all claims fit into maxSharedPart, else a proportional part; never
+// more than is certainly free. A keeper that is not settled does not know all leases and
+// only extends the share that the holder has. A share below minRequestsPerShare is not
+// granted, since its credit would mostly stay unused.
+func grantableShare(limit RateLimit, request shareRequest) float64 {
 	share := request.wanted
-	if !limit.shared() {
+	if !limit.usesShares() {
 		return 0
 	}
-	if request.wantedByAll > standingPart {
-		share *= standingPart / request.wantedByAll
+	if request.wantedByAll > maxSharedPart {
+		share *= maxSharedPart / request.wantedByAll
 	}
-	free := max(0, standingPart-request.inUseByOthers)
+	free := max(0, maxSharedPart-request.inUseByOthers)
 	if !request.settled {
 		free = request.inUse
 	}
 	share = min(share, free)
-	if share*limit.Burst < minShareBurst {
+	if share*limit.Burst < minRequestsPerShare {
 		return 0
 	}
 	return share
 }
 
-// wantedShare decides which share a node claims for the demand that it sees, in
-// requests a second: more than the demand, since it swings; nothing without any.
+// wantedShare returns the share that a node claims for its demand, in requests per second.
+// It exceeds the demand to absorb variations, and is 0 without demand.
 func wantedShare(demand float64, limit RateLimit) float64 {
 	if demand <= 0 || limit.Rate <= 0 {
 		return 0
 	}
-	return min(1, (headroom*demand+baseRate)/limit.Rate)
+	return min(1, (demandHeadroom*demand+demandMargin)/limit.Rate)
 }
 
-// maySpare decides whether a holder has a spare request for the next term: one that
-// has demand keeps the one that it has; another gets one while fewer than maxSpares
-// holders may have one and the keeper knows of all of these (settled).
-func maySpare(claim Claim, settled bool, spares, maxSpares int) bool {
+// grantsSpare reports whether a holder gets a spare request with its next lease. A holder
+// with demand keeps the spare request that it has. Another one gets a spare request if fewer
+// than maxSpares holders may have one and the keeper knows all of these (settled).
+func grantsSpare(claim Claim, settled bool, spares, maxSpares int) bool {
 	if claim.Wanted <= 0 {
 		return false
 	}
 	return claim.Spare || settled && spares < maxSpares
 }
 
-// returnQueue is up to when callers that were refused will come back.
-type returnQueue struct{ until time.Time }
+// retryQueue is a virtual queue of refused callers. until is when the last of them is
+// expected back.
+type retryQueue struct{ until time.Time }
 
-// next decides in how long the first of some refused callers should come back: when
-// those refused before are served and a credit has come together. Level is what the
-// pool has, in requests, rate what it gets, in requests a second, above 0. Callers
-// that all come back at once would be refused again.
-func (q *returnQueue) next(now time.Time, level, rate float64, refused int) time.Duration {
+// next returns the retry delay for the first of several refused callers: the time until
+// earlier refused callers are served and credit for one more request has accrued. level is
+// the pool's credit in requests, rate its refill rate in requests per second, above 0.
+// Separate delays keep callers from returning all at once and being refused again.
+func (q *retryQueue) next(now time.Time, level, rate float64, refused int) time.Duration {
 	if q.until.Before(now) {
 		q.until = now
 	}
@@ -117,6 +121,6 @@
 	return min(wait, maxRetryAfter)
 }
 
-// emptyTime decides for how long a node doesn't ask a pool again that had nothing,
-// after the wait that its keeper stated.
-func emptyTime(wait time.Duration) time.Duration { return min(wait, maxEmptyTime) }
+// poolPause returns how long a node does not ask an empty pool again, given the delay that
+// the keeper stated.
+func poolPause(wait time.Duration) time.Duration { return min(wait, maxPoolPause) }
--- a/internal/serving/allotment/keeper.go
+++ b/internal/serving/allotment/keeper.go
@@ -2,108 +2,112 @@
 
 import "time"
 
-// HolderID names one life of a node that holds shares.
+// HolderID identifies one process of a node that holds shares.
 type HolderID struct {
 	Node        string
 	Incarnation uint64
 }
 
-// Claim is what a holder says of one tenant when it renews.
+// Claim is a holder's renewal request for one tenant.
 type Claim struct {
 	Tenant string
-	// Held is the share that it uses now, Wanted the one that its traffic needs; both
-	// are parts of the whole limit, from 0 to 1.
+	// Held is the share that the holder uses now, Wanted the share that its traffic needs.
+	// Both are fractions of the whole limit, from 0 to 1.
 	Held, Wanted float64
-	// Spare: it holds a spare request.
+	// Spare reports that the holder has a spare request.
 	Spare bool
 }
 
-// Grant is a share for a term from the moment in which the claim was sent.
+// Grant is a share that is leased for LeaseTTL from when the claim was sent.
 type Grant struct {
 	Share float64
 	Spare bool
 }
 
-// Keeper lends the limits of tenants. Not safe for concurrent use.
+// Keeper leases shares of tenants' limits and grants credits from the remaining pool. It is
+// not safe for concurrent use.
 type Keeper struct {
 	started   time.Time
 	tolerance Tolerance
-	tenants   map[string]*tenantBook
-	swept     time.Time
-}
-
-// tenantBook is what a keeper knows of one tenant.
-type tenantBook struct {
-	holders map[string]*holding
-	// limit is the last that is known, and part the share of it that the pool has
-	// had since it was last filled.
-	limit RateLimit
-	part  float64
-	pool  bucket
-	// returns are the callers that were refused and will come back.
-	returns returnQueue
-	// given and refused count the pool's credits since the keeper began.
-	given, refused uint64
-}
-
-// holding is what one node may have of a tenant's standing half.
-type holding struct {
-	// incarnation and number are those of the holder's last message.
+	tenants   map[string]*tenantAllocation
+	lastSweep time.Time
+}
+
+// tenantAllocation is a keeper's state for one tenant.
+type tenantAllocation struct {
+	holders map[string]*holderLease
+	// limit is the limit as of the last refill, and poolPart the fraction of it that the
+	// pool has been filled with since then.
+	limit    RateLimit
+	poolPart float64
+	pool     bucket
+	// retries schedules the retries of refused callers.
+	retries retryQueue
+	// granted and refused count credits of the pool since the keeper started.
+	granted, refused uint64
+}
+
+// holderLease is the lease of one node on a part of a tenant's limit.
+type holderLease struct {
+	// incarnation and number are taken from the holder's last message.
 	incarnation uint64
 	number      uint64
-	// inUse is the most that the holder may be using, wanted what it asked for.
+	// inUse is the largest share that the holder may be using, wanted the share that it
+	// claimed.
 	inUse, wanted float64
-	// spare: it may have a spare request; what it gave up counts until spareEnds.
+	// spare reports that the holder may have a spare request. One that it has given up
+	// counts until spareEnds.
 	spare     bool
 	spareEnds time.Time
-	// until is when the term is over for which the holder may use its share.
-	until time.Time
+	// expires is when the lease ends.
+	expires time.Time
 }
 
-// NewKeeper returns a keeper that knows of no share lent before.
+// NewKeeper returns a keeper that knows no leases of earlier keepers.
 func NewKeeper(now time.Time, tolerance Tolerance) *Keeper {
-	return &Keeper{started: now, tolerance: tolerance, tenants: map[string]*tenantBook{}, swept: now}
+	return &Keeper{started: now, tolerance: tolerance, tenants: map[string]*tenantAllocation{}, lastSweep: now}
 }
 
-// Started returns when the keeper began.
+// Started returns when the keeper started.
 func (k *Keeper) Started() time.Time { return k.started }
 
-// settled reports whether what an earlier keeper had lent is over.
-func (k *Keeper) settled(now time.Time) bool { return now.Sub(k.started) > Term+termSlack }
+// settled reports whether all leases of earlier keepers have expired.
+func (k *Keeper) settled(now time.Time) bool { return now.Sub(k.started) > LeaseTTL+leaseSlack }
 
-func (k *Keeper) tenant(name string, limit RateLimit) *tenantBook {
+func (k *Keeper) tenant(name string, limit RateLimit) *tenantAllocation {
 	held := k.tenants[name]
 	if held == nil {
-		held = &tenantBook{holders: map[string]*holding{}, limit: limit, part: firstPoolPart(limit), pool: bucket{at: k.started}}
+		held = &tenantAllocation{holders: map[string]*holderLease{}, limit: limit, poolPart: initialPoolPart(limit), pool: bucket{updated: k.started}}
 		k.tenants[name] = held
 	}
 	return held
 }
 
-// refill fills a tenant's pool by what it has had until now. From now on it has
-// all that is not lent; what a keeper before may have lent counts as lent.
-func (k *Keeper) refill(t *tenantBook, now time.Time, limit RateLimit) {
-	t.pool.fill(now, t.part*t.limit.Rate, k.maxPool(t.part, t.limit))
-	t.limit, t.part = limit, 1-standingPart
-	if lentIsKnown(limit, k.settled(now)) {
-		t.part = 1
+// refill adds the credit that the pool has accrued until now, then recomputes the pool's
+// part of the limit: everything that is not leased and that earlier keepers cannot have
+// leased.
+func (k *Keeper) refill(t *tenantAllocation, now time.Time, limit RateLimit) {
+	t.pool.fill(now, t.poolPart*t.limit.Rate, k.maxPool(t.poolPart, t.limit))
+	t.limit, t.poolPart = limit, 1-maxSharedPart
+	if allLeasesKnown(limit, k.settled(now)) {
+		t.poolPart = 1
 		for _, h := range t.holders {
-			t.part -= h.inUse
+			t.poolPart -= h.inUse
 		}
 	}
-	t.pool.level = min(t.pool.level, k.maxPool(t.part, limit))
+	t.pool.level = min(t.pool.level, k.maxPool(t.poolPart, limit))
 }
 
-// maxPool is the most that the pool holds, in requests; one at least.
+// maxPool returns the maximum level of the pool, in requests; at least 1.
 func (k *Keeper) maxPool(part float64, limit RateLimit) float64 {
 	return max(1, part*limit.Burst+k.tolerance.poolSlack())
 }
 
-// Renew takes a claim and grants a share. Number rises with each message of a
-// holder; false is returned for one that came after a later one, or from an
-// earlier life of the node, which must not be answered.
+// Renew processes a claim and returns the granted share. number increases with each message
+// of a holder. Renew returns false for a message that arrived out of order or from an
+// earlier process of the node; the caller must not reply to it.
 func (k *Keeper) Renew(now time.Time, holder HolderID, number uint64, limit RateLimit, claim Claim) (Grant, bool) {
-	k.sweep(now)
+	k.removeExpired(now)
 	t := k.tenant(claim.Tenant, limit)
 	k.refill(t, now, limit)
 	defer func() { k.refill(t, now, limit) }()
@@ -112,35 +116,35 @@
 		return Grant{}, false
 	}
 	if h == nil {
-		h = &holding{}
+		h = &holderLease{}
 		t.holders[holder.Node] = h
 	}
 	h.incarnation, h.number, h.wanted = holder.Incarnation, number, claim.Wanted
-	// An earlier life of the node holds nothing any more.
-	h.noteSpare(claim.Spare, now, k.tolerance)
-	h.inUse, h.until = claim.Held, now.Add(Term+termSlack)
-	grant := Grant{Share: k.shareFor(t, h, now), Spare: maySpare(claim, k.settled(now), t.spares(now), k.tolerance.spares())}
+	// A new process of the node holds nothing from the earlier one.
+	h.recordSpare(claim.Spare, now, k.tolerance)
+	h.inUse, h.expires = claim.Held, now.Add(LeaseTTL+leaseSlack)
+	grant := Grant{Share: k.shareFor(t, h, now), Spare: grantsSpare(claim, k.settled(now), t.spares(now), k.tolerance.spares())}
 	h.inUse = max(claim.Held, grant.Share)
-	h.noteSpare(claim.Spare || grant.Spare, now, k.tolerance)
+	h.recordSpare(claim.Spare || grant.Spare, now, k.tolerance)
 	if h.inUse == 0 && h.wanted == 0 && !h.hasSpare(now) {
 		delete(t.holders, holder.Node)
 	}
 	return grant, true
 }
 
-// noteSpare records whether the holder may have a spare request. One that it may
-// just have sent counts for a window more.
-func (h *holding) noteSpare(spare bool, now time.Time, tolerance Tolerance) {
+// recordSpare records whether the holder may have a spare request. One that it has given up
+// counts for another window, since the holder may just have sent it.
+func (h *holderLease) recordSpare(spare bool, now time.Time, tolerance Tolerance) {
 	if h.spare && !spare {
 		h.spareEnds = now.Add(tolerance.Window + tolerance.CreditLife())
 	}
 	h.spare = spare
 }
 
-func (h *holding) hasSpare(now time.Time) bool { return h.spare || now.Before(h.spareEnds) }
+func (h *holderLease) hasSpare(now time.Time) bool { return h.spare || now.Before(h.spareEnds) }
 
-// shareFor decides on a holder's share.
-func (k *Keeper) shareFor(t *tenantBook, h *holding, now time.Time) float64 {
+// shareFor returns the share to grant to a holder.
+func (k *Keeper) shareFor(t *tenantAllocation, h *holderLease, now time.Time) float64 {
 	request := shareRequest{wanted: h.wanted, inUse: h.inUse, settled: k.settled(now)}
 	for _, one := range t.holders {
 		request.wantedByAll += one.wanted
@@ -148,11 +152,11 @@
 			request.inUseByOthers += one.inUse
 		}
 	}
-	return lendableShare(t.limit, request)
+	return grantableShare(t.limit, request)
 }
 
 // spares counts the holders that may have a spare request.
-func (t *tenantBook) spares(now time.Time) int {
+func (t *tenantAllocation) spares(now time.Time) int {
 	count := 0
 	for _, h := range t.holders {
 		if h.hasSpare(now) {
@@ -162,43 +166,43 @@
 	return count
 }
 
-// Credits gives up to so many credits of the pool. Wait is in how long the first of
-// those who got none should come back.
-func (k *Keeper) Credits(now time.Time, tenant string, limit RateLimit, wanted int) (given int, wait time.Duration) {
-	k.sweep(now)
+// Credits grants up to wanted credits from the pool. wait is the retry delay for the first
+// caller that gets none.
+func (k *Keeper) Credits(now time.Time, tenant string, limit RateLimit, wanted int) (granted int, wait time.Duration) {
+	k.removeExpired(now)
 	t := k.tenant(tenant, limit)
 	k.refill(t, now, limit)
-	rate := t.part * limit.Rate
-	for given < wanted && t.pool.take() {
-		given++
+	rate := t.poolPart * limit.Rate
+	for granted < wanted && t.pool.take() {
+		granted++
 	}
-	t.given += uint64(given)
-	if given == wanted || rate <= 0 {
-		return given, 0
+	t.granted += uint64(granted)
+	if granted == wanted || rate <= 0 {
+		return granted, 0
 	}
-	t.refused += uint64(wanted - given)
-	return given, t.returns.next(now, t.pool.level, rate, wanted-given)
+	t.refused += uint64(wanted - granted)
+	return granted, t.retries.next(now, t.pool.level, rate, wanted-granted)
 }
 
-// sweepInterval is how often what has ended is looked for.
-const sweepInterval = 250 * time.Millisecond
+// expiryCheckInterval is the minimum time between two checks for expired leases.
+const expiryCheckInterval = 250 * time.Millisecond
 
-// sweep drops holdings whose term has ended and tenants that nobody asks for.
-func (k *Keeper) sweep(now time.Time) {
-	if now.Sub(k.swept) < sweepInterval {
+// removeExpired removes leases that have expired and tenants that are no longer in use.
+func (k *Keeper) removeExpired(now time.Time) {
+	if now.Sub(k.lastSweep) < expiryCheckInterval {
 		return
 	}
-	k.swept = now
+	k.lastSweep = now
 	for name, t := range k.tenants {
 		k.refill(t, now, t.limit)
-		if len(t.holders) == 0 && t.pool.level >= k.maxPool(t.part, t.limit) {
-			delete(k.tenants, name) // what is made anew is as full by now
+		if len(t.holders) == 0 && t.pool.level >= k.maxPool(t.poolPart, t.limit) {
+			delete(k.tenants, name) // a new pool would have refilled to the same level
 			continue
 		}
 		for node, h := range t.holders {
-			if now.After(h.until) {
+			if now.After(h.expires) {
 				h.inUse, h.wanted = 0, 0
-				h.noteSpare(false, now, k.tolerance)
+				h.recordSpare(false, now, k.tolerance)
 				if !h.hasSpare(now) {
 					delete(t.holders, node)
 				}
@@ -207,22 +211,22 @@
 	}
 }
 
-// TenantState is what a keeper knows of a tenant, for logs and operators.
+// TenantState is a summary of a keeper's state for one tenant, for logs and operators.
 type TenantState struct {
 	Holders int
 	// InUse is the sum of the shares that may be in use.
 	InUse float64
-	// Given and Refused count the pool's credits since the keeper began.
-	Given, Refused uint64
+	// Granted and Refused count credits of the pool since the keeper started.
+	Granted, Refused uint64
 }
 
-// State returns what is known of a tenant.
+// State returns the state of a tenant; the zero value if it is unknown.
 func (k *Keeper) State(tenant string) TenantState {
 	t := k.tenants[tenant]
 	if t == nil {
 		return TenantState{}
 	}
-	state := TenantState{Holders: len(t.holders), Given: t.given, Refused: t.refused}
+	state := TenantState{Holders: len(t.holders), Granted: t.granted, Refused: t.refused}
 	for _, h := range t.holders {
 		state.InUse += h.inUse
 	}
--- a/internal/serving/online/limits_test.go
+++ b/internal/serving/online/limits_test.go
@@ -42,7 +42,7 @@
 // longLived credits do not end while a test runs.
 var longLived = allotment.Tolerance{Window: time.Hour, Overrun: 1, Slack: 20}
 
-func limitedForwarder(keeper admission.Keepers, client exchange.CallSender, runners int, tolerance allotment.Tolerance) *Forwarder {
+func limitedForwarder(keeper admission.KeeperClient, client exchange.CallSender, runners int, tolerance allotment.Tolerance) *Forwarder {
 	set := runnerset.New()
 	var records []runnerset.Record
 	for i := range runners {
