--- a/internal/serving/allotment/allotment.go
+++ b/internal/serving/allotment/allotment.go
@@ -27,7 +27,7 @@
 // Keeper and Allowance hold the state. A storage node that leads a shard runs the Keeper of
 // the tenants whose names map to the shard (package queuestore). An edge runs an Allowance
 // for each tenant (package admission). The plain node divides limits by packages limits and
-// quota instead.
+// quota instead. See docs/design/tenant-quotas.md.
 package allotment
 
 import "time"
--- a/internal/serving/limits/limits.go
+++ b/internal/serving/limits/limits.go
@@ -1,10 +1,10 @@
-// Package limits holds tenants to their rates, concurrency and tokens on one node.
+// Package limits enforces tenants' request rates, concurrency and token rates on one node.
 //
-// It owns what the node has admitted of each tenant, in memory. Each node enforces
-// its share of a limit; package quota divides the shares among the nodes by demand,
-// without a message per request. The plain node runs both; the edge and the storage
-// node use packages admission and allotment, which never let a limit be exceeded by
-// more than the users allow.
+// It keeps the state of each tenant in memory. Each node enforces its share of a limit;
+// package quota divides the shares among the nodes by demand, without a message for each
+// request. The plain node uses both packages. The edge and the storage node use packages
+// admission and allotment instead, which bound the excess over a limit by the configured
+// tolerance.
 package limits
 
 import (
@@ -16,11 +16,11 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// TenantLimits are a tenant's limits as the bundle states them; zero fields are
-// unlimited.
+// TenantLimits are a tenant's limits from the bundle. A zero field means unlimited, except
+// for Burst.
 type TenantLimits struct {
 	RequestsPerSecond float64
-	// Burst is how many requests may come at once; 0 is those of a second.
+	// Burst is how many requests may arrive at once; 0 means the requests of one second.
 	Burst int
 	// Concurrent is how many requests may run at once.
 	Concurrent      int
@@ -29,7 +29,7 @@
 
 const secondsPerMinute = 60
 
-// TenantLimiter is one tenant's state on this node.
+// TenantLimiter enforces one tenant's limits on this node.
 type TenantLimiter struct {
 	mutex    sync.Mutex
 	limit    TenantLimits
@@ -39,7 +39,7 @@
 	running  int
 }
 
-// NewTenantLimiter returns the state of a tenant held to share (0 to 1] of its limit.
+// NewTenantLimiter returns a limiter that allows the given share, in (0, 1], of the limits.
 func NewTenantLimiter(limit TenantLimits, share float64) *TenantLimiter {
 	t := &TenantLimiter{
 		requests: rate.NewLimiter(rate.Inf, 0),
@@ -49,7 +49,8 @@
 	return t
 }
 
-// Update replaces limit and share if they changed; what is running stays.
+// Update replaces the limits and the share if they have changed. It keeps the count of
+// running requests.
 func (t *TenantLimiter) Update(limit TenantLimits, share float64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -60,11 +61,11 @@
 
 func (t *TenantLimiter) apply(limit TenantLimits, share float64) {
 	t.limit, t.share = limit, share
-	setRate(t.requests, limit.RequestsPerSecond*share, burstOf(limit, share))
+	setRate(t.requests, limit.RequestsPerSecond*share, burstFor(limit, share))
 	setRate(t.tokens, float64(limit.TokensPerMinute)*share/secondsPerMinute, float64(limit.TokensPerMinute)*share)
 }
 
-func burstOf(limit TenantLimits, share float64) float64 {
+func burstFor(limit TenantLimits, share float64) float64 {
 	if limit.Burst > 0 {
 		return float64(limit.Burst) * share
 	}
@@ -80,26 +81,26 @@
 	limiter.SetLimit(rate.Limit(perSecond))
 }
 
-// Admit takes one request, or returns the error that refuses it with the time
-// to come back. An admitted request must be released.
+// Admit admits one request, or returns an error with the retry delay. The caller has to call
+// Release for each admitted request.
 func (t *TenantLimiter) Admit(now time.Time) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if allowed := concurrentShare(t.limit.Concurrent, t.share); allowed > 0 && t.running >= allowed {
+	if allowed := concurrencyFor(t.limit.Concurrent, t.share); allowed > 0 && t.running >= allowed {
 		return result.New(result.TenantConcurrency, "%d requests are in flight here, allowed: %d", t.running, allowed).WithRetryAfter(time.Second)
 	}
 	if !t.tokens.AllowN(now, 0) || (t.tokens.Limit() != rate.Inf && t.tokens.TokensAt(now) <= 0) {
-		wait := waitFor(t.tokens, now)
+		wait := retryDelay(t.tokens, now)
 		return result.New(result.TenantTokens, "the tenant's tokens per minute are spent").WithRetryAfter(wait)
 	}
 	if !t.requests.AllowN(now, 1) {
-		return result.New(result.TenantRate, "more than %g requests per second", t.limit.RequestsPerSecond).WithRetryAfter(waitFor(t.requests, now))
+		return result.New(result.TenantRate, "more than %g requests per second", t.limit.RequestsPerSecond).WithRetryAfter(retryDelay(t.requests, now))
 	}
 	t.running++
 	return nil
 }
 
-func waitFor(limiter *rate.Limiter, now time.Time) time.Duration {
+func retryDelay(limiter *rate.Limiter, now time.Time) time.Duration {
 	missing := 1 - limiter.TokensAt(now)
 	if missing <= 0 || limiter.Limit() <= 0 {
 		return time.Millisecond
@@ -107,15 +108,16 @@
 	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
 }
 
-func concurrentShare(concurrent int, share float64) int {
+func concurrencyFor(concurrent int, share float64) int {
 	if concurrent <= 0 {
 		return 0
 	}
 	return max(1, int(float64(concurrent)*share+0.5))
 }
 
-// Release ends an admitted request and charges the tokens it generated. Tokens
-// are charged afterwards, so a tenant may overshoot by what is in flight.
+// Release ends an admitted request and charges the tokens that it generated. Since tokens
+// are charged at the end, a tenant may exceed its limit by the tokens of its running
+// requests.
 func (t *TenantLimiter) Release(now time.Time, tokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -130,12 +132,12 @@
 	}
 }
 
-// Limiters holds all tenants' states, made when first asked for.
+// Limiters holds the limiters of all tenants and creates them on first use.
 type Limiters struct {
 	byTenant sync.Map // name → *TenantLimiter
 }
 
-// Tenant returns the tenant's state with the given limits and share in force.
+// Tenant returns the tenant's limiter, updated to the given limits and share.
 func (l *Limiters) Tenant(name string, limit TenantLimits, share float64) *TenantLimiter {
 	if known, found := l.byTenant.Load(name); found {
 		tenant := known.(*TenantLimiter)
--- a/internal/serving/limits/limits_test.go
+++ b/internal/serving/limits/limits_test.go
@@ -11,7 +11,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-func TestRefusalsNameTheLimitAndSayWhenToComeBack(t *testing.T) {
+func TestRefusalsNameTheLimitAndRetryDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name  string
@@ -35,8 +35,8 @@
 	}
 }
 
-// Nodes that each hold their share admit at most the whole limit together, up
-// to the rounding of one request per node.
+// Nodes with equal shares together admit at most the whole limit, apart from rounding by one
+// request per node.
 func TestSharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 20).Draw(t, "nodes")
@@ -52,7 +52,7 @@
 				}
 			}
 		}
-		most := 2*limit.RequestsPerSecond + 2*float64(nodes) // burst of a second, plus a second
+		most := 2*limit.RequestsPerSecond + 2*float64(nodes) // a burst of one second, plus one second of requests
 		if float64(admitted) > most {
 			t.Fatalf("%d admitted in a second by %d nodes, limit %g", admitted, nodes, limit.RequestsPerSecond)
 		}
--- a/internal/serving/online/online.go
+++ b/internal/serving/online/online.go
@@ -36,7 +36,7 @@
 	// listWait is how long a request waits for a runner to be listed.
 	listWait    time.Duration
 	planners    planners
-	statedTimes retryafter.StatedTimes
+	statedTimes retryafter.CallerTimeouts
 	requests    *prometheus.CounterVec
 	attempts    *prometheus.CounterVec
 	firstEvent  prometheus.Histogram
@@ -69,7 +69,7 @@
 	s := &serving{
 		Forwarder: f, request: request, fingerprint: request.fingerprint(), responder: responder,
 		tried: map[string]bool{}, lastEvent: max(0, request.ResumeAfter),
-		usuallyStated: f.statedTimes.Note(request.Route.Name, request.Stated, request.Received),
+		usuallyStated: f.statedTimes.Record(request.Route.Name, request.Stated, request.Received),
 	}
 	err := s.serve(ctx)
 	s.admission.Return()
--- a/internal/serving/online/refusal.go
+++ b/internal/serving/online/refusal.go
@@ -64,14 +64,14 @@
 	now := time.Now()
 	inputs := refusalInputs{
 		sent: s.history.mayHaveRun(), suspect: choice.Suspect,
-		firstTry: retryafter.FirstTry(s.request.Stated, s.usuallyStated),
+		firstTry: retryafter.IsFirstAttempt(s.request.Stated, s.usuallyStated),
 		full:     s.planners.full(service, now), target: s.request.Route.Target,
 		waited: now.Sub(s.request.Received), expected: choice.FirstEvent,
 	}
 	if !inputs.refused() {
 		return nil
 	}
-	caller := retryafter.Caller{Left: s.request.Deadline.Sub(now), UsuallyStated: s.usuallyStated}
+	caller := retryafter.Caller{TimeLeft: s.request.Deadline.Sub(now), UsualTimeout: s.usuallyStated}
 	return result.New(result.Saturated, "all runners of service %s are full: the first event is expected in %d ms, allowed are %d ms",
 		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).WithRetryAfter(s.planners.refuse(service, now, caller))
 }
@@ -99,7 +99,7 @@
 func (p *planners) full(service string, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.of(service).Full(now)
+	return p.of(service).Saturated(now)
 }
 
 // refuse records that a service has no free slot, and returns when a caller should
--- a/internal/serving/online/refusal_test.go
+++ b/internal/serving/online/refusal_test.go
@@ -63,7 +63,7 @@
 		}{{0, 5 * time.Second}, {5, 3500 * time.Millisecond}} {
 			runners := &fakeRunners{}
 			forwarder := fullForwarder(runners, c.requests)
-			forwarder.statedTimes.Note("x", 5*time.Second, time.Now()) // what others have stated
+			forwarder.statedTimes.Record("x", 5*time.Second, time.Now()) // what others have stated
 			is.NoErr(forwarder.Serve(context.Background(), targetedRequest(c.held), &recorder{}))
 			is.Equal(runners.runs, 1)
 		}
--- a/internal/serving/quota/quota.go
+++ b/internal/serving/quota/quota.go
@@ -1,46 +1,42 @@
-// Package quota divides tenants' limits among the nodes that take their
-// traffic. One node for each tenant receives a report of the tenant's demand from
-// every node that sees the tenant, about once a second, and answers each with its
-// share by demand.
+// Package quota divides tenants' limits among the nodes that serve their traffic. One node
+// acts as the divider of a tenant: about once a second, every node that serves the tenant
+// reports its demand, and the divider replies with the node's share.
 //
-// Error bound: shares of one divider add up to 1 once every node has reported. A
-// node that has not yet reported admits at most 1/n of the limit; a node that has
-// just become the tenant's divider knows nobody. So a tenant may exceed its limit by
-// up to as much again, for up to one report interval after its traffic moved, a node
-// joined, or the divider changed.
+// The shares of one divider add up to 1 once every node has reported. Until then, a node
+// that has not reported admits at most 1/n of the limit, and a new divider knows no other
+// nodes. A tenant may therefore exceed its limit by up to the limit itself for one report
+// interval after its traffic has moved, a node has joined, or the divider has changed.
 //
-// It is pure decision logic. The plain node runs it by modules/callers/quota, and
-// enforces the shares by package limits. docs/design/limits.md weighs it against
-// other ways.
+// The package is pure decision logic. The plain node runs it through modules/callers/quota
+// and enforces the shares with package limits. See docs/design/limits.md.
 package quota
 
 import "time"
 
 const (
-	// evenPart of a limit is divided evenly, so that a node whose demand is new
-	// is not starved; the rest goes by demand.
-	evenPart = 0.1
-	// memory is how long the demand of a node counts that does not report again.
-	memory = 3 * time.Second
+	// evenFraction of a limit is divided evenly, so that a node with new demand gets a share
+	// before its demand is known; the rest is divided by demand.
+	evenFraction = 0.1
+	// reportTTL is how long a demand report counts.
+	reportTTL = 3 * time.Second
 )
 
 type demand struct {
-	value float64
-	at    time.Time
+	value      float64
+	reportedAt time.Time
 }
 
-// Divider is the state of the tenants whose limits one node divides. Not safe for
+// Divider holds the demand of the tenants whose limits one node divides. It is not safe for
 // concurrent use.
 type Divider struct {
 	tenants map[string]map[string]demand // tenant → node
 }
 
-// NewDivider returns a divider that knows nobody.
+// NewDivider returns a divider without reports.
 func NewDivider() *Divider { return &Divider{tenants: map[string]map[string]demand{}} }
 
-// Report takes a node's demand of a tenant, in requests since its last report, and
-// returns the node's share of the limits, in (0, 1]: evenPart of them divided evenly,
-// the rest by demand.
+// Report records a node's demand for a tenant, in requests since the node's last report, and
+// returns the node's share of the limits, in (0, 1].
 func (d *Divider) Report(now time.Time, tenant, node string, value float64) float64 {
 	nodes := d.tenants[tenant]
 	if nodes == nil {
@@ -50,7 +46,7 @@
 	nodes[node] = demand{value, now}
 	total := 0.0
 	for id, known := range nodes {
-		if now.Sub(known.at) > memory {
+		if now.Sub(known.reportedAt) > reportTTL {
 			delete(nodes, id)
 			continue
 		}
@@ -60,14 +56,14 @@
 	if total <= 0 {
 		return even
 	}
-	return evenPart*even + (1-evenPart)*value/total
+	return evenFraction*even + (1-evenFraction)*value/total
 }
 
-// Forget drops tenants nobody has reported for a while.
-func (d *Divider) Forget(now time.Time) {
+// RemoveExpired drops reports older than reportTTL and tenants without reports.
+func (d *Divider) RemoveExpired(now time.Time) {
 	for tenant, nodes := range d.tenants {
 		for id, known := range nodes {
-			if now.Sub(known.at) > memory {
+			if now.Sub(known.reportedAt) > reportTTL {
 				delete(nodes, id)
 			}
 		}
@@ -77,5 +73,5 @@
 	}
 }
 
-// Tenants returns the number of tenants whose limits are divided.
+// Tenants returns the number of tenants with reports.
 func (d *Divider) Tenants() int { return len(d.tenants) }
--- a/internal/serving/quota/quota_test.go
+++ b/internal/serving/quota/quota_test.go
@@ -11,8 +11,7 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// Once every node has reported, shares add up to the whole limit and no more,
-// whatever the demands; nobody is starved.
+// Once every node has reported, the shares add up to 1 and every node has one.
 func TestSharesAddUpToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		divider := NewDivider()
@@ -37,14 +36,14 @@
 	})
 }
 
-func TestSilentNodesShareIsGivenAway(t *testing.T) {
+func TestUnresponsiveNodesShareIsReassigned(t *testing.T) {
 	is := is.New(t)
 	divider := NewDivider()
 	now := time.Unix(0, 0)
 	divider.Report(now, "t", "gone", 50)
 	is.True(divider.Report(now, "t", "here", 50) < 0.6)
-	now = now.Add(memory + time.Second)
+	now = now.Add(reportTTL + time.Second)
 	is.Equal(divider.Report(now, "t", "here", 50), 1.0)
-	divider.Forget(now.Add(time.Minute))
+	divider.RemoveExpired(now.Add(time.Minute))
 	is.Equal(divider.Tenants(), 0)
 }
--- a/internal/serving/retry/budget.go
+++ b/internal/serving/retry/budget.go
@@ -1,37 +1,37 @@
-// Package retry bounds repeats of work to a fraction of first tries, so that a
-// failing fleet is not buried under retries (a retry budget, as in the SRE
-// book's "Handling Overload"). A plain node's router keeps one for all its
-// requests; the fraction is a policy of the bundle.
+// Package retry limits retries to a fraction of first attempts, so that retries do not
+// overload a failing fleet (a retry budget, see "Handling Overload" in the SRE book). The
+// router of a plain node keeps one budget for all its requests; the bundle's policy sets the
+// fraction.
 package retry
 
 import "sync"
 
 const (
-	// initialRetries lets a node retry before it has earned anything.
+	// initialRetries allows retries before the first attempts have added any.
 	initialRetries = 10
-	// maxRetries bounds what a long time without failures saves up.
+	// maxRetries limits the retries that accumulate while nothing fails.
 	maxRetries = 100
 )
 
-// Budget is safe for concurrent use.
+// Budget is a retry budget. It is safe for concurrent use.
 type Budget struct {
 	mutex sync.Mutex
-	// retries is what may be spent, in retries.
+	// retries is the current balance; fractions accumulate to whole retries.
 	retries float64
 }
 
 // NewBudget returns a budget with its initial retries.
 func NewBudget() *Budget { return &Budget{retries: initialRetries} }
 
-// Earn adds what one first try earns, in retries.
-func (b *Budget) Earn(fraction float64) {
+// Deposit adds a fraction of a retry for one first attempt.
+func (b *Budget) Deposit(fraction float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.retries = min(maxRetries, b.retries+fraction)
 }
 
-// Spend takes one retry; false means the budget is spent.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry; it returns false if the budget is exhausted.
+func (b *Budget) TryWithdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.retries < 1 {
--- a/internal/serving/retry/budget_test.go
+++ b/internal/serving/retry/budget_test.go
@@ -6,27 +6,27 @@
 	"github.com/matryer/is"
 )
 
-// spendAll spends until the budget is empty and returns how many retries it held.
-func spendAll(budget *Budget) int {
+// withdrawAll empties the budget and returns how many retries it held.
+func withdrawAll(budget *Budget) int {
 	spent := 0
-	for budget.Spend() {
+	for budget.TryWithdraw() {
 		spent++
 	}
 	return spent
 }
 
-// A new budget allows its initial retries; then an eighth of a retry for each first
-// try allows one retry in eight; what is saved up is bounded.
-func TestRetriesAreAFractionOfFirstTries(t *testing.T) {
+// A new budget allows its initial retries, then one retry for every eight first attempts, up
+// to a maximum.
+func TestRetriesAreAFractionOfFirstAttempts(t *testing.T) {
 	is := is.New(t)
 	budget := NewBudget()
-	is.Equal(spendAll(budget), 10)
+	is.Equal(withdrawAll(budget), 10)
 	for range 80 {
-		budget.Earn(0.125)
+		budget.Deposit(0.125)
 	}
-	is.Equal(spendAll(budget), 10)
+	is.Equal(withdrawAll(budget), 10)
 	for range 10_000 {
-		budget.Earn(0.125)
+		budget.Deposit(0.125)
 	}
-	is.Equal(spendAll(budget), 100)
+	is.Equal(withdrawAll(budget), 100)
 }
--- a/internal/serving/retryafter/planner.go
+++ b/internal/serving/retryafter/planner.go
@@ -1,100 +1,101 @@
-// Package retryafter decides when a caller that is refused for want of free slots
-// should come back, and tells a caller that comes for the first time from one that
-// comes back. Edges run it, one Planner for each service.
+// Package retryafter computes retry delays for callers that are refused because no slot is
+// free, and distinguishes first attempts from retries. An edge runs one Planner for each
+// service.
 //
-// It owns what it learns: how long the times without free slots last, and how long
-// callers say that they will wait. Both are in memory. It relies on nothing else;
-// it does no I/O and reads no clock.
+// The package keeps in memory how long periods of saturation last and which timeouts callers
+// state. It has no dependencies, does no I/O and reads no clock.
 package retryafter
 
 import "time"
 
 const (
-	// assumedFullTime is how long a time without free slots is taken to last before
-	// any has been seen.
-	assumedFullTime = time.Second
-	// fullTimeWeight is the weight of a new sample in the average.
-	fullTimeWeight = 0.3
-	// idleTime without a request that found no slot ends a time without free slots.
-	idleTime = 300 * time.Millisecond
-	// minFullTime and maxFullTime bound what is learnt: a sample may be one request,
+	// initialSaturation is the assumed duration of a saturated period before one has been
+	// observed.
+	initialSaturation = time.Second
+	// saturationSampleWeight is the weight of a new sample in the moving average.
+	saturationSampleWeight = 0.3
+	// maxGap is the longest time between two requests without a free slot that belong to the
+	// same saturated period.
+	maxGap = 300 * time.Millisecond
+	// minSaturation and maxSaturation limit a sample, which may stem from a single request
 	// or an outage.
-	minFullTime = 200 * time.Millisecond
-	maxFullTime = 5 * time.Second
-	// minSpread is the shortest time over which callers return.
+	minSaturation = 200 * time.Millisecond
+	maxSaturation = 5 * time.Second
+	// minSpread is the shortest period over which the retries of callers are spread.
 	minSpread = 500 * time.Millisecond
-	// maxWaitShare is the share of the time it has left that a caller waits at most
-	// before it comes back.
-	maxWaitShare = 0.3
-	// minWaitShare of what callers usually state is the shortest time that a refused
-	// one waits: after less it could not be told from one that comes first.
-	minWaitShare = 1.5 * (1 - firstTryShare)
-	// minWait is the shortest time that a refused caller waits in any case.
+	// maxWaitFraction limits the retry delay to a part of the caller's remaining time.
+	maxWaitFraction = 0.3
+	// minWaitFraction of the usual timeout is the shortest retry delay. After a shorter
+	// delay, a retry could not be distinguished from a first attempt (see IsFirstAttempt).
+	minWaitFraction = 1.5 * (1 - firstAttemptFraction)
+	// minWait is the shortest retry delay in any case.
 	minWait = 50 * time.Millisecond
 )
 
-// Planner is what one node knows of one service. Not safe for concurrent use.
+// Planner tracks the saturation of one service on one node. It is not safe for concurrent
+// use.
 type Planner struct {
-	// fullTime is how long a time without free slots lasts, a moving average.
-	fullTime time.Duration
-	// began and last are the first and last request that found no slot in the present
-	// or last time without free slots; began is zero if there was none yet.
-	began, last time.Time
+	// saturation is the moving average of the duration of saturated periods.
+	saturation time.Duration
+	// saturatedSince and last are the times of the first and last request without a free
+	// slot in the latest saturated period; zero before the first one.
+	saturatedSince, last time.Time
 }
 
-// NewPlanner returns a planner that has seen nothing.
-func NewPlanner() *Planner { return &Planner{fullTime: assumedFullTime} }
+// NewPlanner returns a planner without observations.
+func NewPlanner() *Planner { return &Planner{saturation: initialSaturation} }
 
-// Caller is what is known of a refused caller.
+// Caller describes a refused caller.
 type Caller struct {
-	// Left is the time until its deadline.
-	Left time.Duration
-	// UsuallyStated is how long callers of its route usually say that they will wait.
-	UsuallyStated time.Duration
+	// TimeLeft is the time until the caller's deadline.
+	TimeLeft time.Duration
+	// UsualTimeout is the timeout that callers of the same route usually state.
+	UsualTimeout time.Duration
 }
 
-// Refuse records that a request finds no free slot at now, and returns in how long its
-// caller should come back; draw is from 0 to 1. It names a moment after the present
-// lack of slots (see when) that leaves the caller most of its time, but not so soon
-// that the caller would pass for a new one and be refused again.
-func (p *Planner) Refuse(now time.Time, draw float64, caller Caller) time.Duration {
-	p.noteFull(now)
-	shortest := time.Duration(minWaitShare * float64(caller.UsuallyStated))
-	longest := time.Duration(maxWaitShare * float64(caller.Left))
-	return max(minWait, shortest, p.when(now, draw, longest))
+// Refuse records a request that found no free slot and returns the retry delay for its
+// caller; random is between 0 and 1. The delay points past the current saturation and leaves
+// the caller most of its time, but is long enough for the retry to be recognized as one.
+func (p *Planner) Refuse(now time.Time, random float64, caller Caller) time.Duration {
+	p.recordSaturated(now)
+	shortest := time.Duration(minWaitFraction * float64(caller.UsualTimeout))
+	longest := time.Duration(maxWaitFraction * float64(caller.TimeLeft))
+	return max(minWait, shortest, p.retryDelay(now, random, longest))
 }
 
-// Full reports whether requests find no free slot at present.
-func (p *Planner) Full(now time.Time) bool { return !p.last.IsZero() && now.Sub(p.last) <= idleTime }
+// Saturated reports whether requests currently find no free slot.
+func (p *Planner) Saturated(now time.Time) bool { return !p.last.IsZero() && now.Sub(p.last) <= maxGap }
 
-// noteFull records a request that found no slot.
-func (p *Planner) noteFull(now time.Time) {
-	if p.began.IsZero() || now.Sub(p.last) > idleTime {
-		p.learn()
-		p.began = now
+// recordSaturated records a request that found no free slot.
+func (p *Planner) recordSaturated(now time.Time) {
+	if p.saturatedSince.IsZero() || now.Sub(p.last) > maxGap {
+		p.addSample()
+		p.saturatedSince = now
 	}
 	p.last = now
 }
 
-// learn takes the time without free slots that has ended.
-func (p *Planner) learn() {
-	if p.began.IsZero() {
+// addSample adds the duration of the latest saturated period, which has ended, to the moving
+// average.
+func (p *Planner) addSample() {
+	if p.saturatedSince.IsZero() {
 		return
 	}
-	sample := min(max(p.last.Sub(p.began), minFullTime), maxFullTime)
-	p.fullTime += time.Duration(fullTimeWeight * float64(sample-p.fullTime))
+	sample := min(max(p.last.Sub(p.saturatedSince), minSaturation), maxSaturation)
+	p.saturation += time.Duration(saturationSampleWeight * float64(sample-p.saturation))
 }
 
-// when returns in how long a caller refused now should come back: at a moment drawn
-// from the time after the present lack of slots, as long as that lasts, so that those
-// who are refused do not return together. A caller waits no longer than bound.
-func (p *Planner) when(now time.Time, draw float64, bound time.Duration) time.Duration {
-	left := max(0, p.fullTime-now.Sub(p.began))
-	jitter := max(minSpread, p.fullTime)
-	if left+jitter > bound {
-		// Who can't wait for the end comes back within the last part of its wait.
+// retryDelay returns a delay of at most bound until a random time after the expected end of
+// the current saturation. The random part is as long as the saturation, so that refused
+// callers do not return together.
+func (p *Planner) retryDelay(now time.Time, random float64, bound time.Duration) time.Duration {
+	remaining := max(0, p.saturation-now.Sub(p.saturatedSince))
+	jitter := max(minSpread, p.saturation)
+	if remaining+jitter > bound {
+		// The bound comes before the end of the saturation: spread the retries over the last
+		// part of the bound.
 		jitter = min(jitter, bound/2)
-		left = max(0, bound-jitter)
+		remaining = max(0, bound-jitter)
 	}
-	return min(bound, left+time.Duration(draw*float64(jitter)))
+	return min(bound, remaining+time.Duration(random*float64(jitter)))
 }
--- a/internal/serving/retryafter/stated.go
+++ b/internal/serving/retryafter/stated.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// A refused caller comes back with less time left. How much its callers state when
-// they come first differs between deployments and routes, and is learnt.
+// A retry states a shorter timeout than the first attempt, since the caller's deadline is
+// nearer. The timeout of first attempts differs between routes and is observed.
 
 const (
-	// firstTryShare of what callers of a route usually state is what one states at
-	// least who comes for the first time: what a connection takes is taken off.
-	firstTryShare = 0.97
-	// statedPeriod is for how long the longest time that was stated is kept, and up
-	// to as much longer: routes and their callers change.
-	statedPeriod = 10 * time.Second
-	// maxRoutes bounds the memory.
+	// firstAttemptFraction of the usual timeout is the shortest timeout of a first attempt;
+	// the difference allows for the time to connect.
+	firstAttemptFraction = 0.97
+	// timeoutPeriod is the minimum time for which the longest timeout of a route is kept; it
+	// is dropped after at most two periods, since callers change.
+	timeoutPeriod = 10 * time.Second
+	// maxRoutes limits the memory use.
 	maxRoutes = 4096
 )
 
-// StatedTimes learns how long callers say that they will wait, by route. The zero
-// value is ready and safe for concurrent use.
-type StatedTimes struct {
+// CallerTimeouts records which timeouts callers state, by route. The zero value is ready to
+// use and safe for concurrent use.
+type CallerTimeouts struct {
 	mutex   sync.Mutex
-	byRoute map[string]*longestStated
+	byRoute map[string]*longestTimeout
 }
 
-// longestStated is the longest time stated in this period and in the one before.
-type longestStated struct {
-	current, before time.Duration
-	began           time.Time // of this period
+// longestTimeout holds the longest timeouts of the current and the previous period.
+type longestTimeout struct {
+	current, previous time.Duration
+	periodStart       time.Time // start of the current period
 }
 
-// Note takes what one caller states, and returns what callers of the route usually
-// state when they come first: the longest of the last periods.
-func (s *StatedTimes) Note(route string, stated time.Duration, now time.Time) time.Duration {
+// Record records the timeout of a request and returns the usual timeout of first attempts on
+// the route: the longest one in the current and the previous period.
+func (s *CallerTimeouts) Record(route string, timeout time.Duration, now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.byRoute == nil || len(s.byRoute) > maxRoutes {
-		s.byRoute = map[string]*longestStated{}
+		s.byRoute = map[string]*longestTimeout{}
 	}
 	known := s.byRoute[route]
 	if known == nil {
-		known = &longestStated{began: now}
+		known = &longestTimeout{periodStart: now}
 		s.byRoute[route] = known
 	}
-	if now.Sub(known.began) > statedPeriod {
-		known.before, known.current, known.began = known.current, 0, now
+	if now.Sub(known.periodStart) > timeoutPeriod {
+		known.previous, known.current, known.periodStart = known.current, 0, now
 	}
-	known.current = max(known.current, stated)
-	return max(known.current, known.before)
+	known.current = max(known.current, timeout)
+	return max(known.current, known.previous)
 }
 
-// FirstTry reports whether a caller that states how long it will wait has not come
-// before, as far as that tells, by what callers of its route usually state. One that
-// states nothing (0) is taken for new.
-func FirstTry(stated, usuallyStated time.Duration) bool {
-	return stated <= 0 || stated >= time.Duration(firstTryShare*float64(usuallyStated))
+// IsFirstAttempt reports whether a request appears to be a first attempt, judging by its
+// timeout and the usual timeout of its route. A request without a timeout (0) counts as a
+// first attempt.
+func IsFirstAttempt(timeout, usualTimeout time.Duration) bool {
+	return timeout <= 0 || timeout >= time.Duration(firstAttemptFraction*float64(usualTimeout))
 }
--- a/internal/serving/retryafter/stated_test.go
+++ b/internal/serving/retryafter/stated_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// What callers usually state is the longest of the last periods, by route.
-func TestStatedTimesAreLearnt(t *testing.T) {
+// The usual timeout of a route is the longest one of the last two periods.
+func TestCallerTimeoutsKeepTheLongest(t *testing.T) {
 	is := is.New(t)
-	var stated StatedTimes
+	var stated CallerTimeouts
 	now := time.Now()
-	is.Equal(stated.Note("a", 4*time.Second, now), 4*time.Second)
-	is.Equal(stated.Note("a", time.Second, now), 4*time.Second)
-	is.Equal(stated.Note("b", time.Second, now), time.Second)
-	is.Equal(stated.Note("a", time.Second, now.Add(statedPeriod+1)), 4*time.Second)
-	is.Equal(stated.Note("a", time.Second, now.Add(2*statedPeriod+3)), time.Second) // callers have changed
+	is.Equal(stated.Record("a", 4*time.Second, now), 4*time.Second)
+	is.Equal(stated.Record("a", time.Second, now), 4*time.Second)
+	is.Equal(stated.Record("b", time.Second, now), time.Second)
+	is.Equal(stated.Record("a", time.Second, now.Add(timeoutPeriod+1)), 4*time.Second)
+	is.Equal(stated.Record("a", time.Second, now.Add(2*timeoutPeriod+3)), time.Second) // the longer timeout has expired
 }
--- a/modules/callers/quota/quota.go
+++ b/modules/callers/quota/quota.go
@@ -159,7 +159,7 @@
 	reports.Wait()
 	m.dividing.Lock()
 	defer m.dividing.Unlock()
-	m.divider.Forget(time.Now())
+	m.divider.RemoveExpired(time.Now())
 }
 
 // collect takes the demand since the last report, by the node that divides.
--- a/modules/serving/router/generate.go
+++ b/modules/serving/router/generate.go
@@ -88,7 +88,7 @@
 func (m *Module) Generate(ctx context.Context, request *Request, emit func(Piece) error) (Usage, error) {
 	g := &generation{module: m, request: request, fingerprint: request.fingerprint(), emit: emit}
 	if snapshot := m.snapshots.Snapshot(); snapshot != nil {
-		m.budget.Earn(snapshot.Policy.RetryBudget)
+		m.budget.Deposit(snapshot.Policy.RetryBudget)
 	}
 	err := g.run(ctx)
 	return g.usage, err
@@ -168,7 +168,7 @@
 		g.usage.CompletionTokens = g.tokens
 		return true, nil
 	}
-	if g.request.Once || !g.module.budget.Spend() {
+	if g.request.Once || !g.module.budget.TryWithdraw() {
 		return false, g.broken(cause)
 	}
 	g.module.metrics.resumed.WithLabelValues("continued").Inc()
