--- a/internal/serving/arbiter/arbiter.go
+++ b/internal/serving/arbiter/arbiter.go
@@ -1,14 +1,14 @@
-// Package arbiter decides, for one runner of a plain node, which work may run on
-// it: online work at once, batch work in what is left over. It owns the counts of
-// streams on the runner and the limit of batch streams. The counts are exact,
-// because the runner's owner sees all of its traffic. It does no I/O and reads no
-// clock; module serving.owner calls it.
+// Package arbiter decides which work may run on one runner of a plain node. Online work is
+// admitted at once; batch work uses the remaining slots. The package counts the streams on
+// the runner and adjusts the limit of batch streams. The counts are exact, because all of
+// the runner's traffic passes through its owner. The package does no I/O and reads no clock;
+// module serving.owner calls it.
 //
-// Two mechanisms keep batch from harming the online tail. Preemption: an online
-// arrival that finds no free slot takes the youngest batch stream's. Steering:
-// the number of batch streams is held under a limit that shrinks when online
-// tokens measured on this runner come late and grows while they are on time,
-// because a batch prefill slows its neighbours even when slots are free.
+// Two mechanisms protect the tail latency of online work. With preemption, an online request
+// that finds no free slot takes the slot of the youngest batch stream. With the batch limit,
+// the number of batch streams shrinks when online tokens on this runner are late and grows
+// while they are on time, because batch prefills slow down other streams even if slots are
+// free.
 package arbiter
 
 import (
@@ -16,63 +16,64 @@
 	"time"
 )
 
-// Mode is how batch and online work use a runner together. A bundle names it in
-// its policy (batch.mode), so each of them stays.
+// Mode is how batch and online work share a runner. The policy of a bundle selects it
+// (batch.mode).
 type Mode uint8
 
 const (
-	// Managed is the mode for serving: it preempts batch for online work and
-	// steers the batch limit.
+	// Managed is the production mode: it preempts batch streams for online work and adjusts
+	// the batch limit.
 	Managed Mode = iota
-	// Static gives batch a fixed number of slots. It is a baseline that scenario
-	// runs compare Managed with.
+	// Static gives batch a fixed number of slots. It is a baseline for comparison in
+	// scenario runs.
 	Static
-	// PriorityOnly lets batch fill all slots and relies on the engine's
-	// priorities. It is a baseline, too.
+	// PriorityOnly lets batch use all slots and relies on the engine's priorities. It is a
+	// baseline for comparison in scenario runs.
 	PriorityOnly
-	// Off runs no batch: the baseline for harm to online work, and a way to keep
-	// batch off the runners for a while.
+	// Off runs no batch work. It is the baseline for the effect of batch on online work, and
+	// an operator may use it to keep batch off the runners for a while.
 	Off
 )
 
-// RunnerPolicy is what the bundle in force says of one runner.
+// RunnerPolicy is the part of the current bundle's policy that applies to one runner.
 type RunnerPolicy struct {
 	Mode Mode
-	// StaticSlots is how many slots batch has in mode Static.
+	// StaticSlots is the number of batch slots in mode Static.
 	StaticSlots int
-	// Slots is the number of sequences the runner runs at a time.
+	// Slots is the number of sequences that the runner processes at a time.
 	Slots int
-	// ReserveSlots are kept free of batch for bursts.
+	// ReserveSlots is the number of slots that batch may not use, as a reserve for online
+	// bursts.
 	ReserveSlots int
-	// FirstToken and InterToken are the online targets for 95 in 100.
+	// FirstToken and InterToken are the 95th-percentile targets for online work.
 	FirstToken time.Duration
 	InterToken time.Duration
-	// TailWeight, 0 to 1, says how strongly late tokens shrink batch.
+	// TailWeight, from 0 to 1, controls how strongly late tokens reduce the batch limit.
 	TailWeight float64
 }
 
 const (
-	// allowedLate is the fraction of online tokens that may be late.
-	allowedLate = 0.05
-	// controlInterval is the time between adjustments of the batch limit. It is
-	// a few tens of engine steps, so that an adjustment shows before the next.
+	// maxLateFraction is the fraction of online tokens that may be late.
+	maxLateFraction = 0.05
+	// controlInterval is the time between adjustments of the batch limit. It covers a few
+	// tens of engine steps, so that an adjustment takes effect before the next one.
 	controlInterval = 200 * time.Millisecond
-	// minSamples is how many online tokens an interval needs to be judged.
+	// minSamples is the number of online tokens that an adjustment requires.
 	minSamples = 8
-	// queuedFraction bounds online streams beyond the slots, as a fraction of the
-	// slots: the engine queues them for a time well under the first-token target.
-	queuedFraction = 0.25
-	// maxStartsPerInterval paces batch prefills while online work runs.
+	// maxQueuedFraction limits the online streams beyond the slots, as a fraction of the
+	// slots. The engine queues them for much less than the first-token target.
+	maxQueuedFraction = 0.25
+	// maxStartsPerInterval limits batch prefills while online work runs.
 	maxStartsPerInterval = 4
-	// lateMargin is the fraction of a target by which a token counts as late
-	// early, at TailWeight 1.
+	// lateMargin is the fraction of the target, at TailWeight 1, by which the threshold for
+	// late tokens lies below the target.
 	lateMargin = 0.4
-	// maxShrink is the fraction of the batch limit that one interval takes away
-	// at most, at TailWeight 1; it is reached at fullShrinkAt times allowedLate.
-	maxShrink    = 0.7
-	fullShrinkAt = 4
-	// minGrowth is the batch streams that an interval without lateness adds to
-	// the limit; extraGrowth is the fraction of the slots added beside, at
+	// maxShrink is the largest fraction of the batch limit that one adjustment removes, at
+	// TailWeight 1. It applies from fullShrinkMultiple times maxLateFraction on.
+	maxShrink          = 0.7
+	fullShrinkMultiple = 4
+	// minGrowth is the number of batch streams that an adjustment adds to the limit while
+	// tokens are on time. extraGrowth is the fraction of the slots that it adds as well, at
 	// TailWeight 0.
 	minGrowth   = 0.25
 	extraGrowth = 0.05
@@ -83,62 +84,61 @@
 
 // Arbiter is the state of one runner. It is not safe for concurrent use.
 //
-// Invariants: online + batch ≤ Slots whenever batch > 0 after an admission;
-// batch ≤ limit after every start; an admitted online stream never waits for a
-// batch stream to end by itself.
+// Invariants: online + batch ≤ Slots whenever batch > 0 after an admission; batch ≤ limit
+// after every start; an admitted online stream never waits for a batch stream to finish.
 type Arbiter struct {
 	policy RunnerPolicy
 
-	online int
-	batch  []BatchStream // oldest first
-	next   BatchStream
+	online    int
+	batch     []BatchStream // oldest first
+	lastBatch BatchStream
 
-	limit    float64
-	windowAt time.Time
-	late     int
-	samples  int
-	starts   int
+	limit         float64
+	intervalStart time.Time
+	late          int
+	samples       int
+	batchStarts   int
 }
 
-// New returns an arbiter that lets batch use the whole runner but its reserve.
+// New returns an arbiter whose batch limit is the whole runner except the reserve.
 func New(policy RunnerPolicy, now time.Time) *Arbiter {
-	a := &Arbiter{policy: policy, windowAt: now}
-	a.limit = a.ceiling()
+	a := &Arbiter{policy: policy, intervalStart: now}
+	a.limit = a.maxLimit()
 	return a
 }
 
 // Configure replaces the policy.
 func (a *Arbiter) Configure(policy RunnerPolicy) {
 	a.policy = policy
-	a.limit = math.Min(a.limit, a.ceiling())
+	a.limit = math.Min(a.limit, a.maxLimit())
 }
 
-func (a *Arbiter) ceiling() float64 {
+func (a *Arbiter) maxLimit() float64 {
 	return float64(max(0, a.policy.Slots-a.policy.ReserveSlots))
 }
 
-// Online returns the online streams on the runner.
+// Online returns the number of online streams on the runner.
 func (a *Arbiter) Online() int { return a.online }
 
-// Batch returns the batch streams on the runner.
+// Batch returns the number of batch streams on the runner.
 func (a *Arbiter) Batch() int { return len(a.batch) }
 
-// Limit returns the present batch limit.
-func (a *Arbiter) Limit() int { return int(a.limit) }
+// BatchLimit returns the current limit of batch streams.
+func (a *Arbiter) BatchLimit() int { return int(a.limit) }
 
-// FreeOnlineSlots returns how many more online streams the runner takes now.
+// FreeOnlineSlots returns how many more online streams the runner accepts.
 func (a *Arbiter) FreeOnlineSlots() int { return max(0, a.onlineCapacity()-a.online) }
 
 func (a *Arbiter) onlineCapacity() int {
 	if a.policy.Mode == Static {
 		return max(1, a.policy.Slots-a.policy.StaticSlots)
 	}
-	return a.policy.Slots + int(queuedFraction*float64(a.policy.Slots))
+	return a.policy.Slots + int(maxQueuedFraction*float64(a.policy.Slots))
 }
 
-// AdmitOnline takes an online stream if the runner has a slot for it, counting
-// what batch must give back. The batch streams returned must be cancelled at once;
-// they no longer count.
+// AdmitOnline admits an online stream if the runner has a slot for it, counting slots that
+// batch streams can release. The caller has to cancel the returned batch streams at once;
+// they are no longer counted.
 func (a *Arbiter) AdmitOnline() (admitted bool, preempted []BatchStream) {
 	if a.online >= a.onlineCapacity() {
 		return false, nil
@@ -147,14 +147,14 @@
 	if a.policy.Mode != Managed {
 		return true, nil
 	}
-	return true, a.shrinkTo(max(0, a.policy.Slots-a.online))
+	return true, a.trimBatch(max(0, a.policy.Slots-a.online))
 }
 
-// OnlineDone ends an admitted online stream.
+// OnlineDone records the end of an admitted online stream.
 func (a *Arbiter) OnlineDone() { a.online = max(0, a.online-1) }
 
-// shrinkTo removes the youngest batch streams above the count.
-func (a *Arbiter) shrinkTo(count int) []BatchStream {
+// trimBatch removes and returns the youngest batch streams in excess of count.
+func (a *Arbiter) trimBatch(count int) []BatchStream {
 	if len(a.batch) <= count {
 		return nil
 	}
@@ -176,23 +176,23 @@
 	allowed := min(int(a.limit), a.policy.Slots-a.policy.ReserveSlots-a.online)
 	free := max(0, allowed-len(a.batch))
 	if a.online > 0 {
-		free = min(free, max(0, maxStartsPerInterval-a.starts))
+		free = min(free, max(0, maxStartsPerInterval-a.batchStarts))
 	}
 	return free
 }
 
-// StartBatch takes a batch stream if one may start now.
+// StartBatch starts a batch stream if the runner has a free batch slot.
 func (a *Arbiter) StartBatch() (BatchStream, bool) {
 	if a.FreeBatchSlots() == 0 {
 		return 0, false
 	}
-	a.next++
-	a.starts++
-	a.batch = append(a.batch, a.next)
-	return a.next, true
+	a.lastBatch++
+	a.batchStarts++
+	a.batch = append(a.batch, a.lastBatch)
+	return a.lastBatch, true
 }
 
-// BatchDone ends a batch stream; ending one that was preempted does nothing.
+// BatchDone records the end of a batch stream. It ignores streams that were preempted.
 func (a *Arbiter) BatchDone(ended BatchStream) {
 	for i, stream := range a.batch {
 		if stream == ended {
@@ -202,18 +202,18 @@
 	}
 }
 
-// FirstToken records an online stream's measured time to first token.
+// FirstToken records the time to first token of an online stream.
 func (a *Arbiter) FirstToken(waited time.Duration) {
 	a.record(waited, a.policy.FirstToken)
 }
 
-// InterToken records a measured time between two tokens of an online stream.
+// InterToken records the time between two tokens of an online stream.
 func (a *Arbiter) InterToken(gap time.Duration) {
 	a.record(gap, a.policy.InterToken)
 }
 
-// record counts a token as late somewhat before its target, the more so the more
-// the tail weighs: the limit has to fall before the target is missed.
+// record counts a token and whether it was late. The threshold lies below the target, so
+// that the batch limit shrinks before the target is missed.
 func (a *Arbiter) record(measured, target time.Duration) {
 	margin := 1 - lateMargin*a.policy.TailWeight
 	a.samples++
@@ -222,33 +222,33 @@
 	}
 }
 
-// Tick adjusts the batch limit once per control interval and returns batch
-// streams that must be cancelled because the limit fell below their number.
+// Tick adjusts the batch limit once in each control interval and returns the batch streams
+// that the caller has to cancel because they exceed the new limit.
 func (a *Arbiter) Tick(now time.Time) []BatchStream {
-	if now.Sub(a.windowAt) < controlInterval {
+	if now.Sub(a.intervalStart) < controlInterval {
 		return nil
 	}
-	a.windowAt = now
-	a.starts = 0
+	a.intervalStart = now
+	a.batchStarts = 0
 	defer func() { a.late, a.samples = 0, 0 }()
 	if a.policy.Mode != Managed {
 		return nil
 	}
 	if a.online == 0 {
-		// Nobody to harm: the whole gap is used at once; preemption protects
-		// the next arrival.
-		a.limit = a.ceiling()
+		// Without online work batch may use the whole limit at once; preemption protects the
+		// next online request.
+		a.limit = a.maxLimit()
 		return nil
 	}
 	if a.samples < minSamples {
 		return nil
 	}
 	late := float64(a.late) / float64(a.samples)
-	if late > allowedLate {
-		a.limit *= 1 - maxShrink*a.policy.TailWeight*math.Min(1, late/(fullShrinkAt*allowedLate))
-		return a.shrinkTo(int(a.limit))
+	if late > maxLateFraction {
+		a.limit *= 1 - maxShrink*a.policy.TailWeight*math.Min(1, late/(fullShrinkMultiple*maxLateFraction))
+		return a.trimBatch(int(a.limit))
 	}
 	growth := minGrowth + (1-a.policy.TailWeight)*extraGrowth*float64(a.policy.Slots)
-	a.limit = math.Min(a.ceiling(), a.limit+growth)
+	a.limit = math.Min(a.maxLimit(), a.limit+growth)
 	return nil
 }
--- a/internal/serving/arbiter/arbiter_test.go
+++ b/internal/serving/arbiter/arbiter_test.go
@@ -10,27 +10,27 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-func testConfig(slots, reserve int, weight float64) RunnerPolicy {
+func testPolicy(slots, reserve int, weight float64) RunnerPolicy {
 	return RunnerPolicy{Slots: slots, ReserveSlots: reserve, FirstToken: time.Second, InterToken: 36 * time.Millisecond, TailWeight: weight}
 }
 
-// machine drives an arbiter with drawn events and checks its invariants.
-type machine struct {
+// arbiterModel drives an arbiter with random events and checks its invariants.
+type arbiterModel struct {
 	arbiter *Arbiter
-	config  RunnerPolicy
+	policy  RunnerPolicy
 	now     time.Time
 	batch   map[BatchStream]bool
 }
 
-func (m *machine) Init(t *rapid.T) {
+func (m *arbiterModel) Init(t *rapid.T) {
 	slots := rapid.IntRange(1, 6).Draw(t, "slots")
-	m.config = testConfig(slots, rapid.IntRange(0, slots/2).Draw(t, "reserve"), rapid.Float64Range(0, 1).Draw(t, "weight"))
+	m.policy = testPolicy(slots, rapid.IntRange(0, slots/2).Draw(t, "reserve"), rapid.Float64Range(0, 1).Draw(t, "weight"))
 	m.now = time.Unix(0, 0)
-	m.arbiter = New(m.config, m.now)
+	m.arbiter = New(m.policy, m.now)
 	m.batch = map[BatchStream]bool{}
 }
 
-func (m *machine) remove(t *rapid.T, preempted []BatchStream) {
+func (m *arbiterModel) remove(t *rapid.T, preempted []BatchStream) {
 	for _, stream := range preempted {
 		if !m.batch[stream] {
 			t.Fatalf("preempted stream %d is not running", stream)
@@ -55,26 +55,26 @@
 	return false
 }
 
-// An online arrival waits for batch never: it is admitted whenever online work
-// alone leaves room.
-func (m *machine) AdmitOnline(t *rapid.T) {
-	room := m.arbiter.Online() < m.config.Slots
+// AdmitOnline checks that an online request is admitted whenever online work alone leaves a
+// free slot.
+func (m *arbiterModel) AdmitOnline(t *rapid.T) {
+	room := m.arbiter.Online() < m.policy.Slots
 	admitted, preempted := m.arbiter.AdmitOnline()
 	if room && !admitted {
-		t.Fatalf("refused online with %d online, %d batch of %d slots", m.arbiter.Online(), m.arbiter.Batch(), m.config.Slots)
+		t.Fatalf("refused online with %d online, %d batch of %d slots", m.arbiter.Online(), m.arbiter.Batch(), m.policy.Slots)
 	}
 	m.remove(t, preempted)
 }
 
-func (m *machine) OnlineDone(*rapid.T) { m.arbiter.OnlineDone() }
+func (m *arbiterModel) OnlineDone(*rapid.T) { m.arbiter.OnlineDone() }
 
-func (m *machine) StartBatch(*rapid.T) {
+func (m *arbiterModel) StartBatch(*rapid.T) {
 	if stream, ok := m.arbiter.StartBatch(); ok {
 		m.batch[stream] = true
 	}
 }
 
-func (m *machine) BatchDone(t *rapid.T) {
+func (m *arbiterModel) BatchDone(t *rapid.T) {
 	for stream := range m.batch {
 		m.arbiter.BatchDone(stream)
 		delete(m.batch, stream)
@@ -82,29 +82,29 @@
 	}
 }
 
-func (m *machine) Measure(t *rapid.T) {
+func (m *arbiterModel) Measure(t *rapid.T) {
 	for range rapid.IntRange(1, 20).Draw(t, "tokens") {
 		m.arbiter.InterToken(time.Duration(rapid.IntRange(1, 90).Draw(t, "gap")) * time.Millisecond)
 	}
 }
 
-func (m *machine) Tick(t *rapid.T) {
+func (m *arbiterModel) Tick(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(50, 400).Draw(t, "ms")) * time.Millisecond)
 	m.remove(t, m.arbiter.Tick(m.now))
 }
 
-func (m *machine) Check(t *rapid.T) {
+func (m *arbiterModel) Check(t *rapid.T) {
 	if m.arbiter.Batch() != len(m.batch) {
 		t.Fatalf("arbiter counts %d batch streams, %d run", m.arbiter.Batch(), len(m.batch))
 	}
-	if m.arbiter.Batch() > 0 && m.arbiter.Online()+m.arbiter.Batch() > m.config.Slots {
-		t.Fatalf("%d online and %d batch on %d slots", m.arbiter.Online(), m.arbiter.Batch(), m.config.Slots)
+	if m.arbiter.Batch() > 0 && m.arbiter.Online()+m.arbiter.Batch() > m.policy.Slots {
+		t.Fatalf("%d online and %d batch on %d slots", m.arbiter.Online(), m.arbiter.Batch(), m.policy.Slots)
 	}
 }
 
-func TestOnlineNeverWaitsBehindBatch(t *testing.T) {
+func TestOnlineNeverWaitsForBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{}
+		m := &arbiterModel{}
 		m.Init(t)
 		t.Repeat(rapid.StateMachineActions(m))
 	})
@@ -121,17 +121,17 @@
 	return started
 }
 
-func TestIdleRunnerIsFilledAtOnce(t *testing.T) {
+func TestIdleRunnerIsFilledWithBatch(t *testing.T) {
 	is := is.New(t)
-	a := New(testConfig(16, 1, 0.9), time.Unix(0, 0))
+	a := New(testPolicy(16, 1, 0.9), time.Unix(0, 0))
 	is.Equal(fillBatch(a), 15)
 }
 
-func TestLateTokensShrinkBatchMoreWhenTheTailWeighsMore(t *testing.T) {
+func TestLateTokensShrinkBatchByTailWeight(t *testing.T) {
 	is := is.New(t)
 	limitAfterLateness := func(weight float64) int {
 		now := time.Unix(0, 0)
-		a := New(testConfig(32, 0, weight), now)
+		a := New(testPolicy(32, 0, weight), now)
 		fillBatch(a)
 		a.AdmitOnline()
 		for range 3 {
@@ -141,18 +141,18 @@
 			now = now.Add(controlInterval)
 			a.Tick(now)
 		}
-		return a.Limit()
+		return a.BatchLimit()
 	}
-	guarded, eager := limitAfterLateness(0.9), limitAfterLateness(0.1)
-	is.True(guarded < eager) // more weight on the tail, less batch
-	is.True(guarded <= 4)
-	is.True(eager < 32)
+	highWeight, lowWeight := limitAfterLateness(0.9), limitAfterLateness(0.1)
+	is.True(highWeight < lowWeight) // a higher tail weight allows less batch
+	is.True(highWeight <= 4)
+	is.True(lowWeight < 32)
 }
 
 func TestLimitRecoversWhenTokensAreOnTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	a := New(testConfig(16, 1, 0.5), now)
+	a := New(testPolicy(16, 1, 0.5), now)
 	a.AdmitOnline()
 	a.limit = 0
 	for range 100 {
@@ -162,11 +162,11 @@
 		now = now.Add(controlInterval)
 		a.Tick(now)
 	}
-	is.Equal(a.Limit(), 15)
+	is.Equal(a.BatchLimit(), 15)
 }
 
 func BenchmarkAdmitOnlineWithPreemption(b *testing.B) {
-	a := New(testConfig(64, 1, 0.5), time.Unix(0, 0))
+	a := New(testPolicy(64, 1, 0.5), time.Unix(0, 0))
 	b.ReportAllocs()
 	for b.Loop() {
 		a.StartBatch()
--- a/internal/serving/scheduling/framework/framework.go
+++ b/internal/serving/scheduling/framework/framework.go
@@ -1,10 +1,10 @@
-// Package framework declares the extension points by which a plain node chooses a
-// candidate for a request: an owner node (module serving.router) or a runner of
-// its own (module serving.owner). It owns the order of the steps, filters before
-// scorers before the picker; package plugins holds the steps in use.
+// Package framework defines the extension points with which a plain node chooses a candidate
+// for a request: an owner node (module serving.router) or one of its own runners (module
+// serving.owner). A Scheduler runs filters, then scorers, then the picker; package plugins
+// provides the implementations.
 //
-// Plug-ins may assume that candidates are a private copy and that they are
-// called from many goroutines. They must not block, do I/O, or keep candidates.
+// Plugins may modify the slice of candidates, which is a private copy. They are called
+// concurrently, and must not block, do I/O, or retain candidates.
 package framework
 
 import (
@@ -12,48 +12,48 @@
 	"time"
 )
 
-// Request is what plug-ins know of the work.
+// Request describes the request to be scheduled.
 type Request struct {
-	// PrefixHash is of the beginning of the prompt; 0 for none.
+	// PrefixHash is the hash of the beginning of the prompt; 0 if there is none.
 	PrefixHash uint64
-	// Excluded candidates were tried already.
+	// Excluded lists the ids of candidates that were already tried.
 	Excluded []string
 	Now      time.Time
 }
 
-// Candidate is one place the request could go to.
+// Candidate is a possible destination of the request.
 type Candidate struct {
 	ID string
-	// Capacity is the number of online streams it can run.
+	// Capacity is the number of online streams that the candidate can run.
 	Capacity int
-	// Load is the number of online streams there, as far as known.
+	// Load is the last known number of online streams.
 	Load int
-	// Batch is the number of batch streams there, which would be preempted.
+	// Batch is the last known number of batch streams, which online work would preempt.
 	Batch int
-	// Affinity is the candidate's weight for the request's prefix.
+	// Affinity is the candidate's rendezvous weight for the request's prefix.
 	Affinity uint64
-	// EjectedUntil: it failed lately and is taken until then only if nothing else
-	// is left.
+	// EjectedUntil is set after failures; until then the candidate is chosen only if no
+	// other is available.
 	EjectedUntil time.Time
-	// Leaving candidates take no new work.
+	// Leaving candidates accept no new work.
 	Leaving bool
 }
 
-// Use returns the load as a fraction of capacity; it may exceed 1.
-func (c *Candidate) Use() float64 {
+// Utilization returns the load as a fraction of capacity; it may exceed 1.
+func (c *Candidate) Utilization() float64 {
 	if c.Capacity <= 0 {
 		return 1
 	}
 	return float64(c.Load) / float64(c.Capacity)
 }
 
-// Filter drops candidates. It may return none; then the request has nowhere to
-// go and the caller refuses it or looks further away.
+// Filter removes candidates. If it returns none, no candidate is chosen, and the caller
+// refuses the request or tries other nodes.
 type Filter interface {
 	Filter(request *Request, candidates []Candidate) []Candidate
 }
 
-// Scorer rates a candidate from 0 (worst) to 1 (best).
+// Scorer sets the score of each candidate, from 0 (worst) to 1 (best).
 type Scorer interface {
 	Score(request *Request, candidates []Candidate, scores []float64)
 }
@@ -63,20 +63,20 @@
 	Pick(request *Request, candidates []Candidate, scores []float64, random *rand.Rand) int
 }
 
-// WeightedScorer is a scorer with its weight in the sum.
+// WeightedScorer is a scorer with its weight in the total score.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Scheduler runs filters, then scorers, then the picker.
+// Scheduler runs the filters, then the scorers, then the picker.
 type Scheduler struct {
 	Filters []Filter
 	Scorers []WeightedScorer
 	Picker  Picker
 }
 
-// Choose returns the chosen candidate, or false if filters left none.
+// Choose returns the chosen candidate, or false if the filters removed all candidates.
 func (s *Scheduler) Choose(request *Request, candidates []Candidate, random *rand.Rand) (Candidate, bool) {
 	for _, filter := range s.Filters {
 		candidates = filter.Filter(request, candidates)
--- a/internal/serving/scheduling/plugins/filters.go
+++ b/internal/serving/scheduling/plugins/filters.go
@@ -1,11 +1,12 @@
-// Package plugins holds the filters, scorers and pickers that a plain node uses.
-// Each is a rule without state, I/O or clock.
+// Package plugins provides the filters, scorers and pickers of a plain node. They have no
+// state, do no I/O and read no clock.
 package plugins
 
 import "cobaltramp.example/cobaltramp/internal/serving/scheduling/framework"
 
-// Available drops candidates that are leaving, excluded, or ejected after a
-// failure. If only ejected ones are left, it keeps them: a guess beats a refusal.
+// Available removes candidates that are leaving, excluded, or ejected after a failure. If
+// only ejected candidates remain, it keeps them, since a possible success is better than a
+// refusal.
 type Available struct{}
 
 var _ framework.Filter = Available{}
@@ -39,7 +40,7 @@
 	return false
 }
 
-// WithFreeSlots drops candidates whose online load has reached their capacity.
+// WithFreeSlots removes candidates whose online load has reached their capacity.
 type WithFreeSlots struct{}
 
 var _ framework.Filter = WithFreeSlots{}
--- a/internal/serving/scheduling/plugins/pickers.go
+++ b/internal/serving/scheduling/plugins/pickers.go
@@ -6,7 +6,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/scheduling/framework"
 )
 
-// Best picks the highest score, at random among equals.
+// Best picks the candidate with the highest score, and breaks ties at random.
 type Best struct{}
 
 var _ framework.Picker = Best{}
@@ -28,11 +28,11 @@
 	return best
 }
 
-// SampledBest picks the best of a few random candidates and the one with the
-// highest affinity. Sampling keeps many nodes with the same lagging view from
-// all choosing the same owner (Mitzenmacher 2001).
+// SampledBest picks the best of a few random candidates and the candidate with the highest
+// affinity. Sampling prevents many nodes with the same outdated view from choosing the same
+// owner (Mitzenmacher 2001).
 type SampledBest struct {
-	// Samples is the number of random candidates looked at.
+	// Samples is the number of random candidates.
 	Samples int
 }
 
--- a/internal/serving/scheduling/plugins/plugins_test.go
+++ b/internal/serving/scheduling/plugins/plugins_test.go
@@ -27,7 +27,7 @@
 	return candidates
 }
 
-func owners() *framework.Scheduler {
+func ownerScheduler() *framework.Scheduler {
 	return &framework.Scheduler{
 		Filters: []framework.Filter{Available{}, WithFreeSlots{}},
 		Scorers: []framework.WeightedScorer{{Scorer: LeastLoad{}, Weight: 1}, {Scorer: PrefixAffinity{}, Weight: 0.5}},
@@ -46,7 +46,7 @@
 				possible++
 			}
 		}
-		chosen, found := owners().Choose(request, append([]framework.Candidate(nil), candidates...), random)
+		chosen, found := ownerScheduler().Choose(request, append([]framework.Candidate(nil), candidates...), random)
 		if found != (possible > 0) {
 			t.Fatalf("found %v with %d possible", found, possible)
 		}
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestAffinityYieldsToLoad(t *testing.T) {
+func TestOverloadedCandidateHasNoAffinity(t *testing.T) {
 	is := is.New(t)
 	request := &framework.Request{PrefixHash: 1}
 	candidates := []framework.Candidate{
@@ -72,21 +72,21 @@
 	is.Equal(scores, []float64{1, 0})
 }
 
-func TestSetAsideIsUsedOnlyWhenNothingElseIsLeft(t *testing.T) {
+func TestEjectedCandidateIsLastResort(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	request := &framework.Request{Now: now}
-	aside := framework.Candidate{ID: "aside", Capacity: 1, EjectedUntil: now.Add(time.Second)}
+	ejected := framework.Candidate{ID: "aside", Capacity: 1, EjectedUntil: now.Add(time.Second)}
 	good := framework.Candidate{ID: "good", Capacity: 1}
-	kept := Available{}.Filter(request, []framework.Candidate{aside, good})
+	kept := Available{}.Filter(request, []framework.Candidate{ejected, good})
 	is.Equal(len(kept), 1)
 	is.Equal(kept[0].ID, "good")
-	kept = Available{}.Filter(request, []framework.Candidate{aside})
+	kept = Available{}.Filter(request, []framework.Candidate{ejected})
 	is.Equal(kept[0].ID, "aside")
 }
 
 func BenchmarkChooseAmongOwners(b *testing.B) {
-	scheduler := owners()
+	scheduler := ownerScheduler()
 	random := rand.New(rand.NewPCG(1, 1))
 	candidates := make([]framework.Candidate, 24)
 	for i := range candidates {
--- a/internal/serving/scheduling/plugins/scorers.go
+++ b/internal/serving/scheduling/plugins/scorers.go
@@ -2,7 +2,7 @@
 
 import "cobaltramp.example/cobaltramp/internal/serving/scheduling/framework"
 
-// LeastLoad prefers candidates with a small fraction of their capacity in use.
+// LeastLoad prefers candidates with low utilization.
 type LeastLoad struct{}
 
 var _ framework.Scorer = LeastLoad{}
@@ -10,12 +10,12 @@
 // Score implements framework.Scorer.
 func (LeastLoad) Score(_ *framework.Request, candidates []framework.Candidate, scores []float64) {
 	for i := range candidates {
-		scores[i] = 1 - min(1, candidates[i].Use())
+		scores[i] = 1 - min(1, candidates[i].Utilization())
 	}
 }
 
-// LeastPreemption prefers candidates with slots that batch does not hold, so
-// that fewer batch streams lose their work.
+// LeastPreemption prefers candidates with many slots used by neither online nor batch work,
+// so that fewer batch streams are preempted.
 type LeastPreemption struct{}
 
 var _ framework.Scorer = LeastPreemption{}
@@ -29,10 +29,10 @@
 	}
 }
 
-// PrefixAffinity sends requests with one prefix to one candidate, whose cache
-// then holds it, unless that candidate carries much more than the others: its use
-// may exceed the average by affinitySlack (bounded-load consistent hashing,
-// Mirrokni, Thorup, Zadimoghaddam 2016).
+// PrefixAffinity prefers one candidate for all requests with the same prefix, whose cache
+// then holds the prefix, unless the utilization of that candidate exceeds the average by
+// more than affinitySlack (consistent hashing with bounded loads, Mirrokni, Thorup,
+// Zadimoghaddam 2016).
 type PrefixAffinity struct{}
 
 var _ framework.Scorer = PrefixAffinity{}
@@ -42,16 +42,16 @@
 
 // Score implements framework.Scorer.
 func (PrefixAffinity) Score(request *framework.Request, candidates []framework.Candidate, scores []float64) {
-	favourite := -1
+	preferred := -1
 	average := 0.0
 	for i := range candidates {
 		scores[i] = 0
-		average += candidates[i].Use() / float64(len(candidates))
-		if favourite < 0 || candidates[i].Affinity > candidates[favourite].Affinity {
-			favourite = i
+		average += candidates[i].Utilization() / float64(len(candidates))
+		if preferred < 0 || candidates[i].Affinity > candidates[preferred].Affinity {
+			preferred = i
 		}
 	}
-	if request.PrefixHash != 0 && candidates[favourite].Use() <= average+affinitySlack {
-		scores[favourite] = 1
+	if request.PrefixHash != 0 && candidates[preferred].Utilization() <= average+affinitySlack {
+		scores[preferred] = 1
 	}
 }
--- a/modules/serving/owner/owner.go
+++ b/modules/serving/owner/owner.go
@@ -195,7 +195,7 @@
 		m.preempt(r, r.arbiter.Tick(now))
 		online += r.arbiter.Online()
 		batch += r.arbiter.Batch()
-		limit += r.arbiter.Limit()
+		limit += r.arbiter.BatchLimit()
 	}
 	m.metrics.online.Set(float64(online))
 	m.metrics.batch.Set(float64(batch))
--- a/modules/serving/owner/status.go
+++ b/modules/serving/owner/status.go
@@ -41,7 +41,7 @@
 	for _, r := range m.runners {
 		list = append(list, &wirev1.RunnerStatus{
 			Id: r.id, Address: r.address, Zone: r.zone, State: r.stateName(now),
-			OnlineRunning: uint32(r.arbiter.Online()), BatchRunning: uint32(r.arbiter.Batch()), BatchLimit: uint32(r.arbiter.Limit()),
+			OnlineRunning: uint32(r.arbiter.Online()), BatchRunning: uint32(r.arbiter.Batch()), BatchLimit: uint32(r.arbiter.BatchLimit()),
 		})
 	}
 	return list
