--- a/internal/serving/loadshare/audience.go
+++ b/internal/serving/loadshare/audience.go
@@ -9,87 +9,84 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// How many nodes receive reports of a runner.
+// Number of nodes that receive reports of a runner.
 const (
-	// minEdges is how many edges of a runner's zone do, minStorageNodes how many
-	// storage nodes if there are more than fewStorageNodes: up to so many all do,
-	// since a single one may run all items.
-	minEdges        = 24
-	minStorageNodes = 12
-	fewStorageNodes = 20
-	// runnersPerEdge and runnersPerStorageNode are of how many runners a node
-	// receives reports in the mean, at least: it chooses best among these.
+	// minEdges and minStorageNodes are the minimum numbers of receivers. In fleets with up
+	// to maxStorageNodesForAll storage nodes, all of these receive reports of every runner,
+	// since a single storage node may run all items.
+	minEdges              = 24
+	minStorageNodes       = 12
+	maxStorageNodesForAll = 20
+	// runnersPerEdge and runnersPerStorageNode are the minimum average number of runners of
+	// which a node receives reports; a node makes the best choices among these.
 	runnersPerEdge        = 6
 	runnersPerStorageNode = 24
 )
 
-// audienceInputs is what the size of a runner's audience depends on.
+// audienceInputs are the counts that determine the size of a runner's audience.
 type audienceInputs struct {
-	// edges are those of the runner's zone, storageNodes those of all zones.
+	// edges counts the edges in the runner's zone, storageNodes the storage nodes in all
+	// zones.
 	edges, storageNodes int
-	// runnersNear are the runners of its service in its zone, runnersOfService those
-	// in all zones.
-	runnersNear, runnersOfService int
+	// runnersInZone counts the runners of its service in its zone, runnersOfService those in
+	// all zones.
+	runnersInZone, runnersOfService int
 }
 
-// audienceSize decides how many edges and storage nodes receive reports of a
-// runner.
+// audienceSize returns how many edges and storage nodes receive reports of a runner.
 //
-// Each kind has at least minEdges and minStorageNodes, and more where there are
-// many nodes for few runners, so that each node receives reports of enough runners
-// to choose among; in small fleets every storage node does. The size follows the
-// ratio of nodes to runners and not the fleet, so that what a request makes a node
-// send does not grow with it.
+// The size depends on the ratio of nodes to runners, so that each node receives reports of
+// enough runners to choose among. Since it does not depend on the size of the fleet, the
+// number of notices for a request does not grow with the fleet.
 func audienceSize(in audienceInputs) (edges, storageNodes int) {
-	edges = kindSize(in.edges, in.runnersNear, minEdges, runnersPerEdge)
-	if in.storageNodes <= fewStorageNodes {
+	edges = receiversPerRunner(in.edges, in.runnersInZone, minEdges, runnersPerEdge)
+	if in.storageNodes <= maxStorageNodesForAll {
 		return edges, in.storageNodes
 	}
-	return edges, kindSize(in.storageNodes, in.runnersOfService, minStorageNodes, runnersPerStorageNode)
+	return edges, receiversPerRunner(in.storageNodes, in.runnersOfService, minStorageNodes, runnersPerStorageNode)
 }
 
-// kindSize is how many nodes of one kind receive reports of each of the runners, so
-// that each node receives them of enough runners.
-func kindSize(nodes, runners, minNodes, runnersPerNode int) int {
+// receiversPerRunner returns how many of the nodes receive reports of each runner, so that a
+// node receives reports of at least runnersPerNode runners on average.
+func receiversPerRunner(nodes, runners, minNodes, runnersPerNode int) int {
 	if runners == 0 {
 		return nodes
 	}
 	return min(nodes, max(minNodes, (runnersPerNode*nodes+runners-1)/runners))
 }
 
-// nearlyFullSlots is how few free slots make a runner nearly full.
+// nearlyFullSlots is the number of free slots up to which a runner is nearly full.
 const nearlyFullSlots = 2
 
-// nearlyFull decides whether the nodes that have batch items at a runner receive a
-// report of an online request there at once, whether they belong to its audience or
-// not: they should preempt items. Running and batch are requests at the runner, all
-// and batch items.
+// nearlyFull reports whether the nodes with batch items at a runner should receive a report
+// of an online request there at once, even outside the runner's audience, so that they can
+// preempt items. running counts all requests at the runner, batch those for batch items.
 func nearlyFull(running, batch float64, slots int) bool {
 	return batch != 0 && running >= float64(slots-nearlyFullSlots)
 }
 
-// ranking orders the nodes that may receive reports of one runner, as node ids.
-// Those that come first are its audience.
+// ranking holds the ids of the nodes that may receive reports of one runner, in order. The
+// first ones are its audience.
 type ranking struct {
 	edges, storage rankedNodes
 }
 
-// rankedNodes are node ids in order, and where this node stands among them.
+// rankedNodes holds node ids in order, and the index of this node among them.
 type rankedNodes struct {
 	ids  []string
-	self int // len(ids) if it is not one of them
+	self int // len(ids) if this node is not in the list
 }
 
-// audience are the nodes that receive reports of a runner; this node may be among
-// them.
+// audience holds the ids of the nodes that receive reports of a runner, possibly including
+// this node.
 type audience struct {
 	edges, storage []string
-	// self: this node receives them.
+	// self reports whether this node receives reports of the runner.
 	self bool
 }
 
-// first returns the audience of a size, the nodes that come first.
-func (r *ranking) first(edges, storage int) audience {
+// top returns the audience with the given numbers of edges and storage nodes.
+func (r *ranking) top(edges, storage int) audience {
 	edges, storage = min(edges, len(r.edges.ids)), min(storage, len(r.storage.ids))
 	return audience{
 		edges: r.edges.ids[:edges], storage: r.storage.ids[:storage],
@@ -97,10 +94,9 @@
 	}
 }
 
-// rank orders the nodes for a runner by their rendezvous weight for it, so that the
-// subsets of runners that nodes receive reports of are even, and a node that comes
-// or goes changes few of them. Storage nodes of its zone come first, since items run
-// in the zone they lie in if they can.
+// rank orders the nodes by their rendezvous weight for the runner. This spreads the reports
+// evenly over the nodes, and a node that joins or leaves changes few audiences. Storage
+// nodes in the runner's zone come first, since items preferably run in their own zone.
 func (i *nodeIndex) rank(runner *runnerset.Runner) *ranking {
 	position := subset.PositionOf(runner.ID)
 	var far []*member
@@ -109,15 +105,15 @@
 			far = append(far, nodes...)
 		}
 	}
-	near := i.ranked(runner, position, i.storage[runner.Zone])
+	near := i.rankedIDs(runner, position, i.storage[runner.Zone])
 	return &ranking{
-		edges:   i.places(i.ranked(runner, position, i.edges[runner.Zone])),
-		storage: i.places(append(near, i.ranked(runner, position, far)...)),
+		edges:   i.withSelf(i.rankedIDs(runner, position, i.edges[runner.Zone])),
+		storage: i.withSelf(append(near, i.rankedIDs(runner, position, far)...)),
 	}
 }
 
-// ranked returns the ids of those that know a runner, in the order of their weights.
-func (i *nodeIndex) ranked(runner *runnerset.Runner, position uint64, nodes []*member) []string {
+// rankedIDs returns the ids of the nodes that know the runner, by descending weight.
+func (i *nodeIndex) rankedIDs(runner *runnerset.Runner, position uint64, nodes []*member) []string {
 	type weighed struct {
 		id     string
 		weight uint64
@@ -136,7 +132,8 @@
 	return ids
 }
 
-func (i *nodeIndex) places(ids []string) rankedNodes {
+// withSelf adds the index of this node to a list of node ids.
+func (i *nodeIndex) withSelf(ids []string) rankedNodes {
 	self := slices.Index(ids, i.self)
 	if self < 0 {
 		self = len(ids)
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadshare/loadshare.go
@@ -1,16 +1,16 @@
-// Package loadshare exchanges between nodes what each has at runners, so that nodes
-// that choose among the same runners know of each other's choices within a network
-// delay.
+// Package loadshare exchanges reports of the requests that each node runs at runners, so
+// that nodes that choose among the same runners learn of each other's choices within a
+// network delay.
 //
-// It owns who receives reports of a runner (its audience, whose size does not grow
-// with the fleet) and when they leave: to edges at once, to storage nodes, which
-// place batch items, coalesced. Each report holds the whole of what the node has at
-// the runner, so a lost one does no lasting harm. What the reports mean for the
-// choice of a runner belongs to package runnerset, whose Set this package feeds.
+// The package determines which nodes receive reports of a runner (its audience, whose size
+// does not grow with the fleet) and when reports are sent: to edges at once, to storage
+// nodes, which schedule batch items, in batches. Each report contains all requests of the
+// node at the runner, so that a later report makes up for a lost one. Package runnerset uses
+// the reports to choose runners; this package passes them to its Set.
 //
-// It relies on package notify for coalescing, on package subset for which nodes know
-// a runner, and on the directory of nodes. The edge and the storage node run it.
-// docs/design/runner-use.md weighs it against other ways.
+// The package uses package notify for batching, package subset to determine which nodes know
+// a runner, and the directory of nodes. The edge and the storage node run it. See
+// docs/design/runner-use.md.
 package loadshare
 
 import (
@@ -29,45 +29,45 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// VersionedMembers knows the nodes, and whether their records have changed.
-type VersionedMembers interface {
+// VersionedDirectory is a directory of nodes with a generation number.
+type VersionedDirectory interface {
 	notify.NodeDirectory
-	// Generation rises with each change of the records.
+	// Generation increases with each change of the records.
 	Generation() uint64
 }
 
-// Reporter reports this node's requests at runners to other nodes, and takes in
-// their reports.
+// Reporter reports this node's requests at runners to other nodes and receives their
+// reports.
 type Reporter struct {
 	runners   *runnerset.Set
 	sender    notify.NoticeSender
-	directory VersionedMembers
+	directory VersionedDirectory
 	audiences audiences
 	notices   *prometheus.CounterVec
 
-	// mutex is held while a use is read and sent: of two changes at once the later
-	// is sent later.
+	// mutex is held while a report is built and sent, so that reports leave in the order of
+	// the changes.
 	mutex sync.Mutex
-	// pending are the runners that storage nodes are still to receive a report of.
+	// pending holds the runners whose report to storage nodes is due with the next batch.
 	pending map[*runnerset.Runner]bool
 	batcher *notify.Batcher
-	// changedAt is when this node's use of a runner last changed; it has those at
-	// which the node has requests.
+	// changedAt is when this node's use of a runner last changed, for the runners at which
+	// the node has requests.
 	changedAt map[*runnerset.Runner]time.Time
-	// incarnations are those of the processes that sent peers' last reports.
+	// incarnations holds the process incarnation of each peer's last report.
 	incarnations map[string]uint64
 }
 
 const (
-	// coalesceInterval is how long changes are coalesced for storage nodes.
+	// coalesceInterval is the period over which changes for storage nodes are batched.
 	coalesceInterval = 60 * time.Millisecond
-	// repeatInterval is how often a use that goes on unchanged is reported again: a
-	// notice may be lost, and a node that joins an audience has received none.
+	// repeatInterval is the period after which an unchanged use is reported again, since a
+	// notice may be lost and a node that joins an audience has no earlier reports.
 	repeatInterval = time.Second
 )
 
-// New returns a reporter that follows the use of the runners.
-func New(directory VersionedMembers, runners *runnerset.Set, sender notify.NoticeSender, registry prometheus.Registerer) *Reporter {
+// New returns a reporter and subscribes it to changes of this node's load on the runners.
+func New(directory VersionedDirectory, runners *runnerset.Set, sender notify.NoticeSender, registry prometheus.Registerer) *Reporter {
 	r := &Reporter{
 		runners: runners, sender: sender, directory: directory, pending: map[*runnerset.Runner]bool{},
 		changedAt: map[*runnerset.Runner]time.Time{}, incarnations: map[string]uint64{},
@@ -81,22 +81,21 @@
 		RepeatInterval: repeatInterval, Repeat: r.repeat,
 	})
 	registry.MustRegister(r.notices)
-	runners.OnOwnLoad(r.changed)
+	runners.OnOwnLoad(r.reportChange)
 	runners.SetReporting(r.receivesReports)
 	return r
 }
 
-// receivesReports reports whether other nodes report their use of a runner to this
-// one.
+// receivesReports reports whether this node receives other nodes' reports of a runner.
 func (r *Reporter) receivesReports(runner *runnerset.Runner) bool { return r.audiences.of(runner).self }
 
-// changed reports a change of this node's use of a runner: to edges at once, to
-// storage nodes with the next batch.
-func (r *Reporter) changed(runner *runnerset.Runner, shared []runnerset.PromptPart) {
+// reportChange reports a change of this node's use of a runner: to edges at once, to storage
+// nodes with the next batch.
+func (r *Reporter) reportChange(runner *runnerset.Runner, shared []runnerset.PromptPart) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	report := encodeUse(runner)
-	for _, part := range shared { // storage nodes place items by other parts
+	for _, part := range shared { // edges only: storage nodes schedule items by other parts
 		report.Prompt = append(report.Prompt, &wirev1.PromptPart{Id: part.ID, Tokens: uint32(part.Tokens)})
 	}
 	receivers := r.audiences.of(runner).edges
@@ -113,7 +112,7 @@
 	r.batcher.Trigger()
 }
 
-// encodeUse encodes what this node has at a runner now.
+// encodeUse encodes this node's current use of a runner.
 func encodeUse(runner *runnerset.Runner) *wirev1.RunnerUse {
 	use := runner.OwnLoad()
 	return &wirev1.RunnerUse{
@@ -131,9 +130,9 @@
 	r.sender.NotifyAll(addresses, rpc.ClassControl, wirev1.Method_METHOD_RUNNER_USE, uses)
 }
 
-// batchHoldersIfNearlyFull lists the nodes that should preempt items at a runner
-// with hardly a free slot; they are storage nodes, which get no report at once
-// otherwise.
+// batchHoldersIfNearlyFull returns the nodes that should preempt batch items if the runner
+// is nearly full. These are storage nodes, which would otherwise get the report with the
+// next batch.
 func (r *Reporter) batchHoldersIfNearlyFull(runner *runnerset.Runner) []string {
 	now := time.Now()
 	counts := runner.RequestCounts(now)
@@ -143,10 +142,10 @@
 	return runner.BatchHolders(now)
 }
 
-// Run sends the batches and the repeats until the context ends.
+// Run sends batched and repeated reports until the context ends.
 func (r *Reporter) Run(ctx context.Context) { r.batcher.Run(ctx) }
 
-// flush reports to storage nodes what has changed at runners.
+// flush sends the pending reports to storage nodes.
 func (r *Reporter) flush() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -158,7 +157,7 @@
 	r.sendBatch("disks", byAddress)
 }
 
-// repeat reports again what has gone on unchanged.
+// repeat reports unchanged uses again.
 func (r *Reporter) repeat(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -174,7 +173,7 @@
 	r.sendBatch("repeats", byAddress)
 }
 
-// batch is notices by the address of their receiver.
+// batch holds notices by the address of the receiver.
 type batch map[string]*wirev1.RunnerUses
 
 func (b batch) add(addresses []string, use *wirev1.RunnerUse) {
@@ -193,33 +192,33 @@
 }
 
 // PeerLost drops the reports of a peer whose connections have ended.
-func (r *Reporter) PeerLost(peer string) { r.forget(peer, "connections ended") }
+func (r *Reporter) PeerLost(peer string) { r.dropReports(peer, "connections ended") }
 
-func (r *Reporter) forget(peer, reason string) {
+func (r *Reporter) dropReports(peer, reason string) {
 	if count := r.runners.ForgetPeer(peer); count > 0 {
-		klog.InfoS("peer's use of runners forgotten", "peer", peer, "runners", count, "reason", reason)
+		klog.InfoS("dropped a peer's reports of its use of runners", "peer", peer, "runners", count, "reason", reason)
 	}
 }
 
-// noteIncarnation drops what an earlier process of a peer reported.
-func (r *Reporter) noteIncarnation(peer string, incarnation uint64) {
+// recordIncarnation drops the reports of a peer's earlier process if the peer has restarted.
+func (r *Reporter) recordIncarnation(peer string, incarnation uint64) {
 	r.mutex.Lock()
 	known := r.incarnations[peer]
 	r.incarnations[peer] = incarnation
 	r.mutex.Unlock()
 	if known > 0 && known != incarnation {
-		r.forget(peer, "started again")
+		r.dropReports(peer, "started again")
 	}
 }
 
-// ReceiveNotice takes in a peer's notice.
+// ReceiveNotice applies the reports in a peer's notice.
 func (r *Reporter) ReceiveNotice(from string, payload []byte) {
 	var uses wirev1.RunnerUses
 	if err := proto.Unmarshal(payload, &uses); err != nil {
-		klog.ErrorS(err, "notice of a peer's use of runners is unreadable", "peer", from, "bytes", len(payload))
+		klog.ErrorS(err, "failed to decode a peer's report of its use of runners", "peer", from, "bytes", len(payload))
 		return
 	}
-	r.noteIncarnation(from, uses.Incarnation)
+	r.recordIncarnation(from, uses.Incarnation)
 	now := time.Now()
 	for _, use := range uses.Uses {
 		var shared []runnerset.PromptPart
--- a/internal/serving/loadshare/loadshare_test.go
+++ b/internal/serving/loadshare/loadshare_test.go
@@ -20,7 +20,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// mailbox keeps notices by receiver.
+// mailbox records notices by receiver.
 type mailbox struct {
 	mutex sync.Mutex
 	sent  map[string][]*wirev1.RunnerUses
@@ -44,7 +44,7 @@
 	return count
 }
 
-// fleet is a number of edges, nodes with disks and runners, evenly in zones.
+// fleet describes a number of edges, storage nodes and runners, spread evenly over zones.
 type fleet struct{ edges, disks, runners, zones int }
 
 func (f fleet) records() []*wirev1.NodeRecord {
@@ -58,7 +58,7 @@
 	return records
 }
 
-// node returns one node's reporter, runners and mailbox.
+// node returns the reporter, runners and mailbox of one node.
 func (f fleet) node(self int) (*Reporter, *runnerset.Set, *mailbox) {
 	records := f.records()
 	directory := peers.NewDirectory(records[self])
@@ -75,9 +75,9 @@
 	return New(directory, runners, box, prometheus.NewRegistry()), runners, box
 }
 
-// What one request makes a node send does not grow with the fleet.
+// The number of notices that a request causes does not grow with the fleet.
 func TestNoticesOfARequestDoNotGrowWithTheFleet(t *testing.T) {
-	const bound = 3*minEdges + 2*fewStorageNodes // three changes, reported to edges at once and to storage nodes in two rounds
+	const bound = 3*minEdges + 2*maxStorageNodesForAll // three changes, reported to edges at once and to storage nodes in two rounds
 	for _, size := range []int{10, 100, 1000} {
 		is := is.New(t)
 		f := fleet{edges: size * 85 / 100, disks: size * 15 / 100, runners: size * 45 / 100, zones: 5}
@@ -97,9 +97,9 @@
 	}
 }
 
-// Every node works out the same audience of a runner, whoever it is itself; each
-// runner has one, and each node receives reports of enough runners to choose among.
-func TestAudiencesAgreeAndAreEven(t *testing.T) {
+// All nodes compute the same audience of a runner, and every audience contains enough
+// storage nodes.
+func TestNodesAgreeOnAudiences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleet{
 			edges: rapid.IntRange(1, 120).Draw(t, "edges"), disks: rapid.IntRange(1, 40).Draw(t, "disks"),
@@ -130,7 +130,7 @@
 		if sum != total {
 			t.Fatalf("nodes receive reports of %d runners in all, node 0 would send %d", sum, total)
 		}
-		if f.disks <= fewStorageNodes {
+		if f.disks <= maxStorageNodesForAll {
 			for disk := f.edges; disk < f.edges+f.disks; disk++ {
 				if received[disk] != f.runners {
 					t.Fatalf("storage node %d of %d receives reports of %d of %d runners", disk-f.edges, f.disks, received[disk], f.runners)
@@ -140,16 +140,16 @@
 	})
 }
 
-// A node that receives reports arrives at the use that the sender has, whatever the
-// order of later notices; what ends is reported as well.
-func TestUseArrives(t *testing.T) {
+// A receiver ends up with the sender's current use of a runner, including the end of a
+// request.
+func TestReceiverAppliesReportedUse(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 3, disks: 2, runners: 2, zones: 1}
 	reporter, runners, box := f.node(0)
 	runner := runners.Service("s")[0]
 	use := runners.Begin(runner, runnerset.Prompt{Tokens: 100, SharedParts: []runnerset.PromptPart{{ID: 7, Tokens: 60}}}, false, time.Now())
 	reporter.flush()
-	taker, other, _ := f.node(1)
+	receiver, other, _ := f.node(1)
 	deliver := func(box *mailbox, address, from string, to *Reporter) {
 		for _, message := range box.sent[address] {
 			payload, err := proto.Marshal(message)
@@ -157,10 +157,10 @@
 			to.ReceiveNotice(from, payload)
 		}
 	}
-	deliver(box, "e1", "edge-0", taker)
+	deliver(box, "e1", "edge-0", receiver)
 	is.Equal(other.Service("s")[0].RequestCounts(time.Now()).Running, 1.0)
 	use.End()
-	deliver(box, "e1", "edge-0", taker)
+	deliver(box, "e1", "edge-0", receiver)
 	is.Equal(other.Service("s")[0].RequestCounts(time.Now()).Running, 0.0)
 	disk, atDisk, _ := f.node(3)
 	deliver(box, "d0", "edge-0", disk)
@@ -168,11 +168,11 @@
 	reporter.flush()
 	deliver(box, "d0", "edge-0", disk)
 	is.Equal(atDisk.Service("s")[0].RequestCounts(time.Now()).Running, 0.0)
-	disk.ReceiveNotice("edge-0", []byte{0xff}) // what is no notice changes nothing
+	disk.ReceiveNotice("edge-0", []byte{0xff}) // an undecodable notice is ignored
 }
 
-// The node whose items fill a runner receives a report of online work there at once,
-// whether it belongs to the runner's audience or not.
+// A node with batch items at a nearly full runner receives a report of online work there at
+// once, even outside the runner's audience.
 func TestBatchHoldersOfNearlyFullRunnersGetReportsAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 2, disks: 40, runners: 100, zones: 1}
@@ -194,9 +194,9 @@
 	is.Equal(len(box.sent["d"+outside[len("disk-"):]]), 1)
 }
 
-// A node that joins receives reports, and one whose record is newer is reached at its new
-// address.
-func TestAudienceFollowsTheRecords(t *testing.T) {
+// A node that joins receives reports, and a node with a newer record receives them at its
+// new address.
+func TestAudienceFollowsTheDirectory(t *testing.T) {
 	is := is.New(t)
 	directory := peers.NewDirectory(&wirev1.NodeRecord{NodeId: "a", Address: "a1", Zone: "z", Incarnation: 1})
 	runners := runnerset.New()
@@ -211,9 +211,9 @@
 	is.Equal(edges(), []string{"b2"})
 }
 
-// Runners that come and go, and nodes that start again, leave the audiences of
-// other runners as they were: working one out ranks all nodes of a zone.
-func TestAudiencesAreWorkedOutOnce(t *testing.T) {
+// Changes of other runners and restarts of nodes keep a runner's cached ranking, since
+// computing one ranks all nodes of a zone.
+func TestAudiencesAreCached(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 100, disks: 20, runners: 40, zones: 2}
 	reporter, runners, _ := f.node(0)
@@ -225,28 +225,27 @@
 	is.True(directory.Put(&wirev1.NodeRecord{NodeId: "edge-4", Address: "e4", Zone: "z0", Incarnation: 2}))
 	is.True(ranking() == before)
 	is.True(directory.Put(&wirev1.NodeRecord{NodeId: "edge-100", Address: "e100", Zone: "z0", Incarnation: 1}))
-	is.True(ranking() != before) // another node may belong to the audience
+	is.True(ranking() != before) // the new node may belong to the audience
 }
 
-// Rankings of runners that are gone do not pile up, however many come and go while the
-// nodes stay.
-func TestRankingsOfGoneRunnersAreDropped(t *testing.T) {
+// The cache of rankings stays bounded while runners come and go and the nodes stay.
+func TestRankingsOfRemovedRunnersAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 10, disks: 3, runners: 20, zones: 2}
 	reporter, runners, _ := f.node(0)
-	for revision := range 2 * rankingsSpare {
+	for revision := range 2 * maxStaleRankings {
 		old, next := fmt.Sprint("one-", revision), fmt.Sprint("one-", revision+1)
 		runners.ApplyChanges([]runnerset.Record{{ID: next, Service: "s", Zone: "z0", Slots: 8}}, []string{old}, int64(revision+2), time.Now())
 		for _, runner := range runners.Service("s") {
 			reporter.receivesReports(runner)
 		}
-		is.True(reporter.audiences.table().byRunner.count.Load() <= rankingsSpare+2*21+1)
+		is.True(reporter.audiences.table().byRunner.count.Load() <= maxStaleRankings+2*21+1)
 	}
 }
 
-// What a process reported ends with it: with its connections, or with the first
-// report of the process that takes its place under the same name.
-func TestReportsOfALostPeerEndWithIt(t *testing.T) {
+// A peer's reports are dropped when its connections end, and when the first report of its
+// next process arrives.
+func TestReportsOfALostPeerAreDropped(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 3, disks: 2, runners: 2, zones: 1}
 	report := func(incarnation uint64, runner string, running uint32) []byte {
@@ -260,25 +259,25 @@
 	reporter.ReceiveNotice("disk-1", report(1, "runner-0", 2))
 	is.Equal(load(0), 7.0)
 	reporter.PeerLost("disk-0")
-	is.Equal(load(0), 2.0) // the other's report stands
+	is.Equal(load(0), 2.0) // the other peer's report is kept
 	reporter.ReceiveNotice("disk-0", report(2, "runner-1", 1))
 	is.Equal(load(0), 2.0)
 	reporter.ReceiveNotice("disk-0", report(2, "runner-0", 4))
-	reporter.ReceiveNotice("disk-0", report(3, "runner-1", 3)) // started again: it has nothing at the first
+	reporter.ReceiveNotice("disk-0", report(3, "runner-1", 3)) // restarted: the peer has no requests at runner-0
 	is.Equal(load(0), 2.0)
 	is.Equal(load(1), 3.0)
 }
 
-// What goes on unchanged is reported again, so that a lost notice, or one sent before
-// its receiver joined, does no lasting harm; what has ended is not.
-func TestStandingUseIsRepeated(t *testing.T) {
+// An unchanged use is reported again, in case a notice was lost or a receiver joined later;
+// an ended use is not.
+func TestUnchangedUseIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 2, disks: 1, runners: 1, zones: 1}
 	reporter, runners, box := f.node(0)
 	use := runners.Begin(runners.Service("s")[0], runnerset.Prompt{Tokens: 10}, true, time.Now())
 	reporter.flush()
 	before := box.count()
-	reporter.repeat(time.Now()) // it was reported just now
+	reporter.repeat(time.Now()) // just reported
 	is.Equal(box.count(), before)
 	later := time.Now().Add(repeatInterval)
 	reporter.repeat(later)
@@ -291,9 +290,9 @@
 	is.Equal(box.count(), before)
 }
 
-// Whatever requests begin and end at the same moment, the last report that a
-// receiver gets is what the node has: a use that has ended would else be repeated for good.
-func TestLastNoticeIsTheLastUse(t *testing.T) {
+// With concurrent requests, the last report to each receiver is the node's current use. An
+// outdated use would otherwise be repeated indefinitely.
+func TestLastNoticeHasTheCurrentUse(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 2, disks: 1, runners: 1, zones: 1}
 	reporter, runners, box := f.node(0)
@@ -319,12 +318,12 @@
 	}
 	before := box.count()
 	reporter.repeat(time.Now().Add(repeatInterval))
-	is.Equal(box.count(), before) // nothing goes on
+	is.Equal(box.count(), before) // no requests are left
 }
 
-// selectedNode is a node of a large fleet: it knows the records of its zone and of the
-// nodes with disks, and of the runners those of its draw.
-func (f fleet) selectedNode(self int) (*Reporter, *runnerset.Set, *mailbox) {
+// largeFleetNode returns a node of a large fleet. It knows the records of its zone and of
+// the storage nodes, and its subset of the runners.
+func (f fleet) largeFleetNode(self int) (*Reporter, *runnerset.Set, *mailbox) {
 	records := f.records()
 	directory := peers.NewDirectory(records[self])
 	directory.MarkLarge()
@@ -347,14 +346,14 @@
 	return New(directory, runners, box, prometheus.NewRegistry()), runners, box
 }
 
-// In a large fleet a request makes a node notify a bounded number of others, each of
-// which knows the runner; a node holds rankings of the runners that it knows only; and
-// a node receives reports of nearly all of these that lie in its zone.
-func TestNoticesFollowTheDraws(t *testing.T) {
+// In a large fleet a request causes a bounded number of notices, only to nodes that know the
+// runner. A node caches rankings only for the runners that it knows, and receives reports of
+// those in its zone.
+func TestNoticesFollowTheSubsets(t *testing.T) {
 	for _, times := range []int{1, 2} {
 		is := is.New(t)
 		f := fleet{edges: 835 * times, disks: 150 * times, runners: 10_000 * times, zones: 5}
-		reporter, runners, box := f.selectedNode(0)
+		reporter, runners, box := f.largeFleetNode(0)
 		most, near, reported := 0, 0, 0
 		for _, runner := range runners.Service("s") {
 			before := box.count()
@@ -377,7 +376,7 @@
 		is.Equal(reported, near)
 		for address := range box.sent {
 			other := slices.IndexFunc(f.records(), func(record *wirev1.NodeRecord) bool { return record.Address == address })
-			_, theirs, _ := f.selectedNode(other)
+			_, theirs, _ := f.largeFleetNode(other)
 			known := map[string]bool{}
 			for _, runner := range theirs.Service("s") {
 				known[runner.ID] = true
@@ -387,7 +386,7 @@
 					is.True(known[use.Runner])
 				}
 			}
-			break // any one of them
+			break // one receiver is enough
 		}
 	}
 }
--- a/internal/serving/loadshare/rankings.go
+++ b/internal/serving/loadshare/rankings.go
@@ -11,22 +11,22 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// audiences keeps who receives reports of which runner: of the nodes that know it
-// (see package subset) those of highest rendezvous weight for it. Every node works
-// out the same from the records and the number of runners; while these differ, a
-// node chooses with less knowledge for a moment.
+// audiences computes and caches the audience of each runner: among the nodes that know the
+// runner (see package subset), the ones with the highest rendezvous weight. All nodes
+// compute the same audiences from the same node records and runner counts. While these
+// differ between nodes, some reports are missing.
 //
-// The order of the nodes for a runner is kept: runners that come and go, and nodes
-// that start again, change no other runner's.
+// The ranking of the nodes for a runner stays cached when other runners come and go or nodes
+// restart.
 type audiences struct {
-	directory VersionedMembers
-	runners   *runnerset.Set
-	current   atomic.Pointer[audienceTable]
-	building  sync.Mutex
+	directory  VersionedDirectory
+	runners    *runnerset.Set
+	current    atomic.Pointer[audienceTable]
+	buildMutex sync.Mutex
 }
 
-// audienceTable holds the rankings that follow from one state of the records and one
-// number of runners.
+// audienceTable holds the rankings for one generation of the node records and one state of
+// the runner counts.
 type audienceTable struct {
 	generation uint64
 	totals     *subset.Totals
@@ -34,23 +34,22 @@
 	byRunner   *rankings
 }
 
-// rankings are those of runners, by id.
+// rankings caches the ranking for each runner.
 type rankings struct {
 	sync.Map // runner id to *ranking
 	count    atomic.Int64
 }
 
-// rankingsSpare is how many rankings of runners that are gone are held at most,
-// beside as many as there are runners: some 200 bytes each. Beyond that all are worked
-// out anew.
-const rankingsSpare = 1024
+// maxStaleRankings limits the cached rankings of removed runners, some 200 bytes each, in
+// addition to the number of current runners. Beyond the limit, the cache is cleared.
+const maxStaleRankings = 1024
 
-// nodeIndex is the records, as the audiences need them.
+// nodeIndex groups the node records by role and zone.
 type nodeIndex struct {
 	self    string
 	edges   map[string][]*member // by zone
 	storage map[string][]*member
-	// storageCount is how many nodes storage holds.
+	// storageCount is the number of storage nodes in all zones.
 	storageCount int
 	addresses    map[string]string // by node id
 }
@@ -58,7 +57,7 @@
 // member is a node that may receive reports.
 type member struct {
 	id, zone string
-	// draw is which runners it knows; nil for all.
+	// subset is the subset of runners that the node knows; nil means all runners.
 	subset *subset.Subset
 }
 
@@ -66,7 +65,7 @@
 	return m.subset == nil || m.subset.Contains(subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}, position)
 }
 
-func indexOf(directory VersionedMembers, totals *subset.Totals) *nodeIndex {
+func newNodeIndex(directory VersionedDirectory, totals *subset.Totals) *nodeIndex {
 	index := &nodeIndex{
 		self: directory.Self().NodeId, edges: map[string][]*member{}, storage: map[string][]*member{}, addresses: map[string]string{},
 	}
@@ -91,7 +90,7 @@
 	i.storageCount++
 }
 
-// sameNodes reports whether two indexes hold the same nodes, whatever their
+// sameNodes reports whether two indexes contain the same nodes, regardless of their
 // addresses.
 func (i *nodeIndex) sameNodes(other *nodeIndex) bool {
 	same := func(a, b []*member) bool {
@@ -104,8 +103,8 @@
 func (a *audiences) of(runner *runnerset.Runner) audience {
 	table := a.table()
 	ranked := table.ranking(runner)
-	a.forgetGone(table)
-	return ranked.first(audienceSize(table.nodes.inputsFor(runner, a.runners.Counts())))
+	a.dropStaleRankings(table)
+	return ranked.top(audienceSize(table.nodes.inputsFor(runner, a.runners.Counts())))
 }
 
 func (t *audienceTable) ranking(runner *runnerset.Runner) *ranking {
@@ -119,25 +118,24 @@
 	return next
 }
 
-// forgetGone drops the rankings once most are of runners that are gone.
-func (a *audiences) forgetGone(table *audienceTable) {
+// dropStaleRankings clears the cache if most of its rankings belong to removed runners.
+func (a *audiences) dropStaleRankings(table *audienceTable) {
 	held := table.byRunner.count.Load()
-	if held <= rankingsSpare {
+	if held <= maxStaleRankings {
 		return
 	}
 	listed := 0
 	for _, count := range a.runners.Counts().Services {
 		listed += count
 	}
-	if held > int64(2*listed+rankingsSpare) {
+	if held > int64(2*listed+maxStaleRankings) {
 		next := *table
 		next.byRunner = &rankings{}
 		a.current.CompareAndSwap(table, &next)
 	}
 }
 
-// addresses returns where other nodes are reached; this node and those not known
-// are left out.
+// addresses returns the addresses of the given nodes, without this node and unknown nodes.
 func (a *audiences) addresses(nodes []string) []string {
 	index := a.table().nodes
 	addresses := make([]string, 0, len(nodes))
@@ -151,16 +149,16 @@
 
 func (a *audiences) table() *audienceTable {
 	generation, totals := a.directory.Generation(), a.runners.Totals()
-	if held := a.current.Load(); held.holds(generation, totals) {
+	if held := a.current.Load(); held.matches(generation, totals) {
 		return held
 	}
-	a.building.Lock()
-	defer a.building.Unlock()
+	a.buildMutex.Lock()
+	defer a.buildMutex.Unlock()
 	last := a.current.Load()
-	if last.holds(generation, totals) {
+	if last.matches(generation, totals) {
 		return last
 	}
-	next := &audienceTable{generation: generation, totals: totals, nodes: indexOf(a.directory, totals), byRunner: &rankings{}}
+	next := &audienceTable{generation: generation, totals: totals, nodes: newNodeIndex(a.directory, totals), byRunner: &rankings{}}
 	if last != nil && last.totals == totals && last.nodes.sameNodes(next.nodes) {
 		next.byRunner = last.byRunner
 	}
@@ -168,15 +166,15 @@
 	return next
 }
 
-func (t *audienceTable) holds(generation uint64, totals *subset.Totals) bool {
+func (t *audienceTable) matches(generation uint64, totals *subset.Totals) bool {
 	return t != nil && t.generation == generation && t.totals == totals
 }
 
-// inputsFor counts what the size of a runner's audience depends on.
+// inputsFor returns the counts that determine the size of a runner's audience.
 func (i *nodeIndex) inputsFor(runner *runnerset.Runner, counts *runnerset.Counts) audienceInputs {
 	return audienceInputs{
 		edges: len(i.edges[runner.Zone]), storageNodes: i.storageCount,
-		runnersNear:      counts.Places[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}],
+		runnersInZone:    counts.Places[subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}],
 		runnersOfService: counts.Services[runner.Service],
 	}
 }
