--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -138,9 +138,8 @@
 	a.allowance.Allowance.Return(a.now(), a.limit, a.credit)
 }
 
-// Outcomes that are counted.
+// Values of the outcome label.
 const (
-	// Values of the outcome label.
 	outcomeShare      = "share"
 	outcomePool       = "pool"
 	outcomeRefused    = "refused"
@@ -156,9 +155,9 @@
 	}
 	limit := limitOf(tenant)
 	admission := &Admission{now: c.now, allowance: c.allowance(tenant.Name), limit: limit}
-	credit, answer, err := c.acquire(admission.allowance, tenant.Name, limit)
-	if err == nil && answer != nil {
-		credit, err = awaitCredit(ctx, answer, maxWait)
+	credit, results, err := c.acquire(admission.allowance, tenant.Name, limit)
+	if err == nil && results != nil {
+		credit, err = awaitCredit(ctx, results, maxWait)
 	}
 	if result.Is(err, result.NotReady) {
 		credit, err = admission.allowance.acquireSpareOr(err, c.now())
@@ -193,13 +192,13 @@
 	if c.keeperPaused(tenant, now) {
 		return allotment.Credit{}, nil, keeperUnavailable()
 	}
-	answer := make(chan creditResult, 1)
-	a.waiting = append(a.waiting, answer)
+	results := make(chan creditResult, 1)
+	a.waiting = append(a.waiting, results)
 	if !a.requesting && !c.startRequest(a, tenant, limit) {
 		a.waiting = nil // only this request: the node is shutting down
 		return allotment.Credit{}, nil, keeperUnavailable()
 	}
-	return allotment.Credit{}, answer, nil
+	return allotment.Credit{}, results, nil
 }
 
 // startRequest starts to request credits from a tenant's keeper; it returns false if the
@@ -220,11 +219,11 @@
 }
 
 // awaitCredit waits for the keeper's reply for one request.
-func awaitCredit(ctx context.Context, answer <-chan creditResult, maxWait time.Duration) (allotment.Credit, error) {
+func awaitCredit(ctx context.Context, results <-chan creditResult, maxWait time.Duration) (allotment.Credit, error) {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case received := <-answer:
+	case received := <-results:
 		return received.credit, received.err
 	case <-timer.C:
 	case <-ctx.Done():
--- a/internal/serving/allotment/allotment_test.go
+++ b/internal/serving/allotment/allotment_test.go
@@ -59,7 +59,7 @@
 }
 
 // renew sends a claim; the request or the reply may be lost.
-func (f *fleet) renew(n *modelNode, lostRequest, lostAnswer bool) {
+func (f *fleet) renew(n *modelNode, lostRequest, lostReply bool) {
 	n.number++
 	claim := n.allowance.Claim(f.now, testTenant, f.limit)
 	if n.partitioned || lostRequest {
@@ -67,7 +67,7 @@
 		return
 	}
 	grant, valid := f.keeper.Renew(f.now, n.holder, n.number, f.limit, claim)
-	if valid && !lostAnswer {
+	if valid && !lostReply {
 		n.allowance.ApplyGrant(f.now, f.now, f.limit, grant)
 	}
 }
@@ -153,8 +153,8 @@
 		for range 25 { // seconds, with one event in each
 			f.step(rt)
 			load := rapid.SampledFrom([]float64{0.2, 0.8, 2, 4}).Draw(rt, "load")
-			few := rapid.IntRange(1, len(f.nodes)).Draw(rt, "few")
-			f.runSecond(load, few)
+			activeNodes := rapid.IntRange(1, len(f.nodes)).Draw(rt, "few")
+			f.runSecond(load, activeNodes)
 			if problem := f.checkLeases(); problem != "" {
 				rt.Fatal(problem)
 			}
@@ -218,7 +218,7 @@
 
 // runSecond simulates a second in which each node renews and requests arrive at the first
 // nodes.
-func (f *fleet) runSecond(load float64, few int) {
+func (f *fleet) runSecond(load float64, activeNodes int) {
 	const steps = 50
 	for i := range steps {
 		f.now = f.now.Add(time.Second / steps)
@@ -230,7 +230,7 @@
 		count := int(load*f.limit.Rate/steps*float64(i+1)) - int(load*f.limit.Rate/steps*float64(i))
 		for range count {
 			f.requestCount++
-			f.request(f.nodes[f.requestCount%few], f.requestCount%5 == 0)
+			f.request(f.nodes[f.requestCount%activeNodes], f.requestCount%5 == 0)
 		}
 		if i%10 == 9 {
 			for _, n := range f.nodes {
@@ -244,10 +244,10 @@
 
 // run simulates seconds of load on the first nodes and returns the fraction of requests that
 // were refused.
-func (f *fleet) run(seconds int, load float64, few int) float64 {
+func (f *fleet) run(seconds int, load float64, activeNodes int) float64 {
 	f.requests, f.refused = 0, 0
 	for range seconds {
-		f.runSecond(load, few)
+		f.runSecond(load, activeNodes)
 	}
 	return float64(f.refused) / float64(max(1, f.requests))
 }
