--- a/internal/batch/queue/ledger_test.go
+++ b/internal/batch/queue/ledger_test.go
@@ -8,21 +8,22 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// ledgerModel is shards with leaders that come and go, a keeper that changes,
-// and reports that are late, lost, or overtake each other.
+// ledgerModel simulates shards whose leaders change, a limit keeper that is replaced,
+// and reports that are delayed, lost or reordered.
 type ledgerModel struct {
-	limit   uint64
-	ledger  *Ledger
-	waiting []uint64 // accepted and not finished, by shard
-	coming  []uint64 // let in by the shard's leader, not accepted yet
-	epochs  []uint64
-	numbers []uint64
-	late    []lateReport
-	// asked is the most that the keeper knew of when it let a job in.
-	asked uint64
+	limit    uint64
+	ledger   *Ledger
+	waiting  []uint64 // tokens of accepted, unfinished items, by shard
+	reserved []uint64 // admitted by the shard's leader, not yet accepted
+	epochs   []uint64
+	numbers  []uint64
+	delayed  []sentReport
+	// maxApproved is the highest sum of waiting tokens at which the keeper approved a
+	// submission.
+	maxApproved uint64
 }
 
-type lateReport struct {
+type sentReport struct {
 	shard         uint32
 	epoch, number uint64
 	tokens        uint64
@@ -30,12 +31,12 @@
 
 var ledgerRoute = TokenAccount{Tenant: "tenant", Route: "route"}
 
-func (m *ledgerModel) report(shard int) lateReport {
+func (m *ledgerModel) report(shard int) sentReport {
 	m.numbers[shard]++
-	return lateReport{uint32(shard), m.epochs[shard], m.numbers[shard], m.waiting[shard] + m.coming[shard]}
+	return sentReport{uint32(shard), m.epochs[shard], m.numbers[shard], m.waiting[shard] + m.reserved[shard]}
 }
 
-func (m *ledgerModel) deliver(r lateReport) bool {
+func (m *ledgerModel) deliver(r sentReport) bool {
 	return m.ledger.Report(r.shard, r.epoch, r.number, map[TokenAccount]uint64{ledgerRoute: r.tokens})
 }
 
@@ -49,36 +50,37 @@
 
 const ledgerOverrun = 0.4
 
-// submit is what a leader does for a job: it takes it if it stays below its
-// floor; else it counts it, asks, and takes it or gives it back.
+// submit submits a job to a shard's leader. The leader accepts it within the local
+// allowance; otherwise it reserves the tokens, asks the keeper, and accepts the job or
+// releases the tokens.
 func (m *ledgerModel) submit(shard int, tokens uint64) {
-	if m.waiting[shard]+m.coming[shard]+tokens <= Floor(m.limit, ledgerOverrun, len(m.waiting)) {
+	if m.waiting[shard]+m.reserved[shard]+tokens <= LocalAllowance(m.limit, ledgerOverrun, len(m.waiting)) {
 		m.waiting[shard] += tokens
 		return
 	}
-	m.coming[shard] += tokens
-	asked := m.report(shard)
-	if !m.deliver(asked) {
-		m.coming[shard] -= tokens
+	m.reserved[shard] += tokens
+	sent := m.report(shard)
+	if !m.deliver(sent) {
+		m.reserved[shard] -= tokens
 		return
 	}
-	if m.ledger.Complete() && m.ledger.Waiting(ledgerRoute) <= m.limit {
-		m.coming[shard] -= tokens
+	if m.ledger.AllReported() && m.ledger.Waiting(ledgerRoute) <= m.limit {
+		m.reserved[shard] -= tokens
 		m.waiting[shard] += tokens
-		m.asked = max(m.asked, m.ledger.Waiting(ledgerRoute))
+		m.maxApproved = max(m.maxApproved, m.ledger.Waiting(ledgerRoute))
 		return
 	}
-	m.ledger.Release(asked.shard, asked.epoch, asked.number, ledgerRoute, tokens)
-	m.coming[shard] -= tokens
+	m.ledger.Release(sent.shard, sent.epoch, sent.number, ledgerRoute, tokens)
+	m.reserved[shard] -= tokens
 }
 
-// The limit of waiting tokens holds over all shards, whichever leaders and
-// keepers follow each other and whatever becomes of their reports.
+// The limit of waiting tokens holds over all shards across changes of leaders and of
+// the keeper, and with delayed, lost and reordered reports.
 func TestLimitHoldsOverAllShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 5).Draw(t, "shards")
 		m := &ledgerModel{
-			limit: 100, ledger: NewLedger(shards), waiting: make([]uint64, shards), coming: make([]uint64, shards),
+			limit: 100, ledger: NewLedger(shards), waiting: make([]uint64, shards), reserved: make([]uint64, shards),
 			epochs: make([]uint64, shards), numbers: make([]uint64, shards),
 		}
 		anyShard := rapid.IntRange(0, shards-1)
@@ -92,14 +94,14 @@
 			},
 			"report": func(t *rapid.T) { m.deliver(m.report(anyShard.Draw(t, "shard"))) },
 			"report late": func(t *rapid.T) {
-				m.late = append(m.late, m.report(anyShard.Draw(t, "shard")))
+				m.delayed = append(m.delayed, m.report(anyShard.Draw(t, "shard")))
 			},
 			"late one comes": func(t *rapid.T) {
-				if len(m.late) == 0 {
+				if len(m.delayed) == 0 {
 					return
 				}
-				index := rapid.IntRange(0, len(m.late)-1).Draw(t, "which")
-				m.deliver(m.late[index])
+				index := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "which")
+				m.deliver(m.delayed[index])
 			},
 			"a submission overtakes a report": func(t *rapid.T) {
 				shard := anyShard.Draw(t, "shard")
@@ -118,35 +120,35 @@
 			},
 			"another keeps": func(*rapid.T) {
 				m.ledger = NewLedger(shards)
-				m.late = nil // they went to the one before
+				m.delayed = nil // sent to the previous keeper
 			},
 			"": func(t *rapid.T) {
 				if total, most := m.total(), uint64((1+ledgerOverrun)*float64(m.limit)); total > most {
 					t.Fatalf("%d tokens wait, %d may", total, most)
 				}
-				if m.asked > m.limit {
-					t.Fatalf("the keeper let in up to %d tokens, %d may wait", m.asked, m.limit)
+				if m.maxApproved > m.limit {
+					t.Fatalf("the keeper approved up to %d tokens, %d may wait", m.maxApproved, m.limit)
 				}
 			},
 		})
 	})
 }
 
-// What waits below the floors of all shards stays within what the limit may be
-// exceeded by, though the keeper gets no report of it.
-func TestFloorsStayWithinTheTolerance(t *testing.T) {
+// The local allowances of all shards together stay within the permitted overrun, even
+// without any report to the keeper.
+func TestLocalAllowancesStayWithinOverrun(t *testing.T) {
 	for _, shards := range []int{2, 5, 24} {
 		m := &ledgerModel{
-			limit: 1000, ledger: NewLedger(shards), waiting: make([]uint64, shards), coming: make([]uint64, shards),
+			limit: 1000, ledger: NewLedger(shards), waiting: make([]uint64, shards), reserved: make([]uint64, shards),
 			epochs: make([]uint64, shards), numbers: make([]uint64, shards),
 		}
 		for shard := range shards {
 			m.deliver(m.report(shard))
 		}
-		for range 2 * m.limit { // the first takes all that the keeper allows
+		for range 2 * m.limit { // the first shard uses the whole limit
 			m.submit(0, 1)
 		}
-		m.ledger = NewLedger(shards + 1) // silent from now on
+		m.ledger = NewLedger(shards + 1) // never complete, so the keeper approves nothing
 		for shard := 1; shard < shards; shard++ {
 			for range m.limit {
 				m.submit(shard, 1)
@@ -154,7 +156,7 @@
 		}
 		total := m.total()
 		if total <= m.limit {
-			t.Fatalf("%d shards: nothing was taken below the floors", shards)
+			t.Fatalf("%d shards: nothing was accepted within the local allowances", shards)
 		}
 		if most := uint64((1 + ledgerOverrun) * float64(m.limit)); total > most {
 			t.Fatalf("%d shards: %d tokens wait, %d may", shards, total, most)
--- a/internal/batch/queue/order.go
+++ b/internal/batch/queue/order.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// rank orders items that wait, the first to be started first.
+// rank orders waiting items; items of a lower rank are started first.
 type rank int
 
 const (
-	rankBegun rank = iota
-	rankFresh
+	rankStarted rank = iota
+	rankUnstarted
 	rankLate
 )
 
-// freshMargin is the share of its time that an item needs to spare to be begun:
-// runs are interrupted.
-const freshMargin = 0.35
+// unstartedSlackRatio is the minimum slack of an item that has not started yet, as a
+// share of its remaining time. The slack absorbs interruptions of its runs.
+const unstartedSlackRatio = 0.35
 
-// rankOf ranks an item: first those begun that can still be in time, so that what is
-// begun is finished; then those not begun that can be in time with a margin; last what
-// is late whatever is done, and what has so little time that a start would only take a
-// slot from another. slack is the time to spare if the item ran from now on, remaining
-// the time that it then takes.
-func rankOf(begun bool, slack, remaining time.Duration) rank {
+// rankOf returns the rank of an item. Started items that can still meet their due time
+// come first, so that they are finished. Unstarted items with enough slack follow. Items
+// that are late or likely to be late come last, because they would take slots from
+// others. The slack is the spare time if the item ran from now on, and remaining is the
+// time that it would then take.
+func rankOf(started bool, slack, remaining time.Duration) rank {
 	switch {
-	case begun && slack >= 0:
-		return rankBegun
-	case !begun && slack >= time.Duration(freshMargin*float64(remaining)):
-		return rankFresh
+	case started && slack >= 0:
+		return rankStarted
+	case !started && slack >= time.Duration(unstartedSlackRatio*float64(remaining)):
+		return rankUnstarted
 	default:
 		return rankLate
 	}
 }
 
-// before reports whether one item is started before another: by rank, then the
-// earliest due, then the one accepted first.
-func before(a, b *ItemEntry) bool {
+// startsBefore reports whether item a is started before item b. It compares the rank,
+// then the due time, then the order of acceptance.
+func startsBefore(a, b *ItemEntry) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
@@ -46,25 +46,27 @@
 	return a.order < b.order
 }
 
-// Ready lists the items that may be started now, in the order in which they should be.
+// Ready returns the items that may be started now, in starting order.
 func (t *ItemTable) Ready(now time.Time) []*ItemEntry {
 	var ready []*ItemEntry
 	for _, entry := range t.entries {
 		if !entry.running && !now.Before(entry.NotBefore) {
-			entry.rank = rankOf(entry.Output.LastEventID > 0, t.Slack(entry, now), t.pace.remaining(entry))
+			entry.rank = rankOf(entry.Output.LastEventID > 0, t.Slack(entry, now), t.estimator.remaining(entry))
 			ready = append(ready, entry)
 		}
 	}
-	sort.Slice(ready, func(i, j int) bool { return before(ready[i], ready[j]) })
+	sort.Slice(ready, func(i, j int) bool { return startsBefore(ready[i], ready[j]) })
 	return ready
 }
 
-// Slack is the time to spare if the item ran from now on; negative if it would be late.
+// Slack returns the spare time before an item's due time if the item ran from now on.
+// It is negative if the item would be late.
 func (t *ItemTable) Slack(entry *ItemEntry, now time.Time) time.Duration {
-	return entry.Due.Sub(now) - t.pace.remaining(entry)
+	return entry.Due.Sub(now) - t.estimator.remaining(entry)
 }
 
-// Observe learns how long items take from one that ran through, with so many events.
+// Observe updates the estimate of run durations with a completed run of an item, which
+// produced a number of events.
 func (t *ItemTable) Observe(entry *ItemEntry, events int64, took time.Duration) {
-	t.pace.observe(entry, events, took)
+	t.estimator.observe(entry, events, took)
 }
--- a/internal/batch/queue/order_test.go
+++ b/internal/batch/queue/order_test.go
@@ -7,19 +7,20 @@
 	"github.com/matryer/is"
 )
 
-// What is begun and can be in time goes first, then what can be with a margin.
-func TestRanks(t *testing.T) {
+// Started items that can meet their due time rank first, then unstarted items with
+// enough slack.
+func TestRankOf(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		begun bool
-		slack time.Duration
-		want  rank
+		name    string
+		started bool
+		slack   time.Duration
+		want    rank
 	}{
-		{"begun, in time", true, 0, rankBegun},
-		{"begun, late", true, -1, rankLate},
-		{"fresh, with a margin", false, 350 * time.Millisecond, rankFresh},
-		{"fresh, without", false, 349 * time.Millisecond, rankLate},
+		{"started, in time", true, 0, rankStarted},
+		{"started, late", true, -1, rankLate},
+		{"unstarted, with enough slack", false, 350 * time.Millisecond, rankUnstarted},
+		{"unstarted, with too little slack", false, 349 * time.Millisecond, rankLate},
 	} {
-		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(rankOf(test.begun, test.slack, time.Second), test.want) })
+		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(rankOf(test.started, test.slack, time.Second), test.want) })
 	}
 }
--- a/internal/batch/queue/pace.go
+++ b/internal/batch/queue/pace.go
@@ -3,63 +3,66 @@
 import "time"
 
 const (
-	// assumedPerEvent (seconds) and assumedPerToken (events) are assumed before
-	// anything is learnt.
-	assumedPerEvent = 0.025
-	assumedPerToken = 1.0 / 6
-	// assumedOutput is assumed of items without an estimate, in tokens.
-	assumedOutput = 1200
-	paceWeight    = 0.05
-	// minEvents and maxEvents bound the estimate of a single item, as multiples of the
-	// average: it is often far off.
-	minEvents = 0.4
-	maxEvents = 2.0
+	// defaultSecondsPerEvent and defaultEventsPerToken apply until the first run is
+	// observed.
+	defaultSecondsPerEvent = 0.025
+	defaultEventsPerToken  = 1.0 / 6
+	// defaultOutputTokens applies to items without an estimate of their output.
+	defaultOutputTokens = 1200
+	// smoothingFactor is the weight of a new observation in the moving averages.
+	smoothingFactor = 0.05
+	// minEventsRatio and maxEventsRatio bound an item's estimated events, as multiples
+	// of the average, because submitters' estimates are often inaccurate.
+	minEventsRatio = 0.4
+	maxEventsRatio = 2.0
 )
 
-// pace is what is learnt of the time that items take, in moving averages.
-type pace struct {
-	// perEvent is the seconds that an event takes, perToken how many events a token of
-	// the estimate makes; both 0 before anything is learnt.
-	perEvent float64
-	perToken float64
-	// events is how many an item has on average; 0 before anything is learnt.
-	events float64
+// durationEstimator estimates run durations from moving averages of earlier runs.
+type durationEstimator struct {
+	// secondsPerEvent is the average duration of an event, and eventsPerToken the
+	// average number of events per estimated output token. Both are 0 until the first
+	// run is observed.
+	secondsPerEvent float64
+	eventsPerToken  float64
+	// averageEvents is the average number of events of an item; 0 until the first
+	// complete run is observed.
+	averageEvents float64
 }
 
-// observe learns from an item whose run had so many events in a time.
-func (p *pace) observe(entry *ItemEntry, events int64, took time.Duration) {
+// observe updates the averages with a run of an item that produced a number of events.
+func (p *durationEstimator) observe(entry *ItemEntry, events int64, took time.Duration) {
 	if events <= 0 {
 		return
 	}
-	if p.perEvent == 0 {
-		p.perEvent, p.perToken = assumedPerEvent, assumedPerToken
+	if p.secondsPerEvent == 0 {
+		p.secondsPerEvent, p.eventsPerToken = defaultSecondsPerEvent, defaultEventsPerToken
 	}
-	p.perEvent += paceWeight * (took.Seconds()/float64(events) - p.perEvent)
+	p.secondsPerEvent += smoothingFactor * (took.Seconds()/float64(events) - p.secondsPerEvent)
 	if entry.Output.LastEventID > 0 {
-		return // the run was a part of the item
+		return // the run resumed earlier output, so its events are not the item's total
 	}
-	if p.events == 0 {
-		p.events = float64(events)
+	if p.averageEvents == 0 {
+		p.averageEvents = float64(events)
 	}
-	p.events += paceWeight * (float64(events) - p.events)
-	if entry.Expected > 0 {
-		p.perToken += paceWeight * (float64(events)/float64(entry.Expected) - p.perToken)
+	p.averageEvents += smoothingFactor * (float64(events) - p.averageEvents)
+	if entry.ExpectedTokens > 0 {
+		p.eventsPerToken += smoothingFactor * (float64(events)/float64(entry.ExpectedTokens) - p.eventsPerToken)
 	}
 }
 
-// remaining estimates how long the rest of an item takes.
-func (p *pace) remaining(entry *ItemEntry) time.Duration {
-	perEvent, perToken := p.perEvent, p.perToken
+// remaining estimates the time to produce the rest of an item's output.
+func (p *durationEstimator) remaining(entry *ItemEntry) time.Duration {
+	perEvent, perToken := p.secondsPerEvent, p.eventsPerToken
 	if perEvent == 0 {
-		perEvent, perToken = assumedPerEvent, assumedPerToken
+		perEvent, perToken = defaultSecondsPerEvent, defaultEventsPerToken
 	}
-	output := float64(entry.Expected)
+	output := float64(entry.ExpectedTokens)
 	if output == 0 {
-		output = assumedOutput
+		output = defaultOutputTokens
 	}
 	expected := output * perToken
-	if p.events > 0 {
-		expected = min(max(expected, minEvents*p.events), maxEvents*p.events)
+	if p.averageEvents > 0 {
+		expected = min(max(expected, minEventsRatio*p.averageEvents), maxEventsRatio*p.averageEvents)
 	}
 	left := max(expected-float64(entry.Output.LastEventID), 1)
 	return time.Duration(left * perEvent * float64(time.Second))
--- a/internal/batch/queue/progress.go
+++ b/internal/batch/queue/progress.go
@@ -9,38 +9,39 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// What a run has produced is saved in parts, a row each, so that a part costs
-// its own bytes and not those of the whole output so far. The key of a part ends
-// with the number of its last event, so parts lie in their order; each follows
-// the one before, and one from the first event on replaces all.
+// The output of unfinished items is saved in parts, one row per part, so that saving a
+// part writes only its own bytes. A part's key ends with the ID of its last event, which
+// keeps the parts in order. Each part continues the previous one; a part that begins
+// with the first event replaces all saved parts.
 
 func progressKey(job string, number uint32, last int64) []byte {
-	return binary.BigEndian.AppendUint64(numbered(spaceProgress, job, number), uint64(last))
+	return binary.BigEndian.AppendUint64(rowKey(spaceProgress, job, number), uint64(last))
 }
 
-// progressParts visits the saved parts of an item in order.
-func progressParts(reader StateReader, job string, number uint32, visit func(key []byte, part *wirev1.QueueResult)) error {
-	from := numbered(spaceProgress, job, number)
+// scanProgress visits the saved parts of an item in order.
+func scanProgress(reader StateReader, job string, number uint32, visit func(key []byte, part *wirev1.QueueResult)) error {
+	from := rowKey(spaceProgress, job, number)
 	to := progressKey(job, number, -1) // above every event
-	var failed error
+	var decodeErr error
 	err := reader.Scan(from, append(to, 0), func(key, value []byte) bool {
 		part := &wirev1.QueueResult{}
-		if failed = proto.Unmarshal(value, part); failed != nil {
+		if decodeErr = proto.Unmarshal(value, part); decodeErr != nil {
 			return false
 		}
 		visit(append([]byte{}, key...), part)
 		return true
 	})
 	if err == nil {
-		err = failed
+		err = decodeErr
 	}
 	return trace.Wrap(err, "reading progress")
 }
 
-// Progress returns what is saved of an unfinished item; Last is 0 for nothing.
+// Progress returns the saved output of an unfinished item. Its Last is 0 if nothing is
+// saved.
 func Progress(reader StateReader, job string, number uint32) (*wirev1.QueueResult, error) {
 	saved := &wirev1.QueueResult{}
-	err := progressParts(reader, job, number, func(_ []byte, part *wirev1.QueueResult) {
+	err := scanProgress(reader, job, number, func(_ []byte, part *wirev1.QueueResult) {
 		if saved.Last > 0 {
 			saved.Text = append(append(saved.Text, '\n'), part.Text...)
 		} else {
@@ -51,16 +52,16 @@
 	return saved, err
 }
 
-// addProgress saves a part if it follows what is saved, or replaces all of it
-// by a whole output that goes further.
-func addProgress(store StateStore, part *wirev1.QueueResult) (follows bool, err error) {
+// appendProgress saves a part if it continues the saved output, or if it begins with the
+// first event and extends beyond the saved output, which it then replaces.
+func appendProgress(store StateStore, part *wirev1.QueueResult) (contiguous bool, err error) {
 	last := int64(0)
-	err = progressParts(store, part.JobId, part.Item, func(_ []byte, saved *wirev1.QueueResult) { last = saved.Last })
+	err = scanProgress(store, part.JobId, part.Item, func(_ []byte, saved *wirev1.QueueResult) { last = saved.Last })
 	if err != nil || part.From > 0 && last != part.From || part.Last <= last {
 		return false, err
 	}
 	if part.From == 0 && last > 0 {
-		if err := dropProgress(store, part.JobId, part.Item); err != nil {
+		if err := deleteProgress(store, part.JobId, part.Item); err != nil {
 			return false, err
 		}
 	}
@@ -68,10 +69,10 @@
 	return true, save(store, progressKey(part.JobId, part.Item, part.Last), row)
 }
 
-// dropProgress removes what is saved of an item.
-func dropProgress(store StateStore, job string, number uint32) error {
+// deleteProgress deletes the saved output of an item.
+func deleteProgress(store StateStore, job string, number uint32) error {
 	var keys [][]byte
-	err := progressParts(store, job, number, func(key []byte, _ *wirev1.QueueResult) { keys = append(keys, key) })
+	err := scanProgress(store, job, number, func(key []byte, _ *wirev1.QueueResult) { keys = append(keys, key) })
 	if err != nil {
 		return err
 	}
--- a/internal/batch/queue/queue.go
+++ b/internal/batch/queue/queue.go
@@ -1,14 +1,15 @@
-// Package queue is the state of batch jobs: a deterministic state machine over
-// an ordered store, and the table by which the leader of a shard hands items
-// to runners. It does no I/O of its own and reads no clock. Storage nodes run it.
+// Package queue implements the state of batch jobs: a deterministic state machine over
+// an ordered store, and the table from which a shard's leader schedules items on
+// runners. It does no I/O of its own and reads no clock. Storage nodes run it.
 //
-// It owns the form of the stored rows (rows.go, progress.go), what a command does to
-// them (queue.go), the order in which items are started (order.go, pace.go) and the
-// sum of waiting tokens over all shards (ledger.go). It relies on queuestore, which
-// replicates the commands, opens the store and leads.
+// It defines the layout of the stored rows (rows.go, progress.go), the commands that
+// change them (queue.go), the order in which items are started (order.go, pace.go) and
+// the sum of waiting tokens over all shards (ledger.go). Package queuestore replicates
+// the commands, opens the store and elects the leader.
 //
-// Promises: a job is taken once; an item gets one result; a result's position
-// and content never change; after a job's end nothing more is listed.
+// The state machine guarantees that a job is accepted once, that an item gets one
+// result, that the position and content of a result never change, and that no result is
+// added after the job's end.
 package queue
 
 import (
@@ -17,26 +18,27 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Applied says what a command changed.
-type Applied struct {
-	// Record of the job an accept or end meant; nil if it is not known.
+// ApplyResult describes the changes that a command made.
+type ApplyResult struct {
+	// Record is the record of the job that an accept or end command names; nil if the
+	// job does not exist.
 	Record *wirev1.QueueRecord
-	// Known: the job was taken before.
-	Known bool
-	// Finished are the results that were listed.
+	// AlreadyAccepted reports that the job had been accepted by an earlier command.
+	AlreadyAccepted bool
+	// Finished holds the results that were added to their jobs.
 	Finished []*wirev1.QueueResult
-	// Saved is progress that was kept; Refused are results and progress that did
-	// not follow what is saved.
-	Saved   []*wirev1.QueueResult
-	Refused []*wirev1.QueueResult
-	// Ended: an end took effect now.
+	// Saved holds the progress that was saved. Rejected holds the results and progress
+	// that do not continue the saved output.
+	Saved    []*wirev1.QueueResult
+	Rejected []*wirev1.QueueResult
+	// Ended reports that the command ended the job.
 	Ended bool
-	// Dropped are jobs that were removed.
+	// Dropped holds the IDs of the jobs that were deleted.
 	Dropped []string
 }
 
-// Apply applies one command of the log. The error is of the store only.
-func Apply(store StateStore, index uint64, command *wirev1.QueueCommand) (*Applied, error) {
+// Apply applies one command of the log. It returns an error only if the store fails.
+func Apply(store StateStore, index uint64, command *wirev1.QueueCommand) (*ApplyResult, error) {
 	switch kind := command.Kind.(type) {
 	case *wirev1.QueueCommand_Accept:
 		return accept(store, index, kind.Accept)
@@ -49,14 +51,14 @@
 	case *wirev1.QueueCommand_Drop:
 		return drop(store, kind.Drop)
 	default:
-		return &Applied{}, nil
+		return &ApplyResult{}, nil
 	}
 }
 
-func accept(store StateStore, index uint64, job *wirev1.QueueJob) (*Applied, error) {
+func accept(store StateStore, index uint64, job *wirev1.QueueJob) (*ApplyResult, error) {
 	known, err := Record(store, job.Id)
 	if err != nil || known != nil {
-		return &Applied{Record: known, Known: known != nil}, err
+		return &ApplyResult{Record: known, AlreadyAccepted: known != nil}, err
 	}
 	record := &wirev1.QueueRecord{
 		Id: job.Id, Host: job.Host, Path: job.Path, Route: job.Route, AcceptedUnixMs: job.AcceptedUnixMs,
@@ -64,32 +66,33 @@
 	}
 	for number, item := range job.Items {
 		record.Items = append(record.Items, &wirev1.QueueItemInfo{Id: item.Id, Tokens: item.Tokens, OutputTokens: item.OutputTokens})
-		if err := save(store, numbered(spaceItem, job.Id, uint32(number)), item); err != nil {
+		if err := save(store, rowKey(spaceItem, job.Id, uint32(number)), item); err != nil {
 			return nil, err
 		}
 	}
-	return &Applied{Record: record}, save(store, recordKey(job.Id), record)
+	return &ApplyResult{Record: record}, save(store, recordKey(job.Id), record)
 }
 
-func finish(store StateStore, results *wirev1.QueueResults) (*Applied, error) {
-	applied := &Applied{}
+func finish(store StateStore, results *wirev1.QueueResults) (*ApplyResult, error) {
+	applied := &ApplyResult{}
 	for _, result := range results.Results {
-		listed, follows, err := list(store, result)
+		added, contiguous, err := addResult(store, result)
 		if err != nil {
 			return nil, err
 		}
-		if listed {
+		if added {
 			applied.Finished = append(applied.Finished, result)
 		}
-		if !follows {
-			applied.Refused = append(applied.Refused, result)
+		if !contiguous {
+			applied.Rejected = append(applied.Rejected, result)
 		}
 	}
 	return applied, nil
 }
 
-// unfinished returns the record of a result's job if its item has none yet.
-func unfinished(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueRecord, error) {
+// unfinishedRecord returns the record of a result's job if the item has no result yet,
+// and nil otherwise.
+func unfinishedRecord(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueRecord, error) {
 	record, err := Record(store, result.JobId)
 	if err != nil || record == nil || record.Ended || int(result.Item) >= len(record.Items) {
 		return nil, err
@@ -100,33 +103,34 @@
 	return record, nil
 }
 
-// list gives a result the next position, unless its item has one. It reports
-// whether the result follows what is saved.
-func list(store StateStore, result *wirev1.QueueResult) (listed, follows bool, err error) {
-	record, err := unfinished(store, result)
+// addResult adds a result at the job's next position, unless the item already has a
+// result. It also reports whether the result continues the saved output.
+func addResult(store StateStore, result *wirev1.QueueResult) (added, contiguous bool, err error) {
+	record, err := unfinishedRecord(store, result)
 	if err != nil || record == nil {
 		return false, true, err
 	}
-	whole, follows, err := join(store, result)
-	if err != nil || !follows {
-		return false, follows, err
+	whole, contiguous, err := completeResult(store, result)
+	if err != nil || !contiguous {
+		return false, contiguous, err
 	}
-	if err := save(store, numbered(spaceResult, record.Id, record.Results), whole); err != nil {
+	if err := save(store, rowKey(spaceResult, record.Id, record.Results), whole); err != nil {
 		return false, true, err
 	}
 	record.Results++
 	record.Items[result.Item].Position = record.Results
-	if err := store.Delete(numbered(spaceItem, record.Id, result.Item)); err != nil {
+	if err := store.Delete(rowKey(spaceItem, record.Id, result.Item)); err != nil {
 		return false, true, trace.Wrap(err)
 	}
-	if err := dropProgress(store, record.Id, result.Item); err != nil {
+	if err := deleteProgress(store, record.Id, result.Item); err != nil {
 		return false, true, err
 	}
 	return true, true, save(store, recordKey(record.Id), record)
 }
 
-// join puts a result behind what is saved of its item. A result from 0 is whole.
-func join(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueResult, bool, error) {
+// completeResult prepends the item's saved output to a result. A result whose From is 0
+// is already complete.
+func completeResult(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueResult, bool, error) {
 	whole := &wirev1.QueueResult{
 		JobId: result.JobId, Item: result.Item, ItemId: result.ItemId, Dead: result.Dead, Last: result.Last, Text: result.Text,
 	}
@@ -144,7 +148,8 @@
 	return whole, true, nil
 }
 
-// JoinTexts joins the texts of consecutive events; neither stands for no event.
+// JoinTexts joins the texts of consecutive events. Each text must hold at least one
+// event.
 func JoinTexts(before, after []byte) []byte {
 	joined := make([]byte, 0, len(before)+len(after)+1)
 	joined = append(joined, before...)
@@ -152,43 +157,43 @@
 	return append(joined, after...)
 }
 
-// progress saves what runs have produced, if it follows what is saved.
-func progress(store StateStore, results *wirev1.QueueResults) (*Applied, error) {
-	applied := &Applied{}
+// progress saves the new output of runs that continues the saved output.
+func progress(store StateStore, results *wirev1.QueueResults) (*ApplyResult, error) {
+	applied := &ApplyResult{}
 	for _, result := range results.Results {
-		record, err := unfinished(store, result)
+		record, err := unfinishedRecord(store, result)
 		if err != nil {
 			return nil, err
 		}
 		if record == nil {
 			continue
 		}
-		follows, err := addProgress(store, result)
+		contiguous, err := appendProgress(store, result)
 		if err != nil {
 			return nil, err
 		}
-		if follows {
+		if contiguous {
 			applied.Saved = append(applied.Saved, result)
 		} else {
-			applied.Refused = append(applied.Refused, result)
+			applied.Rejected = append(applied.Rejected, result)
 		}
 	}
 	return applied, nil
 }
 
-func end(store StateStore, job string) (*Applied, error) {
+func end(store StateStore, job string) (*ApplyResult, error) {
 	record, err := Record(store, job)
 	if err != nil || record == nil || record.Ended {
-		return &Applied{Record: record}, err
+		return &ApplyResult{Record: record}, err
 	}
 	record.Ended = true
 	if err := deleteRows(store, job, spaceItem, spaceProgress); err != nil {
 		return nil, err
 	}
-	return &Applied{Record: record, Ended: true}, save(store, recordKey(job), record)
+	return &ApplyResult{Record: record, Ended: true}, save(store, recordKey(job), record)
 }
 
-func drop(store StateStore, command *wirev1.QueueDrop) (*Applied, error) {
+func drop(store StateStore, command *wirev1.QueueDrop) (*ApplyResult, error) {
 	for _, job := range command.JobIds {
 		if err := deleteRows(store, job, spaceItem, spaceProgress, spaceResult); err != nil {
 			return nil, err
@@ -197,5 +202,5 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	return &Applied{Dropped: command.JobIds}, nil
+	return &ApplyResult{Dropped: command.JobIds}, nil
 }
--- a/internal/batch/queue/queue_test.go
+++ b/internal/batch/queue/queue_test.go
@@ -14,22 +14,22 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// memory is a store in a map.
-type memory map[string][]byte
+// memoryStore is a StateStore in memory.
+type memoryStore map[string][]byte
 
-func (m memory) Get(key []byte) ([]byte, error) { return m[string(key)], nil }
+func (m memoryStore) Get(key []byte) ([]byte, error) { return m[string(key)], nil }
 
-func (m memory) Set(key, value []byte) error {
+func (m memoryStore) Set(key, value []byte) error {
 	m[string(key)] = append([]byte{}, value...)
 	return nil
 }
 
-func (m memory) Delete(key []byte) error {
+func (m memoryStore) Delete(key []byte) error {
 	delete(m, string(key))
 	return nil
 }
 
-func (m memory) DeleteRange(from, to []byte) error {
+func (m memoryStore) DeleteRange(from, to []byte) error {
 	for key := range m {
 		if key >= string(from) && key < string(to) {
 			delete(m, key)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (m memory) Scan(from, to []byte, visit func(key, value []byte) bool) error {
+func (m memoryStore) Scan(from, to []byte, visit func(key, value []byte) bool) error {
 	var keys []string
 	for key := range m {
 		if key >= string(from) && key < string(to) {
@@ -62,15 +62,16 @@
 	return job
 }
 
-// model is what the machine promises, kept in the plainest way.
+// model is the expected state, against which the state machine is checked.
 type model struct {
-	items  map[string]int      // items of each job taken
-	listed map[string][]string // item ids by position
+	items  map[string]int      // number of items of each accepted job
+	listed map[string][]string // item IDs of each job's results, by position
 	ended  map[string]bool
 }
 
-// lines are the events of an item: some are empty, none may be lost.
-func lines(item string, upTo int64) []byte {
+// textUpTo returns the text of an item's events up to an event. Some events are empty,
+// which must not be lost either.
+func textUpTo(item string, upTo int64) []byte {
 	var output ItemOutput
 	for id := int64(1); id <= upTo; id++ {
 		text := fmt.Sprintf("%s:%d", item, id)
@@ -82,23 +83,23 @@
 	return output.Text
 }
 
-// between is the text of the events after from, up to last.
-func between(item string, from, last int64) []byte {
-	whole := lines(item, last)
+// textBetween returns the text of the events after from, up to and including last.
+func textBetween(item string, from, last int64) []byte {
+	whole := textUpTo(item, last)
 	if from == 0 {
 		return whole
 	}
-	return bytes.TrimPrefix(whole, append(lines(item, from), '\n'))
+	return bytes.TrimPrefix(whole, append(textUpTo(item, from), '\n'))
 }
 
 const itemEvents = 7
 
-// Jobs are taken once; results keep their position and their content; a text
-// is the item's whole output whatever was saved, lost, resent or came out of
-// order; nothing is listed after an end.
-func TestPromisesOfTheStateMachine(t *testing.T) {
+// A job is accepted once, results keep their position and content, and no result is
+// added after a job's end. A result's text is the item's whole output, whichever parts
+// were saved, lost, resent or reordered.
+func TestStateMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := memory{}
+		store := memoryStore{}
 		m := model{items: map[string]int{}, listed: map[string][]string{}, ended: map[string]bool{}}
 		jobs := []string{"a", "ab", "b"}
 		index := uint64(0)
@@ -115,12 +116,12 @@
 				applied, err := Apply(store, index, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Accept{Accept: jobOf(job, items)}})
 				check(t, err == nil, "accept fails")
 				_, known := m.items[job]
-				check(t, applied.Known == known, "a job is taken twice, or not at all")
+				check(t, applied.AlreadyAccepted == known, "a job is accepted twice, or not at all")
 				if !known {
 					m.items[job] = items
 				}
 			case "finish":
-				m.finish(t, store, index, &wirev1.QueueResult{JobId: job, Item: item, ItemId: id, From: from, Last: itemEvents, Text: between(id, from, itemEvents)})
+				m.finish(t, store, index, &wirev1.QueueResult{JobId: job, Item: item, ItemId: id, From: from, Last: itemEvents, Text: textBetween(id, from, itemEvents)})
 			case "dead":
 				m.finish(t, store, index, &wirev1.QueueResult{JobId: job, Item: item, ItemId: id, Dead: true})
 			case "wrong":
@@ -131,18 +132,18 @@
 				from = rapid.SampledFrom([]int64{0, saved.Last, from}).Draw(t, "part from")
 				last := min(from+int64(rapid.IntRange(0, 3).Draw(t, "more")), itemEvents)
 				command := &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: &wirev1.QueueResults{Results: []*wirev1.QueueResult{{
-					JobId: job, Item: item, ItemId: id, From: from, Last: last, Text: between(id, from, last),
+					JobId: job, Item: item, ItemId: id, From: from, Last: last, Text: textBetween(id, from, last),
 				}}}}}
 				_, err = Apply(store, index, command)
 				check(t, err == nil, "progress fails")
 				after, err := Progress(store, job, item)
 				check(t, err == nil && after.Last >= saved.Last, "progress goes back")
-				check(t, bytes.Equal(after.Text, lines(id, after.Last)), "progress is not the output so far: "+string(after.Text))
+				check(t, bytes.Equal(after.Text, textUpTo(id, after.Last)), "progress is not the output so far: "+string(after.Text))
 			case "end":
 				applied, err := Apply(store, index, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_End{End: job}})
 				check(t, err == nil, "end fails")
 				_, known := m.items[job]
-				check(t, (applied.Record != nil) == known, "an end does not tell whether the job is known")
+				check(t, (applied.Record != nil) == known, "an end command does not report whether the job exists")
 				m.ended[job] = m.ended[job] || known
 			}
 			m.compare(t, store)
@@ -160,8 +161,8 @@
 	applied, err := Apply(store, index, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{result}}}})
 	check(t, err == nil, "finish fails")
 	for _, finished := range applied.Finished {
-		check(t, !m.ended[finished.JobId], "listed after the end")
-		check(t, int(finished.Item) < m.items[finished.JobId], "listed an item that does not exist")
+		check(t, !m.ended[finished.JobId], "a result is added after the job's end")
+		check(t, int(finished.Item) < m.items[finished.JobId], "a result is added for an item that does not exist")
 		m.listed[finished.JobId] = append(m.listed[finished.JobId], finished.ItemId)
 	}
 }
@@ -169,14 +170,14 @@
 func (m *model) compare(t *rapid.T, store StateStore) {
 	for job, listed := range m.listed {
 		results, err := Results(store, job, 0, 1<<20)
-		check(t, err == nil && len(results) == len(listed), "a listed result is lost")
+		check(t, err == nil && len(results) == len(listed), "a result is lost")
 		seen := map[string]bool{}
 		for position, result := range results {
 			check(t, result.ItemId == listed[position], "a position changed")
-			check(t, !seen[result.ItemId], "an item stands twice")
+			check(t, !seen[result.ItemId], "an item has two results")
 			seen[result.ItemId] = true
 			if !result.Dead {
-				check(t, bytes.Equal(result.Text, lines(result.ItemId, itemEvents)), "a text is not the whole output: "+string(result.Text))
+				check(t, bytes.Equal(result.Text, textUpTo(result.ItemId, itemEvents)), "a text is not the whole output: "+string(result.Text))
 			}
 			again, err := Results(store, job, uint32(position), 1)
 			check(t, err == nil && len(again) > 0 && again[0].ItemId == result.ItemId, "a read from a position differs")
@@ -186,7 +187,7 @@
 		for number := range items {
 			item, err := Item(store, job, uint32(number))
 			unlisted := !contains(m.listed[job], fmt.Sprintf("%s-%d", job, number)) && !m.ended[job]
-			check(t, err == nil && (item != nil) == unlisted, "an open item has no body, or another has one")
+			check(t, err == nil && (item != nil) == unlisted, "an unfinished item has no body, or a finished item has one")
 		}
 	}
 }
@@ -200,10 +201,10 @@
 	return false
 }
 
-// A dropped job leaves no row behind and takes none of another's.
-func TestDrop(t *testing.T) {
+// Dropping a job deletes all of its rows and none of another job.
+func TestDropDeletesOnlyTheJobsRows(t *testing.T) {
 	is := is.New(t)
-	store := memory{}
+	store := memoryStore{}
 	for index, job := range []string{"a", "ab"} {
 		_, err := Apply(store, uint64(index), &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Accept{Accept: jobOf(job, 2)}})
 		is.NoErr(err)
@@ -213,7 +214,7 @@
 	gone, err := Record(store, "a")
 	is.NoErr(err)
 	is.True(gone == nil)
-	is.Equal(len(store), 3) // the record and two items of the other
+	is.Equal(len(store), 3) // the record and the two items of the other job
 }
 
 func tableOf(now time.Time, items ...*wirev1.QueueItemInfo) (*ItemTable, *wirev1.QueueRecord) {
@@ -231,8 +232,9 @@
 	return list
 }
 
-// What is begun goes before what is not, what can be in time before what can't.
-func TestOrderOfItems(t *testing.T) {
+// Started items come before unstarted ones, and items that can meet their due time
+// before those that can't.
+func TestReadyOrder(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table, _ := tableOf(now,
@@ -241,31 +243,30 @@
 		&wirev1.QueueItemInfo{Id: "long", OutputTokens: 6_000_000},
 	)
 	table.Start(ItemKey{"j", 1})
-	table.Return(ItemKey{"j", 1}, ItemOutput{LastEventID: 3, Text: []byte("x")}, false, now)
+	table.Requeue(ItemKey{"j", 1}, ItemOutput{LastEventID: 3, Text: []byte("x")}, false, now)
 	is.Equal(ids(table.Ready(now)), []string{"begun", "fresh", "long"})
 	table.Start(ItemKey{"j", 0})
 	is.Equal(ids(table.Ready(now)), []string{"begun", "long"})
-	is.Equal(ids(table.Ready(now.Add(time.Hour))), []string{"begun", "long"}) // late, both
+	is.Equal(ids(table.Ready(now.Add(time.Hour))), []string{"begun", "long"}) // both are late
 }
 
-// Waiting tokens are those of items without a result, until they have one or
-// their job is ended.
+// An item's tokens count as waiting until it has a result or its job ends.
 func TestWaitingTokens(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table, record := tableOf(now, &wirev1.QueueItemInfo{Id: "a", Tokens: 5}, &wirev1.QueueItemInfo{Id: "b", Tokens: 7}, &wirev1.QueueItemInfo{Id: "c", Tokens: 9, Position: 1})
 	is.Equal(table.Waiting(TokenAccount{Route: "r"}), uint64(12))
-	table.Add(record, now, now) // the same again changes nothing
+	table.Add(record, now, now) // adding the job again changes nothing
 	is.Equal(table.Waiting(TokenAccount{Route: "r"}), uint64(12))
 	table.Finish(ItemKey{"j", 0})
 	table.Finish(ItemKey{"j", 0})
 	is.Equal(table.Waiting(TokenAccount{Route: "r"}), uint64(7))
 	table.End("j")
 	is.Equal(table.Waiting(TokenAccount{Route: "r"}), uint64(0))
-	is.True(!table.Open("j"))
+	is.True(!table.HasUnfinished("j"))
 }
 
-// An item is given up only after its time, never by a clock that jumped back.
+// An item does not expire early after the wall clock jumped back.
 func TestExpiry(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -275,18 +276,19 @@
 	is.Equal(len(table.Expired(now.Add(61*time.Second))), 1)
 }
 
-// What is sent to the log in parts makes the whole, also when a part is lost.
-func TestUnsavedParts(t *testing.T) {
+// The parts that are appended to the log join to the whole output, also if some are
+// lost.
+func TestUnsavedPartsJoinToTheOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		table, _ := tableOf(now, &wirev1.QueueItemInfo{Id: "j-0"})
-		store := memory{}
+		store := memoryStore{}
 		job := jobOf("j", 1)
 		_, err := Apply(store, 1, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Accept{Accept: job}})
 		check(t, err == nil, "accept fails")
 		key := ItemKey{"j", 0}
 		for last := int64(1); last <= itemEvents; last++ {
-			output := ItemOutput{LastEventID: last, Text: lines("j-0", last)}
+			output := ItemOutput{LastEventID: last, Text: textUpTo("j-0", last)}
 			from, text := table.Unsaved(key, output)
 			part := &wirev1.QueueResult{JobId: "j", ItemId: "j-0", From: from, Last: last, Text: text}
 			if last < itemEvents {
@@ -295,32 +297,33 @@
 				}
 				applied, err := Apply(store, uint64(last), &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: &wirev1.QueueResults{Results: []*wirev1.QueueResult{part}}}})
 				check(t, err == nil, "progress fails")
-				if len(applied.Refused) > 0 {
-					table.Forget(key)
+				if len(applied.Rejected) > 0 {
+					table.ResetSaved(key)
 				}
 				continue
 			}
-			finish := func(result *wirev1.QueueResult) *Applied {
+			finish := func(result *wirev1.QueueResult) *ApplyResult {
 				applied, err := Apply(store, 99, &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{result}}}})
 				check(t, err == nil, "finish fails")
 				return applied
 			}
-			if applied := finish(part); len(applied.Refused) > 0 {
+			if applied := finish(part); len(applied.Rejected) > 0 {
 				finish(&wirev1.QueueResult{JobId: "j", ItemId: "j-0", Last: last, Text: output.Text})
 			}
 		}
 		results, err := Results(store, "j", 0, 1<<20)
-		check(t, err == nil && len(results) == 1 && bytes.Equal(results[0].Text, lines("j-0", itemEvents)), "the text is not whole")
+		check(t, err == nil && len(results) == 1 && bytes.Equal(results[0].Text, textUpTo("j-0", itemEvents)), "the text is not whole")
 	})
 }
 
-// An estimate far off the average does not make an item late from the start.
-func TestEstimatesFarOff(t *testing.T) {
+// The average bounds an excessive estimate, so that the item isn't treated as late from
+// the start.
+func TestAverageBoundsTheEstimate(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table, _ := tableOf(now, &wirev1.QueueItemInfo{Id: "known", OutputTokens: 1200}, &wirev1.QueueItemInfo{Id: "far off", OutputTokens: 50_000})
 	table.Observe(table.Entry(ItemKey{"j", 0}), 200, 5*time.Second)
 	slack := table.Slack(table.Entry(ItemKey{"j", 1}), now)
-	is.True(slack > 0)                                              // it is taken for twice the average, not for forty times
-	is.True(slack < table.Slack(table.Entry(ItemKey{"j", 0}), now)) // but for longer than others
+	is.True(slack > 0)                                              // estimated at twice the average, not at forty times
+	is.True(slack < table.Slack(table.Entry(ItemKey{"j", 0}), now)) // still estimated to take longer than the others
 }
--- a/internal/batch/queue/read.go
+++ b/internal/batch/queue/read.go
@@ -7,7 +7,7 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Record returns a job's record, nil if the job is not known.
+// Record returns a job's record, or nil if the job does not exist.
 func Record(reader StateReader, job string) (*wirev1.QueueRecord, error) {
 	record := &wirev1.QueueRecord{}
 	found, err := load(reader, recordKey(job), record)
@@ -17,54 +17,54 @@
 	return record, nil
 }
 
-// Item returns an item that has no result yet, nil if there is none.
+// Item returns an item that has no result yet, or nil if there is no such item.
 func Item(reader StateReader, job string, number uint32) (*wirev1.QueueItem, error) {
 	item := &wirev1.QueueItem{}
-	found, err := load(reader, numbered(spaceItem, job, number), item)
+	found, err := load(reader, rowKey(spaceItem, job, number), item)
 	if err != nil || !found {
 		return nil, err
 	}
 	return item, nil
 }
 
-// Results returns results from a position on, as many as maxBytes hold; at
-// least one where there is one.
+// Results returns the results of a job from a position on, up to maxBytes in total. It
+// returns at least one result if there is any, even if that exceeds maxBytes.
 func Results(reader StateReader, job string, since uint32, maxBytes int) ([]*wirev1.QueueResult, error) {
 	var results []*wirev1.QueueResult
-	var failed error
+	var decodeErr error
 	size := 0
-	_, to := rowsOf(spaceResult, job)
-	err := reader.Scan(numbered(spaceResult, job, since), to, func(_, value []byte) bool {
+	_, to := rowRange(spaceResult, job)
+	err := reader.Scan(rowKey(spaceResult, job, since), to, func(_, value []byte) bool {
 		size += len(value)
 		if len(results) > 0 && size > maxBytes {
 			return false
 		}
 		result := &wirev1.QueueResult{}
-		if failed = proto.Unmarshal(value, result); failed != nil {
+		if decodeErr = proto.Unmarshal(value, result); decodeErr != nil {
 			return false
 		}
 		results = append(results, result)
 		return true
 	})
 	if err == nil {
-		err = failed
+		err = decodeErr
 	}
 	return results, trace.Wrap(err)
 }
 
-// Records visits every job.
+// Records visits the records of all jobs.
 func Records(reader StateReader, visit func(*wirev1.QueueRecord)) error {
-	var failed error
+	var decodeErr error
 	err := reader.Scan([]byte{spaceRecord}, []byte{spaceRecord + 1}, func(_, value []byte) bool {
 		record := &wirev1.QueueRecord{}
-		if failed = proto.Unmarshal(value, record); failed != nil {
+		if decodeErr = proto.Unmarshal(value, record); decodeErr != nil {
 			return false
 		}
 		visit(record)
 		return true
 	})
 	if err == nil {
-		err = failed
+		err = decodeErr
 	}
 	return trace.Wrap(err)
 }
--- a/internal/batch/queue/rows.go
+++ b/internal/batch/queue/rows.go
@@ -9,9 +9,10 @@
 
 // StateReader reads the state.
 type StateReader interface {
-	// Get returns nil for a key that is absent.
+	// Get returns the value of a key, or nil if the key is absent.
 	Get(key []byte) ([]byte, error)
-	// Scan visits keys from (included) to (excluded) in order.
+	// Scan visits the keys in the half-open range from, to in order, until visit
+	// returns false.
 	Scan(from, to []byte, visit func(key, value []byte) bool) error
 }
 
@@ -23,32 +24,32 @@
 	DeleteRange(from, to []byte) error
 }
 
-// Key spaces.
+// The first byte of a key names its key space.
 const (
 	spaceRecord = 'j'
 	spaceItem   = 'i'
 	spaceResult = 'r'
-	// spaceProgress holds what runs of unfinished items have produced, in parts.
+	// spaceProgress holds the saved output of unfinished items, in parts.
 	spaceProgress = 'p'
 )
 
 func recordKey(job string) []byte { return append([]byte{spaceRecord}, job...) }
 
-// numbered makes the key of an item or a result of a job. The job's length
-// comes first, so that no job's rows lie within another's.
-func numbered(space byte, job string, number uint32) []byte {
+// rowKey returns the key of an item or a result of a job. The length of the job's ID
+// precedes the ID, so that the rows of jobs never interleave.
+func rowKey(space byte, job string, number uint32) []byte {
 	key := binary.BigEndian.AppendUint16([]byte{space}, uint16(len(job)))
 	key = append(key, job...)
 	return binary.BigEndian.AppendUint32(key, number)
 }
 
-func rowsOf(space byte, job string) (from, to []byte) {
-	return numbered(space, job, 0), append(numbered(space, job, ^uint32(0)), 0)
+func rowRange(space byte, job string) (from, to []byte) {
+	return rowKey(space, job, 0), append(rowKey(space, job, ^uint32(0)), 0)
 }
 
 func deleteRows(store StateStore, job string, spaces ...byte) error {
 	for _, space := range spaces {
-		from, to := rowsOf(space, job)
+		from, to := rowRange(space, job)
 		if err := store.DeleteRange(from, to); err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/batch/queue/saves.go
+++ b/internal/batch/queue/saves.go
@@ -6,43 +6,44 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// saveBatchDelay is how long what runs have produced is collected before it goes
-// into the log as one command: one write and one message to each member for all
-// runs of a shard in place of one for each run. The runs of a node save at the
-// same moments (internal/batch/queuerun), which lie several times as far apart.
+// saveBatchDelay is how long the progress of runs is collected before it is appended to
+// the log as one command, which costs one write and one message per replica for all runs
+// of a shard. The runs of a node save at the same moments (see queuerun), at an interval
+// several times as long.
 const saveBatchDelay = 80 * time.Millisecond
 
-// Saves batches what the runs of a shard have produced so far. It is used by the
-// leader's goroutine.
-type Saves struct {
+// ProgressBatch collects the progress of a shard's runs. Only the leader's goroutine
+// uses it.
+type ProgressBatch struct {
 	since time.Time
-	byKey map[ItemKey]savedOutput
+	byKey map[ItemKey]pendingOutput
 }
 
-type savedOutput struct {
+type pendingOutput struct {
 	item   string
 	output ItemOutput
 }
 
-// Note takes what a run has produced, if it is not less than is known.
-func (s *Saves) Note(key ItemKey, item string, output ItemOutput, now time.Time) {
+// Add adds the output of a run so far, unless the batch holds a longer output of the
+// item.
+func (s *ProgressBatch) Add(key ItemKey, item string, output ItemOutput, now time.Time) {
 	if s.byKey == nil {
-		s.byKey = map[ItemKey]savedOutput{}
+		s.byKey = map[ItemKey]pendingOutput{}
 	}
 	if len(s.byKey) == 0 {
 		s.since = now
 	}
 	if known, found := s.byKey[key]; !found || output.LastEventID >= known.output.LastEventID {
-		s.byKey[key] = savedOutput{item, output}
+		s.byKey[key] = pendingOutput{item, output}
 	}
 }
 
-// Drop forgets an item: its result is on its way.
-func (s *Saves) Drop(key ItemKey) { delete(s.byKey, key) }
+// Remove removes an item from the batch, because its result has been proposed.
+func (s *ProgressBatch) Remove(key ItemKey) { delete(s.byKey, key) }
 
-// Due returns what is to be kept in the log once it was collected for long
-// enough; nil if there is nothing.
-func (s *Saves) Due(table *ItemTable, now time.Time) *wirev1.QueueResults {
+// Flush returns the unsaved parts of the collected outputs and clears the batch. It
+// returns nil until saveBatchDelay has passed, or if all output is already saved.
+func (s *ProgressBatch) Flush(table *ItemTable, now time.Time) *wirev1.QueueResults {
 	if len(s.byKey) == 0 || now.Sub(s.since) < saveBatchDelay {
 		return nil
 	}
@@ -59,8 +60,8 @@
 	return due
 }
 
-// unsaved returns the part that is neither in the log nor on its way there.
-func (s *savedOutput) unsaved(table *ItemTable, key ItemKey) *wirev1.QueueResult {
+// unsaved returns the part of an output that is neither in the log nor proposed.
+func (s *pendingOutput) unsaved(table *ItemTable, key ItemKey) *wirev1.QueueResult {
 	if table.Entry(key) == nil {
 		return nil
 	}
--- a/internal/batch/queue/saves_test.go
+++ b/internal/batch/queue/saves_test.go
@@ -21,38 +21,38 @@
 	return table
 }
 
-// What many runs save at about the same moment becomes one command.
-func TestSavesAreGathered(t *testing.T) {
+// The progress of many runs within the batch delay becomes one command.
+func TestProgressIsBatched(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := waitingTable(50, now)
-	var saves Saves
+	var saves ProgressBatch
 	for i := range 50 {
-		saves.Note(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{LastEventID: 3, Text: []byte("a\nb\nc")}, now)
-		is.Equal(saves.Due(table, now.Add(saveBatchDelay-1)), nil)
+		saves.Add(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{LastEventID: 3, Text: []byte("a\nb\nc")}, now)
+		is.Equal(saves.Flush(table, now.Add(saveBatchDelay-1)), nil)
 	}
-	is.Equal(len(saves.Due(table, now.Add(saveBatchDelay)).Results), 50)
-	is.Equal(saves.Due(table, now.Add(2*saveBatchDelay)), nil) // nothing is left
+	is.Equal(len(saves.Flush(table, now.Add(saveBatchDelay)).Results), 50)
+	is.Equal(saves.Flush(table, now.Add(2*saveBatchDelay)), nil) // nothing is left
 }
 
-// Whatever is noted, dropped and taken in whatever order: what the commands hold
-// joins to the newest output noted, nothing is kept twice, and an item whose
-// result is on its way or known is in no later command.
-func TestSavesJoinToTheOutput(t *testing.T) {
+// For any order of additions, removals and flushes, the parts in the commands join to
+// the newest output, no part is saved twice, and an item is in no command after its
+// result.
+func TestBatchedProgressJoinsToTheOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		table := waitingTable(3, now)
-		var saves Saves
+		var saves ProgressBatch
 		outputs := make([]ItemOutput, 3)
 		kept := make([]ItemOutput, 3)
-		over := make([]bool, 3)
-		take := func() {
-			due := saves.Due(table, now)
+		finished := make([]bool, 3)
+		flush := func() {
+			due := saves.Flush(table, now)
 			if due == nil {
 				return
 			}
 			for _, part := range due.Results {
-				if over[part.Item] {
+				if finished[part.Item] {
 					t.Fatalf("item %d is saved after its result", part.Item)
 				}
 				if part.From != kept[part.Item].LastEventID {
@@ -72,36 +72,36 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1:
 				outputs[i].Append(outputs[i].LastEventID+1, fmt.Append(nil, "e", outputs[i].LastEventID+1))
-				if !over[i] {
-					saves.Note(key, "i", ItemOutput{LastEventID: outputs[i].LastEventID, Text: append([]byte(nil), outputs[i].Text...)}, now)
+				if !finished[i] {
+					saves.Add(key, "i", ItemOutput{LastEventID: outputs[i].LastEventID, Text: append([]byte(nil), outputs[i].Text...)}, now)
 				}
 			case 2:
-				take()
+				flush()
 			case 3:
-				saves.Drop(key)
-				over[i] = true
+				saves.Remove(key)
+				finished[i] = true
 			case 4:
 				table.Finish(key)
-				over[i] = true
+				finished[i] = true
 			}
 		}
 		now = now.Add(time.Second)
-		take()
+		flush()
 		for i, output := range outputs {
-			if !over[i] && string(kept[i].Text) != string(output.Text) {
+			if !finished[i] && string(kept[i].Text) != string(output.Text) {
 				t.Fatalf("item %d: kept %q of %q", i, kept[i].Text, output.Text)
 			}
 		}
 	})
 }
 
-// A save that comes after a newer one changes nothing.
-func TestLateSaveChangesNothing(t *testing.T) {
+// Output that is older than the collected output is ignored.
+func TestOlderProgressIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := waitingTable(1, now)
-	var saves Saves
-	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 2, Text: []byte("a\nb")}, now)
-	saves.Note(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 1, Text: []byte("a")}, now)
-	is.Equal(saves.Due(table, now.Add(time.Second)).Results[0].Last, int64(2))
+	var saves ProgressBatch
+	saves.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 2, Text: []byte("a\nb")}, now)
+	saves.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 1, Text: []byte("a")}, now)
+	is.Equal(saves.Flush(table, now.Add(time.Second)).Results[0].Last, int64(2))
 }
--- a/internal/batch/queuestore/applied.go
+++ b/internal/batch/queuestore/applied.go
@@ -10,12 +10,12 @@
 )
 
 // noteApplied keeps the table in line with what was applied.
-func (s *shard) noteApplied(applied *queue.Applied) {
+func (s *shard) noteApplied(applied *queue.ApplyResult) {
 	l := s.leader
 	if l == nil || applied == nil {
 		return
 	}
-	if applied.Record != nil && !applied.Known && !applied.Ended && !applied.Record.Ended {
+	if applied.Record != nil && !applied.AlreadyAccepted && !applied.Ended && !applied.Record.Ended {
 		now := time.Now()
 		l.taken[applied.Record.Id] = applied.Record.AcceptedUnixMs
 		l.table.Add(applied.Record, now, now)
@@ -23,7 +23,7 @@
 	for _, finished := range applied.Finished {
 		s.noteFinished(finished)
 	}
-	for _, refused := range applied.Refused {
+	for _, refused := range applied.Rejected {
 		s.noteRefused(refused)
 	}
 	if applied.Ended {
@@ -52,7 +52,7 @@
 func (s *shard) noteRefused(refused *wirev1.QueueResult) {
 	l := s.leader
 	key := queue.ItemKey{Job: refused.JobId, Number: refused.Item}
-	l.table.Forget(key)
+	l.table.ResetSaved(key)
 	if decided := l.decided[key]; decided != nil && l.suspended.IsZero() {
 		klog.InfoS("item's result sent again, whole", "job", key.Job, "item", decided.ItemId, "from", refused.From)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -23,7 +23,7 @@
 	cancel  context.CancelFunc
 	runs    map[queue.ItemKey]context.CancelFunc
 	// saves is what runs have produced that is not proposed yet.
-	saves queue.Saves
+	saves queue.ProgressBatch
 	// decided are results on their way through the log.
 	decided map[queue.ItemKey]*wirev1.QueueResult
 	changed map[string]chan struct{}
@@ -103,10 +103,10 @@
 	l.allotments = s.node.newKeeper()
 	klog.InfoS("queue shard led again", "shard", s.ID, "epoch", l.epoch, "unfinished", l.table.Len(), "runs", len(l.runs), "decided", len(l.decided))
 	for key := range l.runs {
-		l.table.Forget(key)
+		l.table.ResetSaved(key)
 	}
 	for key, decided := range l.decided {
-		l.table.Forget(key)
+		l.table.ResetSaved(key)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
 	}
 }
@@ -136,7 +136,7 @@
 	err := queue.Records(view, func(record *wirev1.QueueRecord) {
 		l.taken[record.Id] = record.AcceptedUnixMs
 		l.table.Add(record, now, now)
-		if record.Ended || !l.table.Open(record.Id) {
+		if record.Ended || !l.table.HasUnfinished(record.Id) {
 			return
 		}
 		for number := range record.Items {
--- a/internal/batch/queuestore/limits.go
+++ b/internal/batch/queuestore/limits.go
@@ -226,7 +226,7 @@
 	if !l.ledger.Report(request.Shard, request.Epoch, request.Number, waiting) {
 		return result.New(result.NotLeader, "shard %d has a newer leader", request.Shard)
 	}
-	reply.Incomplete = !l.ledger.Complete()
+	reply.Incomplete = !l.ledger.AllReported()
 	if request.Route == "" {
 		return nil
 	}
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -122,7 +122,7 @@
 
 	metrics *metrics
 	mutex   sync.Mutex
-	host    *shardhost.Host[*wirev1.QueueCommand, *queue.Applied]
+	host    *shardhost.Host[*wirev1.QueueCommand, *queue.ApplyResult]
 	tasks   tasks.Group
 	homes   homes
 	free    freeSpace
--- a/internal/batch/queuestore/retention.go
+++ b/internal/batch/queuestore/retention.go
@@ -25,7 +25,7 @@
 	before := now.Add(-s.node.Retention).UnixMilli()
 	var old []string
 	for job, taken := range l.taken {
-		if taken < before && !l.table.Open(job) && len(old) < retainLimit {
+		if taken < before && !l.table.HasUnfinished(job) && len(old) < retainLimit {
 			old = append(old, job)
 		}
 	}
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -51,7 +51,7 @@
 	item, err := queue.Item(view, entry.Key.Job, entry.Key.Number)
 	if err != nil || item == nil {
 		klog.ErrorS(err, "item's body is missing", "shard", s.ID, "job", entry.Key.Job, "item", entry.ID)
-		l.table.Return(entry.Key, entry.Output, false, time.Now().Add(missingBodyPause))
+		l.table.Requeue(entry.Key, entry.Output, false, time.Now().Add(missingBodyPause))
 		return true
 	}
 	record, err := queue.Record(view, entry.Key.Job)
@@ -83,13 +83,13 @@
 // noteProgress takes what a run has produced, to be kept in the log.
 func (s *shard) noteProgress(l *leadership, key queue.ItemKey, item string, output queue.ItemOutput) {
 	if s.leader == l && l.table.Entry(key) != nil && l.decided[key] == nil {
-		l.saves.Note(key, item, output, time.Now())
+		l.saves.Add(key, item, output, time.Now())
 	}
 }
 
 // proposeSaves proposes to keep what runs have produced.
 func (s *shard) proposeSaves(now time.Time) {
-	if due := s.leader.saves.Due(s.leader.table, now); due != nil {
+	if due := s.leader.saves.Flush(s.leader.table, now); due != nil {
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: due}})
 	}
 }
@@ -111,7 +111,7 @@
 	final := outcome.Done || outcome.Dead || outcome.Failed && work.Failures+1 >= outcome.Attempts
 	if !final {
 		s.noteProgress(l, key, work.Item.Id, outcome.Output)
-		l.table.Return(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.Wait))
+		l.table.Requeue(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.Wait))
 		return
 	}
 	klog.InfoS("item decided", "job", key.Job, "item", work.Item.Id, "done", outcome.Done, "reason", outcome.Reason, "failures", work.Failures, "bytes", len(outcome.Output.Text))
@@ -128,7 +128,7 @@
 		whole.Text, whole.Last = nil, 0
 	}
 	l.decided[key] = whole
-	l.saves.Drop(key)
+	l.saves.Remove(key)
 	if !l.suspended.IsZero() {
 		return
 	}
@@ -142,7 +142,7 @@
 func (s *shard) giveUpExpired(now time.Time) {
 	for _, entry := range s.leader.table.Expired(now.Add(-giveUpSlack)) {
 		klog.InfoS("item given up", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
-		entry.GiveUp = now.Add(giveUpSlack) // proposed once in a while, until applied
+		entry.ExpiresAt = now.Add(giveUpSlack) // proposed once in a while, until applied
 		s.list(entry.Key, entry.ID, true, queue.ItemOutput{})
 	}
 }
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wirev1.QueueSubmitReply{Known: applied.Known}, nil
+	return &wirev1.QueueSubmitReply{Known: applied.AlreadyAccepted}, nil
 }
 
 // reservation is what a submission takes until it is applied or dropped.
@@ -130,7 +130,7 @@
 			return
 		}
 		want.holder = l
-		want.below = waiting+want.tokens <= queue.Floor(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
+		want.below = waiting+want.tokens <= queue.LocalAllowance(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
 		l.accepting[want.account] += want.tokens
 		l.acceptingBytes += want.bytes
 	})
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -14,7 +14,7 @@
 )
 
 // hosted is a replica of a queue shard as the host of shards runs it.
-type hosted = shardhost.Shard[*wirev1.QueueCommand, *queue.Applied]
+type hosted = shardhost.Shard[*wirev1.QueueCommand, *queue.ApplyResult]
 
 // shard is a queue shard on this node: the state machine of its jobs, and what its
 // leader does. Unless they say otherwise its methods are for the shard's goroutine.
@@ -32,7 +32,7 @@
 	needed time.Time
 }
 
-var _ shardhost.Application[*wirev1.QueueCommand, *queue.Applied] = (*shard)(nil)
+var _ shardhost.Application[*wirev1.QueueCommand, *queue.ApplyResult] = (*shard)(nil)
 
 const (
 	// keepEntries of the log stay for followers that lag, or as many bytes as the
@@ -48,13 +48,13 @@
 }
 
 // newHost returns the host of this node's shards.
-func (n *StorageNode) newHost() *shardhost.Host[*wirev1.QueueCommand, *queue.Applied] {
+func (n *StorageNode) newHost() *shardhost.Host[*wirev1.QueueCommand, *queue.ApplyResult] {
 	options := shardhost.HostOptions{
 		DB: n.DB, Pool: n.Pool, Timing: timing(), Peer: n.peer, Send: n.sendReplica,
 		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTimes,
 		DeclineSnapshots: true, BatchLoopCalls: true,
 	}
-	return shardhost.New(n.context, options, func(s *hosted) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
+	return shardhost.New(n.context, options, func(s *hosted) shardhost.Application[*wirev1.QueueCommand, *queue.ApplyResult] {
 		return &shard{hosted: s, node: n}
 	})
 }
@@ -67,12 +67,12 @@
 }
 
 // Apply implements shardhost.StateMachine.
-func (s *shard) Apply(state *logstore.StateBatch, entry *wirev1.LogEntry, command *wirev1.QueueCommand) (*queue.Applied, error) {
+func (s *shard) Apply(state *logstore.StateBatch, entry *wirev1.LogEntry, command *wirev1.QueueCommand) (*queue.ApplyResult, error) {
 	return queue.Apply(state, entry.Index, command)
 }
 
 // Applied implements shardhost.StateMachine.
-func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.Applied) { s.noteApplied(applied) }
+func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.ApplyResult) { s.noteApplied(applied) }
 
 // BeforeTick implements shardhost.LeaderWork.
 func (s *shard) BeforeTick(time.Time) {}
