--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -1,15 +1,16 @@
-// Package queuerun runs batch items at runners, in the slots that online requests leave
-// free. Runners know no priority and take requests in the order of their arrival, so
-// that an item is sent only where a slot is free, and preempted when online requests
-// need it. Storage nodes run it.
+// Package queuerun runs batch items on runners, in the slots that online requests leave
+// free. Runners have no priorities and serve requests in order of arrival. An item is
+// therefore sent only to a runner with a free slot, and is preempted when online
+// requests need the slot. Storage nodes run it.
 //
-// It owns the runs in progress and the runners that get no item for a moment. It
-// relies on queuestore, which hands it items and takes what came of them, on runnerset
-// for the choice of a runner, on quarantine for items that crash runners, and on
-// exchange for the transport.
+// It keeps the runs in progress and the runners that are paused for items after a
+// preemption. Package queuestore supplies the items and receives their outcomes,
+// runnerset selects a runner, quarantine detects items that crash runners, and exchange
+// sends the calls.
 //
-// The rules: queue/order.go (which item is started), runnerset.BatchLimits (where),
-// preemption.go (which one is preempted), outcome.go (what becomes of a run).
+// The starting order of items is in queue/order.go, the limits on runners in
+// runnerset.BatchLimits, the choice of the item to preempt in preemption.go, and the
+// outcome of a run in outcome.go.
 package queuerun
 
 import (
@@ -30,30 +31,32 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// ItemExecutor runs items. It implements queuestore.Executor.
+// ItemExecutor runs items on runners. It implements queuestore.Executor.
 type ItemExecutor struct {
 	Zone     string
 	Catalogs *catalog.Holder
 	Runners  *runnerset.Set
 	Client   exchange.CallSender
-	// Home reports whether this node places items at a runner before other nodes do;
-	// nil stands for all.
+	// Home reports whether this node is the preferred one to send items to a runner;
+	// nil means that this node is preferred for all runners.
 	Home func(runner *runnerset.Record) bool
-	// Quarantine knows the items that crash runners; nil knows none.
+	// Quarantine tracks the items that crash runners; nil disables the tracking.
 	Quarantine quarantine.Guard
 
-	// tasks are the runs and what they report; they end with the context of each
-	// item, and Wait waits for them.
+	// tasks holds the goroutines of runs and of their reports. They end with the
+	// contexts of their items.
 	tasks tasks.Group
 
 	mutex sync.Mutex
-	// runs are those in progress by runner; true for one that was preempted.
+	// runs holds the runs in progress by runner ID; the value is true for a preempted
+	// run.
 	runs map[string]map[*run]bool
-	// pauses holds until when a runner at which items were preempted gets no item.
+	// pauses holds the times until which runners get no items after a preemption.
 	pauses map[string]time.Time
 }
 
-// New returns an executor that preempts items when other nodes need their slots.
+// New returns an executor that preempts items when online requests of other nodes need
+// their slots.
 func New(zone string, catalogs *catalog.Holder, runners *runnerset.Set, client exchange.CallSender) *ItemExecutor {
 	e := &ItemExecutor{
 		Zone: zone, Catalogs: catalogs, Runners: runners, Client: client,
@@ -65,26 +68,27 @@
 
 var _ queuestore.Executor = (*ItemExecutor)(nil)
 
-// Wait waits until all runs have ended. The contexts of their items must have ended
-// before; nothing is started any more.
+// Wait waits until all runs have ended; no new run can start. The contexts of the items
+// must have ended before the call.
 func (e *ItemExecutor) Wait() { e.tasks.Wait() }
 
 const (
-	// awayReserve is the share of its slots that stays free at a runner that another
-	// node places items at: two nodes may see the same free slot.
+	// awayReserve is the share of slots that this node leaves free at runners for which
+	// another node is preferred, because both nodes may see the same free slot.
 	awayReserve = 0.2
-	// maxUnreadTokens is how many prompt tokens may wait at a runner that gets an item.
+	// maxUnreadTokens is the maximum number of prompt tokens still to be read at a
+	// runner that gets an item.
 	maxUnreadTokens = 1500
-	// routeGoneTime is how long a configuration without the item's route must
-	// have been in force before the item is given up.
-	routeGoneTime = 4 * time.Second
-	// maxHeldWait is how long a held item waits at most before it is looked at again:
-	// its hold may be lifted, and it may be given up when its time is over.
-	maxHeldWait = 5 * time.Second
+	// missingRouteGrace is how long the item's route must be missing from the active
+	// configuration before the item fails for good.
+	missingRouteGrace = 4 * time.Second
+	// maxQuarantineWait is the longest wait before a quarantined item is checked again,
+	// so that the item notices the end of its quarantine and its own expiry.
+	maxQuarantineWait = 5 * time.Second
 )
 
-// TryStart implements queuestore.Executor. It is called by the goroutine that done
-// reports to, so that done is always called by a task.
+// TryStart implements queuestore.Executor. The goroutine that receives outcomes also
+// calls TryStart, so done is always called from a task.
 func (e *ItemExecutor) TryStart(ctx context.Context, work *queuestore.Work, done func(queuestore.Outcome)) bool {
 	held := e.Catalogs.Current()
 	if held == nil {
@@ -93,16 +97,16 @@
 	now := time.Now()
 	route := held.Match(work.Host, work.Item.Path)
 	if route == nil {
-		if e.Catalogs.Age(now) < routeGoneTime {
+		if e.Catalogs.Age(now) < missingRouteGrace {
 			return false
 		}
 		return e.tasks.Go(func() { done(queuestore.Outcome{Dead: true, Reason: "route gone"}) })
 	}
 	fingerprint := fingerprintOf(work)
-	if left, held := e.held(fingerprint); held {
-		wait := min(left, maxHeldWait)
+	if remaining, held := e.held(fingerprint); held {
+		wait := min(remaining, maxQuarantineWait)
 		klog.InfoS("item held: runners end under it", "job", work.Key.Job, "item", work.Item.Id, "fingerprint", fingerprint,
-			"heldMs", left.Milliseconds(), "waitMs", wait.Milliseconds())
+			"heldMs", remaining.Milliseconds(), "waitMs", wait.Milliseconds())
 		return e.tasks.Go(func() { done(queuestore.Outcome{Output: work.Output, Wait: wait, Reason: "quarantined"}) })
 	}
 	choice := e.pick(route, work, fingerprint, now)
@@ -110,31 +114,31 @@
 		work.FullService = route.ServiceFor(work.Item.Id)
 		return false
 	}
-	one := &run{
+	itemRun := &run{
 		executor: e, work: work, fingerprint: fingerprint, route: route, runner: choice.Runner,
-		began: now, output: work.Output, savedRound: saveRound(now),
+		startedAt: now, output: work.Output, savedRound: saveRound(now),
 	}
-	return e.start(ctx, one, &choice, held.Version, done)
+	return e.start(ctx, itemRun, &choice, held.Version, done)
 }
 
-// start runs an item as a task. It reports false if the executor is ending.
+// start runs an item as a task. It returns false if the executor is ending.
 func (e *ItemExecutor) start(
-	ctx context.Context, one *run, choice *runnerset.Choice, catalogVersion uint64, done func(queuestore.Outcome),
+	ctx context.Context, itemRun *run, choice *runnerset.Choice, catalogVersion uint64, done func(queuestore.Outcome),
 ) bool {
-	one.inFlight = e.Runners.Begin(one.runner, promptOf(one.work.Item), true, one.began)
-	endTrial := e.beginTrial(one.fingerprint, one.runner)
+	itemRun.inFlight = e.Runners.Begin(itemRun.runner, promptOf(itemRun.work.Item), true, itemRun.startedAt)
+	untrack := e.trackRun(itemRun.fingerprint, itemRun.runner)
 	started := e.tasks.Go(func() {
-		defer endTrial()
-		outcome := one.run(ctx)
-		one.inFlight.End()
-		outcome.Attempts = one.route.Attempts
-		outcome.Events, outcome.Took = one.output.LastEventID-one.work.Output.LastEventID, time.Since(one.began)
-		one.logEnd(choice, catalogVersion, outcome.Reason)
+		defer untrack()
+		outcome := itemRun.run(ctx)
+		itemRun.inFlight.End()
+		outcome.Attempts = itemRun.route.Attempts
+		outcome.Events, outcome.Took = itemRun.output.LastEventID-itemRun.work.Output.LastEventID, time.Since(itemRun.startedAt)
+		itemRun.logEnd(choice, catalogVersion, outcome.Reason)
 		done(outcome)
 	})
 	if !started {
-		one.inFlight.End()
-		endTrial()
+		itemRun.inFlight.End()
+		untrack()
 	}
 	return started
 }
@@ -146,14 +150,15 @@
 	return e.Quarantine.Held(fingerprint)
 }
 
-func (e *ItemExecutor) beginTrial(fingerprint quarantine.Fingerprint, runner *runnerset.Runner) (end func()) {
+func (e *ItemExecutor) trackRun(fingerprint quarantine.Fingerprint, runner *runnerset.Runner) (end func()) {
 	if e.Quarantine == nil {
 		return func() {}
 	}
 	return e.Quarantine.Begin(fingerprint, runner.ID)
 }
 
-// fingerprintOf is the same for items that are the same work.
+// fingerprintOf returns the fingerprint of an item's content. Items with the same
+// content have the same fingerprint.
 func fingerprintOf(work *queuestore.Work) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.RequestContent{Tenant: work.Tenant, Method: http.MethodPost, Host: work.Host, URI: work.Item.Path, Body: work.Item.Body})
 }
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// retryDelay is how long an item waits whose run got no answer or an error.
+	// retryDelay is the delay after a run that got no response or an error.
 	retryDelay = 150 * time.Millisecond
-	// notTakenDelay is how long one waits that its runner did not take, or whose stream
-	// broke off.
-	notTakenDelay = 100 * time.Millisecond
-	// preemptedDelay is how long a preempted item waits.
+	// interruptedDelay is the delay after a run that the runner did not accept, or whose
+	// stream broke.
+	interruptedDelay = 100 * time.Millisecond
+	// preemptedDelay is the delay after a preemption.
 	preemptedDelay = 120 * time.Millisecond
-	// reasonPreempted is the outcome of a preempted run in the log, as explain and
-	// account read it.
+	// reasonPreempted is the logged outcome of a preempted run; explain and account
+	// match it.
 	reasonPreempted = "gave way"
 )
 
-// statusOutcome is what an answer other than 200 means for its item: only the runner's
-// own answer (stamped) ends the item for good or counts as a failed attempt; anything
-// else says nothing of the item and counts as a failure of the runner.
-func statusOutcome(status int, stamped bool) (outcome queuestore.Outcome, runnerFailed bool) {
+// statusOutcome returns the outcome of a response with a status other than 200. Only a
+// response from the runner itself ends the item for good or counts as a failed attempt.
+// Any other response does not concern the item and counts as a failure of the runner.
+func statusOutcome(status int, fromRunner bool) (outcome queuestore.Outcome, runnerFailed bool) {
 	outcome.Wait = retryDelay
 	switch {
-	case status == http.StatusUnprocessableEntity && stamped:
+	case status == http.StatusUnprocessableEntity && fromRunner:
 		outcome.Dead, outcome.Reason = true, "can never be done"
-	case status == http.StatusInternalServerError && stamped:
+	case status == http.StatusInternalServerError && fromRunner:
 		outcome.Failed, outcome.Reason = true, "runner failed"
 	default:
 		outcome.Reason = "status " + http.StatusText(status)
@@ -43,9 +43,9 @@
 	return outcome, runnerFailed
 }
 
-// refused takes an answer other than 200.
-func (r *run) refused(answer *exchange.Response) queuestore.Outcome {
-	outcome, runnerFailed := statusOutcome(answer.Status, answer.FromRunner)
+// errorStatusOutcome handles a response with a status other than 200.
+func (r *run) errorStatusOutcome(response *exchange.Response) queuestore.Outcome {
+	outcome, runnerFailed := statusOutcome(response.Status, response.FromRunner)
 	outcome.Output = r.output
 	if runnerFailed {
 		r.runner.RecordFailure(time.Now())
@@ -53,12 +53,12 @@
 	return outcome
 }
 
-// notAnswered takes a run that got no answer.
-func (r *run) notAnswered(parent context.Context, err error) queuestore.Outcome {
+// callErrorOutcome handles a call that got no response.
+func (r *run) callErrorOutcome(parent context.Context, err error) queuestore.Outcome {
 	outcome := queuestore.Outcome{Output: r.output, Wait: retryDelay, Reason: "unanswered"}
 	var notRun *exchange.NotRunError
 	if errors.As(err, &notRun) {
-		outcome.Wait, outcome.Reason = notTakenDelay, "not run: "+notRun.Reason
+		outcome.Wait, outcome.Reason = interruptedDelay, "not run: "+notRun.Reason
 		r.runner.RecordLoad(notRun.Load, time.Now())
 	}
 	if parent.Err() != nil {
@@ -72,14 +72,14 @@
 		r.runner.RecordFailure(time.Now())
 	}
 	if notRun == nil && !errors.Is(err, context.Canceled) {
-		r.noteEnding()
+		r.recordBrokenRun()
 	}
 	return outcome
 }
 
-// broken takes a run whose stream broke off.
-func (r *run) broken(parent context.Context, err error) queuestore.Outcome {
-	outcome := queuestore.Outcome{Output: r.output, Wait: notTakenDelay, Reason: "stream broken"}
+// streamErrorOutcome handles a response stream that broke.
+func (r *run) streamErrorOutcome(parent context.Context, err error) queuestore.Outcome {
+	outcome := queuestore.Outcome{Output: r.output, Wait: interruptedDelay, Reason: "stream broken"}
 	if parent.Err() != nil {
 		outcome.Reason = "cancelled"
 		return outcome
@@ -88,13 +88,14 @@
 		return outcome
 	}
 	r.runner.RecordFailure(time.Now())
-	r.noteEnding()
+	r.recordBrokenRun()
 	klog.InfoS("item stream broken", "item", r.work.Item.Id, "runner", r.runner.ID, "after", r.output.LastEventID,
 		"err", strings.TrimSpace(err.Error()))
 	return outcome
 }
 
-// preemptedOutcome corrects the outcome of a run that ended because it was preempted.
+// preemptedOutcome replaces the delay and reason of the outcome if the run was
+// preempted before it was done.
 func preemptedOutcome(ctx context.Context, outcome queuestore.Outcome) queuestore.Outcome {
 	if !outcome.Done && errors.Is(context.Cause(ctx), errPreempted) {
 		outcome.Wait, outcome.Reason = preemptedDelay, reasonPreempted
--- a/internal/batch/queuerun/preemption.go
+++ b/internal/batch/queuerun/preemption.go
@@ -9,20 +9,20 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// errPreempted ends a run whose slot online requests need.
+// errPreempted is the cancellation cause of a preempted run.
 var errPreempted = errors.New("preempted by online requests")
 
 const (
-	// preemptionPause is how long a runner gets no item after a preemption there.
+	// preemptionPause is how long a runner gets no items after a preemption.
 	preemptionPause = 250 * time.Millisecond
-	// lateBonus is longer than any time to spare.
-	lateBonus = time.Hour
+	// lateDiscount is longer than the slack of any item.
+	lateDiscount = time.Hour
 )
 
-// itemsToPreempt returns how many of this node's items have to free their slots at a
-// runner: as many as there are requests of all nodes beyond its slots, if this node
-// has any items there. An online request is never kept waiting by an item; 0 where
-// the slots are not known.
+// itemsToPreempt returns how many of this node's items must free their slots at a
+// runner, so that no online request waits for an item. It is the number of requests of
+// all nodes beyond the runner's slots, or 0 if this node has no items there or the
+// number of slots is unknown.
 func itemsToPreempt(counts runnerset.RequestCounts, slots int) int {
 	if counts.OwnBatch == 0 || slots == 0 {
 		return 0
@@ -30,18 +30,18 @@
 	return max(0, int(counts.Running)-slots)
 }
 
-// interruptionCost orders runs by what their preemption costs; the lowest is preempted
-// first. slack is the time to spare that the item had when the run began, ran how long
-// the run has taken. An item that is late anyway costs nothing but its run so far;
-// among the others the one with the most time to spare costs least.
-func interruptionCost(slack, ran time.Duration) time.Duration {
+// preemptionCost returns the cost of preempting a run; the run with the lowest cost is
+// preempted first. The slack is the item's spare time when the run started, and elapsed
+// is the duration of the run so far. A late item loses only its run so far, so the
+// shortest of these runs cost least. Among the others, the cost falls with the slack.
+func preemptionCost(slack, elapsed time.Duration) time.Duration {
 	if slack < 0 {
-		return -lateBonus + ran
+		return -lateDiscount + elapsed
 	}
 	return -slack
 }
 
-// preempt ends runs at a runner whose slots online requests need.
+// preempt cancels runs at a runner to free the slots that online requests need.
 func (e *ItemExecutor) preempt(runner *runnerset.Runner) {
 	now := time.Now()
 	counts := runner.RequestCounts(now)
@@ -66,20 +66,20 @@
 	}
 }
 
-// cheapestRun returns the run at a runner whose preemption costs least; nil if all are
-// preempted. The mutex is held.
+// cheapestRun returns the run at a runner with the lowest preemption cost, or nil if all
+// runs are already preempted. The caller holds the mutex.
 func (e *ItemExecutor) cheapestRun(runner string, now time.Time) *run {
 	var chosen *run
 	for candidate, preempted := range e.runs[runner] {
-		if !preempted && (chosen == nil || candidate.interruptionCost(now) < chosen.interruptionCost(now)) {
+		if !preempted && (chosen == nil || candidate.preemptionCost(now) < chosen.preemptionCost(now)) {
 			chosen = candidate
 		}
 	}
 	return chosen
 }
 
-func (r *run) interruptionCost(now time.Time) time.Duration {
-	return interruptionCost(r.work.Slack, now.Sub(r.began))
+func (r *run) preemptionCost(now time.Time) time.Duration {
+	return preemptionCost(r.work.Slack, now.Sub(r.startedAt))
 }
 
 func (e *ItemExecutor) register(r *run) {
@@ -100,14 +100,14 @@
 	}
 }
 
-// wasPreempted reports whether a run was ended for online requests.
+// wasPreempted reports whether a run was cancelled to free its slot.
 func (e *ItemExecutor) wasPreempted(r *run) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.runs[r.runner.ID][r]
 }
 
-// paused lists the runners that get no item at present.
+// paused returns the runners that currently get no items, and deletes expired pauses.
 func (e *ItemExecutor) paused(now time.Time) map[string]bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/batch/queuerun/preemption_test.go
+++ b/internal/batch/queuerun/preemption_test.go
@@ -10,8 +10,8 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// As many items are preempted as there are requests beyond the slots, by a node that
-// has items there, at a runner that states its slots.
+// A node that has items at a runner preempts as many as there are requests beyond the
+// runner's slots, provided that the number of slots is known.
 func TestItemsToPreempt(t *testing.T) {
 	for _, test := range []struct {
 		counts runnerset.RequestCounts
@@ -27,15 +27,15 @@
 	}
 }
 
-// What is late anyway is preempted first, the shortest run of these before the others;
-// then what has the most time to spare.
-func TestInterruptionCosts(t *testing.T) {
+// Late items are preempted first, the shortest run before longer ones; then the items
+// with the most slack.
+func TestPreemptionCost(t *testing.T) {
 	costs := []time.Duration{
-		interruptionCost(-time.Second, time.Second),
-		interruptionCost(-time.Minute, 2*time.Second),
-		interruptionCost(time.Minute, time.Second),
-		interruptionCost(time.Second, time.Second),
-		interruptionCost(0, time.Second),
+		preemptionCost(-time.Second, time.Second),
+		preemptionCost(-time.Minute, 2*time.Second),
+		preemptionCost(time.Minute, time.Second),
+		preemptionCost(time.Second, time.Second),
+		preemptionCost(0, time.Second),
 	}
 	is.New(t).True(slices.IsSorted(costs))
 }
--- a/internal/batch/queuerun/queuerun_test.go
+++ b/internal/batch/queuerun/queuerun_test.go
@@ -23,24 +23,24 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// scripted is a runner that answers by a script, and records what it is sent.
-type scripted struct {
-	mutex  sync.Mutex
-	answer func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
-	calls  []*exchange.Call
+// scriptedClient responds to calls with a function, and records the calls.
+type scriptedClient struct {
+	mutex   sync.Mutex
+	respond func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
+	calls   []*exchange.Call
 }
 
 // Do implements exchange.CallSender.
-func (s *scripted) Do(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
+func (s *scriptedClient) Do(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 	s.mutex.Lock()
 	s.calls = append(s.calls, call)
 	s.mutex.Unlock()
-	return s.answer(ctx, call)
+	return s.respond(ctx, call)
 }
 
-func answers(status int, stamped bool, text string) func(context.Context, *exchange.Call) (*exchange.Response, error) {
+func responds(status int, fromRunner bool, text string) func(context.Context, *exchange.Call) (*exchange.Response, error) {
 	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
-		return &exchange.Response{Status: status, FromRunner: stamped, Length: -1, Body: io.NopCloser(strings.NewReader(text))}, nil
+		return &exchange.Response{Status: status, FromRunner: fromRunner, Length: -1, Body: io.NopCloser(strings.NewReader(text))}, nil
 	}
 }
 
@@ -50,7 +50,7 @@
 
 const twoEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 
-// newExecutor has one runner of four slots.
+// newExecutor returns an executor with one runner of four slots.
 func newExecutor(t *testing.T, client exchange.CallSender) *ItemExecutor {
 	t.Helper()
 	runners := runnerset.New()
@@ -82,36 +82,36 @@
 	return <-outcomes
 }
 
-// What comes of a run, for each kind of answer: only the runner's own answer ends
-// an item for good or counts as an attempt, and only a whole output is done.
-func TestOutcomes(t *testing.T) {
+// Only a response of the runner itself ends an item for good or counts as a failed
+// attempt, and only a complete output makes the item done.
+func TestRunOutcomes(t *testing.T) {
 	begun := queue.ItemOutput{LastEventID: 1, Text: []byte("a")}
 	for _, test := range []struct {
 		name               string
-		answer             func(context.Context, *exchange.Call) (*exchange.Response, error)
+		respond            func(context.Context, *exchange.Call) (*exchange.Response, error)
 		from               queue.ItemOutput
 		done, dead, failed bool
 		text               string
 	}{
-		{name: "whole", answer: answers(200, true, twoEvents), done: true, text: "a\nb"},
-		{name: "goes on after the last event", from: begun, answer: answers(200, true, "id: 2\ndata: b\n\n"), done: true, text: "a\nb"},
-		{name: "goes on with an event too early", from: begun, answer: answers(200, true, twoEvents), text: "a"},
-		{name: "an event is missing", answer: answers(200, true, "id: 1\ndata: a\n\nid: 3\ndata: c\n\n"), text: "a"},
-		{name: "an event comes twice", answer: answers(200, true, "id: 1\ndata: a\n\nid: 1\ndata: a\n\n"), text: "a"},
-		{name: "ends within an event", answer: answers(200, true, "id: 1\ndata: a\n\nid: 2\nda"), text: "a"},
-		{name: "ends before the first event", answer: answers(200, true, "")},
-		{name: "can never be done", answer: answers(422, true, ""), dead: true},
-		{name: "another's 422", answer: answers(422, false, "")},
-		{name: "the runner failed", answer: answers(500, true, ""), failed: true},
-		{name: "another's 500", answer: answers(500, false, "")},
-		{name: "a deadline", answer: answers(504, true, "")},
-		{name: "full", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonFull, FromRunner: true, Cause: errors.New("full")})},
-		{name: "another stands at the address", answer: fails(&exchange.NotRunError{Reason: exchange.ReasonMisdirected, FromRunner: true, Cause: errors.New("421")})},
-		{name: "lost", answer: fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF})},
+		{name: "complete", respond: responds(200, true, twoEvents), done: true, text: "a\nb"},
+		{name: "resumes after the last event", from: begun, respond: responds(200, true, "id: 2\ndata: b\n\n"), done: true, text: "a\nb"},
+		{name: "resumes with an earlier event", from: begun, respond: responds(200, true, twoEvents), text: "a"},
+		{name: "an event is missing", respond: responds(200, true, "id: 1\ndata: a\n\nid: 3\ndata: c\n\n"), text: "a"},
+		{name: "an event is repeated", respond: responds(200, true, "id: 1\ndata: a\n\nid: 1\ndata: a\n\n"), text: "a"},
+		{name: "stream ends within an event", respond: responds(200, true, "id: 1\ndata: a\n\nid: 2\nda"), text: "a"},
+		{name: "stream ends before the first event", respond: responds(200, true, "")},
+		{name: "unprocessable", respond: responds(422, true, ""), dead: true},
+		{name: "422 not from the runner", respond: responds(422, false, "")},
+		{name: "runner failed", respond: responds(500, true, ""), failed: true},
+		{name: "500 not from the runner", respond: responds(500, false, "")},
+		{name: "deadline exceeded", respond: responds(504, true, "")},
+		{name: "full", respond: fails(&exchange.NotRunError{Reason: exchange.ReasonFull, FromRunner: true, Cause: errors.New("full")})},
+		{name: "another runner at the address", respond: fails(&exchange.NotRunError{Reason: exchange.ReasonMisdirected, FromRunner: true, Cause: errors.New("421")})},
+		{name: "connection lost", respond: fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF})},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			client := &scripted{answer: test.answer}
+			client := &scriptedClient{respond: test.respond}
 			outcome := runOnce(t, newExecutor(t, client), workOf(test.from))
 			is.Equal(outcome.Done, test.done)
 			is.Equal(outcome.Dead, test.dead)
@@ -120,7 +120,7 @@
 			is.Equal(outcome.Attempts, 3)
 			is.Equal(len(client.calls), 1)
 			call := client.calls[0]
-			is.Equal(call.RunnerID, "r1") // the incarnation that is meant
+			is.Equal(call.RunnerID, "r1") // the ID of the selected incarnation
 			is.Equal(string(call.Body), "body")
 			is.Equal(call.Headers, []exchange.Header{{Name: "Model", Value: "m"}})
 			resume := int64(-1)
@@ -132,26 +132,25 @@
 	}
 }
 
-// An item whose route is gone is given up only once the configuration without
-// it has been in force for a while: it may come back with the next version.
-func TestRouteGone(t *testing.T) {
+// An item whose route is missing does not fail until the configuration without the route
+// has been active for a while, because the next version may restore the route.
+func TestMissingRouteIsRetriedAtFirst(t *testing.T) {
 	is := is.New(t)
-	executor := newExecutor(t, &scripted{answer: answers(200, true, twoEvents)})
+	executor := newExecutor(t, &scriptedClient{respond: responds(200, true, twoEvents)})
 	work := workOf(queue.ItemOutput{})
 	work.Item.Path = "/gone/1"
-	is.True(!executor.TryStart(context.Background(), work, func(queuestore.Outcome) { t.Error("given up at once") }))
+	is.True(!executor.TryStart(context.Background(), work, func(queuestore.Outcome) { t.Error("failed at once") }))
 }
 
-// The run whose interruption costs least is preempted: one that is late anyway
-// before all others, then the one with the most time to spare. Its output so
-// far is kept, and its runner is not ejected for it.
+// The run with the lowest cost is preempted: a late one first, then the one with the
+// most slack. The output so far is kept, and the runner is not ejected.
 func TestPreemption(t *testing.T) {
 	is := is.New(t)
-	silent := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
+	unresponsive := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 		<-ctx.Done()
 		return nil, &exchange.OutcomeUnknownError{Cause: ctx.Err()}
 	}
-	executor := newExecutor(t, &scripted{answer: silent})
+	executor := newExecutor(t, &scriptedClient{respond: unresponsive})
 	ended := make(chan string, 3)
 	for _, item := range []struct {
 		id    string
@@ -170,7 +169,7 @@
 		executor.Runners.RecordPeerReport("edge", "r1", runnerset.PeerReport{NodeLoad: runnerset.NodeLoad{Running: running}}, time.Now())
 	}
 	eventually.Require(t, "three runs are registered", func() bool { return executor.running("r1") == 3 }, func() any { return executor.running("r1") })
-	online(1) // four slots hold the three and one
+	online(1) // the four slots hold the three items and one request
 	online(2)
 	is.Equal(<-ended, "late")
 	online(3)
@@ -180,84 +179,84 @@
 	is.True(choice.Runner != nil && choice.Cost < time.Second) // not ejected
 }
 
-// running returns how many runs are registered at a runner.
+// running returns the number of runs registered at a runner.
 func (e *ItemExecutor) running(runner string) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.runs[runner])
 }
 
-// guard is a quarantine in memory.
-type guard struct {
+// fakeGuard is a quarantine in memory.
+type fakeGuard struct {
 	held      time.Duration
 	avoid     map[string]bool
-	broke     int
+	broken    int
 	completed int
 }
 
-func (g *guard) Held(quarantine.Fingerprint) (time.Duration, bool) { return g.held, g.held > 0 }
-func (g *guard) RecordBrokenRun(string, quarantine.Fingerprint, string, string) {
-	g.broke++
+func (g *fakeGuard) Held(quarantine.Fingerprint) (time.Duration, bool) { return g.held, g.held > 0 }
+func (g *fakeGuard) RecordBrokenRun(string, quarantine.Fingerprint, string, string) {
+	g.broken++
 }
-func (g *guard) RecordCompletion(quarantine.Fingerprint)               { g.completed++ }
-func (g *guard) RunnersToAvoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
-func (g *guard) Begin(quarantine.Fingerprint, string) func()           { return func() {} }
+func (g *fakeGuard) RecordCompletion(quarantine.Fingerprint)               { g.completed++ }
+func (g *fakeGuard) RunnersToAvoid(quarantine.Fingerprint) map[string]bool { return g.avoid }
+func (g *fakeGuard) Begin(quarantine.Fingerprint, string) func()           { return func() {} }
 
-// An item under which runners end is not run, and not given up for it: it waits, and
-// what it had produced is kept.
-func TestHeldItemsWait(t *testing.T) {
+// A quarantined item does not run and does not fail: it waits, and its output so far is
+// kept.
+func TestQuarantinedItemsWait(t *testing.T) {
 	is := is.New(t)
-	client := &scripted{answer: answers(200, true, twoEvents)}
+	client := &scriptedClient{respond: responds(200, true, twoEvents)}
 	executor := newExecutor(t, client)
-	executor.Quarantine = &guard{held: time.Hour}
+	executor.Quarantine = &fakeGuard{held: time.Hour}
 	begun := queue.ItemOutput{LastEventID: 1, Text: []byte("a")}
 	outcome := runOnce(t, executor, workOf(begun))
 	is.Equal(len(client.calls), 0)
 	is.True(!outcome.Dead && !outcome.Done && !outcome.Failed)
-	is.Equal(outcome.Wait, maxHeldWait)
+	is.Equal(outcome.Wait, maxQuarantineWait)
 	is.Equal(outcome.Output, begun)
 }
 
-// Runs that broke off are reported, those that a runner answered or that were not run are
-// not; a run that goes through is reported as well.
+// Broken and completed runs are reported to the quarantine. Runs to which the runner
+// responded with an error, runs that never started and cancelled runs are not.
 func TestBrokenRunsAreReported(t *testing.T) {
 	for _, test := range []struct {
-		name             string
-		answer           func(context.Context, *exchange.Call) (*exchange.Response, error)
-		broke, completed int
+		name              string
+		respond           func(context.Context, *exchange.Call) (*exchange.Response, error)
+		broken, completed int
 	}{
-		{"whole", answers(200, true, twoEvents), 0, 1},
-		{"breaks off", answers(200, true, "id: 1\ndata: a\n\nid: 2\nda"), 1, 0},
-		{"lost", fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF}), 1, 0},
-		{"ended from here", fails(&exchange.OutcomeUnknownError{Cause: context.Canceled}), 0, 0},
-		{"the runner failed", answers(500, true, ""), 0, 0},
+		{"complete", responds(200, true, twoEvents), 0, 1},
+		{"stream broken", responds(200, true, "id: 1\ndata: a\n\nid: 2\nda"), 1, 0},
+		{"connection lost", fails(&exchange.OutcomeUnknownError{Cause: io.ErrUnexpectedEOF}), 1, 0},
+		{"cancelled by this node", fails(&exchange.OutcomeUnknownError{Cause: context.Canceled}), 0, 0},
+		{"runner failed", responds(500, true, ""), 0, 0},
 		{"not run", fails(&exchange.NotRunError{Reason: exchange.ReasonDial, Cause: errors.New("refused")}), 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			executor, g := newExecutor(t, &scripted{answer: test.answer}), &guard{}
+			executor, g := newExecutor(t, &scriptedClient{respond: test.respond}), &fakeGuard{}
 			executor.Quarantine = g
 			runOnce(t, executor, workOf(queue.ItemOutput{}))
-			is.Equal(g.broke, test.broke)
+			is.Equal(g.broken, test.broken)
 			is.Equal(g.completed, test.completed)
 		})
 	}
 }
 
-// A suspected item does not run beside another.
-func TestSuspectedItemsRunApart(t *testing.T) {
+// An item is not started at a runner that the quarantine excludes.
+func TestQuarantineExcludesRunners(t *testing.T) {
 	is := is.New(t)
-	executor := newExecutor(t, &scripted{answer: answers(200, true, twoEvents)})
-	executor.Quarantine = &guard{avoid: map[string]bool{"r1": true}}
+	executor := newExecutor(t, &scriptedClient{respond: responds(200, true, twoEvents)})
+	executor.Quarantine = &fakeGuard{avoid: map[string]bool{"r1": true}}
 	is.True(!executor.TryStart(context.Background(), workOf(queue.ItemOutput{}), func(queuestore.Outcome) { t.Error("it was run") }))
 }
 
-// The executor waits for its runs, which end with the contexts of their items, and
-// starts nothing once it is ending.
-func TestWaitEndsWithTheRuns(t *testing.T) {
+// Wait returns after all runs have ended with the contexts of their items. The executor
+// starts no run afterwards.
+func TestWaitReturnsAfterTheRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		executor := newExecutor(t, &scripted{answer: func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
+		executor := newExecutor(t, &scriptedClient{respond: func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 			<-ctx.Done()
 			return nil, &exchange.OutcomeUnknownError{Cause: ctx.Err()}
 		}})
@@ -269,12 +268,12 @@
 			waited.Store(true)
 		}()
 		synctest.Wait()
-		is.True(!waited.Load()) // the run goes on
+		is.True(!waited.Load()) // the run is still in progress
 		cancel()
 		synctest.Wait()
 		is.True(ended.Load())
 		is.True(waited.Load())
 		is.True(!executor.TryStart(context.Background(), workOf(queue.ItemOutput{}), func(queuestore.Outcome) { t.Error("started") }))
-		is.Equal(executor.Runners.Service("s")[0].OwnLoad(), runnerset.NodeLoad{}) // nothing is left in flight
+		is.Equal(executor.Runners.Service("s")[0].OwnLoad(), runnerset.NodeLoad{}) // no request is left in flight
 	})
 }
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	// headTimeout and eventTimeout bound the waits for a runner's answer and for
-	// its next event.
-	headTimeout  = 6 * time.Second
-	eventTimeout = 4 * time.Second
-	// saveInterval is how often what a run has produced is saved: as much is run
-	// again when the leader is lost. All runs of a node save at the same moments,
-	// so that a shard can write it at once.
+	// responseTimeout and eventTimeout bound the waits for a runner's response header
+	// and for its next event.
+	responseTimeout = 6 * time.Second
+	eventTimeout    = 4 * time.Second
+	// saveInterval is the interval at which a run's output is saved, and so the bound on
+	// the work that is repeated after the loss of the leader. All runs of a node save at
+	// the same moments, so that a shard can write their output in one batch.
 	saveInterval = 400 * time.Millisecond
 )
 
-// run is one run of an item at one runner.
+// run is a single run of an item at a runner.
 type run struct {
 	executor *ItemExecutor
 	work     *queuestore.Work
-	// fingerprint is of the item's content.
+	// fingerprint identifies the item's content.
 	fingerprint quarantine.Fingerprint
 	route       *catalog.Route
 	runner      *runnerset.Runner
 	inFlight    *runnerset.InFlight
-	began       time.Time
+	startedAt   time.Time
 	cancel      context.CancelCauseFunc
-	// output is what this run and earlier ones have produced.
+	// output is the output of this run and of earlier ones.
 	output queue.ItemOutput
-	// savedRound is the round in which it was last saved.
+	// savedRound is the round in which the output was last saved.
 	savedRound int64
-	// firstEvent is when this run's first event came; zero before.
+	// firstEvent is the time of this run's first event; zero before.
 	firstEvent time.Time
 }
 
@@ -55,19 +55,19 @@
 	r.cancel = cancel
 	r.executor.register(r)
 	defer r.executor.unregister(r)
-	silenceTimer := time.AfterFunc(headTimeout, func() { cancel(exchange.ErrUnresponsive) })
-	defer silenceTimer.Stop()
-	answer, err := r.executor.Client.Do(ctx, r.call())
+	idleTimer := time.AfterFunc(responseTimeout, func() { cancel(exchange.ErrUnresponsive) })
+	defer idleTimer.Stop()
+	response, err := r.executor.Client.Do(ctx, r.call())
 	if err != nil {
-		return preemptedOutcome(ctx, r.notAnswered(parent, err))
+		return preemptedOutcome(ctx, r.callErrorOutcome(parent, err))
 	}
-	// Whatever closing reports, the answer was read whole or is given up.
-	defer func() { _ = answer.Body.Close() }()
-	r.runner.RecordLoad(answer.Load, time.Now())
-	if answer.Status != http.StatusOK {
-		return r.refused(answer)
+	// The error of Close is irrelevant: the body is read to its end or abandoned.
+	defer func() { _ = response.Body.Close() }()
+	r.runner.RecordLoad(response.Load, time.Now())
+	if response.Status != http.StatusOK {
+		return r.errorStatusOutcome(response)
 	}
-	return preemptedOutcome(ctx, r.follow(parent, answer, silenceTimer))
+	return preemptedOutcome(ctx, r.readEvents(parent, response, idleTimer))
 }
 
 func (r *run) call() *exchange.Call {
@@ -85,28 +85,28 @@
 	return call
 }
 
-// follow reads events until the stream ends.
-func (r *run) follow(parent context.Context, answer *exchange.Response, silenceTimer *time.Timer) queuestore.Outcome {
-	events := eventstream.NewDecoder(answer.Body)
+// readEvents reads events until the stream ends or breaks.
+func (r *run) readEvents(parent context.Context, response *exchange.Response, idleTimer *time.Timer) queuestore.Outcome {
+	events := eventstream.NewDecoder(response.Body)
 	for {
-		silenceTimer.Reset(eventTimeout)
+		idleTimer.Reset(eventTimeout)
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) && r.output.LastEventID > 0 {
-			r.noteCompleted()
+			r.recordCompletion()
 			return queuestore.Outcome{Done: true, Output: r.output, Reason: "completed"}
 		}
 		if err == nil && (!event.HasID || event.ID != r.output.LastEventID+1) {
 			err = &eventstream.BrokenError{Reason: "event out of order"}
 		}
 		if err != nil {
-			return r.broken(parent, err)
+			return r.streamErrorOutcome(parent, err)
 		}
-		r.take(&event)
+		r.addEvent(&event)
 	}
 }
 
-// take adds an event to the output, and saves that when it is time to.
-func (r *run) take(event *eventstream.StreamEvent) {
+// addEvent appends an event to the output, and saves the output once per round.
+func (r *run) addEvent(event *eventstream.StreamEvent) {
 	now := time.Now()
 	if r.output.LastEventID == r.work.Output.LastEventID {
 		r.firstEvent = now
@@ -121,35 +121,35 @@
 	}
 }
 
-// processStart is when the process counts the rounds of saves from.
+// processStart is the time from which save rounds are counted.
 var processStart = time.Now()
 
-// saveRound numbers the moments at which runs save.
+// saveRound returns the number of the save round at a time.
 func saveRound(now time.Time) int64 { return int64(now.Sub(processStart) / saveInterval) }
 
-// save keeps what the run has produced, without holding it up. Once the executor is
-// ending nothing is saved any more: the shard that would keep it has stopped.
+// save saves a copy of the output without blocking the run. Nothing is saved while the
+// executor is ending, because the shard that would store the output has stopped.
 func (r *run) save() {
 	output := queue.ItemOutput{LastEventID: r.output.LastEventID, Text: append([]byte(nil), r.output.Text...)}
 	r.executor.tasks.Go(func() { r.work.Save(output) })
 }
 
-// noteEnding reports a run that broke off: if its runner has ended, that counts
-// against its item.
-func (r *run) noteEnding() {
+// recordBrokenRun reports a run that broke to the quarantine. It counts against the item
+// if the runner has ended.
+func (r *run) recordBrokenRun() {
 	if r.executor.Quarantine != nil && quarantine.IsSuspectRun(r.firstEvent, time.Now()) {
 		r.executor.Quarantine.RecordBrokenRun(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
 	}
 }
 
-// noteCompleted records that a runner has completed the item.
-func (r *run) noteCompleted() {
+// recordCompletion reports to the quarantine that a runner completed the item.
+func (r *run) recordCompletion() {
 	if r.executor.Quarantine != nil {
 		r.executor.Quarantine.RecordCompletion(r.fingerprint)
 	}
 }
 
-// logEnd logs how the run ended.
+// logEnd logs the run's outcome.
 func (r *run) logEnd(choice *runnerset.Choice, catalogVersion uint64, outcome string) {
 	klog.InfoS("item run ended", slices.Concat(
 		[]any{
@@ -160,7 +160,7 @@
 		[]any{
 			"catalog", catalogVersion, "slackMs", r.work.Slack.Milliseconds(),
 			"from", r.work.Output.LastEventID, "to", r.output.LastEventID,
-			"outcome", outcome, "ms", time.Since(r.began).Milliseconds(),
+			"outcome", outcome, "ms", time.Since(r.startedAt).Milliseconds(),
 		},
 	)...)
 }
--- a/internal/batch/queuerun/save_test.go
+++ b/internal/batch/queuerun/save_test.go
@@ -15,7 +15,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// pacedBody gives an event at a time, and counts those given.
+// pacedBody is a response body that produces events at a fixed interval.
 type pacedBody struct {
 	every  time.Duration
 	events int64
@@ -35,13 +35,12 @@
 // Close implements io.Closer.
 func (*pacedBody) Close() error { return nil }
 
-// What a run has produced is saved so often that little of it is run again when
-// the leader is lost.
-func TestWhatIsRunAgainIsBounded(t *testing.T) {
+// A run saves its output often enough that the loss of the leader repeats few events.
+func TestSavesBoundRepeatedEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		body := &pacedBody{every: 25 * time.Millisecond, events: 240}
-		executor := newExecutor(t, &scripted{answer: func(context.Context, *exchange.Call) (*exchange.Response, error) {
+		executor := newExecutor(t, &scriptedClient{respond: func(context.Context, *exchange.Call) (*exchange.Response, error) {
 			return &exchange.Response{Status: 200, FromRunner: true, Length: -1, Body: body}, nil
 		}})
 		var mutex sync.Mutex
@@ -54,8 +53,8 @@
 		}
 		outcome := runOnce(t, executor, work)
 		is.True(outcome.Done)
-		executor.Wait() // for the last saves
-		const most = 20 // events, half a second
+		executor.Wait() // waits for the last saves
+		const most = 20 // events, produced in half a second
 		last := int64(0)
 		for _, event := range append(saved, body.events) {
 			is.True(event-last <= most)
