--- a/internal/batch/queueclient/queueclient.go
+++ b/internal/batch/queueclient/queueclient.go
@@ -1,9 +1,10 @@
-// Package queueclient reaches the leader of a job's queue shard from an edge. It also
-// reaches the keeper of a tenant's limit, who leads the shard of the tenant's name.
+// Package queueclient calls the leaders of queue shards from an edge. The leader of a
+// job's shard serves the job. The leader of the shard to which a tenant's name maps is
+// the keeper of the tenant's limit.
 //
-// It owns which node led a shard when it last answered, and which nodes were silent
-// lately. It relies on queuestore's layout for the members of a shard, on peers for
-// their addresses and on rpc for the calls.
+// It keeps the last known leader of each shard and the nodes that were recently
+// unresponsive. The members of a shard come from queuestore's layout and their addresses
+// from package peers; package rpc sends the calls.
 package queueclient
 
 import (
@@ -27,38 +28,38 @@
 	Layouts   *queuestore.Layouts
 	Pool      *rpc.Pool
 
-	mutex   sync.Mutex
-	leaders map[uint32]string    // address of each shard's last known leader
-	silent  map[string]time.Time // when the node at an address was last silent
+	mutex        sync.Mutex
+	leaders      map[uint32]string    // address of the last known leader, by shard
+	unresponsive map[string]time.Time // time of the last missing response, by address
 }
 
-// New returns a client.
+// New returns a client without any known leaders.
 func New(directory *peers.Directory, layouts *queuestore.Layouts, pool *rpc.Pool) *ShardClient {
-	return &ShardClient{Directory: directory, Layouts: layouts, Pool: pool, leaders: map[uint32]string{}, silent: map[string]time.Time{}}
+	return &ShardClient{Directory: directory, Layouts: layouts, Pool: pool, leaders: map[uint32]string{}, unresponsive: map[string]time.Time{}}
 }
 
 const (
-	// tryTimeout bounds one try at one node, beyond what a read waits.
-	tryTimeout = 900 * time.Millisecond
-	// hedgeDelay is how long one node is waited for before the next is asked as
-	// well: a dead machine does not answer.
+	// attemptTimeout bounds a call to one node, in addition to the wait of the request.
+	attemptTimeout = 900 * time.Millisecond
+	// hedgeDelay is how long a call to one node may take before the next node is called
+	// as well, since a dead machine never responds.
 	hedgeDelay = 150 * time.Millisecond
-	// silentMemory is how long a node that was silent is asked last.
-	silentMemory = 2 * time.Second
-	// roundDelay is the pause before all nodes are asked again.
+	// unresponsivePenalty is how long an unresponsive node is called last.
+	unresponsivePenalty = 2 * time.Second
+	// roundDelay is the pause before all nodes are called again.
 	roundDelay = 60 * time.Millisecond
-	// retryDelay is when a caller that could not be served should try again.
+	// retryDelay is the delay after which a caller should retry a failed request.
 	retryDelay = 300 * time.Millisecond
 )
 
-// Read reads results.
+// Read reads the results of a job.
 func (c *ShardClient) Read(ctx context.Context, request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	reply := &wirev1.QueueReadReply{}
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	return reply, c.call(ctx, request.JobId, wirev1.Method_METHOD_QUEUE_READ, wait, request, reply)
 }
 
-// Item reads an item's body.
+// Item reads the body of an item.
 func (c *ShardClient) Item(ctx context.Context, request *wirev1.QueueItemRequest) (*wirev1.QueueItemReply, error) {
 	reply := &wirev1.QueueItemReply{}
 	return reply, c.call(ctx, request.JobId, wirev1.Method_METHOD_QUEUE_ITEM, 0, request, reply)
@@ -70,15 +71,15 @@
 	return reply, c.call(ctx, request.JobId, wirev1.Method_METHOD_QUEUE_END, 0, request, reply)
 }
 
-// Allot asks the keeper of a tenant's limit, who leads the shard that the
-// tenant's name falls to. Each node that may lead it is asked once: who asks again
-// without an answer decides when, since all nodes of a fleet may.
+// Allot requests an allotment from the keeper of a tenant's limit, the leader of the
+// shard to which the tenant's name maps. It calls each member of the shard once and
+// leaves retries to the caller, because all nodes of a fleet may call at the same time.
 func (c *ShardClient) Allot(ctx context.Context, tenant string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 	reply := &wirev1.AllotmentReply{}
 	return reply, c.round(ctx, tenant, wirev1.Method_METHOD_ALLOTMENT, 0, hedgeDelay, request, reply).err
 }
 
-// ShardOf returns the shard that a tenant's name falls to; false while no
+// ShardOf returns the shard to which a tenant's name maps. It returns false while no
 // layout is known.
 func (c *ShardClient) ShardOf(tenant string) (uint32, bool) {
 	layout := c.Layouts.Current()
@@ -88,132 +89,133 @@
 	return queuestore.ShardOf(tenant, len(layout.Shards)), true
 }
 
-// call asks the nodes of the shard, its last known leader first, until one
-// answers or the context ends. All calls may be repeated: a job is taken once,
-// and an end is an end.
+// call calls the members of the job's shard, the last known leader first, until one
+// responds or the context ends. All methods may be repeated, because they are idempotent.
 func (c *ShardClient) call(ctx context.Context, job string, method wirev1.Method, wait time.Duration, request, reply proto.Message) error {
 	unknown := false
 	var last error
 	for round := 0; ; round++ {
 		lastTimeout := hedgeDelay*time.Duration(round+1) + wait
-		answered := c.round(ctx, job, method, wait, lastTimeout, request, reply)
-		if answered.err == nil {
+		roundResult := c.round(ctx, job, method, wait, lastTimeout, request, reply)
+		if roundResult.err == nil {
 			return nil
 		}
-		if final(answered.err) {
-			return answered.err
+		if final(roundResult.err) {
+			return roundResult.err
 		}
-		last = answered.err
-		unknown = unknown || answered.unknown
-		if !pause(ctx, roundDelay) {
-			klog.InfoS("queue call failed", "method", method.String(), "job", job, "rounds", round+1, "unknown", unknown, "last", last)
-			return c.failed(unknown, last)
+		last = roundResult.err
+		unknown = unknown || roundResult.unknown
+		if !sleep(ctx, roundDelay) {
+			klog.InfoS("call to queue shard failed", "method", method.String(), "job", job, "rounds", round+1, "unknown", unknown, "last", last)
+			return c.unavailableError(unknown, last)
 		}
 	}
 }
 
-// outcome is what came of a round, or of one try in it.
-type outcome struct {
+// callResult is the result of a round, or of a single attempt in it.
+type callResult struct {
 	address string
 	reply   proto.Message
 	err     error
-	// unknown: some node may have done what was asked.
+	// unknown reports that some node may have executed the request.
 	unknown bool
 }
 
-// round asks each node once, the next one when the one before has failed or is
-// silent for a while, and takes the first answer. Nodes that are silent when all
-// others have failed are waited for until lastTimeout, which grows with each round:
-// another may lead by now. A try that is still on its way then is left behind: its
-// context has ended, but a dial to a silent node may take seconds to notice.
+// round calls each member of the shard once and uses the first response. It calls the
+// next member when the previous one has failed or has not responded within hedgeDelay.
+// After the last call it waits up to lastTimeout for the outstanding attempts, then
+// gives up the round, because another member may have become the leader. It doesn't wait
+// for cancelled attempts, since a dial to a dead node may take seconds to return.
 func (c *ShardClient) round(
 	ctx context.Context, job string, method wirev1.Method, wait, lastTimeout time.Duration, request, reply proto.Message,
-) outcome {
+) callResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	waiting := c.candidates(job)
-	tries := make(chan outcome, len(waiting))
+	attempts := make(chan callResult, len(waiting))
 	running := map[string]bool{}
-	whole := outcome{err: result.New(result.StoreUnavailable, "no storage node is known")}
+	combined := callResult{err: result.New(result.StoreUnavailable, "no storage node is known")}
 	for len(waiting) > 0 || len(running) > 0 {
 		if len(waiting) > 0 {
 			address := waiting[0]
 			waiting = waiting[1:]
 			running[address] = true
-			go func() { tries <- c.try(ctx, address, method, wait, request, reply) }()
+			go func() { attempts <- c.attempt(ctx, address, method, wait, request, reply) }()
 		}
 		timeout := lastTimeout
 		if len(waiting) > 0 {
 			timeout = hedgeDelay + wait
 		}
-		one, ended := await(tries, timeout)
+		finished, ended := await(attempts, timeout)
 		if !ended && len(waiting) == 0 {
-			c.noteSilent(job, running)
-			whole.unknown = true
-			return whole
+			c.recordUnresponsive(job, running)
+			combined.unknown = true
+			return combined
 		}
 		if !ended {
 			continue
 		}
-		delete(running, one.address)
-		if one.err == nil || final(one.err) {
-			proto.Merge(reply, one.reply)
-			c.remember(job, one.address)
-			return outcome{err: one.err}
+		delete(running, finished.address)
+		if finished.err == nil || final(finished.err) {
+			proto.Merge(reply, finished.reply)
+			c.recordLeader(job, finished.address)
+			return callResult{err: finished.err}
 		}
-		c.forget(job, one.address)
-		whole.err = one.err
-		whole.unknown = whole.unknown || one.unknown
+		c.forgetLeader(job, finished.address)
+		combined.err = finished.err
+		combined.unknown = combined.unknown || finished.unknown
 	}
-	return whole
+	return combined
 }
 
-// noteSilent makes nodes that did not answer the last to be asked for a while.
-func (c *ShardClient) noteSilent(job string, addresses map[string]bool) {
+// recordUnresponsive records that nodes did not respond, so that they are called last
+// for a while.
+func (c *ShardClient) recordUnresponsive(job string, addresses map[string]bool) {
 	now := time.Now()
 	for address := range addresses {
-		c.forget(job, address)
+		c.forgetLeader(job, address)
 		c.mutex.Lock()
-		c.silent[address] = now
+		c.unresponsive[address] = now
 		c.mutex.Unlock()
 	}
 }
 
-// await waits for the end of a try, but not for longer than a timeout.
-func await(tries <-chan outcome, timeout time.Duration) (outcome, bool) {
+// await waits for the next attempt to finish. It returns false after the timeout.
+func await(attempts <-chan callResult, timeout time.Duration) (callResult, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case one := <-tries:
-		return one, true
+	case finished := <-attempts:
+		return finished, true
 	case <-timer.C:
-		return outcome{}, false
+		return callResult{}, false
 	}
 }
 
-func (c *ShardClient) failed(unknown bool, last error) error {
+func (c *ShardClient) unavailableError(unknown bool, last error) error {
 	if unknown {
 		return result.New(result.CommitUnknown, "no storage node confirmed it: %v", last)
 	}
 	return result.New(result.StoreUnavailable, "no storage node could take it: %v", last).WithRetryAfter(retryDelay)
 }
 
-// final reports whether another node or try would give the same answer.
+// final reports whether any other attempt would return the same error.
 func final(err error) bool {
 	return result.Is(err, result.TenantTokens) || result.Is(err, result.StoreFull) || result.Is(err, result.StaleEpoch)
 }
 
-func (c *ShardClient) try(ctx context.Context, address string, method wirev1.Method, wait time.Duration, request, reply proto.Message) outcome {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout+wait)
+func (c *ShardClient) attempt(ctx context.Context, address string, method wirev1.Method, wait time.Duration, request, reply proto.Message) callResult {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
 	own := reply.ProtoReflect().New().Interface()
 	err := c.Pool.Call(ctx, address, rpc.ClassOnline, method, request, own)
-	notDone := result.Is(err, result.NotLeader) || result.Is(err, result.PeerUnreachable) ||
+	notExecuted := result.Is(err, result.NotLeader) || result.Is(err, result.PeerUnreachable) ||
 		result.Is(err, result.StoreUnavailable) || result.Is(err, result.NotReady)
-	return outcome{address: address, reply: own, err: err, unknown: err != nil && !notDone}
+	return callResult{address: address, reply: own, err: err, unknown: err != nil && !notExecuted}
 }
 
-// candidates lists the nodes that may lead the shard of a job.
+// candidates returns the addresses of the members of a job's shard, in the order in
+// which they are called.
 func (c *ShardClient) candidates(job string) []string {
 	layout := c.Layouts.Current()
 	if layout == nil {
@@ -228,19 +230,19 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return askingOrder(members, c.leaders[id], c.silent, time.Now())
+	return callOrder(members, c.leaders[id], c.unresponsive, time.Now())
 }
 
-// askingOrder puts the addresses of a shard's members in the order in which they are
-// asked: the last known leader first, and last those that were silent lately (silent
-// holds when), since each of them may cost a hedgeDelay.
-func askingOrder(members []string, leader string, silent map[string]time.Time, now time.Time) []string {
+// callOrder sorts the addresses of a shard's members into the order in which they are
+// called: the last known leader first and recently unresponsive nodes last, since each of
+// these may cost a hedgeDelay.
+func callOrder(members []string, leader string, unresponsive map[string]time.Time, now time.Time) []string {
 	var first, last []string
 	for _, address := range members {
 		switch {
 		case address == leader:
 			first = append([]string{address}, first...)
-		case now.Sub(silent[address]) < silentMemory:
+		case now.Sub(unresponsive[address]) < unresponsivePenalty:
 			last = append(last, address)
 		default:
 			first = append(first, address)
@@ -249,8 +251,8 @@
 	return append(first, last...)
 }
 
-// remember keeps who answered for a shard.
-func (c *ShardClient) remember(job, address string) {
+// recordLeader records the node that responded as the leader of a job's shard.
+func (c *ShardClient) recordLeader(job, address string) {
 	layout := c.Layouts.Current()
 	if layout == nil {
 		return
@@ -259,13 +261,13 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.leaders[id] != address {
-		klog.InfoS("queue leader found", "shard", id, "address", address, "before", c.leaders[id])
+		klog.InfoS("leader of queue shard found", "shard", id, "address", address, "before", c.leaders[id])
 		c.leaders[id] = address
 	}
 }
 
-// forget drops a leader that did not answer.
-func (c *ShardClient) forget(job, address string) {
+// forgetLeader forgets the leader of a job's shard if it has the address.
+func (c *ShardClient) forgetLeader(job, address string) {
 	layout := c.Layouts.Current()
 	if layout == nil {
 		return
@@ -278,7 +280,7 @@
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) bool {
+func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/batch/queueclient/queueclient_test.go
+++ b/internal/batch/queueclient/queueclient_test.go
@@ -19,9 +19,8 @@
 
 const layoutText = `{"shards":[{"generation":1,"members":["disk-a","disk-b"],"copies":2}]}`
 
-// silentAddress takes connections and says nothing, like a machine that is cut
-// off.
-func silentAddress(t *testing.T) string {
+// unresponsiveAddress returns an address that accepts connections and never responds.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,8 +30,8 @@
 	return listener.Addr().String()
 }
 
-// serving answers reads with an outcome.
-func serving(t *testing.T, answer func() (*wirev1.QueueReadReply, error)) string {
+// serveReads starts a server that responds to reads with the result of respond.
+func serveReads(t *testing.T, respond func() (*wirev1.QueueReadReply, error)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +39,7 @@
 	}
 	server := rpc.NewServer("b", "c", &rpc.Counters{})
 	server.Handle(wirev1.Method_METHOD_QUEUE_READ, func(_ context.Context, stream *rpc.ServerStream) error {
-		reply, err := answer()
+		reply, err := respond()
 		if err != nil {
 			return err
 		}
@@ -68,13 +67,13 @@
 	return New(directory, layouts, pool)
 }
 
-// A leader that falls silent does not keep callers from the one that leads now,
-// however many ask at once.
-func TestSilentLeaderIsPassedOver(t *testing.T) {
+// After the known leader becomes unresponsive, many concurrent callers reach the new
+// leader.
+func TestUnresponsiveLeaderIsReplaced(t *testing.T) {
 	is := is.New(t)
-	live := serving(t, func() (*wirev1.QueueReadReply, error) { return &wirev1.QueueReadReply{Found: true, Total: 3}, nil })
-	client := clientOf(t, silentAddress(t), live)
-	client.remember("h", client.candidates("h")[0]) // the silent one led
+	live := serveReads(t, func() (*wirev1.QueueReadReply, error) { return &wirev1.QueueReadReply{Found: true, Total: 3}, nil })
+	client := clientOf(t, unresponsiveAddress(t), live)
+	client.recordLeader("h", client.candidates("h")[0]) // the unresponsive node was the leader
 	results := make(chan error, 20)
 	for range cap(results) {
 		go func() {
@@ -82,7 +81,7 @@
 			defer cancel()
 			reply, err := client.Read(ctx, &wirev1.QueueReadRequest{JobId: "j", Host: "h"})
 			if err == nil && reply.Total != 3 {
-				err = errors.New("not the reply")
+				err = errors.New("unexpected reply")
 			}
 			results <- err
 		}()
@@ -93,60 +92,61 @@
 	is.Equal(client.candidates("h")[0], live)
 }
 
-// What no node did is reported as not done; what one may have done is not.
-func TestWhetherItMayHaveBeenDone(t *testing.T) {
+// The error says that the request was not executed only if no node may have executed it.
+func TestErrorSaysWhetherTheCallMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	notLeader := func() (*wirev1.QueueReadReply, error) { return nil, result.New(result.NotLeader, "no") }
-	client := clientOf(t, serving(t, notLeader), serving(t, notLeader))
+	client := clientOf(t, serveReads(t, notLeader), serveReads(t, notLeader))
 	_, err := client.Read(ctx, &wirev1.QueueReadRequest{Host: "h"})
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
 
 	ctx, cancel = context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	unsure := func() (*wirev1.QueueReadReply, error) { return nil, result.New(result.CommitUnknown, "perhaps") }
-	client = clientOf(t, serving(t, notLeader), serving(t, unsure))
+	client = clientOf(t, serveReads(t, notLeader), serveReads(t, unsure))
 	_, err = client.Read(ctx, &wirev1.QueueReadRequest{Host: "h"})
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanUnknown)
 
-	// A node that was silent may have done it, also if all others did not.
+	// An unresponsive node may have executed the request, even if no other node has.
 	ctx, cancel = context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	client = clientOf(t, silentAddress(t), serving(t, notLeader))
+	client = clientOf(t, unresponsiveAddress(t), serveReads(t, notLeader))
 	_, err = client.Read(ctx, &wirev1.QueueReadRequest{Host: "h"})
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanUnknown)
 }
 
-// A leader that fell silent does not hold up the next try at the others: one of
-// them leads a moment later, long before the silent one is given up.
-func TestSilentLeaderHoldsNoRoundUp(t *testing.T) {
+// An unresponsive leader does not delay the next round of calls, in which another node
+// has become the leader.
+func TestUnresponsiveLeaderDoesNotDelayRetries(t *testing.T) {
 	is := is.New(t)
-	var asked atomic.Int64
-	next := serving(t, func() (*wirev1.QueueReadReply, error) {
-		if asked.Add(1) < 3 {
+	var calls atomic.Int64
+	next := serveReads(t, func() (*wirev1.QueueReadReply, error) {
+		if calls.Add(1) < 3 {
 			return nil, result.New(result.NotLeader, "not yet")
 		}
 		return &wirev1.QueueReadReply{Found: true}, nil
 	})
-	silent := silentAddress(t)
-	client := clientOf(t, silent, next)
-	client.remember("h", silent)
+	unresponsive := unresponsiveAddress(t)
+	client := clientOf(t, unresponsive, next)
+	client.recordLeader("h", unresponsive)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	_, err := client.Read(ctx, &wirev1.QueueReadRequest{Host: "h"})
 	is.NoErr(err)
-	is.Equal(client.candidates("h"), []string{next, silent})
-	is.Equal(asked.Load(), int64(3))
-	is.True(!client.silent[silent].IsZero()) // it was not waited for to the end of its try
+	is.Equal(client.candidates("h"), []string{next, unresponsive})
+	is.Equal(calls.Load(), int64(3))
+	is.True(!client.unresponsive[unresponsive].IsZero()) // the round ended before the attempt timed out
 }
 
-// The last known leader is asked first, whatever it did, and who was silent lately last.
-func TestAskingOrder(t *testing.T) {
+// The last known leader is called first, even if it was unresponsive, and other recently
+// unresponsive nodes are called last.
+func TestCallOrder(t *testing.T) {
 	now := time.Now()
-	silent := map[string]time.Time{"a": now.Add(-time.Second), "b": now.Add(-silentMemory), "c": now}
+	unresponsive := map[string]time.Time{"a": now.Add(-time.Second), "b": now.Add(-unresponsivePenalty), "c": now}
 	is := is.New(t)
-	is.Equal(askingOrder([]string{"a", "b", "c", "d"}, "d", silent, now), []string{"d", "b", "a", "c"})
-	is.Equal(askingOrder([]string{"a", "b", "c", "d"}, "c", silent, now), []string{"c", "b", "d", "a"})
-	is.Equal(askingOrder([]string{"a", "b"}, "", nil, now), []string{"a", "b"})
+	is.Equal(callOrder([]string{"a", "b", "c", "d"}, "d", unresponsive, now), []string{"d", "b", "a", "c"})
+	is.Equal(callOrder([]string{"a", "b", "c", "d"}, "c", unresponsive, now), []string{"c", "b", "d", "a"})
+	is.Equal(callOrder([]string{"a", "b"}, "", nil, now), []string{"a", "b"})
 }
--- a/internal/batch/queueclient/submit_test.go
+++ b/internal/batch/queueclient/submit_test.go
@@ -15,10 +15,10 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// shardNode is a storage node as a client sees it.
+// shardNode simulates a storage node with one queue shard.
 type shardNode struct {
-	leads, knows, takes atomic.Bool
-	submissions         atomic.Int64
+	leads, knows, confirms atomic.Bool
+	submissions            atomic.Int64
 }
 
 func (n *shardNode) serve(t *testing.T) string {
@@ -39,8 +39,8 @@
 		if !n.leads.Load() {
 			return result.New(result.NotLeader, "not led here")
 		}
-		if !n.takes.Load() {
-			n.knows.Store(true) // it is taken, though that is not confirmed
+		if !n.confirms.Load() {
+			n.knows.Store(true) // the job is accepted without confirmation
 			return result.New(result.CommitUnknown, "not confirmed")
 		}
 		return stream.Send(&wirev1.QueueSubmitReply{})
@@ -59,12 +59,12 @@
 	return client.Submit(ctx, &wirev1.QueueSubmitRequest{Job: &wirev1.QueueJob{Id: "j", Host: "h"}})
 }
 
-// A job's bytes go to the leader only, and not at all if it knows the job.
+// A job is sent only to the leader, and not at all if the leader already has the job.
 func TestJobsGoToTheLeaderOnly(t *testing.T) {
 	is := is.New(t)
 	follower, leader := &shardNode{}, &shardNode{}
 	leader.leads.Store(true)
-	leader.takes.Store(true)
+	leader.confirms.Store(true)
 	client := clientOf(t, follower.serve(t), leader.serve(t))
 	reply, err := submitTo(client, 20*time.Second)
 	is.NoErr(err)
@@ -78,8 +78,9 @@
 	is.Equal(leader.submissions.Load(), int64(1))
 }
 
-// A submission that was not confirmed is found by asking, and not sent again.
-func TestUnconfirmedJobIsAskedFor(t *testing.T) {
+// After an unconfirmed submission, a read finds the accepted job, which is not sent
+// again.
+func TestUnconfirmedJobIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	leader := &shardNode{}
 	leader.leads.Store(true)
@@ -90,9 +91,9 @@
 	is.Equal(leader.submissions.Load(), int64(1))
 }
 
-// Without a leader a job is reported as not taken; after a submission that was not
-// confirmed it is reported as perhaps taken.
-func TestWhetherAJobMayHaveBeenTaken(t *testing.T) {
+// Without a leader the error says that the job was not accepted; after an unconfirmed
+// submission the error says that the outcome is unknown.
+func TestErrorSaysWhetherTheJobMayBeAccepted(t *testing.T) {
 	is := is.New(t)
 	_, err := submitTo(clientOf(t, (&shardNode{}).serve(t)), 300*time.Millisecond)
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanNo)
@@ -104,15 +105,14 @@
 	defer cancel()
 	go func() {
 		eventually.Assert(t, "the leader has a submission", func() bool { return leader.submissions.Load() > 0 }, func() any { return leader.submissions.Load() })
-		leader.leads.Store(false) // it is lost right after
+		leader.leads.Store(false) // the node loses its leadership right after the submission
 	}()
 	_, err = client.Submit(ctx, &wirev1.QueueSubmitRequest{Job: &wirev1.QueueJob{Id: "j", Host: "h"}})
 	is.True(err == nil || result.CodeOf(err).Entry().Ran == result.RanUnknown)
 }
 
-// A refusal after a submission that was not confirmed does not say that the job
-// is not taken.
-func TestRefusalAfterAnUnconfirmedTry(t *testing.T) {
+// The outcome remains unknown if an unconfirmed submission is followed by a rejection.
+func TestRejectionAfterUnconfirmedSubmissionIsUnknown(t *testing.T) {
 	is := is.New(t)
 	var submissions atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
