--- a/internal/batch/doc.go
+++ b/internal/batch/doc.go
@@ -1,10 +1,11 @@
-// Package batch groups what keeps, replicates and runs batch jobs. It holds no
-// code itself.
+// Package batch groups the packages that store, replicate and run batch jobs. It
+// contains no code itself.
 //
-//   - replica, logstore, placement and shardhost are the replicated shards of both
-//     the storage node and the plain node: decisions, disk, members, and the host.
-//   - queue, queuestore and queuerun are the queue shards of the storage node;
-//     queueclient reaches them from an edge.
-//   - shard, grants and jsonl are the file and job shards of the plain node, which
-//     modules/batch/store runs.
+//   - Packages replica, logstore, placement and shardhost implement replicated shards
+//     for the storage node and the plain node: consensus, disk storage, placement of
+//     replicas and the host of a node's shards.
+//   - Packages queue, queuestore and queuerun implement the queue shards of the storage
+//     node; queueclient calls them from an edge.
+//   - Packages shard, grants and jsonl implement the file and job shards of the plain
+//     node, which modules/batch/store runs.
 package batch
--- a/internal/batch/grants/grants.go
+++ b/internal/batch/grants/grants.go
@@ -1,11 +1,11 @@
-// Package grants is a shard leader's volatile state: which items are handed to
-// whom, and in which order the others follow. Losing it costs repeats of
-// repeatable items and never a promise: what is done, and what of class once
-// may have begun, is in the shard's log.
+// Package grants implements the volatile state of a shard's leader: the items granted to
+// sessions of nodes, and the order in which pending items are granted. Losing this state
+// may repeat repeatable items but breaks no guarantee, because completed items and
+// started items of class once are recorded in the shard's log.
 //
-// Nodes pull; a grant lasts as long as its holder's session is renewed. The package
-// does no I/O and reads no clock; it relies on a Loader for the shard's applied
-// state. The plain node runs it, on the leader of a shard (modules/batch/store).
+// Nodes pull items. A grant lasts as long as its holder renews the session. The package
+// does no I/O and reads no clock; a Loader reads the shard's applied state. The plain
+// node runs it on the leader of a shard (modules/batch/store).
 package grants
 
 import (
@@ -14,16 +14,16 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Timing holds the leader's times.
+// Timing holds the durations by which a leader manages grants.
 type Timing struct {
-	// Lease is how long a silent session keeps its grants.
+	// Lease is how long a session keeps its grants without renewal.
 	Lease time.Duration
-	// Grace is how long a new leader grants nothing, so that holders can say
-	// what they run already.
+	// Grace is how long a new leader grants nothing, so that holders can report the
+	// items they are already running.
 	Grace time.Duration
 }
 
-// DefaultTiming requeues a dead node's items after five seconds.
+// DefaultTiming returns the default durations.
 func DefaultTiming() Timing {
 	return Timing{Lease: 5 * time.Second, Grace: 1500 * time.Millisecond}
 }
@@ -39,38 +39,38 @@
 	nextSegment uint32
 	ready       map[string][]pendingItem // by model
 	outstanding int
-	stopping    bool // cancelled or expired: nothing more is granted
+	stopping    bool // cancelled or expired; no more items are granted
 	cancelled   bool
 }
 
-// Table is the state of one led shard. It is not safe for concurrent use.
+// Table is the leader's state of one shard. It is not safe for concurrent use.
 //
-// Invariant: an item is in at most one of: unloaded segments, ready, granted,
-// withoutHolder; and in none once completed.
+// Invariant: an item is in at most one of the unloaded segments, the ready items, the
+// grants and the orphaned items. A completed item is in none of them.
 type Table struct {
 	timing  Timing
 	elected time.Time
 	jobs    map[string]*job
 	grants  map[Key]*grant
 	holders map[Session]*holder
-	tenants map[string]int // outstanding grants
-	// withoutHolder are items of class once that may have begun and whose holder
-	// is not known: begun under an earlier leader, or by a session that expired.
-	withoutHolder map[Key]bool
-	// completed are items that an earlier holder completed while they waited to
-	// be handed out again.
+	tenants map[string]int // number of outstanding grants by tenant
+	// orphaned holds items of class once that may have started and have no known
+	// holder: they started under an earlier leader, or their session expired.
+	orphaned map[Key]bool
+	// completed holds items that an earlier holder completed while they were waiting
+	// to be granted again.
 	completed map[Key]bool
 }
 
-// New returns the table of a leader elected now.
+// New returns the table of a leader that was elected at the time now.
 func New(timing Timing, now time.Time) *Table {
 	return &Table{
 		timing: timing, elected: now, jobs: map[string]*job{}, grants: map[Key]*grant{},
-		holders: map[Session]*holder{}, tenants: map[string]int{}, withoutHolder: map[Key]bool{}, completed: map[Key]bool{},
+		holders: map[Session]*holder{}, tenants: map[string]int{}, orphaned: map[Key]bool{}, completed: map[Key]bool{},
 	}
 }
 
-// AddJob makes an unfinished job's items available.
+// AddJob adds the items of an unfinished job, unless the table already holds the job.
 func (t *Table) AddJob(record *wirev1.JobRecord) {
 	if t.jobs[record.Spec.JobId] != nil {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// RemoveJob forgets a job that has ended.
+// RemoveJob removes a job that has ended, with its grants.
 func (t *Table) RemoveJob(id string) {
 	known := t.jobs[id]
 	if known == nil {
@@ -92,12 +92,12 @@
 	}
 	for key, held := range t.grants {
 		if held.job == known {
-			t.drop(key, held)
+			t.release(key, held)
 		}
 	}
-	for key := range t.withoutHolder {
+	for key := range t.orphaned {
 		if key.Job == id {
-			delete(t.withoutHolder, key)
+			delete(t.orphaned, key)
 		}
 	}
 	for key := range t.completed {
@@ -108,7 +108,8 @@
 	delete(t.jobs, id)
 }
 
-// Stop grants no more of a job; cancelled jobs end when nothing is out.
+// Stop stops granting items of a job. A cancelled job ends when none of its items is
+// granted any more.
 func (t *Table) Stop(id string, cancelled bool) {
 	if known := t.jobs[id]; known != nil {
 		known.stopping = true
@@ -118,16 +119,16 @@
 	}
 }
 
-// FreeSlots is how many items of a model a puller can start.
+// FreeSlots is the number of items of a model that a pulling node can start.
 type FreeSlots struct {
 	Model string
 	Items int
 }
 
-// Pull renews a session and returns offers for its free slots, none during the
-// grace of a new leader. Items of class once must be confirmed with Confirm after
-// their start is recorded, or handed back with Return. If the loader fails, its
-// error comes with the offers made until then, which are granted.
+// Pull renews a session and grants it items for its free slots, but none during the
+// grace period of a new leader. After their start has been recorded, offers of class
+// once must be confirmed with Confirm, or else returned with Return. If the loader fails,
+// Pull returns the error together with the offers that are already granted.
 func (t *Table) Pull(now time.Time, session Session, free []FreeSlots, loader Loader) ([]Offer, error) {
 	h := t.renew(now, session)
 	var offers []Offer
@@ -136,7 +137,7 @@
 	}
 	for _, wanted := range free {
 		for range wanted.Items {
-			offer, err := t.next(session, h, wanted.Model, loader)
+			offer, err := t.nextOffer(session, h, wanted.Model, loader)
 			if err != nil {
 				return offers, err
 			}
@@ -149,8 +150,9 @@
 	return offers, nil
 }
 
-// Confirm says which once offers were recorded as started; offers not among
-// them were begun before and are not handed out.
+// Confirm returns the offers that may be sent to the holder. It takes the keys of the
+// offers of class once whose start was recorded now. The other offers of that class had
+// already started earlier; their grants are released and they become orphaned.
 func (t *Table) Confirm(offers []Offer, started []*wirev1.ItemKey) []Offer {
 	recorded := map[Key]bool{}
 	for _, key := range started {
@@ -164,18 +166,18 @@
 			continue
 		}
 		if held := t.grants[offer.Key]; held != nil {
-			t.drop(offer.Key, held)
-			t.withoutHolder[offer.Key] = true
+			t.release(offer.Key, held)
+			t.orphaned[offer.Key] = true
 		}
 	}
 	return kept
 }
 
-// Outstanding returns the number of items handed out.
+// Outstanding returns the number of granted items.
 func (t *Table) Outstanding() int { return len(t.grants) }
 
-// Pending reports whether any job may still have items to hand out.
-func (t *Table) Pending() bool {
+// HasPending reports whether any job may still have items to grant.
+func (t *Table) HasPending() bool {
 	for _, j := range t.jobs {
 		if !j.stopping && (j.nextSegment < j.segments || j.readyCount() > 0) {
 			return true
--- a/internal/batch/grants/grants_test.go
+++ b/internal/batch/grants/grants_test.go
@@ -12,23 +12,23 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// applied stands for the shard's applied state.
-type applied struct {
+// fakeState is the shard's applied state in memory. It implements Loader.
+type fakeState struct {
 	items    map[string][][]*wirev1.Item // file → segments
 	done     map[Key]bool
 	started  map[Key]bool
 	attempts map[Key]int
 }
 
-func newApplied() *applied {
-	return &applied{items: map[string][][]*wirev1.Item{}, done: map[Key]bool{}, started: map[Key]bool{}, attempts: map[Key]int{}}
+func newFakeState() *fakeState {
+	return &fakeState{items: map[string][][]*wirev1.Item{}, done: map[Key]bool{}, started: map[Key]bool{}, attempts: map[Key]int{}}
 }
 
-func (a *applied) Segment(file string, segment uint32) ([]*wirev1.Item, error) {
+func (a *fakeState) Segment(file string, segment uint32) ([]*wirev1.Item, error) {
 	return a.items[file][segment], nil
 }
 
-func (a *applied) Progress(job string, segment uint32) (*wirev1.SegmentProgress, error) {
+func (a *fakeState) Progress(job string, segment uint32) (*wirev1.SegmentProgress, error) {
 	progress := &wirev1.SegmentProgress{Done: make([]byte, 16), Started: make([]byte, 16)}
 	for key := range a.done {
 		if key.Job == job && key.Segment == segment {
@@ -43,7 +43,7 @@
 	return progress, nil
 }
 
-func (a *applied) addJob(table *Table, id, tenant string, segments, items int, class wirev1.WorkClass, priority int32) *wirev1.JobRecord {
+func (a *fakeState) addJob(table *Table, id, tenant string, segments, items int, class wirev1.WorkClass, priority int32) *wirev1.JobRecord {
 	for segment := range segments {
 		a.items[id] = append(a.items[id], nil)
 		for range items {
@@ -58,26 +58,26 @@
 	return record
 }
 
-// world drives a table with sessions that run, fall silent, give back, and a
-// leader that changes.
-type world struct {
+// simulation drives a table with sessions that pull, complete and return items or expire,
+// and with changes of the leader.
+type simulation struct {
 	table *Table
-	state *applied
+	state *fakeState
 	now   time.Time
 	jobs  []*wirev1.JobRecord
-	// holding is what each session believes it holds.
+	// holding is the set of items that each session assumes to hold.
 	holding map[Session]map[Key]bool
 	onceRan map[Key]int
 	class   wirev1.WorkClass
 }
 
-func (w *world) advance(d time.Duration) { w.now = w.now.Add(d) }
+func (w *simulation) advance(d time.Duration) { w.now = w.now.Add(d) }
 
-func (w *world) session(t *rapid.T) Session {
+func (w *simulation) session(t *rapid.T) Session {
 	return Session{Node: fmt.Sprint("n", rapid.IntRange(0, 3).Draw(t, "node")), ID: 1}
 }
 
-func (w *world) pull(t *rapid.T) {
+func (w *simulation) pull(t *rapid.T) {
 	session := w.session(t)
 	offers, err := w.table.Pull(w.now, session, []FreeSlots{{Model: "m", Items: rapid.IntRange(0, 5).Draw(t, "free")}}, w.state)
 	if err != nil {
@@ -95,19 +95,19 @@
 	}
 	for _, offer := range w.table.Confirm(offers, started) {
 		if w.state.done[offer.Key] {
-			t.Fatalf("a completed item was handed out: %v", offer.Key)
+			t.Fatalf("a completed item was granted: %v", offer.Key)
 		}
 		w.holding[session][offer.Key] = true
 		if offer.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE {
 			w.onceRan[offer.Key]++
 			if w.onceRan[offer.Key] > 1 {
-				t.Fatalf("once item %v was handed out again after it may have run", offer.Key)
+				t.Fatalf("item %v of class once was granted again after it may have run", offer.Key)
 			}
 		}
 	}
 }
 
-func (w *world) pick(t *rapid.T) (Session, Key, bool) {
+func (w *simulation) pick(t *rapid.T) (Session, Key, bool) {
 	session := w.session(t)
 	for segment := range 3 {
 		for offset := range 5 {
@@ -122,7 +122,7 @@
 	return session, Key{}, false
 }
 
-func (w *world) complete(t *rapid.T) {
+func (w *simulation) complete(t *rapid.T) {
 	session, key, found := w.pick(t)
 	if !found {
 		return
@@ -132,19 +132,19 @@
 	w.table.Completed([]Key{key})
 }
 
-func (w *world) giveBack(t *rapid.T) {
+func (w *simulation) returnItem(t *rapid.T) {
 	session, key, found := w.pick(t)
 	if !found {
 		return
 	}
 	delete(w.holding[session], key)
 	if held := w.table.grants[key]; held != nil && held.session == session && w.class == wirev1.WorkClass_WORK_CLASS_ONCE {
-		w.onceRan[key]-- // given back as provably not run
+		w.onceRan[key]-- // returned without having run
 	}
 	w.table.Return(w.now, session, []Key{key})
 }
 
-func (w *world) wait(t *rapid.T) {
+func (w *simulation) wait(t *rapid.T) {
 	w.advance(time.Duration(rapid.IntRange(100, 7000).Draw(t, "ms")) * time.Millisecond)
 	due := w.table.Tick(w.now)
 	for _, key := range due.Unknown {
@@ -153,19 +153,19 @@
 	w.table.Completed(due.Unknown)
 }
 
-func (w *world) newLeader(*rapid.T) {
+func (w *simulation) newLeader(*rapid.T) {
 	w.table = New(DefaultTiming(), w.now)
 	for _, job := range w.jobs {
 		w.table.AddJob(job)
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	owners := map[Key]Session{}
 	for key, held := range w.table.grants {
 		owners[key] = held.session
 		if held.job.outstanding <= 0 || w.table.tenants[held.job.tenant] <= 0 {
-			t.Fatalf("counts are off for %v", key)
+			t.Fatalf("the counts of outstanding grants are wrong for %v", key)
 		}
 	}
 	for _, j := range w.table.jobs {
@@ -179,8 +179,8 @@
 	}
 }
 
-// finish lets one healthy session run everything.
-func (w *world) finish(t *rapid.T) {
+// finish runs all remaining items in one session that doesn't fail.
+func (w *simulation) finish(t *rapid.T) {
 	session := Session{Node: "last", ID: 9}
 	for range 400 {
 		w.advance(600 * time.Millisecond)
@@ -207,11 +207,11 @@
 	}
 }
 
-// Every item is brought to an end, whatever sessions and leaders are lost on
-// the way; no completed item goes out again; once items go out once.
-func TestEveryItemEndsAndOnceItemsGoOutOnce(t *testing.T) {
+// Every item ends in spite of lost sessions and leaders. No completed item is granted
+// again, and an item of class once is granted only once.
+func TestEveryItemEndsAndOnceItemsAreOfferedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{state: newApplied(), now: time.Unix(0, 0), holding: map[Session]map[Key]bool{}, onceRan: map[Key]int{}}
+		w := &simulation{state: newFakeState(), now: time.Unix(0, 0), holding: map[Session]map[Key]bool{}, onceRan: map[Key]int{}}
 		w.table = New(DefaultTiming(), w.now)
 		w.advance(5 * time.Second)
 		w.class = rapid.SampledFrom([]wirev1.WorkClass{wirev1.WorkClass_WORK_CLASS_REPEATABLE, wirev1.WorkClass_WORK_CLASS_ONCE}).Draw(t, "class")
@@ -219,14 +219,14 @@
 			w.jobs = append(w.jobs, w.state.addJob(w.table, fmt.Sprint("j", i), fmt.Sprint("t", i%2), rapid.IntRange(1, 3).Draw(t, "segments"), 5, w.class, 5))
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"pull": w.pull, "complete": w.complete, "give back": w.giveBack, "wait": w.wait, "new leader": w.newLeader, "": w.check,
+			"pull": w.pull, "complete": w.complete, "give back": w.returnItem, "wait": w.wait, "new leader": w.newLeader, "": w.check,
 		})
 		w.finish(t)
 		for _, job := range w.jobs {
 			for segment, items := range w.state.items[job.Spec.InputFileId] {
 				for offset := range items {
 					if key := (Key{job.Spec.JobId, uint32(segment), uint32(offset)}); !w.state.done[key] {
-						t.Fatalf("item %v never ended", key)
+						t.Fatalf("item %v did not end", key)
 					}
 				}
 			}
@@ -234,12 +234,11 @@
 	})
 }
 
-// An item whose holder was given up, and brought it home all the same, does not
-// go out again.
-func TestLateCompletionTakesTheItemOutOfLine(t *testing.T) {
+// An item that an expired session completes late is not granted again.
+func TestLateCompletionPreventsAnotherOffer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table, state := New(DefaultTiming(), now), newApplied()
+	table, state := New(DefaultTiming(), now), newFakeState()
 	state.addJob(table, "j", "t", 1, 2, wirev1.WorkClass_WORK_CLASS_REPEATABLE, 5)
 	now = now.Add(10 * time.Second)
 	offers, err := table.Pull(now, Session{"slow", 1}, []FreeSlots{{"m", 2}}, state)
@@ -255,12 +254,12 @@
 	is.Equal(len(table.completed), 0)
 }
 
-// A cancelled job hands out nothing more, and is due to end exactly when its
-// last item is back.
-func TestCancelStops(t *testing.T) {
+// No item of a cancelled job is granted, and the job is due to end exactly when its last
+// granted item is returned or expires.
+func TestCancelledJobEndsAfterItsLastItem(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table, state := New(DefaultTiming(), now), newApplied()
+	table, state := New(DefaultTiming(), now), newFakeState()
 	state.addJob(table, "j", "t", 1, 5, wirev1.WorkClass_WORK_CLASS_REPEATABLE, 5)
 	now = now.Add(10 * time.Second)
 	session := Session{Node: "n", ID: 1}
@@ -271,20 +270,20 @@
 	table.Stop("j", true)
 	more, err := table.Pull(now, session, []FreeSlots{{"m", 5}}, state)
 	is.NoErr(err)
-	is.Equal(len(more), 0)                              // nothing more goes out
+	is.Equal(len(more), 0)                              // nothing more is granted
 	is.Equal(table.StoppedJobs(session), []string{"j"}) // the holder is notified
-	is.Equal(len(table.Tick(now).Cancelled), 0)         // two items are still out
+	is.Equal(len(table.Tick(now).Cancelled), 0)         // two items are still granted
 	table.Return(now, session, []Key{offers[0].Key})
 	is.Equal(len(table.Tick(now).Cancelled), 0)
-	now = now.Add(time.Minute) // the holder of the other is gone
+	now = now.Add(time.Minute) // the session that holds the other item expires
 	table.Tick(now)
 	is.Equal(table.Tick(now).Cancelled, []string{"j"})
 }
 
-func TestOrderIsPriorityThenFairThenDeadline(t *testing.T) {
+func TestOffersFollowPriorityAndTenantFairness(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table, state := New(DefaultTiming(), now), newApplied()
+	table, state := New(DefaultTiming(), now), newFakeState()
 	now = now.Add(10 * time.Second)
 	state.addJob(table, "low", "a", 1, 5, wirev1.WorkClass_WORK_CLASS_REPEATABLE, 1)
 	state.addJob(table, "first", "a", 1, 5, wirev1.WorkClass_WORK_CLASS_REPEATABLE, 5)
@@ -295,16 +294,16 @@
 	for i, offer := range offers {
 		counts[offer.Key.Job]++
 		if i == 3 {
-			is.Equal(counts["first"], 2) // tenants take turns
+			is.Equal(counts["first"], 2) // tenants alternate
 			is.Equal(counts["second"], 2)
 		}
 	}
-	is.Equal(counts["low"], 2) // only when the higher priority is out
+	is.Equal(counts["low"], 2) // only after all items of higher priority are granted
 }
 
 func BenchmarkPull(b *testing.B) {
 	now := time.Unix(0, 0)
-	state := newApplied()
+	state := newFakeState()
 	table := New(DefaultTiming(), now)
 	now = now.Add(10 * time.Second)
 	for i := range 40 {
--- a/internal/batch/grants/items.go
+++ b/internal/batch/grants/items.go
@@ -6,17 +6,17 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Key identifies an item; it is comparable, unlike its wire form.
+// Key identifies an item. Unlike the wire form it is comparable.
 type Key struct {
 	Job     string
 	Segment uint32
 	Offset  uint32
 }
 
-// KeyFromProto converts the wire form.
+// KeyFromProto converts a key from its wire form.
 func KeyFromProto(key *wirev1.ItemKey) Key { return Key{key.JobId, key.Segment, key.Offset} }
 
-// Proto converts to the wire form.
+// Proto converts the key to its wire form.
 func (k Key) Proto() *wirev1.ItemKey {
 	return &wirev1.ItemKey{JobId: k.Job, Segment: k.Segment, Offset: k.Offset}
 }
@@ -27,8 +27,8 @@
 	Progress(job string, segment uint32) (*wirev1.SegmentProgress, error)
 }
 
-// Offer is an item chosen for a puller. An offer of class once that is not
-// Restarted must be recorded as started before it is handed out.
+// Offer is an item granted to a pulling node. An offer of class once must be recorded as
+// started before it is sent, unless Restarted says that the start is already recorded.
 type Offer struct {
 	Key       Key
 	Item      *wirev1.Item
--- a/internal/batch/grants/order.go
+++ b/internal/batch/grants/order.go
@@ -9,31 +9,33 @@
 	session Session
 	item    pendingItem
 	job     *job
-	// once items that are not proven unrun end as unknown if their holder dies.
+	// once reports that the item must not run again if its session expires, because it
+	// may have started. Its result is then unknown.
 	once bool
 }
 
-// next takes the best pending item of a model: highest priority, then the
-// tenant with the fewest items out, then the earliest deadline.
-func (t *Table) next(session Session, h *holder, model string, loader Loader) (*Offer, error) {
+// nextOffer grants the first pending item of a model in the order of their jobs: by the
+// highest priority, then the tenant with the fewest granted items, then the earliest
+// deadline. It returns nil if there is no pending item.
+func (t *Table) nextOffer(session Session, h *holder, model string, loader Loader) (*Offer, error) {
 	for {
 		best, err := t.bestJob(model, loader)
 		if err != nil || best == nil {
 			return nil, err
 		}
 		list := best.ready[model]
-		taken := list[0]
+		first := list[0]
 		best.ready[model] = list[1:]
-		if t.grants[taken.key] != nil {
-			continue // held since before this leader
+		if t.grants[first.key] != nil {
+			continue // granted by an earlier leader and adopted
 		}
-		if t.completed[taken.key] {
-			delete(t.completed, taken.key)
+		if t.completed[first.key] {
+			delete(t.completed, first.key)
 			continue
 		}
-		t.grant(session, h, best, taken, taken.item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE)
+		t.grant(session, h, best, first, first.item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE)
 		return &Offer{
-			Key: taken.key, Item: taken.item, Attempt: taken.attempt, Tenant: best.tenant, Deadline: best.deadline, Restarted: taken.restarted,
+			Key: first.key, Item: first.item, Attempt: first.attempt, Tenant: best.tenant, Deadline: best.deadline, Restarted: first.restarted,
 		}, nil
 	}
 }
@@ -48,10 +50,10 @@
 func (t *Table) bestJob(model string, loader Loader) (*job, error) {
 	var best *job
 	for _, candidate := range t.jobs {
-		if candidate.stopping || (best != nil && !t.before(candidate, best)) {
+		if candidate.stopping || (best != nil && !t.comesFirst(candidate, best)) {
 			continue
 		}
-		if err := t.fill(candidate, model, loader); err != nil {
+		if err := t.loadUntilReady(candidate, model, loader); err != nil {
 			return nil, err
 		}
 		if len(candidate.ready[model]) > 0 {
@@ -61,7 +63,7 @@
 	return best, nil
 }
 
-func (t *Table) before(a, b *job) bool {
+func (t *Table) comesFirst(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
@@ -77,12 +79,13 @@
 	return a.id < b.id
 }
 
-// maxReady bounds the items of a job held in memory while looking for a model.
+// maxReady is the number of a job's ready items in memory from which no further segments
+// are loaded in search of a model.
 const maxReady = 4000
 
-// fill loads segments until the job has an item of the model ready, or none is
-// left.
-func (t *Table) fill(j *job, model string, loader Loader) error {
+// loadUntilReady loads segments of a job until an item of the model is ready, no segment
+// is left, or maxReady is reached.
+func (t *Table) loadUntilReady(j *job, model string, loader Loader) error {
 	for len(j.ready[model]) == 0 && j.nextSegment < j.segments && j.readyCount() < maxReady {
 		if err := t.loadSegment(j, j.nextSegment, loader); err != nil {
 			return err
@@ -111,11 +114,11 @@
 	}
 	for offset, item := range items {
 		key := Key{j.id, segment, uint32(offset)}
-		delete(t.completed, key) // the applied state says so too
+		delete(t.completed, key) // the applied state includes the completion
 		switch {
 		case shard.IsDone(progress, key.Offset) || t.grants[key] != nil:
 		case shard.IsStarted(progress, key.Offset):
-			t.withoutHolder[key] = true
+			t.orphaned[key] = true
 		default:
 			j.ready[item.Model] = append(j.ready[item.Model], pendingItem{key: key, item: item, attempt: 1})
 		}
--- a/internal/batch/grants/returns.go
+++ b/internal/batch/grants/returns.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Return takes back items that were provably not run to an end: preempted
-// repeatable ones, and once ones that never reached an engine.
+// Return requeues items that a session gives back without a result: preempted items of
+// the repeatable class, and items of class once that never reached an engine.
 func (t *Table) Return(now time.Time, session Session, keys []Key) {
 	t.renew(now, session)
 	for _, key := range keys {
@@ -13,24 +13,25 @@
 		if held == nil || held.session != session {
 			continue
 		}
-		t.drop(key, held)
+		t.release(key, held)
 		held.item.restarted = held.once
 		t.requeue(held)
 	}
 }
 
-// Retry takes back an item whose attempt failed, for another attempt.
+// Retry requeues an item after a failed attempt.
 func (t *Table) Retry(session Session, key Key) {
 	held := t.grants[key]
 	if held == nil || held.session != session {
 		return
 	}
-	t.drop(key, held)
+	t.release(key, held)
 	held.item.attempt++
 	t.requeue(held)
 }
 
-// Attempt returns how often an item held by the session was tried.
+// Attempt returns the number of the current attempt of an item granted to the session,
+// or 0 if the session does not hold the item.
 func (t *Table) Attempt(session Session, key Key) uint32 {
 	if held := t.grants[key]; held != nil && held.session == session {
 		return held.item.attempt
@@ -38,7 +39,7 @@
 	return 0
 }
 
-// requeue puts an item first in line again.
+// requeue puts an item at the front of the job's ready items, unless the job is stopping.
 func (t *Table) requeue(held *grant) {
 	if held.job.stopping || t.jobs[held.job.id] != held.job {
 		return
@@ -47,7 +48,7 @@
 	held.job.ready[model] = append([]pendingItem{held.item}, held.job.ready[model]...)
 }
 
-func (t *Table) drop(key Key, held *grant) {
+func (t *Table) release(key Key, held *grant) {
 	delete(t.grants, key)
 	if h := t.holders[held.session]; h != nil {
 		delete(h.keys, key)
@@ -59,14 +60,14 @@
 	}
 }
 
-// Completed forgets items whose completion is committed.
+// Completed removes items whose completion is committed.
 func (t *Table) Completed(keys []Key) {
 	for _, key := range keys {
 		if held := t.grants[key]; held != nil {
-			t.drop(key, held)
+			t.release(key, held)
 		} else if t.jobs[key.Job] != nil {
 			t.completed[key] = true
 		}
-		delete(t.withoutHolder, key)
+		delete(t.orphaned, key)
 	}
 }
--- a/internal/batch/grants/sessions.go
+++ b/internal/batch/grants/sessions.go
@@ -7,15 +7,15 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Session is one life of one node.
+// Session identifies one lifetime of a node's process.
 type Session struct {
 	Node string
 	ID   uint64
 }
 
 type holder struct {
-	seen time.Time
-	keys map[Key]bool
+	lastRenewed time.Time
+	keys        map[Key]bool
 }
 
 func (t *Table) renew(now time.Time, session Session) *holder {
@@ -24,12 +24,13 @@
 		h = &holder{keys: map[Key]bool{}}
 		t.holders[session] = h
 	}
-	h.seen = now
+	h.lastRenewed = now
 	return h
 }
 
-// Hold registers items a holder ran already when this leader was elected.
-func (t *Table) Hold(now time.Time, session Session, key Key, item *wirev1.Item) {
+// Adopt grants an item to a session that was already running it when this leader was
+// elected.
+func (t *Table) Adopt(now time.Time, session Session, key Key, item *wirev1.Item) {
 	known := t.jobs[key.Job]
 	if known == nil || t.grants[key] != nil || item == nil {
 		return
@@ -42,30 +43,31 @@
 			}
 		}
 	}
-	delete(t.withoutHolder, key)
+	delete(t.orphaned, key)
 	t.grant(session, h, known, pendingItem{key: key, item: item, attempt: 1}, true)
 }
 
-// Due is what a tick found.
-type Due struct {
-	// Unknown once items: begun, holder lost.
+// TickResult holds the items and jobs that a tick found due for a command.
+type TickResult struct {
+	// Unknown holds items of class once that may have started and have lost their
+	// holder.
 	Unknown []Key
-	// Expired jobs: past their deadline, still open.
+	// Expired holds unfinished jobs past their deadline.
 	Expired []string
-	// Cancelled jobs with nothing out any more.
+	// Cancelled holds cancelled jobs without granted items.
 	Cancelled []string
 }
 
-// Tick expires sessions and jobs.
-func (t *Table) Tick(now time.Time) Due {
-	var due Due
+// Tick expires sessions, and returns the items and jobs that are due to end.
+func (t *Table) Tick(now time.Time) TickResult {
+	var due TickResult
 	for session, h := range t.holders {
-		if now.Sub(h.seen) >= t.timing.Lease {
-			due.Unknown = append(due.Unknown, t.expire(session, h)...)
+		if now.Sub(h.lastRenewed) >= t.timing.Lease {
+			due.Unknown = append(due.Unknown, t.expireSession(session, h)...)
 		}
 	}
 	if now.Sub(t.elected) >= t.timing.Lease+t.timing.Grace {
-		for key := range t.withoutHolder {
+		for key := range t.orphaned {
 			due.Unknown = append(due.Unknown, key)
 		}
 	}
@@ -85,15 +87,15 @@
 	return due
 }
 
-// expire ends a silent session: repeatable items go out again, once items that
-// may have run are kept without a holder.
-func (t *Table) expire(session Session, h *holder) []Key {
+// expireSession ends a session that was not renewed in time. Repeatable items are
+// requeued; items of class once that may have started become orphaned and are returned.
+func (t *Table) expireSession(session Session, h *holder) []Key {
 	var unknown []Key
 	for key := range h.keys {
 		held := t.grants[key]
-		t.drop(key, held)
+		t.release(key, held)
 		if held.once {
-			t.withoutHolder[key] = true
+			t.orphaned[key] = true
 			unknown = append(unknown, key)
 			continue
 		}
@@ -104,8 +106,7 @@
 	return unknown
 }
 
-// StoppedJobs lists jobs of which a session still holds items though nothing
-// more of them is to run.
+// StoppedJobs returns the stopped or removed jobs of which a session still holds items.
 func (t *Table) StoppedJobs(session Session) []string {
 	h := t.holders[session]
 	if h == nil {
--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -37,7 +37,7 @@
 				return
 			}
 			reply.Leading = append(reply.Leading, held.ID)
-			if held.table.Pending() {
+			if held.table.HasPending() {
 				reply.Pending = append(reply.Pending, held.ID)
 			}
 		})
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -178,7 +178,7 @@
 		var err error
 		offers, err = table.Pull(now, session, roomOf(request.Room), loader{s.Store.View()})
 		stopped = table.StoppedJobs(session)
-		pending = table.Pending()
+		pending = table.HasPending()
 		return err
 	})
 	if err != nil {
@@ -209,7 +209,7 @@
 		if err != nil || int(key.Offset) >= len(items) {
 			continue
 		}
-		table.Hold(now, session, grants.KeyFromProto(key), items[key.Offset])
+		table.Adopt(now, session, grants.KeyFromProto(key), items[key.Offset])
 	}
 }
 
