--- a/internal/batch/grants/grants.go
+++ b/internal/batch/grants/grants.go
@@ -1,7 +1,7 @@
 // Package grants implements the volatile state of a shard's leader: the items granted to
 // sessions of nodes, and the order in which pending items are granted. Losing this state
-// may repeat repeatable items but breaks no guarantee, because completed items and
-// started items of class once are recorded in the shard's log.
+// may repeat repeatable items but breaks no guarantee, because the shard's log records
+// completed items and started items of class once, which run at most once.
 //
 // Nodes pull items. A grant lasts as long as its holder renews the session. The package
 // does no I/O and reads no clock; a Loader reads the shard's applied state. The plain
@@ -126,9 +126,9 @@
 }
 
 // Pull renews a session and grants it items for its free slots, but none during the
-// grace period of a new leader. After their start has been recorded, offers of class
-// once must be confirmed with Confirm, or else returned with Return. If the loader fails,
-// Pull returns the error together with the offers that are already granted.
+// grace period of a new leader. Offers of class once must be passed to Confirm after
+// their start has been recorded, or given back with Return. If the loader fails, Pull
+// returns the error together with the offers that are already granted.
 func (t *Table) Pull(now time.Time, session Session, free []FreeSlots, loader Loader) ([]Offer, error) {
 	h := t.renew(now, session)
 	var offers []Offer
--- a/internal/batch/grants/order.go
+++ b/internal/batch/grants/order.go
@@ -9,8 +9,8 @@
 	session Session
 	item    pendingItem
 	job     *job
-	// once reports that the item must not run again if its session expires, because it
-	// may have started. Its result is then unknown.
+	// once reports that the item must not run again after its session expires, because
+	// it may have started. Its result is then unknown.
 	once bool
 }
 
--- a/internal/batch/queue/queue.go
+++ b/internal/batch/queue/queue.go
@@ -5,7 +5,7 @@
 // It defines the layout of the stored rows (rows.go, progress.go), the commands that
 // change them (queue.go), the order in which items are started (order.go, pace.go) and
 // the sum of waiting tokens over all shards (ledger.go). Package queuestore replicates
-// the commands, opens the store and elects the leader.
+// the commands, opens the store and runs the leader.
 //
 // The state machine guarantees that a job is accepted once, that an item gets one
 // result, that the position and content of a result never change, and that no result is
--- a/internal/batch/queueclient/queueclient.go
+++ b/internal/batch/queueclient/queueclient.go
@@ -123,9 +123,9 @@
 
 // round calls each member of the shard once and uses the first response. It calls the
 // next member when the previous one has failed or has not responded within hedgeDelay.
-// After the last call it waits up to lastTimeout for the outstanding attempts, then
-// gives up the round, because another member may have become the leader. It doesn't wait
-// for cancelled attempts, since a dial to a dead node may take seconds to return.
+// After the last call it waits up to lastTimeout for the outstanding attempts and then
+// ends the round, because another member may have become the leader. It doesn't wait for
+// cancelled attempts to return, since a dial to a dead node may take seconds.
 func (c *ShardClient) round(
 	ctx context.Context, job string, method wirev1.Method, wait, lastTimeout time.Duration, request, reply proto.Message,
 ) callResult {
@@ -146,7 +146,7 @@
 		if len(waiting) > 0 {
 			timeout = hedgeDelay + wait
 		}
-		finished, ended := await(attempts, timeout)
+		latest, ended := await(attempts, timeout)
 		if !ended && len(waiting) == 0 {
 			c.recordUnresponsive(job, running)
 			combined.unknown = true
@@ -155,15 +155,15 @@
 		if !ended {
 			continue
 		}
-		delete(running, finished.address)
-		if finished.err == nil || final(finished.err) {
-			proto.Merge(reply, finished.reply)
-			c.recordLeader(job, finished.address)
-			return callResult{err: finished.err}
+		delete(running, latest.address)
+		if latest.err == nil || final(latest.err) {
+			proto.Merge(reply, latest.reply)
+			c.recordLeader(job, latest.address)
+			return callResult{err: latest.err}
 		}
-		c.forgetLeader(job, finished.address)
-		combined.err = finished.err
-		combined.unknown = combined.unknown || finished.unknown
+		c.forgetLeader(job, latest.address)
+		combined.err = latest.err
+		combined.unknown = combined.unknown || latest.unknown
 	}
 	return combined
 }
@@ -185,8 +185,8 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case finished := <-attempts:
-		return finished, true
+	case latest := <-attempts:
+		return latest, true
 	case <-timer.C:
 		return callResult{}, false
 	}
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -134,8 +134,8 @@
 	r.executor.tasks.Go(func() { r.work.Save(output) })
 }
 
-// recordBrokenRun reports a run that broke to the quarantine. It counts against the item
-// if the runner has ended.
+// recordBrokenRun reports a broken run to the quarantine, which counts the run against
+// the item if the runner has ended.
 func (r *run) recordBrokenRun() {
 	if r.executor.Quarantine != nil && quarantine.IsSuspectRun(r.firstEvent, time.Now()) {
 		r.executor.Quarantine.RecordBrokenRun(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
