--- a/internal/batch/queuestore/applied.go
+++ b/internal/batch/queuestore/applied.go
@@ -10,12 +10,12 @@
 )
 
 // recordApplied updates the leader's state after a command was applied.
-func (s *shard) recordApplied(applied *queue.Applied) {
+func (s *shard) recordApplied(applied *queue.ApplyResult) {
 	l := s.leader
 	if l == nil || applied == nil {
 		return
 	}
-	if applied.Record != nil && !applied.Known && !applied.Ended && !applied.Record.Ended {
+	if applied.Record != nil && !applied.AlreadyAccepted && !applied.Ended && !applied.Record.Ended {
 		now := time.Now()
 		l.acceptedAt[applied.Record.Id] = applied.Record.AcceptedUnixMs
 		l.table.Add(applied.Record, now, now)
@@ -23,7 +23,7 @@
 	for _, finished := range applied.Finished {
 		s.recordFinished(finished)
 	}
-	for _, refused := range applied.Refused {
+	for _, refused := range applied.Rejected {
 		s.resendRefused(refused)
 	}
 	if applied.Ended {
@@ -53,7 +53,7 @@
 func (s *shard) resendRefused(refused *wirev1.QueueResult) {
 	l := s.leader
 	key := queue.ItemKey{Job: refused.JobId, Number: refused.Item}
-	l.table.Forget(key)
+	l.table.ResetSaved(key)
 	if decided := l.decided[key]; decided != nil && l.suspendedAt.IsZero() {
 		klog.InfoS("item result proposed again with its complete text", "job", key.Job, "item", decided.ItemId, "from", refused.From)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -23,7 +23,7 @@
 	cancel  context.CancelFunc
 	runs    map[queue.ItemKey]context.CancelFunc
 	// saves holds progress of runs that has not been proposed yet.
-	saves queue.Saves
+	saves queue.ProgressBatch
 	// decided holds results that are not applied yet.
 	decided map[queue.ItemKey]*wirev1.QueueResult
 	// changed holds a channel for each watched job, closed on the job's next change.
@@ -104,10 +104,10 @@
 	l.allotments = s.node.newAllotmentKeeper()
 	klog.InfoS("queue leadership resumed", "shard", s.ID, "epoch", l.epoch, "unfinished", l.table.Len(), "runs", len(l.runs), "decided", len(l.decided))
 	for key := range l.runs {
-		l.table.Forget(key)
+		l.table.ResetSaved(key)
 	}
 	for key, decided := range l.decided {
-		l.table.Forget(key)
+		l.table.ResetSaved(key)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
 	}
 }
@@ -137,7 +137,7 @@
 	err := queue.Records(view, func(record *wirev1.QueueRecord) {
 		l.acceptedAt[record.Id] = record.AcceptedUnixMs
 		l.table.Add(record, now, now)
-		if record.Ended || !l.table.Open(record.Id) {
+		if record.Ended || !l.table.HasUnfinished(record.Id) {
 			return
 		}
 		for number := range record.Items {
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -123,7 +123,7 @@
 
 	metrics   *metrics
 	mutex     sync.Mutex
-	host      *shardhost.Host[*wirev1.QueueCommand, *queue.Applied]
+	host      *shardhost.Host[*wirev1.QueueCommand, *queue.ApplyResult]
 	tasks     tasks.Group
 	homeCache homeCache
 	freeSpace freeSpaceCache
--- a/internal/batch/queuestore/retention.go
+++ b/internal/batch/queuestore/retention.go
@@ -26,7 +26,7 @@
 	before := now.Add(-s.node.Retention).UnixMilli()
 	var old []string
 	for job, acceptedAt := range l.acceptedAt {
-		if acceptedAt < before && !l.table.Open(job) && len(old) < maxDropsPerCommand {
+		if acceptedAt < before && !l.table.HasUnfinished(job) && len(old) < maxDropsPerCommand {
 			old = append(old, job)
 		}
 	}
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -53,7 +53,7 @@
 	item, err := queue.Item(view, entry.Key.Job, entry.Key.Number)
 	if err != nil || item == nil {
 		klog.ErrorS(err, "item body cannot be read", "shard", s.ID, "job", entry.Key.Job, "item", entry.ID)
-		l.table.Return(entry.Key, entry.Output, false, time.Now().Add(missingBodyRetryDelay))
+		l.table.Requeue(entry.Key, entry.Output, false, time.Now().Add(missingBodyRetryDelay))
 		return true
 	}
 	record, err := queue.Record(view, entry.Key.Job)
@@ -85,13 +85,13 @@
 // recordProgress records the output of a run, to be proposed by proposeProgress.
 func (s *shard) recordProgress(l *leadership, key queue.ItemKey, item string, output queue.ItemOutput) {
 	if s.leader == l && l.table.Entry(key) != nil && l.decided[key] == nil {
-		l.saves.Note(key, item, output, time.Now())
+		l.saves.Add(key, item, output, time.Now())
 	}
 }
 
 // proposeProgress proposes to save the recorded progress that is due.
 func (s *shard) proposeProgress(now time.Time) {
-	if due := s.leader.saves.Due(s.leader.table, now); due != nil {
+	if due := s.leader.saves.Flush(s.leader.table, now); due != nil {
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: due}})
 	}
 }
@@ -113,7 +113,7 @@
 	final := outcome.Done || outcome.Dead || outcome.Failed && work.Failures+1 >= outcome.Attempts
 	if !final {
 		s.recordProgress(l, key, work.Item.Id, outcome.Output)
-		l.table.Return(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.RetryDelay))
+		l.table.Requeue(key, outcome.Output, outcome.Failed, time.Now().Add(outcome.RetryDelay))
 		return
 	}
 	klog.InfoS("item decided", "job", key.Job, "item", work.Item.Id, "done", outcome.Done, "reason", outcome.Reason, "failures", work.Failures, "bytes", len(outcome.Output.Text))
@@ -131,7 +131,7 @@
 		complete.Text, complete.Last = nil, 0
 	}
 	l.decided[key] = complete
-	l.saves.Drop(key)
+	l.saves.Remove(key)
 	if !l.suspendedAt.IsZero() {
 		return
 	}
@@ -145,7 +145,7 @@
 func (s *shard) expireItems(now time.Time) {
 	for _, entry := range s.leader.table.Expired(now.Add(-expirySlack)) {
 		klog.InfoS("item given up", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
-		entry.GiveUp = now.Add(expirySlack) // proposed again after this time unless applied
+		entry.ExpiresAt = now.Add(expirySlack) // proposed again after this time unless applied
 		s.proposeResult(entry.Key, entry.ID, true, queue.ItemOutput{})
 	}
 }
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wirev1.QueueSubmitReply{Known: applied.Known}, nil
+	return &wirev1.QueueSubmitReply{Known: applied.AlreadyAccepted}, nil
 }
 
 // reservation holds the tokens and bytes of a submission until it is applied or dropped.
@@ -133,7 +133,7 @@
 			return
 		}
 		want.reservedBy = l
-		want.belowFloor = waiting+want.tokens <= queue.Floor(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
+		want.belowFloor = waiting+want.tokens <= queue.LocalAllowance(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
 		l.pendingTokens[want.account] += want.tokens
 		l.pendingBytes += want.bytes
 	})
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -14,7 +14,7 @@
 )
 
 // hostedShard is the shardhost replica of a queue shard.
-type hostedShard = shardhost.Shard[*wirev1.QueueCommand, *queue.Applied]
+type hostedShard = shardhost.Shard[*wirev1.QueueCommand, *queue.ApplyResult]
 
 // shard is the local replica of a queue shard: the state machine of its jobs and, on the
 // leader, the work of the leader. Unless documented otherwise, methods must be called on
@@ -33,7 +33,7 @@
 	lastUsed time.Time
 }
 
-var _ shardhost.Application[*wirev1.QueueCommand, *queue.Applied] = (*shard)(nil)
+var _ shardhost.Application[*wirev1.QueueCommand, *queue.ApplyResult] = (*shard)(nil)
 
 const (
 	// retainedEntries is the number of applied log entries kept for lagging followers,
@@ -50,13 +50,13 @@
 }
 
 // newHost returns the shardhost.Host of this node's replicas.
-func (n *StorageNode) newHost() *shardhost.Host[*wirev1.QueueCommand, *queue.Applied] {
+func (n *StorageNode) newHost() *shardhost.Host[*wirev1.QueueCommand, *queue.ApplyResult] {
 	options := shardhost.HostOptions{
 		DB: n.DB, Pool: n.Pool, Timing: electionTiming(), Peer: n.peer, Send: n.sendReplica,
 		SnapshotTimeout: snapshotTimeout, TruncateInterval: cmp.Or(n.TruncateInterval, truncateInterval), HandOver: handOverTiming,
 		DeclineSnapshots: true, BatchLoopCalls: true,
 	}
-	return shardhost.New(n.context, options, func(s *hostedShard) shardhost.Application[*wirev1.QueueCommand, *queue.Applied] {
+	return shardhost.New(n.context, options, func(s *hostedShard) shardhost.Application[*wirev1.QueueCommand, *queue.ApplyResult] {
 		return &shard{hostedShard: s, node: n}
 	})
 }
@@ -69,12 +69,12 @@
 }
 
 // Apply implements shardhost.StateMachine.
-func (s *shard) Apply(state *logstore.StateBatch, entry *wirev1.LogEntry, command *wirev1.QueueCommand) (*queue.Applied, error) {
+func (s *shard) Apply(state *logstore.StateBatch, entry *wirev1.LogEntry, command *wirev1.QueueCommand) (*queue.ApplyResult, error) {
 	return queue.Apply(state, entry.Index, command)
 }
 
 // Applied implements shardhost.StateMachine.
-func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.Applied) { s.recordApplied(applied) }
+func (s *shard) Applied(_ *wirev1.QueueCommand, applied *queue.ApplyResult) { s.recordApplied(applied) }
 
 // BeforeTick implements shardhost.LeaderWork.
 func (s *shard) BeforeTick(time.Time) {}
