--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -25,7 +25,7 @@
 	interest subset.Interest
 
 	mutex    sync.Mutex
-	widening subset.Widening
+	widening subset.Scaler
 	// selector picks this node's subset from the entries of all runners; nil before the
 	// first. It is not in use while selected: then a relay has picked the subset.
 	selector *subset.Selector[runnerset.Record]
@@ -124,8 +124,8 @@
 }
 
 // handOn changes the set by what changes in this node's subset. The mutex is held.
-func (c *runnerCache) handOn(change subset.DrawChange[runnerset.Record], revision int64, source string, now time.Time) {
-	if !change.Whole {
+func (c *runnerCache) handOn(change subset.Change[runnerset.Record], revision int64, source string, now time.Time) {
+	if !change.Full {
 		logRunners(change, revision)
 		c.set.ApplyChanges(recordsOf(change.Put), change.Removed, revision, now)
 		return
@@ -166,7 +166,7 @@
 	}
 	c.revision = revision
 	if c.selected {
-		logRunners(subset.DrawChange[runnerset.Record]{Put: put, Removed: removed}, revision)
+		logRunners(subset.Change[runnerset.Record]{Put: put, Removed: removed}, revision)
 		c.set.ApplyChanges(recordsOf(put), removed, revision, now)
 		return
 	}
@@ -194,7 +194,7 @@
 	return entries, c.revision, true
 }
 
-func logRunners(change subset.DrawChange[runnerset.Record], revision int64) {
+func logRunners(change subset.Change[runnerset.Record], revision int64) {
 	if len(change.Put)+len(change.Removed) > maxSingleLines {
 		klog.InfoS("runners changed", "changed", len(change.Put), "gone", len(change.Removed), "revision", revision)
 		return
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -35,9 +35,9 @@
 func (c *runnerCache) widen(slotsMissing bool, now time.Time) (factor int, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	changed = c.widening.Note(slotsMissing && c.knowsPart(), now)
+	changed = c.widening.Update(slotsMissing && c.knowsPart(), now)
 	if changed && c.selector != nil {
-		if change, other := c.selector.Want(c.wantedNow()); other && !c.selected && c.revision > 0 {
+		if change, other := c.selector.SetInterest(c.wantedNow()); other && !c.selected && c.revision > 0 {
 			c.handOn(change, c.revision, "widened", now)
 		}
 	}
@@ -59,7 +59,7 @@
 
 // wantedNow is wanted with the mutex held.
 func (c *runnerCache) wantedNow() subset.Interest {
-	return c.interest.Widened(c.widening.Factor())
+	return c.interest.Scaled(c.widening.Factor())
 }
 
 func (c *runnerCache) factor() int {
--- a/internal/cluster/subset/index.go
+++ b/internal/cluster/subset/index.go
@@ -5,27 +5,29 @@
 	"slices"
 )
 
-// ListedRunner is a listed runner. Value is what else is kept of it.
+// ListedRunner is a runner of the platform's list, with a value that belongs to it.
 type ListedRunner[V any] struct {
 	ID          string
 	ServiceZone ServiceZone
 	Value       V
 }
 
-// Index holds listed runners so that those of a draw are found without reading the
-// others. An entry that comes or goes costs a search in the runners of its place.
+// Index holds runners ordered by position, so that those of a subset are found without
+// scanning the others. Inserting or removing a runner costs a binary search among the
+// runners of its service and zone.
 type Index[V any] struct {
 	byID  map[string]ListedRunner[V]
-	rings map[ServiceZone][]located
+	rings map[ServiceZone][]ringEntry
 }
 
-// located is a runner's place on the circle; rings are ordered by it.
-type located struct {
+// ringEntry is a runner's position on the circle. Rings are sorted by position, then by
+// id.
+type ringEntry struct {
 	position uint64
 	id       string
 }
 
-func compareLocated(a, b located) int {
+func compareRingEntries(a, b ringEntry) int {
 	if order := cmp.Compare(a.position, b.position); order != 0 {
 		return order
 	}
@@ -34,33 +36,33 @@
 
 // NewIndex returns an empty index.
 func NewIndex[V any]() *Index[V] {
-	return &Index[V]{byID: map[string]ListedRunner[V]{}, rings: map[ServiceZone][]located{}}
+	return &Index[V]{byID: map[string]ListedRunner[V]{}, rings: map[ServiceZone][]ringEntry{}}
 }
 
-// Len returns how many runners are listed.
+// Len returns the number of runners in the index.
 func (i *Index[V]) Len() int { return len(i.byID) }
 
-// Get returns an entry.
+// Get returns the entry with an id.
 func (i *Index[V]) Get(id string) (ListedRunner[V], bool) {
 	entry, known := i.byID[id]
 	return entry, known
 }
 
-// Put takes an entry in the place of the one of the same id.
+// Put inserts an entry, replacing the entry with the same id.
 func (i *Index[V]) Put(entry ListedRunner[V]) {
-	if known, listed := i.byID[entry.ID]; listed && known.ServiceZone != entry.ServiceZone {
+	if current, listed := i.byID[entry.ID]; listed && current.ServiceZone != entry.ServiceZone {
 		i.Remove(entry.ID)
 	}
 	if _, listed := i.byID[entry.ID]; !listed {
-		at := located{PositionOf(entry.ID), entry.ID}
+		entryOnRing := ringEntry{PositionOf(entry.ID), entry.ID}
 		ring := i.rings[entry.ServiceZone]
-		where, _ := slices.BinarySearchFunc(ring, at, compareLocated)
-		i.rings[entry.ServiceZone] = slices.Insert(ring, where, at)
+		index, _ := slices.BinarySearchFunc(ring, entryOnRing, compareRingEntries)
+		i.rings[entry.ServiceZone] = slices.Insert(ring, index, entryOnRing)
 	}
 	i.byID[entry.ID] = entry
 }
 
-// Remove drops an entry.
+// Remove deletes the entry with an id, if there is one.
 func (i *Index[V]) Remove(id string) {
 	entry, listed := i.byID[id]
 	if !listed {
@@ -68,50 +70,50 @@
 	}
 	delete(i.byID, id)
 	ring := i.rings[entry.ServiceZone]
-	where, _ := slices.BinarySearchFunc(ring, located{PositionOf(id), id}, compareLocated)
-	i.rings[entry.ServiceZone] = slices.Delete(ring, where, where+1)
+	index, _ := slices.BinarySearchFunc(ring, ringEntry{PositionOf(id), id}, compareRingEntries)
+	i.rings[entry.ServiceZone] = slices.Delete(ring, index, index+1)
 	if len(i.rings[entry.ServiceZone]) == 0 {
 		delete(i.rings, entry.ServiceZone)
 	}
 }
 
-// Totals returns how many runners there are, rounded.
+// Totals returns the rounded number of runners per service and zone.
 func (i *Index[V]) Totals() Totals {
 	totals := make(Totals, len(i.rings))
-	for place, ring := range i.rings {
-		totals[place] = Round(len(ring))
+	for key, ring := range i.rings {
+		totals[key] = Round(len(ring))
 	}
 	return totals
 }
 
-// Select lists the entries of a draw, in no order that means anything.
-func (i *Index[V]) Select(draw *Subset) []ListedRunner[V] {
+// Select returns the entries in a subset, in no particular order.
+func (i *Index[V]) Select(subset *Subset) []ListedRunner[V] {
 	var list []ListedRunner[V]
-	for place, ring := range i.rings {
-		for _, at := range within(ring, draw, place) {
-			list = append(list, i.byID[at.id])
+	for key, ring := range i.rings {
+		for _, selected := range selectFromRing(ring, subset, key) {
+			list = append(list, i.byID[selected.id])
 		}
 	}
 	return list
 }
 
-// within returns the runners of a ring that a draw knows.
-func within(ring []located, draw *Subset, place ServiceZone) []located {
-	known, counted := draw.arcs[place]
-	if !counted || known.all {
+// selectFromRing returns the entries of a ring that are in a subset.
+func selectFromRing(ring []ringEntry, subset *Subset, key ServiceZone) []ringEntry {
+	nodeArc, counted := subset.arcs[key]
+	if !counted || nodeArc.full {
 		return ring
 	}
-	from := firstAt(ring, known.start)
-	end := known.start + known.length
-	to := firstAt(ring, end)
-	if end >= known.start {
+	from := indexAtOrAfter(ring, nodeArc.start)
+	end := nodeArc.start + nodeArc.length
+	to := indexAtOrAfter(ring, end)
+	if end >= nodeArc.start {
 		return ring[from:to]
 	}
-	return append(slices.Clone(ring[from:]), ring[:to]...) // the arc passes the end of the numbers
+	return append(slices.Clone(ring[from:]), ring[:to]...) // the arc wraps around the largest position
 }
 
-// firstAt returns the first of a ring that lies at a position or after it.
-func firstAt(ring []located, position uint64) int {
-	where, _ := slices.BinarySearchFunc(ring, position, func(at located, wanted uint64) int { return cmp.Compare(at.position, wanted) })
-	return where
+// indexAtOrAfter returns the index of the first entry of a ring at or after a position.
+func indexAtOrAfter(ring []ringEntry, position uint64) int {
+	index, _ := slices.BinarySearchFunc(ring, position, func(entry ringEntry, wanted uint64) int { return cmp.Compare(entry.position, wanted) })
+	return index
 }
--- a/internal/cluster/subset/selector.go
+++ b/internal/cluster/subset/selector.go
@@ -1,37 +1,38 @@
 package subset
 
-// Selector picks one node's draw from the entries of all runners. It is not safe for
-// concurrent use.
+// Selector filters the list of all runners down to the subset of one node. It is not
+// safe for concurrent use.
 type Selector[V any] struct {
 	interest Interest
 	index    *Index[V]
 	subset   *Subset
 }
 
-// DrawChange is what changes in what a node knows.
-type DrawChange[V any] struct {
-	// Whole: Put is all that the node knows from now on.
-	Whole   bool
+// Change describes an update of the runners that a node knows.
+type Change[V any] struct {
+	// Full marks a change whose Put is the complete new subset and replaces the old one.
+	Full    bool
 	Put     []ListedRunner[V]
 	Removed []string
 }
 
-// NewSelector returns a selector that has no runners yet.
+// NewSelector returns a selector without runners.
 func NewSelector[V any](interest Interest) *Selector[V] {
 	return &Selector[V]{interest: interest, index: NewIndex[V]()}
 }
 
-// Reset takes the list of all runners.
-func (s *Selector[V]) Reset(entries []ListedRunner[V]) DrawChange[V] {
+// Reset replaces the list of all runners and returns the node's new subset.
+func (s *Selector[V]) Reset(entries []ListedRunner[V]) Change[V] {
 	s.index = NewIndex[V]()
 	for _, entry := range entries {
 		s.index.Put(entry)
 	}
-	return s.whole()
+	return s.recompute()
 }
 
-// Apply takes changes: entries put, and ids removed.
-func (s *Selector[V]) Apply(put []ListedRunner[V], removed []string) DrawChange[V] {
+// Apply inserts or replaces the put entries, removes the runners with the removed ids,
+// and returns the resulting change of the node's subset.
+func (s *Selector[V]) Apply(put []ListedRunner[V], removed []string) Change[V] {
 	for _, entry := range put {
 		s.index.Put(entry)
 	}
@@ -39,9 +40,9 @@
 		s.index.Remove(id)
 	}
 	if s.subset == nil || !Compute(s.interest, s.index.Totals()).Equal(s.subset) {
-		return s.whole()
+		return s.recompute()
 	}
-	change := DrawChange[V]{Removed: removed}
+	change := Change[V]{Removed: removed}
 	for _, entry := range put {
 		if s.subset.Contains(entry.ServiceZone, PositionOf(entry.ID)) {
 			change.Put = append(change.Put, entry)
@@ -50,19 +51,21 @@
 	return change
 }
 
-// Want changes how many runners are wanted. It reports false if that is nothing new.
-func (s *Selector[V]) Want(interest Interest) (DrawChange[V], bool) {
+// SetInterest replaces the node's interest. It returns the new subset, and false if the
+// interest is unchanged.
+func (s *Selector[V]) SetInterest(interest Interest) (Change[V], bool) {
 	if interest == s.interest {
-		return DrawChange[V]{}, false
+		return Change[V]{}, false
 	}
 	s.interest = interest
-	return s.whole(), true
+	return s.recompute(), true
 }
 
-// Totals returns how many runners there are, rounded.
+// Totals returns the rounded number of all runners per service and zone.
 func (s *Selector[V]) Totals() Totals { return s.index.Totals() }
 
-func (s *Selector[V]) whole() DrawChange[V] {
+// recompute determines the subset anew from the current interest and totals.
+func (s *Selector[V]) recompute() Change[V] {
 	s.subset = Compute(s.interest, s.index.Totals())
-	return DrawChange[V]{Whole: true, Put: s.index.Select(s.subset)}
+	return Change[V]{Full: true, Put: s.index.Select(s.subset)}
 }
--- a/internal/cluster/subset/subset.go
+++ b/internal/cluster/subset/subset.go
@@ -1,16 +1,23 @@
-// Package subset decides which runners each node of a large fleet works with.
+// Package subset assigns each node of a large fleet a subset of the runners by
+// consistent hashing.
 //
-// Every runner has a position on a circle, by a hash of its id, and every node an
-// arc of the circle, by a hash of its own; the node knows the runners whose
-// positions lie on its arc. An arc is as long as it takes to hold the number of
-// runners that the node wants. So what a node knows costs the same whatever the size
-// of the fleet; a runner or node that comes or goes changes nobody else's draw; an
-// arc that grows keeps all it had; and who knows a runner can be worked out by
-// anybody from the node's id and the number of runners.
+// The hash of a runner's id is its position on a circle. The hash of a node's id is the
+// start of the node's arc on the same circle, and the node's subset consists of the
+// runners on its arc. The length of the arc is chosen so that it holds about the number of
+// runners that the node wants. This has four consequences:
 //
-// It owns no state of the node and does no I/O: relay uses it to select what a node
-// gets, informer for what a node asks for, loadshare and queuestore for who knows a
-// runner. It runs on edges and storage nodes.
+//   - The size of a subset does not depend on the size of the fleet.
+//   - Adding or removing a node does not change the subsets of other nodes. Adding or
+//     removing a runner concerns only the nodes whose arc contains its position, until
+//     the number of runners crosses a power of two (see Round).
+//   - A longer arc contains the shorter one, so enlarging a subset keeps all its runners.
+//   - Every process can compute the subset of any node from the node's id and the
+//     number of runners.
+//
+// The package does no I/O and holds no state of the node. Package relay uses it to select
+// the runners that it sends to a node, package informer to request runners, and packages
+// loadshare and queuestore to determine which nodes know a runner. It runs on edges and
+// storage nodes.
 package subset
 
 import (
@@ -21,55 +28,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ServiceZone stands for the runners of one service in one zone.
+// ServiceZone identifies the runners of one service in one zone.
 type ServiceZone struct{ Service, Zone string }
 
-// Totals are how many runners there are in each place, rounded (see Round).
+// Totals holds the number of runners of each service and zone, rounded by Round.
 type Totals map[ServiceZone]int
 
-// AllKnown is up to how many runners of a service every node knows all. A runner
-// costs a node about a kilobyte, and a choice reads each of them: a choice among 512
-// takes 0.2 ms of a core, among 10,000 4.5 ms (BenchmarkPick in runnerset). It is far
-// above the runners that a single node can keep busy.
-const AllKnown = 512
+// FullListLimit is the largest number of runners of a service that every node knows
+// completely. Each known runner costs a node about a kilobyte, and choosing a runner reads
+// all known ones.
+const FullListLimit = 512
 
-// Interest is what a node wants to know; the zero value is everything. It is
-// comparable.
+// Interest describes the subset of runners that a node wants. The zero value selects all
+// runners. Interests can be compared with ==.
 type Interest struct {
 	Node string
 	Zone string
-	// Near and Far are the least numbers of runners of a service that the node wants, in
-	// its zone and in all others. It knows up to twice as many.
+	// Near and Far are the minimum numbers of runners of each service that the node wants
+	// in its own zone and in all other zones together. Because totals are rounded down, a
+	// subset may hold up to twice as many.
 	Near, Far int
 }
 
-// How many runners a node wants to know. An edge chooses well among a few dozen: of
-// the best of 64 fresh figures about all have a free slot as long as one runner in
-// ten has. A node with a disk places the items of whole jobs, up to 200, at once.
+// Minimum subset sizes. An edge places single requests: with 64 runners it almost always
+// finds a free slot as long as one runner in ten has one. A node with a disk places up to
+// 200 items of a job at once.
 const (
-	edgeNear = 64
-	diskNear = 256
-	farKnown = 16
+	minNearEdge = 64
+	minNearDisk = 256
+	minFar      = 16
 )
 
-// DefaultInterest returns the interest of a node as long as its choices find free slots.
+// DefaultInterest returns the interest of a node that finds enough free slots in its
+// subset.
 func DefaultInterest(node, zone string, hasDisk bool) Interest {
-	interest := Interest{Node: node, Zone: zone, Near: edgeNear, Far: farKnown}
+	interest := Interest{Node: node, Zone: zone, Near: minNearEdge, Far: minFar}
 	if hasDisk {
-		interest.Near = diskNear
+		interest.Near = minNearDisk
 	}
 	return interest
 }
 
-// Widened returns the interest in so many times as many runners.
-func (i Interest) Widened(factor int) Interest {
+// Scaled returns the interest with the wanted numbers of runners multiplied by factor.
+func (i Interest) Scaled(factor int) Interest {
 	i.Near *= factor
 	i.Far *= factor
 	return i
 }
 
-// Round rounds a number of runners down to a power of two: arcs then change with a
-// doubling, not with each runner.
+// Round rounds a number of runners down to a power of two, so that arcs change only when
+// the number of runners crosses a power of two, not with each runner.
 func Round(count int) int {
 	if count <= 0 {
 		return 0
@@ -77,86 +85,87 @@
 	return 1 << (bits.Len(uint(count)) - 1)
 }
 
-// PositionOf returns where on the circle a runner lies.
+// PositionOf returns the position of a runner on the circle.
 func PositionOf(runner string) uint64 { return xxhash.Sum64String(runner) }
 
-// arc is a part of the circle; what lies length or more after the start is outside.
+// arc is the half-open interval [start, start+length) of the circle. It may wrap around
+// the largest position.
 type arc struct {
 	start, length uint64
-	// all: the whole circle.
-	all bool
+	// full marks an arc that covers the whole circle.
+	full bool
 }
 
-// arcOf returns the arc that holds a share of all positions.
-func arcOf(start uint64, share float64) arc {
-	if share >= 1 {
-		return arc{all: true}
+// newArc returns the arc that covers the given fraction of the circle.
+func newArc(start uint64, fraction float64) arc {
+	if fraction >= 1 {
+		return arc{full: true}
 	}
-	return arc{start: start, length: uint64(share * math.MaxUint64)}
+	return arc{start: start, length: uint64(fraction * math.MaxUint64)}
 }
 
-func (a arc) has(position uint64) bool { return a.all || position-a.start < a.length }
+func (a arc) contains(position uint64) bool { return a.full || position-a.start < a.length }
 
-// Subset is which runners a node knows.
+// Subset describes which runners a node knows.
 type Subset struct {
 	arcs map[ServiceZone]arc
 }
 
-// Compute works out a draw from the numbers of runners.
+// Compute returns the subset for an interest, given the number of runners.
 func Compute(interest Interest, totals Totals) *Subset {
-	d := &Subset{arcs: make(map[ServiceZone]arc, len(totals))}
+	s := &Subset{arcs: make(map[ServiceZone]arc, len(totals))}
 	near, far := xxhash.Sum64String(interest.Node), xxhash.Sum64String(interest.Node+"/far")
-	for service, sum := range byService(totals) {
+	for service, sum := range sumByService(totals) {
 		own := totals[ServiceZone{service, interest.Zone}]
-		// What is missing in the node's zone is made up for from others.
-		wantedFar := interest.Far + max(0, interest.Near-own)
-		for place, count := range totals {
+		// Runners of other zones make up for those that the node's own zone lacks.
+		minOthers := interest.Far + max(0, interest.Near-own)
+		for key, count := range totals {
 			switch {
-			case place.Service != service:
-			case sum <= AllKnown, interest == Interest{}:
-				d.arcs[place] = arc{all: true}
-			case place.Zone == interest.Zone:
-				d.arcs[place] = arcOf(near, share(interest.Near, count))
+			case key.Service != service:
+			case sum <= FullListLimit, interest == Interest{}:
+				s.arcs[key] = arc{full: true}
+			case key.Zone == interest.Zone:
+				s.arcs[key] = newArc(near, fraction(interest.Near, count))
 			default:
-				d.arcs[place] = arcOf(far, share(wantedFar, sum-own))
+				s.arcs[key] = newArc(far, fraction(minOthers, sum-own))
 			}
 		}
 	}
-	return d
+	return s
 }
 
-func byService(totals Totals) map[string]int {
+func sumByService(totals Totals) map[string]int {
 	sums := map[string]int{}
-	for place, count := range totals {
-		sums[place.Service] += count
+	for key, count := range totals {
+		sums[key.Service] += count
 	}
 	return sums
 }
 
-func share(wanted, of int) float64 {
-	if of <= 0 {
+func fraction(wanted, total int) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return float64(wanted) / float64(of)
+	return float64(wanted) / float64(total)
 }
 
-// Counted returns the sum of the runners of a service.
-func (t Totals) Counted(service string) int {
+// ForService returns the total number of runners of a service in all zones.
+func (t Totals) ForService(service string) int {
 	sum := 0
-	for place, count := range t {
-		if place.Service == service {
+	for key, count := range t {
+		if key.Service == service {
 			sum += count
 		}
 	}
 	return sum
 }
 
-// Contains reports whether the node knows a runner. All know the runners of a place
-// that has not been counted yet.
-func (d *Subset) Contains(place ServiceZone, position uint64) bool {
-	known, counted := d.arcs[place]
-	return !counted || known.has(position)
+// Contains reports whether the subset contains the runner at a position. Runners of a
+// service and zone that the totals lack are in every subset.
+func (s *Subset) Contains(key ServiceZone, position uint64) bool {
+	nodeArc, counted := s.arcs[key]
+	return !counted || nodeArc.contains(position)
 }
 
-// Equal reports whether two draws are the same.
-func (d *Subset) Equal(other *Subset) bool { return other != nil && maps.Equal(d.arcs, other.arcs) }
+// Equal reports whether two subsets select the same arcs.
+func (s *Subset) Equal(other *Subset) bool { return other != nil && maps.Equal(s.arcs, other.arcs) }
--- a/internal/cluster/subset/subset_test.go
+++ b/internal/cluster/subset/subset_test.go
@@ -11,7 +11,7 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// fleetIndex lists runners of one service, evenly in zones.
+// fleetIndex returns an index of runners of one service, spread evenly over zones.
 func fleetIndex(runners, zones int) *Index[int] {
 	index := NewIndex[int]()
 	for i := range runners {
@@ -20,10 +20,10 @@
 	return index
 }
 
-// What a node knows stays within twice what it wants, at any number of runners, and
-// up to AllKnown of them it knows all.
-func TestWhatANodeKnowsDoesNotGrow(t *testing.T) {
-	for _, size := range []int{12, 100, AllKnown, 1000, 10_000, 20_000, 40_000} {
+// A subset holds all runners up to FullListLimit, and with more runners at most about
+// twice the wanted number, whatever the size of the fleet.
+func TestSubsetSizeIsBounded(t *testing.T) {
+	for _, size := range []int{12, 100, FullListLimit, 1000, 10_000, 20_000, 40_000} {
 		is := is.New(t)
 		index := fleetIndex(size, 5)
 		most, least := 0, size
@@ -33,20 +33,19 @@
 			most, least = max(most, known), min(least, known)
 		}
 		t.Logf("%d runners: a node knows %d to %d", size, least, most)
-		if size <= AllKnown {
+		if size <= FullListLimit {
 			is.Equal(least, size)
 			continue
 		}
-		const drawn = 40 // positions are drawn: so far from the mean at the most
-		is.True(most <= 2*(edgeNear+farKnown)+drawn)
-		is.True(least >= edgeNear+farKnown-drawn)
+		const tolerance = 40 // positions are random
+		is.True(most <= 2*(minNearEdge+minFar)+tolerance)
+		is.True(least >= minNearEdge+minFar-tolerance)
 	}
 }
 
-// Draws are even and overlap: of all runners of a zone nearly each is known to
-// several of its nodes, and the loss of a tenth of the runners, or of the nodes,
-// leaves no node and no runner without others.
-func TestDrawsOverlap(t *testing.T) {
+// Subsets cover the runners evenly: nearly every runner of a zone is known to several
+// nodes of the zone, and a node still knows enough runners after a tenth of them is lost.
+func TestSubsetsOverlap(t *testing.T) {
 	const zones, edgesOfZone = 5, 167
 	for _, size := range []int{10_000, 20_000} {
 		is := is.New(t)
@@ -54,9 +53,9 @@
 		edges := edgesOfZone * size / 10_000
 		knownBy := map[string]int{}
 		for node := range edges {
-			draw := Compute(DefaultInterest(fmt.Sprint("edge-", node), "z0", false), index.Totals())
+			subset := Compute(DefaultInterest(fmt.Sprint("edge-", node), "z0", false), index.Totals())
 			left := 0
-			for _, entry := range index.Select(draw) {
+			for _, entry := range index.Select(subset) {
 				if entry.ServiceZone.Zone == "z0" {
 					knownBy[entry.ID]++
 				}
@@ -64,23 +63,23 @@
 					left++
 				}
 			}
-			is.True(left >= edgeNear/2) // a tenth of all runners is lost
+			is.True(left >= minNearEdge/2) // after the loss of a tenth of all runners
 		}
-		alone := 0
+		poorlyKnown := 0
 		for id := range index.byID {
 			if index.byID[id].ServiceZone.Zone == "z0" && knownBy[id] < 2 {
-				alone++
+				poorlyKnown++
 			}
 		}
-		share := float64(alone) / float64(size/zones)
+		share := float64(poorlyKnown) / float64(size/zones)
 		t.Logf("%d runners, %d edges in a zone: %.3f of its runners known to fewer than two", size, edges, share)
 		is.True(share < 0.08)
 	}
 }
 
-// A draw that grows keeps all that it had; one of a zone without enough runners takes
-// others for them; a service with few runners is known whole.
-func TestDrawsOfThinZones(t *testing.T) {
+// A wider subset contains the narrower one, a zone with too few runners is filled up from
+// other zones, and a service with few runners is known completely.
+func TestWiderSubsetContainsSmallerOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex[int]()
 		for zone := range 4 {
@@ -92,12 +91,12 @@
 			index.Put(ListedRunner[int]{ID: fmt.Sprint("rare-", i), ServiceZone: ServiceZone{"rare", "z3"}})
 		}
 		interest := DefaultInterest("edge-1", "z0", rapid.Bool().Draw(t, "disk"))
-		draw, wider := Compute(interest, index.Totals()), Compute(interest.Widened(2), index.Totals())
+		subset, wider := Compute(interest, index.Totals()), Compute(interest.Scaled(2), index.Totals())
 		known, rare := 0, 0
 		for id, entry := range index.byID {
-			knows := draw.Contains(entry.ServiceZone, PositionOf(id))
+			knows := subset.Contains(entry.ServiceZone, PositionOf(id))
 			if knows && !wider.Contains(entry.ServiceZone, PositionOf(id)) {
-				t.Fatalf("the wider draw lost %s", id)
+				t.Fatalf("the wider subset lacks %s", id)
 			}
 			if knows && entry.ServiceZone.Service == "rare" {
 				rare++
@@ -107,22 +106,22 @@
 			}
 		}
 		if rare != 3 {
-			t.Fatalf("%d of 3 runners of a small service are known", rare)
+			t.Fatalf("%d of 3 runners of a small service are in the subset", rare)
 		}
 		if total := index.Len() - 3; known-rare < min(total, interest.Near+interest.Far)/3 {
-			t.Fatalf("%d of %d runners are known", known-rare, total)
+			t.Fatalf("%d of %d runners are in the subset", known-rare, total)
 		}
 	})
 }
 
-// What a selector hands on comes to what the draw selects of all entries.
-func TestSelectorFollowsItsDraw(t *testing.T) {
+// Applying all changes of a selector in turn yields the subset of the listed runners.
+func TestSelectorChangesMatchSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		interest := Interest{Node: "n", Zone: "z0", Near: 20, Far: 5}
 		s := NewSelector[int](interest)
 		listed, known := map[string]ListedRunner[int]{}, map[string]int{}
-		take := func(change DrawChange[int]) {
-			if change.Whole {
+		apply := func(change Change[int]) {
+			if change.Full {
 				known = map[string]int{}
 			}
 			for _, entry := range change.Put {
@@ -146,7 +145,7 @@
 				for _, one := range put {
 					listed[one.ID] = one
 				}
-				take(s.Apply(put, nil))
+				apply(s.Apply(put, nil))
 			},
 			"ends": func(t *rapid.T) {
 				var removed []string
@@ -158,21 +157,21 @@
 				for _, id := range removed {
 					delete(listed, id)
 				}
-				take(s.Apply(nil, removed))
+				apply(s.Apply(nil, removed))
 			},
 			"wants": func(t *rapid.T) {
 				interest = Interest{Node: "n", Zone: "z0", Near: rapid.IntRange(1, 300).Draw(t, "near"), Far: 5}
-				if change, other := s.Want(interest); other {
-					take(change)
+				if change, other := s.SetInterest(interest); other {
+					apply(change)
 				}
 			},
 			"": func(t *rapid.T) {
-				draw := Compute(interest, s.Totals())
+				subset := Compute(interest, s.Totals())
 				count := 0
 				for id, one := range listed {
 					value, knows := known[id]
-					if knows != draw.Contains(one.ServiceZone, PositionOf(id)) || knows && value != one.Value {
-						t.Fatalf("%s is known: %v", id, knows)
+					if knows != subset.Contains(one.ServiceZone, PositionOf(id)) || knows && value != one.Value {
+						t.Fatalf("%s is known: %v; the subset says otherwise, or its value is outdated", id, knows)
 					}
 					if knows {
 						count++
@@ -186,23 +185,23 @@
 	})
 }
 
-// A draw widens while free slots are missing, up to a bound, and shrinks when none was missing for a
-// while.
-func TestWidening(t *testing.T) {
+// The factor doubles up to maxFactor while free slots are missing, and is halved once none
+// was missing for shrinkAfter.
+func TestScalerDoublesAndHalves(t *testing.T) {
 	is := is.New(t)
-	var w Widening
+	var scaler Scaler
 	now := time.Unix(1000, 0)
-	is.Equal(w.Factor(), 1)
+	is.Equal(scaler.Factor(), 1)
 	for _, factor := range []int{2, 4, maxFactor, maxFactor} {
-		w.Note(true, now)
-		is.Equal(w.Factor(), factor)
+		scaler.Update(true, now)
+		is.Equal(scaler.Factor(), factor)
 	}
-	is.True(!w.Note(false, now.Add(shrinkAfter/2)))
-	is.True(w.Note(false, now.Add(shrinkAfter)))
-	is.Equal(w.Factor(), maxFactor/2)
+	is.True(!scaler.Update(false, now.Add(shrinkAfter/2)))
+	is.True(scaler.Update(false, now.Add(shrinkAfter)))
+	is.Equal(scaler.Factor(), maxFactor/2)
 }
 
-// BenchmarkSelect is what a relay works for a node that starts.
+// BenchmarkSelect measures the work of a relay for a node that starts.
 func BenchmarkSelect(b *testing.B) {
 	for _, size := range []int{1000, 10_000, 20_000} {
 		index := fleetIndex(size, 5)
@@ -214,7 +213,7 @@
 	}
 }
 
-// BenchmarkPut is what a runner that comes costs a relay.
+// BenchmarkPut measures the cost of adding and removing a runner at a relay.
 func BenchmarkPut(b *testing.B) {
 	for _, size := range []int{1000, 10_000, 20_000} {
 		index := fleetIndex(size, 5)
--- a/internal/cluster/subset/widening.go
+++ b/internal/cluster/subset/widening.go
@@ -3,37 +3,36 @@
 import "time"
 
 const (
-	// maxFactor bounds by how much a draw grows: eight times as many runners are some
-	// 500 for an edge and 2,000 for a node with a disk, whose choice among them takes
-	// 1.5 ms of a core.
+	// maxFactor limits the growth of a subset, and with it the memory for known runners
+	// and the time to choose one.
 	maxFactor = 8
-	// shrinkAfter is for how long choices have found free slots before a draw shrinks by
-	// half: longer than the pauses between two peaks, so that it does not grow anew in
-	// each.
+	// shrinkAfter is the time without a missing free slot after which the factor is
+	// halved. It is longer than the pause between two load peaks, so that the subset
+	// does not have to grow again in each peak.
 	shrinkAfter = 10 * time.Second
 )
 
-// Widening decides by how much the draw of a node is larger than usual: it doubles
-// while choices find no free slot among the runners known, up to maxFactor, and halves
-// after each shrinkAfter in which they do. It is not safe for concurrent use.
-type Widening struct {
+// Scaler adapts the size of a node's subset to demand. Its factor doubles, up to
+// maxFactor, while the node finds no free slot among the runners it knows, and halves
+// after each shrinkAfter in which it always found one. It is not safe for concurrent use.
+type Scaler struct {
 	factor int
-	// since is when a free slot was missing last, or the factor was halved.
-	since time.Time
+	// lastChange is the last time a free slot was missing or the factor was halved.
+	lastChange time.Time
 }
 
-// Factor returns by how much the draw is larger than usual.
-func (w *Widening) Factor() int { return max(1, w.factor) }
+// Factor returns the factor by which to multiply the default subset size; it is at least 1.
+func (s *Scaler) Factor() int { return max(1, s.factor) }
 
-// Note takes whether a choice found no free slot since the last call, and reports
-// whether the factor is another now.
-func (w *Widening) Note(slotsMissing bool, now time.Time) bool {
-	before := w.Factor()
+// Update adjusts the factor and reports whether it changed. noFreeSlot tells whether a
+// request found no free slot since the last call.
+func (s *Scaler) Update(noFreeSlot bool, now time.Time) bool {
+	before := s.Factor()
 	switch {
-	case slotsMissing:
-		w.factor, w.since = min(maxFactor, 2*before), now
-	case now.Sub(w.since) >= shrinkAfter:
-		w.factor, w.since = max(1, before/2), now
+	case noFreeSlot:
+		s.factor, s.lastChange = min(maxFactor, 2*before), now
+	case now.Sub(s.lastChange) >= shrinkAfter:
+		s.factor, s.lastChange = max(1, before/2), now
 	}
-	return w.Factor() != before
+	return s.Factor() != before
 }
--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -33,7 +33,7 @@
 // sets are those of a node that knows all runners, and of one that knows its draw, at
 // half of the whole fleet, at its size, and at twice that.
 func sets(b *testing.B, run func(b *testing.B, s *Set)) {
-	for _, count := range []int{subset.AllKnown, 5000, 10_000, 20_000} {
+	for _, count := range []int{subset.FullListLimit, 5000, 10_000, 20_000} {
 		known, totals := drawn(count)
 		b.Run(fmt.Sprint("all/", count), func(b *testing.B) {
 			s := New()
