--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -9,7 +9,7 @@
 
 // Asking implements peers.Documents. A node that relays keep up to date asks no peer
 // for the same, and in a large fleet peers know other runners.
-func (i *Informer) Asking(request *wirev1.PeerStateRequest) {
+func (i *Informer) FillRequest(request *wirev1.PeerStateRequest) {
 	request.HoldsDigest = i.Quarantine.Digest()
 	request.RunnersRevision = i.runners.currentRevision()
 	if i.Directory.Large() {
@@ -27,7 +27,7 @@
 }
 
 // Newer implements peers.Documents.
-func (i *Informer) Newer(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
+func (i *Informer) FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
 	if held := i.Catalogs.Current(); held != nil && held.Version > request.CatalogVersion {
 		reply.Catalog, reply.CatalogRevision = i.Catalogs.Document()
 	}
@@ -41,7 +41,7 @@
 }
 
 // Take implements peers.Documents.
-func (i *Informer) Take(reply *wirev1.PeerStateReply, from string) {
+func (i *Informer) ApplyReply(reply *wirev1.PeerStateReply, from string) {
 	i.answered.Store(true)
 	if len(reply.Catalog) > 0 {
 		i.offerConfig(reply.Catalog, reply.CatalogRevision, from)
--- a/internal/cluster/peers/contacts.go
+++ b/internal/cluster/peers/contacts.go
@@ -6,18 +6,18 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// contact is what is known of whether a node answers.
+// contact records when another node was last reachable.
 type contact struct {
-	// last is when it answered, or asked.
-	last time.Time
-	// silent is since when a question of this node waits without an answer; zero
-	// if the last one was answered.
-	silent time.Time
-	// wanted is until when the node is to be asked whether it answers.
-	wanted time.Time
+	// lastContact is the time of the last response or request from the node.
+	lastContact time.Time
+	// unansweredSince is the time of the first call that failed since the last contact;
+	// zero if there was none.
+	unansweredSince time.Time
+	// probeUntil is the time until which the Syncer probes the node on request.
+	probeUntil time.Time
 }
 
-// RecordContact records that a node answered, or asked.
+// RecordContact records a response or a request from a node.
 func (d *Directory) RecordContact(node string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -27,11 +27,11 @@
 // recordContact is RecordContact with the mutex held.
 func (d *Directory) recordContact(node string, now time.Time) {
 	known := d.contacts[node]
-	known.last, known.silent = now, time.Time{}
+	known.lastContact, known.unansweredSince = now, time.Time{}
 	d.contacts[node] = known
 }
 
-// RecordContactAt records that the node at an address answered.
+// RecordContactAt records a response from the node at an address.
 func (d *Directory) RecordContactAt(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// RecordUnresponsive records that the node at an address did not answer a question.
+// RecordUnresponsive records that a call to the node at an address failed.
 func (d *Directory) RecordUnresponsive(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -48,46 +48,48 @@
 	if !found {
 		return
 	}
-	if known := d.contacts[node]; known.silent.IsZero() {
-		known.silent = now
+	if known := d.contacts[node]; known.unansweredSince.IsZero() {
+		known.unansweredSince = now
 		d.contacts[node] = known
 	}
 }
 
-// Unresponsive reports whether a node left the last question of this one unanswered.
+// Unresponsive reports whether a call to a node has failed since the last contact with it.
 func (d *Directory) Unresponsive(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return !d.contacts[node].silent.IsZero()
+	return !d.contacts[node].unansweredSince.IsZero()
 }
 
-// InContactWithin reports whether a node answered, or asked, within a time.
+// InContactWithin reports whether a node responded or sent a request within the given
+// duration before now. It is always true for this node itself.
 func (d *Directory) InContactWithin(node string, now time.Time, within time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	known := d.contacts[node]
-	return node == d.self.NodeId || !known.last.IsZero() && now.Sub(known.last) < within
+	return node == d.self.NodeId || !known.lastContact.IsZero() && now.Sub(known.lastContact) < within
 }
 
-// wantedTime is how long a node is asked whether it answers after that was wanted.
-const wantedTime = 10 * time.Second
+// probeRequestLifetime is how long the Syncer probes a node after RequestProbe.
+const probeRequestLifetime = 10 * time.Second
 
-// RequestProbe has the Syncer ask a node whether it answers, for a while.
+// RequestProbe makes the Syncer probe a node for probeRequestLifetime. It matters in a
+// large fleet only; otherwise the Syncer probes all nodes with disks anyway.
 func (d *Directory) RequestProbe(node string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	known := d.contacts[node]
-	known.wanted = now.Add(wantedTime)
+	known.probeUntil = now.Add(probeRequestLifetime)
 	d.contacts[node] = known
 }
 
-// wantedContacts lists the nodes that are to be asked whether they answer.
-func (d *Directory) wantedContacts(now time.Time) []*wirev1.NodeRecord {
+// requestedProbes returns the nodes for which a probe was requested.
+func (d *Directory) requestedProbes(now time.Time) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var wanted []*wirev1.NodeRecord
 	for node, known := range d.contacts {
-		if record := d.records[node]; record != nil && now.Before(known.wanted) && node != d.self.NodeId {
+		if record := d.records[node]; record != nil && now.Before(known.probeUntil) && node != d.self.NodeId {
 			wanted = append(wanted, record)
 		}
 	}
--- a/internal/cluster/peers/digests.go
+++ b/internal/cluster/peers/digests.go
@@ -8,44 +8,44 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// recordParts is into how many parts the records are divided: nodes whose records
-// differ pass on those parts that do. In a fleet of some hundred nodes a
-// part holds about ten records, some 600 bytes, and the digests take 256.
-const recordParts = 32
+// partCount is the number of parts into which the records are divided by a hash of the
+// node id. Two nodes whose records differ exchange only the parts whose digests differ.
+const partCount = 32
 
-func partOf(node string) uint32 { return uint32(xxhash.Sum64String(node) % recordParts) }
+func partOf(node string) uint32 { return uint32(xxhash.Sum64String(node) % partCount) }
 
-// fingerprint of one version of a record. The digest of a part is the exclusive or
-// of the fingerprints in it, so that a change of one record costs one.
+// fingerprint returns a hash of a record's node id and incarnation. The digest of a part
+// is the exclusive or of the fingerprints of its records, so that it can be updated without
+// reading the other records.
 func fingerprint(record *wirev1.NodeRecord) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	// A hash takes all that is written.
+	// Writing to a hash never fails.
 	_, _ = digest.WriteString(record.NodeId)
 	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, record.Incarnation))
 	return digest.Sum64()
 }
 
-// Digest is the same for directories that hold the same records; in a large fleet
-// for those of a zone that hold the same records of the zone.
+// Digest returns a hash of the exchanged records. Directories that hold the same records
+// have the same digest. In a large fleet the digest covers the records of this node's zone.
 func (d *Directory) Digest() uint64 {
-	var whole []byte
+	var concatenated []byte
 	for _, part := range d.PartDigests() {
-		whole = binary.BigEndian.AppendUint64(whole, part)
+		concatenated = binary.BigEndian.AppendUint64(concatenated, part)
 	}
-	return xxhash.Sum64(whole)
+	return xxhash.Sum64(concatenated)
 }
 
-// PartDigests returns the digest of each part of the records.
+// PartDigests returns the digest of each part of the exchanged records.
 func (d *Directory) PartDigests() []uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	parts := d.parts
+	parts := d.partDigests
 	return parts[:]
 }
 
-// Differing lists the parts whose digests are not these.
-func (d *Directory) Differing(digests []uint64) []uint32 {
+// DifferingParts returns the parts whose digests differ from the given ones.
+func (d *Directory) DifferingParts(digests []uint64) []uint32 {
 	var differing []uint32
 	for part, digest := range d.PartDigests() {
 		if part >= len(digests) || digests[part] != digest {
@@ -55,11 +55,11 @@
 	return differing
 }
 
-// InParts returns the records in some parts that nodes of this zone pass on.
-func (d *Directory) InParts(parts []uint32) []*wirev1.NodeRecord {
-	wanted := [recordParts]bool{}
+// RecordsInParts returns the exchanged records in the given parts.
+func (d *Directory) RecordsInParts(parts []uint32) []*wirev1.NodeRecord {
+	wanted := [partCount]bool{}
 	for _, part := range parts {
-		if part < recordParts {
+		if part < partCount {
 			wanted[part] = true
 		}
 	}
@@ -67,23 +67,23 @@
 	defer d.mutex.Unlock()
 	var list []*wirev1.NodeRecord
 	for _, record := range d.records {
-		if wanted[partOf(record.NodeId)] && d.synced(record) {
+		if wanted[partOf(record.NodeId)] && d.isExchanged(record) {
 			list = append(list, record)
 		}
 	}
 	return list
 }
 
-// sampleSize is how many records of its zone a node gets that asks one of another.
+// sampleSize is the number of records in the reply to a node of another zone.
 const sampleSize = 12
 
-// SampleOf returns some records of a zone, nodes with disks first: who starts finds
-// the others there through them.
-func (d *Directory) SampleOf(zone string) []*wirev1.NodeRecord {
+// SampleZone returns some records of a zone, nodes with disks first. A starting node gets
+// them from a seed in another zone and finds the rest of its zone through them.
+func (d *Directory) SampleZone(zone string) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var disks, others []*wirev1.NodeRecord
-	for _, record := range d.records { // in no order: each who asks gets others
+	for _, record := range d.records { // random order: different requests get different records
 		switch {
 		case record.Zone != zone:
 		case record.DiskId != "":
@@ -99,17 +99,17 @@
 	return list[:min(len(list), sampleSize)]
 }
 
-// Partners draws nodes of the zone to sync records with, of all nodes in a
-// fleet that is not large.
-func (d *Directory) Partners(count int) []*wirev1.NodeRecord {
+// RandomPartners returns up to count random nodes to exchange records with, in a large
+// fleet nodes of this node's zone.
+func (d *Directory) RandomPartners(count int) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var list []*wirev1.NodeRecord
-	for _, record := range d.records { // in no order
+	for _, record := range d.records { // random order
 		if len(list) >= count {
 			break
 		}
-		if record.NodeId != d.self.NodeId && d.synced(record) {
+		if record.NodeId != d.self.NodeId && d.isExchanged(record) {
 			list = append(list, record)
 		}
 	}
--- a/internal/cluster/peers/digests_test.go
+++ b/internal/cluster/peers/digests_test.go
@@ -10,9 +10,9 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// Directories that hold the same records have the same digest, in whatever
-// order they learnt them; a record that differs shows in it.
-func TestDigestTellsWhatDiffers(t *testing.T) {
+// The digest does not depend on the order in which records were stored, and changes if a
+// record is missing or newer.
+func TestDigestIdentifiesRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := map[int]uint64{}
 		for node := range rapid.IntRange(0, 6).Draw(t, "nodes") {
@@ -20,7 +20,7 @@
 		}
 		fill := func(skip int) *Directory {
 			directory := NewDirectory(&wirev1.NodeRecord{NodeId: "self", Incarnation: 1})
-			for node, incarnation := range records { // in no order
+			for node, incarnation := range records { // random order
 				if node != skip {
 					directory.Put(&wirev1.NodeRecord{NodeId: fmt.Sprintf("n%d", node), Incarnation: incarnation})
 				}
@@ -29,18 +29,18 @@
 		}
 		one, other := fill(-1), fill(-1)
 		if one.Digest() != other.Digest() {
-			t.Fatal("the same records have two digests")
+			t.Fatal("equal records have different digests")
 		}
 		if len(records) == 0 {
 			return
 		}
 		node := rapid.IntRange(0, len(records)-1).Draw(t, "differs")
 		if fill(node).Digest() == one.Digest() {
-			t.Fatal("a record that is missing does not show")
+			t.Fatal("the digest does not change when a record is missing")
 		}
 		other.Put(&wirev1.NodeRecord{NodeId: fmt.Sprintf("n%d", node), Incarnation: records[node] + 1})
 		if other.Digest() == one.Digest() {
-			t.Fatal("a newer record does not show")
+			t.Fatal("the digest does not change with a newer record")
 		}
 	})
 }
--- a/internal/cluster/peers/directory.go
+++ b/internal/cluster/peers/directory.go
@@ -1,10 +1,11 @@
-// Package peers knows the nodes of a deployment whose records lie in the platform's
-// store, and lets a node ask its peers for what is newer there than here: records, and
-// the documents that a node takes from the store.
+// Package peers holds the records of the nodes of a deployment and synchronizes them
+// between nodes by anti-entropy, so that nodes find each other while the platform's store
+// is unreachable. Nodes also exchange the documents that they read from the store.
 //
-// It owns the node records held (Directory), when this node was last in contact with each
-// other, and whom it asks how often (Syncer). It relies on rpc for calls and on the
-// owner of the documents (Documents). It runs on edges and storage nodes.
+// The Directory holds the node records and the time of the last contact with each node.
+// The Syncer decides which peers to call and how often. The package relies on package rpc
+// for calls and on an implementation of Documents for the documents. It runs on edges and
+// storage nodes.
 package peers
 
 import (
@@ -19,39 +20,39 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Directory holds the node records known here: those of all nodes, or in a large
+// Directory holds the node records that this node knows: those of all nodes, or in a large
 // fleet those of this node's zone and of all nodes with disks.
 //
-// Invariant: a node's record is replaced only by one of a higher incarnation; the
-// indexes and digests are those of the records held.
+// Invariant: a record is replaced only by a record of the same node with a higher
+// incarnation, and the indexes and digests match the records.
 type Directory struct {
-	mutex    sync.Mutex
-	self     *wirev1.NodeRecord
-	records  map[string]*wirev1.NodeRecord
-	retiring map[string]bool
-	lost     map[string]bool // disks whose node has another one now
-	contacts map[string]contact
-	// byAddress and byDisk find a node's id and record; disks are in the order of
-	// their node ids.
+	mutex     sync.Mutex
+	self      *wirev1.NodeRecord
+	records   map[string]*wirev1.NodeRecord
+	retiring  map[string]bool
+	lostDisks map[string]bool // disks whose node has a different disk now
+	contacts  map[string]contact
+	// byAddress maps addresses to node ids, byDisk maps disk ids to records, and disks
+	// lists the nodes with disks, sorted by node id.
 	byAddress map[string]string
 	byDisk    map[string]*wirev1.NodeRecord
 	disks     []*wirev1.NodeRecord
-	// parts are digests of the records that are synced, by part.
-	parts [recordParts]uint64
-	// sorted are the records in the order of their node ids; nil after a change.
+	// partDigests holds the digest of each part of the exchanged records.
+	partDigests [partCount]uint64
+	// sorted caches the records sorted by node id; nil after a change.
 	sorted []*wirev1.NodeRecord
-	// large: the fleet was found to be large, for the rest of the process's life.
+	// large is set once the fleet is found to be large, and never cleared.
 	large      bool
 	generation atomic.Uint64
 }
 
-// NewDirectory returns a directory of a node that knows only itself.
+// NewDirectory returns a directory that holds only the node's own record.
 func NewDirectory(self *wirev1.NodeRecord) *Directory {
 	d := &Directory{
 		self: self, records: map[string]*wirev1.NodeRecord{}, byAddress: map[string]string{}, byDisk: map[string]*wirev1.NodeRecord{},
-		retiring: map[string]bool{}, lost: map[string]bool{}, contacts: map[string]contact{},
+		retiring: map[string]bool{}, lostDisks: map[string]bool{}, contacts: map[string]contact{},
 	}
-	d.keep(self)
+	d.store(self)
 	return d
 }
 
@@ -62,37 +63,37 @@
 	return d.self
 }
 
-// SetDisk names the node's disk.
+// SetDisk sets the disk id in the node's own record.
 func (d *Directory) SetDisk(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	next := clone(d.self)
 	next.DiskId = id
 	d.self = next
-	d.keep(next)
+	d.store(next)
 }
 
-// keep takes a record in the place of the one held of the node. The mutex is held.
-func (d *Directory) keep(record *wirev1.NodeRecord) {
-	d.drop(record.NodeId)
+// store inserts a record, replacing the node's previous one. The mutex is held.
+func (d *Directory) store(record *wirev1.NodeRecord) {
+	d.remove(record.NodeId)
 	d.records[record.NodeId] = record
 	d.byAddress[record.Address] = record.NodeId
 	if record.DiskId != "" {
 		d.byDisk[record.DiskId] = record
-		place, _ := slices.BinarySearchFunc(d.disks, record.NodeId, compareToID)
-		d.disks = slices.Insert(d.disks, place, record)
+		index, _ := slices.BinarySearchFunc(d.disks, record.NodeId, compareToID)
+		d.disks = slices.Insert(d.disks, index, record)
 	}
-	if d.synced(record) {
-		d.parts[partOf(record.NodeId)] ^= fingerprint(record)
+	if d.isExchanged(record) {
+		d.partDigests[partOf(record.NodeId)] ^= fingerprint(record)
 	}
 	d.generation.Add(1)
-	if !d.large && (len(d.disks) > largeDisks || len(d.records) > largeNodes) {
-		d.grow()
+	if !d.large && (len(d.disks) > largeFleetDisks || len(d.records) > largeFleetNodes) {
+		d.switchToLarge()
 	}
 }
 
-// drop removes what is held of a node. The mutex is held.
-func (d *Directory) drop(node string) {
+// remove deletes a node's record and its index entries. The mutex is held.
+func (d *Directory) remove(node string) {
 	d.sorted = nil
 	record := d.records[node]
 	if record == nil {
@@ -104,12 +105,12 @@
 	}
 	if record.DiskId != "" {
 		delete(d.byDisk, record.DiskId)
-		if place, found := slices.BinarySearchFunc(d.disks, node, compareToID); found {
-			d.disks = slices.Delete(slices.Clone(d.disks), place, place+1)
+		if index, found := slices.BinarySearchFunc(d.disks, node, compareToID); found {
+			d.disks = slices.Delete(slices.Clone(d.disks), index, index+1)
 		}
 	}
-	if d.synced(record) {
-		d.parts[partOf(node)] ^= fingerprint(record)
+	if d.isExchanged(record) {
+		d.partDigests[partOf(node)] ^= fingerprint(record)
 	}
 }
 
@@ -122,8 +123,9 @@
 	}
 }
 
-// Put takes a record if it is newer. A record of this node from an earlier
-// run makes it raise its incarnation. It reports whether something changed.
+// Put stores a record if it is newer than the known one, and reports whether a record
+// changed. A record that describes this node itself is never stored; instead refute
+// compares it with the own record.
 func (d *Directory) Put(record *wirev1.NodeRecord) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,47 +133,49 @@
 		return d.refute(record)
 	}
 	known := d.records[record.NodeId]
-	if known != nil && known.Incarnation >= record.Incarnation || !d.held(record) {
+	if known != nil && known.Incarnation >= record.Incarnation || !d.retains(record) {
 		return false
 	}
 	if known != nil && known.DiskId != "" && known.DiskId != record.DiskId {
-		d.lost[known.DiskId] = true
+		d.lostDisks[known.DiskId] = true
 	}
-	d.keep(record)
+	d.store(record)
 	return true
 }
 
-// maxSingleLines is how many records that come together get a log line each; above it
-// they are counted.
-const maxSingleLines = 4
+// maxIndividualLogLines is the largest number of new records in a batch that are logged
+// individually. For a larger batch only the number is logged.
+const maxIndividualLogLines = 4
 
-// PutAll takes records that came together from a source, and logs what changed.
+// PutAll stores a batch of records from a source and logs which of them were new.
 func (d *Directory) PutAll(records []*wirev1.NodeRecord, source string) {
-	var learnt []*wirev1.NodeRecord
+	var stored []*wirev1.NodeRecord
 	for _, record := range records {
 		if d.Put(record) {
-			learnt = append(learnt, record)
+			stored = append(stored, record)
 		}
 	}
-	if len(learnt) > maxSingleLines {
-		klog.InfoS("nodes learnt", "nodes", len(learnt), "known", d.Count(), "source", source)
+	if len(stored) > maxIndividualLogLines {
+		klog.InfoS("node records received", "nodes", len(stored), "known", d.Count(), "source", source)
 		return
 	}
-	for _, record := range learnt {
-		klog.InfoS("node learnt", "node", record.NodeId, "address", record.Address, "disk", record.DiskId,
+	for _, record := range stored {
+		klog.InfoS("node record received", "node", record.NodeId, "address", record.Address, "disk", record.DiskId,
 			"incarnation", record.Incarnation, "source", source)
 	}
 }
 
-// DiskLost reports whether a disk is known to be lost: its node has another.
+// DiskLost reports whether a disk is known to be lost because its node has a different
+// disk now.
 func (d *Directory) DiskLost(id string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.lost[id]
+	return d.lostDisks[id]
 }
 
-// refute raises this node's incarnation above that of a record of an earlier run. The
-// mutex is held.
+// refute handles a record about this node, for instance of an earlier run. If that record
+// has a higher incarnation, or the same one with other contents, this node's incarnation is
+// raised above it. The mutex is held.
 func (d *Directory) refute(record *wirev1.NodeRecord) bool {
 	same := record.DiskId == d.self.DiskId && record.Address == d.self.Address && record.Leaving == d.self.Leaving
 	if record.Incarnation < d.self.Incarnation || same && record.Incarnation == d.self.Incarnation {
@@ -180,11 +184,11 @@
 	next := clone(d.self)
 	next.Incarnation = record.Incarnation + 1
 	d.self = next
-	d.keep(next)
+	d.store(next)
 	return true
 }
 
-// Records returns all records held, by node id.
+// Records returns all known records, sorted by node id.
 func (d *Directory) Records() []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -197,21 +201,21 @@
 	return slices.Clone(d.sorted)
 }
 
-// Count returns how many nodes are known.
+// Count returns the number of known nodes.
 func (d *Directory) Count() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.records)
 }
 
-// Disks returns the records of nodes with a disk, by node id.
+// Disks returns the records of the nodes with a disk, sorted by node id.
 func (d *Directory) Disks() []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return slices.Clone(d.disks)
 }
 
-// Disk finds the node that has a disk.
+// Disk returns the record of the node that has the disk.
 func (d *Directory) Disk(id string) (*wirev1.NodeRecord, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -219,14 +223,14 @@
 	return record, known
 }
 
-// SetRetiring names the nodes that are being emptied.
+// SetRetiring replaces the set of nodes whose data is being moved to other nodes.
 func (d *Directory) SetRetiring(nodes map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.retiring = nodes
 }
 
-// Retiring lists the nodes that are being emptied.
+// Retiring returns the sorted ids of the nodes whose data is being moved to other nodes.
 func (d *Directory) Retiring() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -238,7 +242,7 @@
 	return list
 }
 
-// IsRetiring reports whether a node is being emptied.
+// IsRetiring reports whether a node's data is being moved to other nodes.
 func (d *Directory) IsRetiring(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/peers/large_test.go
+++ b/internal/cluster/peers/large_test.go
@@ -19,7 +19,7 @@
 	return record
 }
 
-// fleetDirectory is what a node comes to hold that got the records of all nodes.
+// fleetDirectory returns the directory of a node that received the records of all nodes.
 func fleetDirectory(self *wirev1.NodeRecord, edges, disks, zones int) *Directory {
 	directory := NewDirectory(self)
 	for number := range edges {
@@ -31,9 +31,9 @@
 	return directory
 }
 
-// In a large fleet a node holds the records of its zone and of the nodes with disks,
-// whatever it gets; in others it holds all.
-func TestRecordsHeldFollowTheZone(t *testing.T) {
+// In a large fleet a directory keeps only the records of its own zone and of nodes with
+// disks; in a smaller one it keeps all records.
+func TestLargeFleetKeepsOwnZoneAndDisks(t *testing.T) {
 	is := is.New(t)
 	small := fleetDirectory(largeRecord("edge", 0, 5), 245, 50, 5)
 	is.True(!small.Large())
@@ -44,39 +44,38 @@
 		is.True(large.Large())
 		is.Equal(large.Count(), edges/5+disks)
 		is.Equal(len(large.Disks()), disks)
-		for _, partner := range large.Partners(50) {
+		for _, partner := range large.RandomPartners(50) {
 			is.Equal(partner.Zone, "z0")
 		}
 	}
 }
 
-// What a node asks of others does not grow with the fleet: one peer a round, and of
-// the nodes with disks those whose life it has to know of.
-func TestQuestionsDoNotGrowWithTheFleet(t *testing.T) {
+// The number of calls that a node makes per second does not grow with the size of the
+// fleet.
+func TestCallRateDoesNotGrowWithFleet(t *testing.T) {
 	is := is.New(t)
 	for _, times := range []int{1, 2, 4} {
 		directory := fleetDirectory(largeRecord("disk", 0, 5), 835*times, 150*times, 5)
 		watched := directory.Disks()[:4]
 		syncer := &Syncer{Directory: directory, Documents: noDocuments{}, Seeds: []string{"s1", "s2", "s3"}, Watched: func() []*wirev1.NodeRecord { return watched }}
 		directory.RequestProbe("disk-7", time.Now())
-		calls, waited := 0, time.Duration(0)
+		calls, elapsed := 0, time.Duration(0)
 		for round := range 100 {
-			if syncer.asksPeer(round, true) {
+			if syncer.syncsWithPeer(round, true) {
 				calls++
 			}
-			calls += len(syncer.seedsToAsk(round, true)) + len(syncer.disksToAsk(round, true))
-			waited += syncer.interval(round, true)
+			calls += len(syncer.seedsToSync(round, true)) + len(syncer.nodesToProbe(round, true))
+			elapsed += syncer.interval(round, true)
 		}
-		perSecond := float64(calls) / waited.Seconds()
-		t.Logf("%d nodes with disks: %.1f questions a second", 150*times, perSecond)
-		is.True(perSecond < 8) // all pairs were 149 at once the fleet's size
+		perSecond := float64(calls) / elapsed.Seconds()
+		t.Logf("%d nodes with disks: %.1f calls a second", 150*times, perSecond)
+		is.True(perSecond < 8) // probing every node with a disk would be at least 149
 	}
 }
 
-// Nodes of one zone come to hold the same records of it by few partners each, and a
-// record that changes reaches all; how much a question and its answer carry follows
-// what differs.
-func TestPartnersSpreadRecords(t *testing.T) {
+// The records of all nodes of a zone converge although each node calls only a few
+// partners.
+func TestRecordsConvergeThroughPartners(t *testing.T) {
 	is := is.New(t)
 	const nodes = 24
 	var fleet []*testPeer
@@ -85,7 +84,7 @@
 		p.Directory.MarkLarge()
 		fleet = append(fleet, p)
 	}
-	for number, p := range fleet { // each knows the next one
+	for number, p := range fleet { // each node knows only the next one
 		p.Directory.Put(fleet[(number+1)%nodes].Directory.Self())
 	}
 	same := func() bool {
@@ -99,18 +98,18 @@
 	rounds := 0
 	for ; !same() && rounds < 50; rounds++ {
 		for _, p := range fleet {
-			p.ask(context.Background(), p.peer(true))
+			p.syncWith(context.Background(), p.peer(true))
 		}
 	}
 	t.Logf("%d rounds for %d nodes", rounds, nodes)
 	is.True(same())
-	is.True(rounds <= nodes) // who asks whom is drawn
+	is.True(rounds <= nodes) // the order of partners is random
 	for _, p := range fleet {
 		is.True(len(p.partners.addresses) <= partnerCount)
 	}
 }
 
-// BenchmarkPut is what one changed record costs a node.
+// BenchmarkPut measures the cost of one changed record.
 func BenchmarkPut(b *testing.B) {
 	for _, times := range []int{1, 2} {
 		directory := fleetDirectory(largeRecord("edge", 0, 5), 835*times, 150*times, 5)
--- a/internal/cluster/peers/partners.go
+++ b/internal/cluster/peers/partners.go
@@ -6,29 +6,28 @@
 )
 
 const (
-	// partnerCount is how many nodes of its zone a node of a large fleet exchanges
-	// records with, in turn. A random graph in which each node asks four others is
-	// connected and has a depth of the logarithm of its size; each partner costs one
-	// link that is idle.
+	// partnerCount is the number of nodes with which a node of a large fleet exchanges
+	// records in turn. A random graph with four edges per node is almost certainly
+	// connected and has logarithmic depth. Each partner costs one idle connection.
 	partnerCount = 4
-	// partnerTurns is after how many questions a partner is replaced by another, so
-	// that no part of a zone stays apart from the rest.
-	partnerTurns = 20
+	// turnsPerPartner is the number of calls after which the oldest partner is replaced,
+	// so that no group of nodes stays isolated.
+	turnsPerPartner = 20
 )
 
-// partners are the addresses of the nodes that a node exchanges records with.
+// partners holds the addresses of the nodes with which this node exchanges records.
 type partners struct {
 	mutex     sync.Mutex
 	addresses []string
 	turn      int
 }
 
-// next returns the partner whose turn it is; empty if no node is known.
+// next returns the address of the partner to call next, or "" if no other node is known.
 func (p *partners) next(directory *Directory) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.turn++
-	if len(p.addresses) > 0 && p.turn%partnerTurns == 0 {
+	if len(p.addresses) > 0 && p.turn%turnsPerPartner == 0 {
 		p.addresses = p.addresses[1:]
 	}
 	if len(p.addresses) < partnerCount {
@@ -40,9 +39,9 @@
 	return p.addresses[p.turn%len(p.addresses)]
 }
 
-// fill draws partners for those that are missing. The mutex is held.
+// fill adds random nodes until there are partnerCount partners. The mutex is held.
 func (p *partners) fill(directory *Directory) {
-	for _, record := range directory.Partners(2 * partnerCount) {
+	for _, record := range directory.RandomPartners(2 * partnerCount) {
 		if len(p.addresses) == partnerCount {
 			return
 		}
@@ -52,8 +51,8 @@
 	}
 }
 
-// drop ends a partnership with a node that did not answer.
-func (p *partners) drop(address string) {
+// remove deletes a partner that did not respond.
+func (p *partners) remove(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.addresses = slices.DeleteFunc(slices.Clone(p.addresses), func(known string) bool { return known == address })
--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -13,57 +13,59 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Documents are what nodes pass on: the configuration, the runner list and the
-// layout of the queues, each with its revision.
+// Documents gives access to the documents that nodes exchange: the configuration, the
+// runner list and the layout of the queues, each with its revision.
 type Documents interface {
-	// Asking fills in which versions this node holds.
-	Asking(request *wirev1.PeerStateRequest)
-	// Newer fills in what is newer here than with the asker.
-	Newer(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply)
-	// Take takes what a peer sent; older versions change nothing.
-	Take(reply *wirev1.PeerStateReply, from string)
-	// Stale reports whether the store has not answered lately.
+	// FillRequest sets the revisions that this node holds.
+	FillRequest(request *wirev1.PeerStateRequest)
+	// FillReply adds the documents that are newer here than at the requesting node.
+	FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply)
+	// ApplyReply stores the documents in a peer's reply that are newer than the local
+	// ones.
+	ApplyReply(reply *wirev1.PeerStateReply, from string)
+	// Stale reports whether contact with the store is lost, so that documents may be
+	// outdated.
 	Stale() bool
-	// Empty reports whether no configuration is known yet: the node can't serve.
+	// Empty reports whether no configuration is known yet, so that the node can't serve.
 	Empty() bool
 }
 
-// Syncer asks peers for what is newer there, and answers them.
+// Syncer exchanges node records and documents with peers, as client and as server.
 type Syncer struct {
 	Directory *Directory
 	Documents Documents
 	Pool      *rpc.Pool
 	Seeds     []string
-	// Watched lists the nodes with disks whose life this node has to know of in a
-	// large fleet; nil stands for none.
+	// Watched returns the nodes with disks to probe in a large fleet; nil means none.
 	Watched func() []*wirev1.NodeRecord
 
 	partners partners
-	// timeout of a call; zero stands for callTimeout.
+	// timeout is the timeout of a call; zero means callTimeout.
 	timeout time.Duration
 }
 
 const (
 	syncInterval = 500 * time.Millisecond
 	callTimeout  = 400 * time.Millisecond
-	// emptyInterval is the pause of a node that can't serve yet.
-	emptyInterval = 120 * time.Millisecond
-	// roundsPerQuestion: a node that the store serves asks a peer, and the nodes with
-	// disks, in each second round.
-	roundsPerQuestion = 2
-	// In a large fleet a node pauses longer: what changes comes by relays, and records
-	// reach a zone of a thousand nodes in some ten rounds. One with a disk asks of the
-	// life of relays at each round, and a partner at each other one.
-	largeInterval     = 2 * time.Second
-	largeDiskInterval = time.Second
-	// eagerRounds after its start a node asks at every round.
-	eagerRounds = 6
-	// largeSeedRounds after its start a node with a disk makes itself known to the
-	// seeds in a large fleet: there are three of these for all nodes.
-	largeSeedRounds = 2
+	// unconfiguredInterval is the time between rounds until a configuration is known.
+	unconfiguredInterval = 120 * time.Millisecond
+	// roundsPerSync is the number of rounds per call to a peer, and per probe of the nodes
+	// with disks, while the store is reachable.
+	roundsPerSync = 2
+	// largeFleetInterval and largeFleetDiskInterval are the times between rounds in a large
+	// fleet, for nodes without and with a disk. They are longer because changes of documents
+	// arrive through relays; a node with a disk also probes other nodes in each round.
+	largeFleetInterval     = 2 * time.Second
+	largeFleetDiskInterval = time.Second
+	// startupRounds is the number of rounds after the start in which a node always calls
+	// a peer.
+	startupRounds = 6
+	// largeFleetSeedRounds is the number of rounds after the start in which a node with a
+	// disk calls the seeds in a large fleet, where few seeds serve many nodes.
+	largeFleetSeedRounds = 2
 )
 
-// Serve answers a peer's question.
+// Serve handles a sync request of a peer.
 func (s *Syncer) Serve(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PeerStateRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -83,97 +85,98 @@
 	case request.PeerIncarnation != 0:
 		reply.Nodes = []*wirev1.NodeRecord{self}
 	case large && request.Self.GetZone() != self.Zone:
-		reply.Nodes = s.Directory.SampleOf(request.Self.GetZone())
+		reply.Nodes = s.Directory.SampleZone(request.Self.GetZone())
 	case len(request.NodeParts) > 0:
-		reply.Nodes = s.Directory.InParts(request.NodeParts)
+		reply.Nodes = s.Directory.RecordsInParts(request.NodeParts)
 	case request.NodesDigest != s.Directory.Digest():
 		reply.PartDigests = s.Directory.PartDigests()
 	}
-	s.Documents.Newer(&request, reply)
+	s.Documents.FillReply(&request, reply)
 	return stream.Send(reply)
 }
 
-// Run asks until the context ends: one peer a second, one at each round while
-// the store does not answer or no peer is known, and disk nodes each other. A
-// node that can't serve yet asks more often. A node with a disk makes itself
-// known to the seeds first: who starts while the store is down finds it there.
+// Run exchanges records and documents with peers in rounds until the context ends. A node
+// calls one random peer every roundsPerSync rounds, and in every round after the start or
+// while the store is unreachable. A node with a disk also probes the other nodes with disks,
+// and after the start it calls the seeds, so that nodes that start while the store is
+// unreachable find it through a seed. Rounds are shorter until a configuration is known.
 //
-// In a large fleet a node asks one of few partners of its zone each other second,
-// and of the nodes with disks only those whose life it has to know of.
+// In a large fleet rounds are longer, a node calls a few partners of its zone in turn, and
+// a node with a disk probes only watched nodes and those for which a probe was requested.
 func (s *Syncer) Run(ctx context.Context) {
-	var asking tasks.Group
-	defer asking.Wait()
+	var calls tasks.Group
+	defer calls.Wait()
 	for round := 0; ctx.Err() == nil; round++ {
 		large := s.Directory.Large()
-		if s.asksPeer(round, large) {
+		if s.syncsWithPeer(round, large) {
 			peer := s.peer(large)
-			asking.Go(func() { s.ask(ctx, peer) })
+			calls.Go(func() { s.syncWith(ctx, peer) })
 		}
 		if s.Directory.Self().DiskId != "" {
-			for _, seed := range s.seedsToAsk(round, large) {
-				asking.Go(func() { s.ask(ctx, seed) })
+			for _, seed := range s.seedsToSync(round, large) {
+				calls.Go(func() { s.syncWith(ctx, seed) })
 			}
-			for _, node := range s.disksToAsk(round, large) {
-				asking.Go(func() { s.askSelf(ctx, node) })
+			for _, node := range s.nodesToProbe(round, large) {
+				calls.Go(func() { s.probe(ctx, node) })
 			}
 		}
 		pause.For(ctx, s.interval(round, large))
 	}
 }
 
-// asksPeer reports whether a peer is asked in a round.
-func (s *Syncer) asksPeer(round int, large bool) bool {
-	if s.Documents.Stale() || round < eagerRounds {
+// syncsWithPeer reports whether the node calls a peer in a round.
+func (s *Syncer) syncsWithPeer(round int, large bool) bool {
+	if s.Documents.Stale() || round < startupRounds {
 		return true
 	}
 	if large && s.Directory.Self().DiskId == "" {
 		return true
 	}
-	return round%roundsPerQuestion == 0
+	return round%roundsPerSync == 0
 }
 
-// seedsToAsk lists the seeds that a node with a disk makes itself known to in a round.
-func (s *Syncer) seedsToAsk(round int, large bool) []string {
-	if large && round >= largeSeedRounds || round >= eagerRounds {
+// seedsToSync returns the seeds that a node with a disk calls in a round.
+func (s *Syncer) seedsToSync(round int, large bool) []string {
+	if large && round >= largeFleetSeedRounds || round >= startupRounds {
 		return nil
 	}
 	return s.Seeds
 }
 
-// disksToAsk lists the nodes with disks that are asked in a round whether they live.
-func (s *Syncer) disksToAsk(round int, large bool) []*wirev1.NodeRecord {
+// nodesToProbe returns the nodes with disks that are probed in a round.
+func (s *Syncer) nodesToProbe(round int, large bool) []*wirev1.NodeRecord {
 	var list []*wirev1.NodeRecord
 	switch {
 	case large:
-		list = s.Directory.wantedContacts(time.Now())
+		list = s.Directory.requestedProbes(time.Now())
 		if s.Watched != nil {
 			list = append(list, s.Watched()...)
 		}
-	case round%roundsPerQuestion == 0:
+	case round%roundsPerSync == 0:
 		list = s.Directory.Disks()
 	}
 	self := s.Directory.Self().NodeId
 	return slices.DeleteFunc(list, func(node *wirev1.NodeRecord) bool { return node.NodeId == self })
 }
 
-// interval returns the time between two rounds.
+// interval returns the time to wait after a round.
 func (s *Syncer) interval(round int, large bool) time.Duration {
 	switch {
 	case s.Documents.Empty():
-		return emptyInterval
-	case !large || round < eagerRounds || s.Documents.Stale():
+		return unconfiguredInterval
+	case !large || round < startupRounds || s.Documents.Stale():
 		return syncInterval
 	case s.Directory.Self().DiskId != "":
-		return largeDiskInterval
+		return largeFleetDiskInterval
 	default:
-		return largeInterval
+		return largeFleetInterval
 	}
 }
 
-// peer chooses whom to ask next.
+// peer returns the address of the peer to call next, or "" if none is known.
 func (s *Syncer) peer(large bool) string {
 	if !large {
-		return s.anyPeer()
+		return s.randomPeer()
 	}
 	if partner := s.partners.next(s.Directory); partner != "" {
 		return partner
@@ -184,8 +187,9 @@
 	return s.Seeds[rand.IntN(len(s.Seeds))]
 }
 
-// anyPeer draws a known node, or a seed as long as none is known.
-func (s *Syncer) anyPeer() string {
+// randomPeer returns the address of a random known node. Seeds are included in a quarter
+// of the calls, and always while no other node is known.
+func (s *Syncer) randomPeer() string {
 	self := s.Directory.Self()
 	var addresses []string
 	for _, record := range s.Directory.Records() {
@@ -202,9 +206,9 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// ask asks a peer for what is newer there: first for digests of its records, then
-// for those parts of them that differ.
-func (s *Syncer) ask(ctx context.Context, address string) {
+// syncWith fetches newer documents and records from a peer. It compares digests of the
+// records first and then requests the parts that differ.
+func (s *Syncer) syncWith(ctx context.Context, address string) {
 	if address == "" {
 		return
 	}
@@ -212,34 +216,35 @@
 	if reply == nil || len(reply.PartDigests) == 0 {
 		return
 	}
-	if parts := s.Directory.Differing(reply.PartDigests); len(parts) > 0 {
+	if parts := s.Directory.DifferingParts(reply.PartDigests); len(parts) > 0 {
 		s.call(ctx, address, &wirev1.PeerStateRequest{NodeParts: parts})
 	}
 }
 
-// askSelf asks a node with a disk whether it is still the one that is known.
-func (s *Syncer) askSelf(ctx context.Context, node *wirev1.NodeRecord) {
+// probe checks that a node with a disk responds. The node sends its record if its
+// incarnation has changed.
+func (s *Syncer) probe(ctx context.Context, node *wirev1.NodeRecord) {
 	if s.call(ctx, node.Address, &wirev1.PeerStateRequest{PeerIncarnation: node.Incarnation}) == nil && ctx.Err() == nil {
 		s.Directory.RecordUnresponsive(node.Address, time.Now())
 	}
 }
 
-// call asks a peer and takes the answer; nil if none came.
+// call sends a request to a peer and applies the reply. It returns nil if the call failed.
 func (s *Syncer) call(ctx context.Context, address string, request *wirev1.PeerStateRequest) *wirev1.PeerStateReply {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(s.timeout, callTimeout))
 	defer cancel()
 	request.Self, request.Large = s.Directory.Self(), s.Directory.Large()
-	s.Documents.Asking(request)
+	s.Documents.FillRequest(request)
 	reply := &wirev1.PeerStateReply{}
 	if err := s.Pool.Call(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_PEER_STATE, request, reply); err != nil {
-		s.partners.drop(address)
-		return nil // whoever does not answer is known by the time of its last contact
+		s.partners.remove(address)
+		return nil // the time of the last contact shows which peers do not respond
 	}
 	if reply.Large {
 		s.Directory.MarkLarge()
 	}
 	s.Directory.PutAll(reply.Nodes, address)
 	s.Directory.RecordContactAt(address, time.Now())
-	s.Documents.Take(reply, address)
+	s.Documents.ApplyReply(reply, address)
 	return reply
 }
--- a/internal/cluster/peers/sync_test.go
+++ b/internal/cluster/peers/sync_test.go
@@ -14,20 +14,19 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// noDocuments has nothing to pass on but node records.
+// noDocuments is a Documents without documents.
 type noDocuments struct{}
 
-func (noDocuments) Asking(*wirev1.PeerStateRequest)                        {}
-func (noDocuments) Newer(*wirev1.PeerStateRequest, *wirev1.PeerStateReply) {}
-func (noDocuments) Take(*wirev1.PeerStateReply, string)                    {}
-func (noDocuments) Stale() bool                                            { return false }
-func (noDocuments) Empty() bool                                            { return false }
+func (noDocuments) FillRequest(*wirev1.PeerStateRequest)                       {}
+func (noDocuments) FillReply(*wirev1.PeerStateRequest, *wirev1.PeerStateReply) {}
+func (noDocuments) ApplyReply(*wirev1.PeerStateReply, string)                  {}
+func (noDocuments) Stale() bool                                                { return false }
+func (noDocuments) Empty() bool                                                { return false }
 
-// testTimeout lets no call fail because the machine is busy: what a call that is answered
-// brings is tested here.
+// testTimeout is long enough that no call times out on a busy machine.
 const testTimeout = time.Minute
 
-// testPeer is a node that exchanges records over loopback.
+// testPeer is a node that exchanges records over the loopback interface.
 type testPeer struct {
 	*Syncer
 	counters *rpc.Counters
@@ -58,9 +57,9 @@
 	return &wirev1.NodeRecord{NodeId: fmt.Sprint("edge-some-zone-", number), Address: fmt.Sprintf("10.0.%d.%d:7720", number/250, number%250), Zone: "some-zone", Region: "region", Incarnation: incarnation}
 }
 
-// While nodes start again all the time, nodes that exchange records send each
-// other those that changed and few others, not all records of the fleet.
-func TestChangedRecordsAreSentNotAll(t *testing.T) {
+// After a single record has changed, a sync transfers only the part that contains it, not
+// all records.
+func TestOnlyDifferingPartsAreSent(t *testing.T) {
 	is := is.New(t)
 	const nodes = 300
 	one, other := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
@@ -69,30 +68,30 @@
 		other.Directory.Put(fleetRecord(number, 1))
 	}
 	ctx := context.Background()
-	one.ask(ctx, other.address)
-	other.ask(ctx, one.address)
-	one.ask(ctx, other.address)
+	one.syncWith(ctx, other.address)
+	other.syncWith(ctx, one.address)
+	one.syncWith(ctx, other.address)
 	is.Equal(one.Directory.Digest(), other.Directory.Digest())
 	before := one.counters.BytesReceived.Load()
 	for round := range 10 {
 		other.Directory.Put(fleetRecord(round*7, uint64(2+round)))
-		one.ask(ctx, other.address)
+		one.syncWith(ctx, other.address)
 		is.Equal(one.Directory.Digest(), other.Directory.Digest())
 	}
 	each := (one.counters.BytesReceived.Load() - before) / 10
-	t.Logf("%d bytes an exchange with one changed record of %d", each, nodes)
+	t.Logf("%d bytes per sync with one changed record of %d", each, nodes)
 	is.True(each < 3000)
 }
 
-// Whatever two nodes know, each asking the other once brings both to the newest
-// of every record.
-func TestExchangeBringsBothToTheNewest(t *testing.T) {
+// One sync in each direction brings two nodes to the newest version of every record,
+// whatever each knew before.
+func TestExchangeConvergesToNewestRecords(t *testing.T) {
 	one, other := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
-	life := uint64(1)
+	incarnation := uint64(1)
 	rapid.Check(t, func(t *rapid.T) {
-		life++
+		incarnation++
 		for range rapid.IntRange(0, 40).Draw(t, "changes") {
-			record := fleetRecord(rapid.IntRange(0, 60).Draw(t, "node"), life)
+			record := fleetRecord(rapid.IntRange(0, 60).Draw(t, "node"), incarnation)
 			if rapid.Bool().Draw(t, "at one") {
 				one.Directory.Put(record)
 			} else {
@@ -100,26 +99,26 @@
 			}
 		}
 		ctx := context.Background()
-		one.ask(ctx, other.address)
-		other.ask(ctx, one.address)
+		one.syncWith(ctx, other.address)
+		other.syncWith(ctx, one.address)
 		if one.Directory.Digest() != other.Directory.Digest() {
 			t.Fatalf("%d and %d records", one.Directory.Count(), other.Directory.Count())
 		}
 	})
 }
 
-// A node that is asked only whether it is still the one that is known answers
-// with its record if it is not: its disk may be another.
-func TestReplacedDiskIsSeenByAskingItsNode(t *testing.T) {
+// A probe returns the node's record if its incarnation has changed, so that the prober
+// learns of a replaced disk.
+func TestProbeFindsReplacedDisk(t *testing.T) {
 	is := is.New(t)
-	asker, asked := startPeer(t, "asker", "d1", 1), startPeer(t, "asked", "new", 2)
-	asker.Directory.Put(&wirev1.NodeRecord{NodeId: "asked", Address: asked.address, DiskId: "old", Incarnation: 1})
-	for _, record := range asker.Directory.Disks() {
+	prober, probed := startPeer(t, "asker", "d1", 1), startPeer(t, "asked", "new", 2)
+	prober.Directory.Put(&wirev1.NodeRecord{NodeId: "asked", Address: probed.address, DiskId: "old", Incarnation: 1})
+	for _, record := range prober.Directory.Disks() {
 		if record.NodeId == "asked" {
-			asker.askSelf(context.Background(), record)
+			prober.probe(context.Background(), record)
 		}
 	}
-	is.True(asker.Directory.DiskLost("old"))
-	_, known := asker.Directory.Disk("new")
+	is.True(prober.Directory.DiskLost("old"))
+	_, known := prober.Directory.Disk("new")
 	is.True(known)
 }
