--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -11,18 +11,18 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// forget drops a tombstone.
-func (s *State) forget(known *member) {
+// removeMember deletes an expired tombstone.
+func (s *State) removeMember(known *member) {
 	s.hashes[known.bucket] ^= known.hash
 	delete(s.members, known.record.Id)
 	last := s.list[len(s.list)-1]
-	s.list[known.listed] = last
-	last.listed = known.listed
+	s.list[known.index] = last
+	last.index = known.index
 	s.list = s.list[:len(s.list)-1]
 }
 
-// startSync exchanges table hashes with one random member, and with one listed
-// machine that is unknown or believed dead, which joins and heals partitions.
+// startSync sends the table hashes to a random member, and to a random seed that is unknown
+// or considered dead. Contacting such seeds lets a node join and heals partitions.
 func (s *State) startSync(out *Output) {
 	if target := s.randomMember(s.self.Id); target != nil {
 		s.send(out, target.record.Address, s.syncMessage())
@@ -39,6 +39,7 @@
 	return &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_SYNC, BucketHashes: s.hashes[:]}
 }
 
+// missingSeed returns the address of a random seed that is not a live member, or "".
 func (s *State) missingSeed() string {
 	live := make(map[string]bool, len(s.members))
 	for _, known := range s.list {
@@ -58,16 +59,17 @@
 	return missing[s.random.IntN(len(missing))]
 }
 
-// handleSyncReply has merged the peer's records already; it answers with its
-// own where the tables still differ. Target marks that answer as the last.
+// handleSyncReply sends the own records where the tables still differ after the peer's
+// records have been merged. A non-empty Target marks the last reply of an exchange.
 func (s *State) handleSyncReply(message *wirev1.MembershipMessage, out *Output) {
 	if message.Target == "" {
-		s.sendDifferent(out, message, "last")
+		s.sendDifferences(out, message, "last")
 	}
 }
 
-// sendDifferent sends the records of the buckets whose hashes differ.
-func (s *State) sendDifferent(out *Output, message *wirev1.MembershipMessage, mark string) {
+// sendDifferences sends the records of the buckets whose hashes differ. The mark becomes the
+// Target of the message.
+func (s *State) sendDifferences(out *Output, message *wirev1.MembershipMessage, mark string) {
 	if len(message.BucketHashes) != buckets {
 		return
 	}
@@ -77,15 +79,15 @@
 			records = append(records, known.record)
 		}
 	}
-	if len(records) == 0 && s.sameTable(message.BucketHashes) {
+	if len(records) == 0 && s.hashesEqual(message.BucketHashes) {
 		return
 	}
-	s.sendRaw(out, message.FromAddress, &wirev1.MembershipMessage{
+	s.sendWithoutPiggyback(out, message.FromAddress, &wirev1.MembershipMessage{
 		Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_SYNC_REPLY, BucketHashes: s.hashes[:], Updates: records, Target: mark,
 	})
 }
 
-func (s *State) sameTable(hashes []uint64) bool {
+func (s *State) hashesEqual(hashes []uint64) bool {
 	for bucket, hash := range hashes {
 		if hash != s.hashes[bucket] {
 			return false
@@ -94,7 +96,8 @@
 	return true
 }
 
-// merge takes a received record. Records about this node itself are refuted.
+// merge stores a received record if it supersedes the known one. A record about this node
+// itself is refuted if it is wrong.
 func (s *State) merge(received *wirev1.MemberRecord, now time.Time, out *Output) {
 	if received.Id == s.self.Id {
 		s.refute(received, out)
@@ -103,15 +106,15 @@
 	known := s.members[received.Id]
 	if known == nil {
 		if received.State == Dead {
-			// Keep the tombstone: an older "alive" may still be on its way.
+			// Keep the tombstone, since an older "alive" record may arrive later.
 			known = &member{}
 			s.store(received, known)
-			s.settleTimers(known, now)
+			s.setTimers(known, now)
 			return
 		}
 		known = &member{}
 		s.store(received, known)
-		s.settleTimers(known, now)
+		s.setTimers(known, now)
 		out.Changes = append(out.Changes, Change{nil, received})
 		return
 	}
@@ -119,11 +122,11 @@
 		return
 	}
 	s.replace(known, received, out)
-	s.settleTimers(known, now)
+	s.setTimers(known, now)
 }
 
-// supersedes is the precedence of SWIM: the higher incarnation, then the
-// graver state.
+// supersedes reports whether a received record takes precedence over the known one: by the
+// higher incarnation, then by the higher state, as in SWIM.
 func supersedes(received, known *wirev1.MemberRecord) bool {
 	if received.Incarnation != known.Incarnation {
 		return received.Incarnation > known.Incarnation
@@ -131,7 +134,8 @@
 	return received.State > known.State
 }
 
-func (s *State) settleTimers(known *member, now time.Time) {
+// setTimers starts or stops a member's suspicion and tombstone timers to match its state.
+func (s *State) setTimers(known *member, now time.Time) {
 	switch known.record.State {
 	case Suspect:
 		known.suspected = true
@@ -144,20 +148,21 @@
 	}
 }
 
-// refute answers a record about this node that is not what it says of itself:
-// a higher incarnation of its own state wins everywhere.
+// refute reacts to a wrong record about this node by raising the incarnation of its own
+// record, which then supersedes the wrong one at every member.
 func (s *State) refute(received *wirev1.MemberRecord, out *Output) {
-	sameLife := received.Incarnation == s.self.Incarnation && received.State == s.self.State
-	if received.Incarnation < s.self.Incarnation || sameLife {
+	same := received.Incarnation == s.self.Incarnation && received.State == s.self.State
+	if received.Incarnation < s.self.Incarnation || same {
 		return
 	}
 	if received.Incarnation == s.self.Incarnation && received.State < s.self.State {
 		return
 	}
-	s.restate(s.self.State, received.Incarnation+1, out)
+	s.updateSelf(s.self.State, received.Incarnation+1, out)
 }
 
-func (s *State) restate(state wirev1.MemberState, incarnation uint64, out *Output) {
+// updateSelf replaces this node's own record.
+func (s *State) updateSelf(state wirev1.MemberState, incarnation uint64, out *Output) {
 	next := proto.Clone(s.self).(*wirev1.MemberRecord)
 	next.State = state
 	next.Incarnation = incarnation
@@ -174,7 +179,7 @@
 func (s *State) store(record *wirev1.MemberRecord, known *member) {
 	if s.members[record.Id] == nil {
 		known.bucket = int(xxhash.Sum64String(record.Id) % buckets)
-		known.listed = len(s.list)
+		known.index = len(s.list)
 		s.list = append(s.list, known)
 		s.members[record.Id] = known
 	}
@@ -183,9 +188,9 @@
 	known.transmits = 0
 	known.hash = hashRecord(record)
 	s.hashes[known.bucket] ^= known.hash
-	if !known.fresh {
-		known.fresh = true
-		s.fresh = append(s.fresh, known)
+	if !known.queued {
+		known.queued = true
+		s.gossipQueue = append(s.gossipQueue, known)
 	}
 }
 
@@ -196,33 +201,34 @@
 	return digest.Sum64()
 }
 
-// transmitLimit is how often a record is piggybacked: a few times log2(n).
+// transmitLimit returns how often a record is piggybacked: three times the logarithm of
+// the number of members.
 func (s *State) transmitLimit() int { return 3 * bits.Len(uint(len(s.members))) }
 
-// piggyback picks the records transmitted least often and retires those that
-// have been transmitted enough.
+// piggyback returns the queued records that were transmitted least often, and removes
+// records from the queue that reached the transmit limit.
 func (s *State) piggyback() []*wirev1.MemberRecord {
-	if len(s.fresh) == 0 {
+	if len(s.gossipQueue) == 0 {
 		return nil
 	}
-	sort.SliceStable(s.fresh, func(i, j int) bool { return s.fresh[i].transmits < s.fresh[j].transmits })
+	sort.SliceStable(s.gossipQueue, func(i, j int) bool { return s.gossipQueue[i].transmits < s.gossipQueue[j].transmits })
 	limit := s.transmitLimit()
-	records := make([]*wirev1.MemberRecord, 0, min(len(s.fresh), s.config.MaxPiggyback))
-	kept := s.fresh[:0]
-	for _, known := range s.fresh {
+	records := make([]*wirev1.MemberRecord, 0, min(len(s.gossipQueue), s.config.MaxPiggyback))
+	kept := s.gossipQueue[:0]
+	for _, known := range s.gossipQueue {
 		if s.members[known.record.Id] != known {
-			known.fresh = false
+			known.queued = false
 			continue
 		}
 		if len(records) < s.config.MaxPiggyback {
 			known.transmits++
 			records = append(records, known.record)
 		}
-		known.fresh = known.transmits < limit
-		if known.fresh {
+		known.queued = known.transmits < limit
+		if known.queued {
 			kept = append(kept, known)
 		}
 	}
-	s.fresh = kept
+	s.gossipQueue = kept
 	return records
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,12 +1,12 @@
-// Package membership is the decision logic of the nodes' failure detector and
-// gossip, after SWIM (Das, Gupta, Motivala 2002) with the suspicion and
-// incarnation rules of that paper. It owns the table of members; the plain node runs
-// it through modules/fleet/membership.
+// Package membership implements a failure detector and the gossip of member records,
+// after SWIM (Das, Gupta, Motivala 2002) with the suspicion and incarnation rules of that
+// paper. It owns the table of members. The plain node runs it through
+// modules/fleet/membership.
 //
 // The package does no I/O and reads no clock: Tick and Handle take the time and
-// return messages to send. Traffic per node is constant in the fleet's size:
-// one probe per interval, a bounded number of piggybacked records, and an
-// anti-entropy exchange that sends only the parts of the table that differ.
+// return messages to send. The traffic of a node does not depend on the size of the fleet:
+// the node sends one probe per interval, attaches a bounded number of records to each
+// message, and sends only the parts of the table that differ in an anti-entropy exchange.
 package membership
 
 import (
@@ -19,7 +19,7 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Shorthand for the wire's states, in order of precedence at one incarnation.
+// Member states, in increasing order of precedence within one incarnation.
 const (
 	Alive   = wirev1.MemberState_MEMBER_STATE_ALIVE
 	Suspect = wirev1.MemberState_MEMBER_STATE_SUSPECT
@@ -27,17 +27,19 @@
 	Dead    = wirev1.MemberState_MEMBER_STATE_DEAD
 )
 
-// Config holds the detector's times and bounds.
+// Config holds the durations and limits of the failure detector.
 type Config struct {
 	// ProbeInterval is the time between direct probes of one random member.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before indirect ones.
+	// ProbeTimeout is how long a direct probe may take before indirect probes start.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspect has to refute.
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion before
+	// it is declared dead.
 	SuspicionTimeout time.Duration
-	// IndirectProbes is the number of members asked to probe a silent one.
+	// IndirectProbes is the number of members that are asked to probe an unresponsive
+	// member.
 	IndirectProbes int
-	// MaxPiggyback bounds the records on one message.
+	// MaxPiggyback is the maximum number of records attached to a message.
 	MaxPiggyback int
 	// SyncInterval is the time between anti-entropy exchanges.
 	SyncInterval time.Duration
@@ -45,7 +47,8 @@
 	TombstoneTime time.Duration
 }
 
-// DefaultConfig detects a dead node within about three seconds.
+// DefaultConfig returns a configuration that detects a dead node within about three
+// seconds.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval:    500 * time.Millisecond,
@@ -58,40 +61,40 @@
 	}
 }
 
-// Envelope is a message to send.
+// Envelope is a message with the address to send it to.
 type Envelope struct {
 	Address string
 	Message *wirev1.MembershipMessage
 }
 
-// Change is a member whose record changed in a way owners care about.
+// Change describes a replaced member record. Before is nil for a new member.
 type Change struct {
 	Before, After *wirev1.MemberRecord
 }
 
-// Output is what a step asks for.
+// Output holds the results of a step: messages to send and changed member records.
 type Output struct {
 	Send    []Envelope
 	Changes []Change
 }
 
-// Seed is a machine of the platform's list, which lags.
+// Seed is a machine of the platform's machine list, which may be outdated.
 type Seed struct {
 	Address string
 }
 
 type member struct {
 	record    *wirev1.MemberRecord
-	deadline  time.Time // suspicion ends or tombstone falls
-	suspected bool      // a local suspicion is running
-	transmits int       // gossip transmissions of the current record
+	deadline  time.Time // end of the suspicion, or expiry of the tombstone
+	suspected bool      // whether this node's suspicion timer is running
+	transmits int       // how often the current record was piggybacked
 	hash      uint64
 	bucket    int
-	listed    int // index in State.list
-	fresh     bool
+	index     int // position in State.list
+	queued    bool
 }
 
-// buckets split the table for the anti-entropy exchange.
+// buckets is the number of parts of the table that the anti-entropy exchange compares.
 const buckets = 16
 
 type probe struct {
@@ -100,8 +103,8 @@
 	indirect bool
 }
 
-// relay remembers for whom an indirect probe is being made.
-type relay struct {
+// relayedProbe is a probe on behalf of another node, which receives the acknowledgement.
+type relayedProbe struct {
 	requester string
 	sequence  uint64
 	started   time.Time
@@ -109,61 +112,61 @@
 
 // State is one node's view of the fleet.
 //
-// Invariant: a record is replaced only by one that supersedes it, so views
+// Invariant: a record is replaced only by a record that supersedes it, so all views
 // converge to the same table whatever the order of messages.
 type State struct {
-	config  Config
-	random  *rand.Rand
-	self    *wirev1.MemberRecord
-	members map[string]*member
-	list    []*member // all members, in no order
-	fresh   []*member // those whose record is still being gossiped
-	seeds   []Seed
+	config      Config
+	random      *rand.Rand
+	self        *wirev1.MemberRecord
+	members     map[string]*member
+	list        []*member // all members, unordered
+	gossipQueue []*member // members whose records are still to be piggybacked
+	seeds       []Seed
 
-	order     []*member // shuffled probe order
-	position  int
-	sequence  uint64
-	probes    map[uint64]probe
-	relays    map[uint64]relay
-	nextProbe time.Time
-	nextSync  time.Time
-	lastTick  time.Time
-	hashes    [buckets]uint64
+	probeOrder    []*member // shuffled probe order
+	probePosition int
+	sequence      uint64
+	probes        map[uint64]probe
+	relayedProbes map[uint64]relayedProbe
+	nextProbe     time.Time
+	nextSync      time.Time
+	lastTick      time.Time
+	hashes        [buckets]uint64
 
 	bundleGeneration uint64
 	peerGeneration   uint64
-	peerAhead        string
+	peerAddress      string
 }
 
-// New returns the view of a node that knows only itself.
+// New returns the state of a node that knows only itself.
 func New(self *wirev1.MemberRecord, config Config, random *rand.Rand) *State {
 	s := &State{
-		config:  config,
-		random:  random,
-		self:    proto.Clone(self).(*wirev1.MemberRecord),
-		members: map[string]*member{},
-		probes:  map[uint64]probe{},
-		relays:  map[uint64]relay{},
+		config:        config,
+		random:        random,
+		self:          proto.Clone(self).(*wirev1.MemberRecord),
+		members:       map[string]*member{},
+		probes:        map[uint64]probe{},
+		relayedProbes: map[uint64]relayedProbe{},
 	}
 	s.self.State = Alive
 	s.store(s.self, &member{})
 	return s
 }
 
-// SetSeeds replaces the machine list.
+// SetSeeds replaces the list of seeds.
 func (s *State) SetSeeds(seeds []Seed) { s.seeds = seeds }
 
-// SetBundleGeneration sets the generation advertised on every message.
+// SetBundleGeneration sets the bundle generation that every message advertises.
 func (s *State) SetBundleGeneration(generation uint64) { s.bundleGeneration = generation }
 
 // AheadPeer returns the highest bundle generation that a member reported and
 // the address of that member.
-func (s *State) AheadPeer() (uint64, string) { return s.peerGeneration, s.peerAhead }
+func (s *State) AheadPeer() (uint64, string) { return s.peerGeneration, s.peerAddress }
 
 // Self returns this node's record.
 func (s *State) Self() *wirev1.MemberRecord { return s.self }
 
-// Records returns all records, ordered by id.
+// Records returns the records of all members, sorted by id.
 func (s *State) Records() []*wirev1.MemberRecord {
 	records := make([]*wirev1.MemberRecord, 0, len(s.members))
 	for _, known := range s.members {
@@ -173,10 +176,11 @@
 	return records
 }
 
-// Leave marks this node as leaving; it will not be alive again in this life.
+// Leave marks this node as leaving and announces it to a few members. A leaving node does
+// not become alive again until its process restarts.
 func (s *State) Leave() Output {
 	var out Output
-	s.restate(Leaving, s.self.Incarnation+1, &out)
+	s.updateSelf(Leaving, s.self.Incarnation+1, &out)
 	for range s.config.IndirectProbes {
 		if target := s.randomMember(s.self.Id); target != nil {
 			s.send(&out, target.record.Address, &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_PING, Sequence: s.nextSequence()})
@@ -185,10 +189,10 @@
 	return out
 }
 
-// Tick advances timers. It is called a few times per ProbeInterval.
+// Tick advances the timers. The caller calls it several times per ProbeInterval.
 func (s *State) Tick(now time.Time) Output {
 	var out Output
-	s.noticePause(now, &out)
+	s.handlePause(now, &out)
 	s.expireProbes(now, &out)
 	s.expireSuspicions(now, &out)
 	if !now.Before(s.nextProbe) {
@@ -203,13 +207,13 @@
 	return out
 }
 
-// Handle takes one message; its records may change several members.
+// Handle processes a received message and the member records attached to it.
 func (s *State) Handle(now time.Time, message *wirev1.MembershipMessage) Output {
 	var out Output
 	for _, record := range message.Updates {
 		s.merge(record, now, &out)
 	}
-	s.noteGeneration(message)
+	s.recordPeerGeneration(message)
 	s.clearLocalSuspicion(message.From)
 	switch message.Kind {
 	case wirev1.MembershipKind_MEMBERSHIP_KIND_PING:
@@ -219,22 +223,22 @@
 	case wirev1.MembershipKind_MEMBERSHIP_KIND_PING_REQUEST:
 		s.handlePingRequest(now, message, &out)
 	case wirev1.MembershipKind_MEMBERSHIP_KIND_SYNC:
-		s.sendDifferent(&out, message, "")
+		s.sendDifferences(&out, message, "")
 	case wirev1.MembershipKind_MEMBERSHIP_KIND_SYNC_REPLY:
 		s.handleSyncReply(message, &out)
 	}
 	return out
 }
 
-func (s *State) noteGeneration(message *wirev1.MembershipMessage) {
+func (s *State) recordPeerGeneration(message *wirev1.MembershipMessage) {
 	if message.BundleGeneration > s.peerGeneration {
 		s.peerGeneration = message.BundleGeneration
-		s.peerAhead = message.FromAddress
+		s.peerAddress = message.FromAddress
 	}
 }
 
-// clearLocalSuspicion clears a local suspicion of a leaving member that still answers.
-// Suspicions that were gossiped are cleared only by a refutation.
+// clearLocalSuspicion stops this node's suspicion timer for a leaving member that still
+// sends messages. Gossiped suspicions are cleared only by a refutation.
 func (s *State) clearLocalSuspicion(id string) {
 	known := s.members[id]
 	if known != nil && known.record.State == Leaving {
@@ -244,10 +248,10 @@
 
 func (s *State) send(out *Output, address string, message *wirev1.MembershipMessage) {
 	message.Updates = s.piggyback()
-	s.sendRaw(out, address, message)
+	s.sendWithoutPiggyback(out, address, message)
 }
 
-func (s *State) sendRaw(out *Output, address string, message *wirev1.MembershipMessage) {
+func (s *State) sendWithoutPiggyback(out *Output, address string, message *wirev1.MembershipMessage) {
 	message.From = s.self.Id
 	message.FromAddress = s.self.Address
 	message.BundleGeneration = s.bundleGeneration
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -15,15 +15,15 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// fleet simulates nodes over a network that drops, delays and cuts.
+// fleet simulates nodes on a network that drops and delays messages and blocks links.
 type fleet struct {
 	t       *rapid.T
 	now     time.Time
 	random  *rand.Rand
 	nodes   map[string]*State
 	paused  map[string]bool
-	gone    map[string]bool
-	cut     map[[2]string]bool // one direction: from, to
+	stopped map[string]bool
+	cut     map[[2]string]bool // blocked links, by sender and receiver
 	loss    float64
 	pending []delivery
 }
@@ -40,7 +40,7 @@
 func newFleet(t *rapid.T, size int, seed uint64) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(0, 0), random: rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[string]*State{}, paused: map[string]bool{}, gone: map[string]bool{}, cut: map[[2]string]bool{},
+		nodes: map[string]*State{}, paused: map[string]bool{}, stopped: map[string]bool{}, cut: map[[2]string]bool{},
 	}
 	for i := range size {
 		f.start(fmt.Sprintf("n%02d", i), 1)
@@ -51,7 +51,7 @@
 func (f *fleet) start(id string, incarnation uint64) {
 	record := &wirev1.MemberRecord{Id: id, Address: id, Incarnation: incarnation}
 	f.nodes[id] = New(record, DefaultConfig(), rand.New(rand.NewPCG(f.random.Uint64(), 2)))
-	delete(f.gone, id)
+	delete(f.stopped, id)
 	f.reseed()
 }
 
@@ -74,7 +74,7 @@
 	return ids
 }
 
-func (f *fleet) running(id string) bool { return !f.gone[id] && !f.paused[id] }
+func (f *fleet) running(id string) bool { return !f.stopped[id] && !f.paused[id] }
 
 func (f *fleet) send(from string, out Output) {
 	for _, envelope := range out.Send {
@@ -121,7 +121,7 @@
 	return wirev1.MemberState_MEMBER_STATE_UNSPECIFIED
 }
 
-// disagreements lists running observers whose view of subject is not wanted.
+// disagreements describes the running nodes that see subject in a state that is not wanted.
 func (f *fleet) disagreements(subject string, wanted ...wirev1.MemberState) []string {
 	var wrong []string
 	for _, observer := range f.ids() {
@@ -142,15 +142,15 @@
 
 const settleTime = 60 * time.Second
 
-// Views converge after any mix of kills, pauses, cuts and loss has ended: the
-// dead are dead everywhere and no reachable live node stays condemned.
+// After any mix of stopped nodes, paused nodes, blocked links and lost messages has ended,
+// every view lists stopped nodes as dead and running nodes as alive.
 func TestViewsConvergeAfterFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 9).Draw(t, "size")
 		f := newFleet(t, size, rapid.Uint64().Draw(t, "seed"))
 		f.advance(10 * time.Second)
 		for range rapid.IntRange(1, 5).Draw(t, "faults") {
-			f.drawFault()
+			f.injectFault()
 			f.advance(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
 		}
 		f.loss = 0
@@ -159,8 +159,8 @@
 		f.advance(settleTime)
 		for _, id := range f.ids() {
 			wanted := []wirev1.MemberState{Alive}
-			if f.gone[id] {
-				// A node that started after the death may never hear of it.
+			if f.stopped[id] {
+				// A node that started later may have no record of the stopped node.
 				wanted = []wirev1.MemberState{Dead, wirev1.MemberState_MEMBER_STATE_UNSPECIFIED}
 			}
 			if wrong := f.disagreements(id, wanted...); len(wrong) > 0 {
@@ -170,31 +170,31 @@
 	})
 }
 
-func (f *fleet) drawFault() {
+func (f *fleet) injectFault() {
 	id := rapid.SampledFrom(f.ids()).Draw(f.t, "victim")
 	switch rapid.IntRange(0, 5).Draw(f.t, "fault") {
 	case 0:
-		f.gone[id] = true
+		f.stopped[id] = true
 	case 1:
 		f.paused[id] = true
-	case 2: // one-way loss of a link
+	case 2: // block a link in one direction
 		other := rapid.SampledFrom(f.ids()).Draw(f.t, "other")
 		f.cut[[2]string{id, other}] = true
-	case 3: // cut off entirely
+	case 3: // block all links of a node
 		for _, other := range f.ids() {
 			f.cut[[2]string{id, other}] = true
 			f.cut[[2]string{other, id}] = true
 		}
 	case 4:
 		f.loss = 0.3
-	case 5: // restart with a clock that went back
+	case 5: // restart with an incarnation from a clock that was set back
 		f.start(id, 1)
 		delete(f.paused, id)
 	}
 }
 
-// A member that leaves is never seen alive again, whatever is suspected,
-// delayed or lost meanwhile.
+// A node that has seen a member leave never sees it alive or suspect again, even with
+// suspicions and with delayed or lost messages.
 func TestLeavingMemberIsNeverRevived(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(3, 7).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
@@ -205,13 +205,13 @@
 		left := map[string]bool{}
 		for i := range 200 {
 			if i == 100 {
-				f.gone[leaver] = true
+				f.stopped[leaver] = true
 			}
 			f.advance(200 * time.Millisecond)
 			for _, observer := range f.ids() {
 				state := f.stateOf(observer, leaver)
 				if left[observer] && (state == Alive || state == Suspect) {
-					t.Fatalf("%s revived the leaving member", observer)
+					t.Fatalf("%s sees the leaving member as alive or suspect again", observer)
 				}
 				left[observer] = left[observer] || state == Leaving || state == Dead
 			}
@@ -219,8 +219,7 @@
 	})
 }
 
-// A partition that lasted long enough for both sides to condemn each other
-// heals through the machine list.
+// A partition that lasted until each side declared the other dead heals through the seeds.
 func TestPartitionHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 6, rapid.Uint64().Draw(t, "seed"))
@@ -233,7 +232,7 @@
 		}
 		f.advance(20 * time.Second)
 		if f.stateOf("n00", "n05") != Dead {
-			t.Fatal("the cut was not noticed")
+			t.Fatal("the partition was not detected")
 		}
 		clear(f.cut)
 		f.advance(settleTime)
@@ -245,9 +244,9 @@
 	})
 }
 
-// A process that stood still does not condemn the others when it wakes, even
-// those it had begun to suspect before.
-func TestPausedNodeCondemnsNobody(t *testing.T) {
+// A node that was paused does not declare running members dead when it resumes, even if it
+// suspected them before the pause.
+func TestPausedNodeDeclaresNobodyDead(t *testing.T) {
 	is := is.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 5, rapid.Uint64().Draw(t, "seed"))
@@ -264,7 +263,7 @@
 		for range 40 {
 			f.advance(100 * time.Millisecond)
 			for _, other := range []string{"n01", "n02", "n03", "n04"} {
-				is.True(f.stateOf("n00", other) != Dead) // woken node condemned a live one
+				is.True(f.stateOf("n00", other) != Dead) // the resumed node declared a live member dead
 			}
 		}
 	})
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -9,18 +9,19 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// noticePause drops outstanding probes and restarts suspicions when this
-// process itself stood still: what it missed says nothing about the others.
-// Those it suspects are notified at once, so that they can refute in time.
-func (s *State) noticePause(now time.Time, out *Output) {
-	stood := now.Sub(s.lastTick)
-	paused := !s.lastTick.IsZero() && stood > 3*s.config.ProbeInterval
+// handlePause detects that this process was paused, for instance by a suspended machine.
+// Missing acknowledgements then say nothing about other members, so it discards outstanding
+// probes and restarts the suspicion timers. It pings suspected members at once so that they
+// can refute in time.
+func (s *State) handlePause(now time.Time, out *Output) {
+	elapsed := now.Sub(s.lastTick)
+	paused := !s.lastTick.IsZero() && elapsed > 3*s.config.ProbeInterval
 	s.lastTick = now
 	if !paused {
 		return
 	}
 	clear(s.probes)
-	clear(s.relays)
+	clear(s.relayedProbes)
 	for _, known := range s.list {
 		if known.suspected {
 			known.deadline = now.Add(s.config.SuspicionTimeout)
@@ -29,8 +30,9 @@
 	}
 }
 
-// ping probes a member; a suspected one is shown its own record, whatever else
-// is piggybacked (the "buddy system" of Lifeguard, Dadgar and others 2017).
+// ping sends a probe to a member and returns its sequence number. A ping to a suspected
+// member always carries the member's own record, so that the member can refute it (the
+// "buddy system" of Lifeguard, Dadgar and others 2017).
 func (s *State) ping(target *member, out *Output) uint64 {
 	sequence := s.nextSequence()
 	message := &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_PING, Sequence: sequence}
@@ -41,6 +43,8 @@
 	return sequence
 }
 
+// expireProbes starts indirect probes after ProbeTimeout and suspects a member that has not
+// acknowledged a probe within ProbeInterval.
 func (s *State) expireProbes(now time.Time, out *Output) {
 	for _, sequence := range sortedKeys(s.probes) {
 		running := s.probes[sequence]
@@ -53,18 +57,18 @@
 		if waited >= s.config.ProbeTimeout && !running.indirect {
 			running.indirect = true
 			s.probes[sequence] = running
-			s.askOthers(sequence, running.target, out)
+			s.sendIndirectProbes(sequence, running.target, out)
 		}
 	}
-	for sequence, pending := range s.relays {
+	for sequence, pending := range s.relayedProbes {
 		if now.Sub(pending.started) >= 2*s.config.ProbeInterval {
-			delete(s.relays, sequence)
+			delete(s.relayedProbes, sequence)
 		}
 	}
 }
 
-// sortedKeys fixes the order in which probes expire, so that a run with one
-// seed is always the same.
+// sortedKeys returns the sequence numbers in order, so that probes expire in an order that
+// is reproducible for a given random seed.
 func sortedKeys(probes map[uint64]probe) []uint64 {
 	keys := make([]uint64, 0, len(probes))
 	for sequence := range probes {
@@ -74,7 +78,8 @@
 	return keys
 }
 
-func (s *State) askOthers(sequence uint64, target string, out *Output) {
+// sendIndirectProbes asks random members to probe the target of an unanswered probe.
+func (s *State) sendIndirectProbes(sequence uint64, target string, out *Output) {
 	subject := s.members[target]
 	if subject == nil {
 		return
@@ -107,12 +112,14 @@
 	}
 }
 
+// expireSuspicions declares suspected members dead after the suspicion timeout and removes
+// expired tombstones.
 func (s *State) expireSuspicions(now time.Time, out *Output) {
 	for i := len(s.list) - 1; i >= 0; i-- {
 		known := s.list[i]
 		if known.record.State == Dead {
 			if now.After(known.deadline) {
-				s.forget(known)
+				s.removeMember(known)
 			}
 			continue
 		}
@@ -120,7 +127,7 @@
 			next := proto.Clone(known.record).(*wirev1.MemberRecord)
 			next.State = Dead
 			s.replace(known, next, out)
-			s.settleTimers(known, now)
+			s.setTimers(known, now)
 		}
 	}
 }
@@ -134,13 +141,13 @@
 	s.probes[sequence] = probe{target: target.record.Id, started: now}
 }
 
-// nextTarget walks a shuffled round over all members that are not dead, so
-// that each is probed within two rounds.
+// nextTarget returns the next member in a shuffled order of all members that are not dead,
+// so that each member is probed within two rounds.
 func (s *State) nextTarget() *member {
 	for range 2 {
-		for s.position < len(s.order) {
-			known := s.order[s.position]
-			s.position++
+		for s.probePosition < len(s.probeOrder) {
+			known := s.probeOrder[s.probePosition]
+			s.probePosition++
 			current := s.members[known.record.Id] == known
 			if current && known.record.Id != s.self.Id && known.record.State != Dead {
 				return known
@@ -152,9 +159,9 @@
 }
 
 func (s *State) reshuffle() {
-	s.order = append(s.order[:0], s.list...)
-	s.random.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
-	s.position = 0
+	s.probeOrder = append(s.probeOrder[:0], s.list...)
+	s.random.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
+	s.probePosition = 0
 }
 
 func (s *State) handleAck(message *wirev1.MembershipMessage, out *Output) {
@@ -162,28 +169,27 @@
 		delete(s.probes, message.Sequence)
 		return
 	}
-	pending, found := s.relays[message.Sequence]
+	pending, found := s.relayedProbes[message.Sequence]
 	if !found {
 		return
 	}
-	delete(s.relays, message.Sequence)
+	delete(s.relayedProbes, message.Sequence)
 	s.send(out, pending.requester, &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_ACK, Sequence: pending.sequence, Target: message.Target})
 }
 
 func (s *State) handlePingRequest(now time.Time, message *wirev1.MembershipMessage, out *Output) {
 	sequence := s.nextSequence()
-	s.relays[sequence] = relay{requester: message.FromAddress, sequence: message.Sequence, started: now}
+	s.relayedProbes[sequence] = relayedProbe{requester: message.FromAddress, sequence: message.Sequence, started: now}
 	s.send(out, message.TargetAddress, &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_PING, Sequence: sequence})
 }
 
-// randomTries bounds the draws of randomMember; in a fleet that is mostly
-// alive the first few succeed.
-const randomTries = 32
+// maxRandomTries is the number of attempts of randomMember to find an eligible member.
+const maxRandomTries = 32
 
-// randomMember returns a random member that is not dead and not excluded, nil
-// if none was drawn.
+// randomMember returns a random member that is neither dead nor excluded, or nil if it
+// finds none in maxRandomTries attempts.
 func (s *State) randomMember(excluded ...string) *member {
-	for range randomTries {
+	for range maxRandomTries {
 		known := s.list[s.random.IntN(len(s.list))]
 		if known.record.State != Dead && !slices.Contains(excluded, known.record.Id) {
 			return known
