--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -121,7 +121,7 @@
 func (r *Runners) assign(item ports.RunnerEntry, previous *Runners) *Runner {
 	if previous != nil {
 		known := previous.ByID[item.ID]
-		if known != nil && known.RunnerEntry == item && r.rendezvous.SameZone(previous.rendezvous, item.Zone) {
+		if known != nil && known.RunnerEntry == item && r.rendezvous.SameCandidates(previous.rendezvous, item.Zone) {
 			return known
 		}
 	}
--- a/internal/cluster/ownership/ownership.go
+++ b/internal/cluster/ownership/ownership.go
@@ -1,14 +1,14 @@
-// Package ownership says which node owns each runner: the highest random
-// weight (rendezvous hashing, Thaler and Ravishankar 1998) among the live
-// nodes of the runner's zone, or of the nearest zone that has any. It is pure and
-// keeps nothing.
+// Package ownership assigns runners to nodes by rendezvous hashing (highest random weight,
+// Thaler and Ravishankar 1998). The owner of a runner is the node with the highest weight
+// among the live nodes of the runner's zone. If the zone has none, the nodes of the region
+// are the candidates, and if the region has none, all nodes. The package is stateless.
 //
-// Ownership is soft. Two nodes may believe for a short time that they own the same
-// runner; that costs efficiency and never a promise, because promises rest on
-// engine stream ids, log epochs and claims.
+// Ownership is only a hint: while views of the fleet differ, two nodes may consider
+// themselves the owner of the same runner. This costs efficiency but does not affect
+// correctness, which relies on engine stream ids, log epochs and claims.
 //
-// The plain node places runners by it; its weights and rankings also serve the edge
-// and the storage node.
+// The plain node assigns runners with this package. The edge and the storage node use its
+// weights and rankings.
 package ownership
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a candidate owner: a member that is alive and not leaving.
+// Node is a candidate owner: a live member that is not leaving.
 type Node struct {
 	ID     string
 	Zone   string
 	Region string
 }
 
-// Runner is a model back end.
+// Runner identifies a runner and its location.
 type Runner struct {
 	ID     string
 	Zone   string
@@ -37,60 +37,61 @@
 	nodes    []Node
 	byZone   map[string][]Node
 	byRegion map[string][]Node
-	// zoneHash identifies the candidates of a zone.
+	// zoneHash holds, per zone, a hash of the set of candidates.
 	zoneHash map[string]uint64
 }
 
-// NewRendezvous indexes the candidates.
+// NewRendezvous returns a Rendezvous over the given candidates.
 func NewRendezvous(nodes []Node) *Rendezvous {
-	p := &Rendezvous{nodes: nodes, byZone: map[string][]Node{}, byRegion: map[string][]Node{}, zoneHash: map[string]uint64{}}
+	r := &Rendezvous{nodes: nodes, byZone: map[string][]Node{}, byRegion: map[string][]Node{}, zoneHash: map[string]uint64{}}
 	for _, node := range nodes {
-		p.byZone[node.Zone] = append(p.byZone[node.Zone], node)
-		p.zoneHash[node.Zone] ^= xxhash.Sum64String(node.ID)
-		p.byRegion[node.Region] = append(p.byRegion[node.Region], node)
+		r.byZone[node.Zone] = append(r.byZone[node.Zone], node)
+		r.zoneHash[node.Zone] ^= xxhash.Sum64String(node.ID)
+		r.byRegion[node.Region] = append(r.byRegion[node.Region], node)
 	}
-	return p
+	return r
 }
 
-// SameZone reports whether a zone has the same candidates in another place, so
-// that its runners have the same owners. A zone without any is never the same,
-// because its owners stand elsewhere.
-func (p *Rendezvous) SameZone(other *Rendezvous, zone string) bool {
-	hash, has := p.zoneHash[zone]
-	return has && other != nil && len(p.byZone[zone]) == len(other.byZone[zone]) && hash == other.zoneHash[zone]
+// SameCandidates reports whether a zone has the same candidates in other, so that its runners
+// have the same owners. It returns false for a zone without candidates, because the owners of
+// its runners are in other zones.
+func (r *Rendezvous) SameCandidates(other *Rendezvous, zone string) bool {
+	hash, has := r.zoneHash[zone]
+	return has && other != nil && len(r.byZone[zone]) == len(other.byZone[zone]) && hash == other.zoneHash[zone]
 }
 
-// Owner returns the id of the runner's owner, or "" if there is no node.
-func (p *Rendezvous) Owner(runner Runner) string {
-	candidates := p.byZone[runner.Zone]
+// Owner returns the id of the runner's owner, or "" if there are no nodes.
+func (r *Rendezvous) Owner(runner Runner) string {
+	candidates := r.byZone[runner.Zone]
 	if len(candidates) == 0 {
-		candidates = p.byRegion[runner.Region]
+		candidates = r.byRegion[runner.Region]
 	}
 	if len(candidates) == 0 {
-		candidates = p.nodes
+		candidates = r.nodes
 	}
-	return highest(runner.ID, candidates)
+	return highestWeight(runner.ID, candidates)
 }
 
-// Zone returns the candidates of a zone.
-func (p *Rendezvous) Zone(zone string) []Node { return p.byZone[zone] }
+// NodesInZone returns the candidates in a zone.
+func (r *Rendezvous) NodesInZone(zone string) []Node { return r.byZone[zone] }
 
-// Ranked returns the nodes of the zone in the order they would own the key.
-func (p *Rendezvous) Ranked(key, zone string) []Node {
-	return Ranked(key, p.byZone[zone])
+// Ranked returns the nodes of the zone by descending weight for the key. The first node owns
+// the key, and each next node becomes the owner if all before it are lost.
+func (r *Rendezvous) Ranked(key, zone string) []Node {
+	return Ranked(key, r.byZone[zone])
 }
 
-// Ranked returns nodes in the order they would own the key.
+// Ranked returns the nodes by descending weight for the key.
 func Ranked(key string, nodes []Node) []Node {
-	type weighed struct {
+	type weightedNode struct {
 		Node
 		weight uint64
 	}
-	list := make([]weighed, len(nodes))
+	list := make([]weightedNode, len(nodes))
 	for i, node := range nodes {
-		list[i] = weighed{node, NodeWeight(key, node.ID)}
+		list[i] = weightedNode{node, NodeWeight(key, node.ID)}
 	}
-	slices.SortFunc(list, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
+	slices.SortFunc(list, func(a, b weightedNode) int { return cmp.Compare(b.weight, a.weight) })
 	ranked := make([]Node, len(list))
 	for i := range list {
 		ranked[i] = list[i].Node
@@ -98,7 +99,8 @@
 	return ranked
 }
 
-func highest(key string, candidates []Node) string {
+// highestWeight returns the id of the candidate with the highest weight for the key.
+func highestWeight(key string, candidates []Node) string {
 	var owner string
 	var best uint64
 	for _, node := range candidates {
@@ -111,7 +113,8 @@
 	return owner
 }
 
-// NodeWeight is the rendezvous weight of a node for a key; the highest owns it.
+// NodeWeight returns the rendezvous weight of a node for a key. The node with the highest
+// weight owns the key.
 func NodeWeight(key, node string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -121,8 +124,8 @@
 	return digest.Sum64()
 }
 
-// Weight returns the weight of a candidate for a prefix hash; the highest is
-// the prefix's favourite.
+// Weight returns the rendezvous weight of a candidate for a prefix hash. The candidate with
+// the highest weight is the preferred one for the prefix.
 func Weight(prefix uint64, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(prefix)
--- a/internal/cluster/ownership/ownership_test.go
+++ b/internal/cluster/ownership/ownership_test.go
@@ -10,7 +10,7 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-func drawNodes(t *rapid.T) []Node {
+func randomNodes(t *rapid.T) []Node {
 	size := rapid.IntRange(1, 30).Draw(t, "nodes")
 	nodes := make([]Node, size)
 	for i := range nodes {
@@ -20,10 +20,10 @@
 	return nodes
 }
 
-// When one node goes, only the runners it owned change owner.
-func TestOnlyTheLostNodesRunnersMove(t *testing.T) {
+// When a node is removed, only the runners that it owned change their owner.
+func TestRemovedNodeMovesOnlyItsOwnRunners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := drawNodes(t)
+		nodes := randomNodes(t)
 		lost := rapid.IntRange(0, len(nodes)-1).Draw(t, "lost")
 		before := NewRendezvous(nodes)
 		after := NewRendezvous(append(append([]Node(nil), nodes[:lost]...), nodes[lost+1:]...))
@@ -35,32 +35,32 @@
 				continue
 			}
 			if moved := after.Owner(runner); moved != owner {
-				t.Fatalf("runner %v moved from %s to %s though %s was lost", runner, owner, moved, nodes[lost].ID)
+				t.Fatalf("runner %v moved from %s to %s when %s was removed", runner, owner, moved, nodes[lost].ID)
 			}
 		}
 	})
 }
 
-func TestOwnerStandsInTheRunnersZoneWhenItHasNodes(t *testing.T) {
+func TestOwnerIsInZoneOfRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := drawNodes(t)
-		place := NewRendezvous(nodes)
+		nodes := randomNodes(t)
+		rendezvous := NewRendezvous(nodes)
 		zoneOf := map[string]string{}
 		for _, node := range nodes {
 			zoneOf[node.ID] = node.Zone
 		}
 		runner := Runner{ID: "r", Zone: fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))}
-		owner := place.Owner(runner)
+		owner := rendezvous.Owner(runner)
 		if owner == "" {
-			t.Fatal("no owner though there are nodes")
+			t.Fatal("no owner although there are nodes")
 		}
-		if len(place.byZone[runner.Zone]) > 0 && zoneOf[owner] != runner.Zone {
-			t.Fatalf("owner %s stands in %s, runner in %s", owner, zoneOf[owner], runner.Zone)
+		if len(rendezvous.byZone[runner.Zone]) > 0 && zoneOf[owner] != runner.Zone {
+			t.Fatalf("owner %s is in %s, runner in %s", owner, zoneOf[owner], runner.Zone)
 		}
 	})
 }
 
-func TestNoNodesMeansNoOwner(t *testing.T) {
+func TestNoOwnerWithoutNodes(t *testing.T) {
 	is.New(t).Equal(NewRendezvous(nil).Owner(Runner{ID: "r"}), "")
 }
 
@@ -69,10 +69,10 @@
 	for i := range nodes {
 		nodes[i] = Node{ID: fmt.Sprint("node-", i), Zone: "z"}
 	}
-	place := NewRendezvous(nodes)
+	rendezvous := NewRendezvous(nodes)
 	runner := Runner{ID: "runner-17", Zone: "z"}
 	b.ReportAllocs()
 	for b.Loop() {
-		place.Owner(runner)
+		rendezvous.Owner(runner)
 	}
 }
--- a/modules/serving/router/load.go
+++ b/modules/serving/router/load.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		view := m.views.View()
-		for _, id := range spread.Sample(view.Self.Id, view.Rendezvous.Zone(view.Self.Zone), spread.DigestFanout, random) {
+		for _, id := range spread.Sample(view.Self.Id, view.Rendezvous.NodesInZone(view.Self.Zone), spread.DigestFanout, random) {
 			if address, known := view.Address(id); known {
 				m.pool.Notify(address, rpc.ClassControl, wirev1.Method_METHOD_LOAD_DIGEST, digest)
 			}
