--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet holds the immutable snapshots of who is in the fleet that the
-// request path reads: members (View), runners and who owns which runner (Runners).
-// It relies on package ownership for owners, does no I/O and keeps nothing: the modules
-// of the plain node that make the snapshots own them.
+// Package fleet defines immutable snapshots of the fleet for the request path: the members
+// (View), and the runners with their owners (Runners). It relies on package ownership to
+// assign owners. The package does no I/O and holds no state; modules of the plain node build
+// the snapshots and own them.
 package fleet
 
 import (
@@ -12,18 +12,18 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// View is one node's view of the members at one time.
+// View is a snapshot of the members as one node sees them.
 type View struct {
 	Self    *wirev1.MemberRecord
 	Members map[string]*wirev1.MemberRecord
-	// Rendezvous holds the members that may own runners: alive or suspect, not
-	// leaving.
+	// Rendezvous assigns owners among the members that may own runners: those that are
+	// alive or suspect.
 	Rendezvous *ownership.Rendezvous
-	// Candidates are the members in Rendezvous, ordered by id.
+	// Candidates lists the members in Rendezvous, sorted by id.
 	Candidates []ownership.Node
 }
 
-// NewView builds a view from member records.
+// NewView returns a view of the members with the given records.
 func NewView(self *wirev1.MemberRecord, records []*wirev1.MemberRecord) *View {
 	v := &View{Self: self, Members: make(map[string]*wirev1.MemberRecord, len(records))}
 	for _, record := range records {
@@ -37,12 +37,13 @@
 	return v
 }
 
-// IsCandidate reports whether a member may be given new ownership.
+// IsCandidate reports whether a member may own runners: it is alive or suspect.
 func IsCandidate(record *wirev1.MemberRecord) bool {
 	return record.State == wirev1.MemberState_MEMBER_STATE_ALIVE || record.State == wirev1.MemberState_MEMBER_STATE_SUSPECT
 }
 
-// Address returns the internal address of a member that is not dead.
+// Address returns the internal address of a member, and false if the member is unknown or
+// dead.
 func (v *View) Address(id string) (string, bool) {
 	record, known := v.Members[id]
 	if !known || record.State == wirev1.MemberState_MEMBER_STATE_DEAD {
@@ -51,7 +52,7 @@
 	return record.Address, true
 }
 
-// DiskMembers returns the live members with a data folder, ordered by id.
+// DiskMembers returns the members with a disk that are not dead, sorted by id.
 func (v *View) DiskMembers() []*wirev1.MemberRecord {
 	var members []*wirev1.MemberRecord
 	for _, record := range v.Members {
@@ -69,45 +70,46 @@
 	Owner string
 }
 
-// Pool is what one owner has of one service.
+// Pool describes the runners of one service in one zone that have the same owner.
 type Pool struct {
 	Owner  string
 	Zone   string
 	Region string
-	// Runners that are not leaving.
+	// Runners is the number of runners that are not leaving.
 	Runners int
 }
 
-// Runners is a snapshot of the runner list with owners.
+// Runners is a snapshot of the runner list with the owner of each runner.
 type Runners struct {
 	ByID map[string]*Runner
-	// Owned are this node's runners, ordered by id.
+	// Owned lists the runners that this node owns, sorted by id.
 	Owned []*Runner
-	// Pools are, per service, the owners with runners of it, ordered by owner.
+	// Pools maps each service to its pools, sorted by owner and zone.
 	Pools map[string][]Pool
 
 	rendezvous *ownership.Rendezvous
 }
 
-// NewRunners assigns owners by the view's place. What the previous table (or
-// nil) says of zones whose candidates have not changed is taken over.
+// NewRunners assigns owners to the listed runners among the candidates of the view. Owners
+// are copied from the previous table, if there is one, for unchanged runners in zones whose
+// candidates have not changed.
 func NewRunners(view *View, listed []ports.RunnerEntry, previous *Runners) *Runners {
 	r := &Runners{ByID: make(map[string]*Runner, len(listed)), Pools: map[string][]Pool{}, rendezvous: view.Rendezvous}
 	type poolKey struct{ service, owner, zone string }
 	pools := map[poolKey]*Pool{}
-	for _, item := range listed {
-		runner := r.assign(item, previous)
+	for _, entry := range listed {
+		runner := r.assign(entry, previous)
 		owner := runner.Owner
-		r.ByID[item.ID] = runner
+		r.ByID[entry.ID] = runner
 		if owner == view.Self.Id {
 			r.Owned = append(r.Owned, runner)
 		}
-		if owner == "" || item.Leaving {
+		if owner == "" || entry.Leaving {
 			continue
 		}
-		key := poolKey{item.Service, owner, item.Zone}
+		key := poolKey{entry.Service, owner, entry.Zone}
 		if pools[key] == nil {
-			pools[key] = &Pool{Owner: owner, Zone: item.Zone, Region: item.Region}
+			pools[key] = &Pool{Owner: owner, Zone: entry.Zone, Region: entry.Region}
 		}
 		pools[key].Runners++
 	}
@@ -118,15 +120,17 @@
 	return r
 }
 
-func (r *Runners) assign(item ports.RunnerEntry, previous *Runners) *Runner {
+// assign returns the runner with its owner, reusing the previous assignment where it is still
+// valid.
+func (r *Runners) assign(entry ports.RunnerEntry, previous *Runners) *Runner {
 	if previous != nil {
-		known := previous.ByID[item.ID]
-		if known != nil && known.RunnerEntry == item && r.rendezvous.SameCandidates(previous.rendezvous, item.Zone) {
+		known := previous.ByID[entry.ID]
+		if known != nil && known.RunnerEntry == entry && r.rendezvous.SameCandidates(previous.rendezvous, entry.Zone) {
 			return known
 		}
 	}
-	owner := r.rendezvous.Owner(ownership.Runner{ID: item.ID, Zone: item.Zone, Region: item.Region})
-	return &Runner{RunnerEntry: item, Owner: owner}
+	owner := r.rendezvous.Owner(ownership.Runner{ID: entry.ID, Zone: entry.Zone, Region: entry.Region})
+	return &Runner{RunnerEntry: entry, Owner: owner}
 }
 
 func (r *Runners) sort() {
