--- a/modules/fleet/links/links.go
+++ b/modules/fleet/links/links.go
@@ -1,8 +1,8 @@
-// Package links opens the node's internal address and keeps the connections to
-// other nodes, by mutual TLS when keys are set. It owns the listener, the server on
-// which modules register their handlers, and the pool of outgoing connections; it
-// relies on package rpc for both. The plain node runs it; an edge and a storage node
-// have modules/roles/links.
+// Package links listens on the node's internal address and manages the connections to
+// other nodes, with mutual TLS if keys are configured. It owns the listener, the server on
+// which modules register their handlers, and the pool of outgoing connections. It relies on
+// package rpc for the server and the pool. The plain node runs it; edges and storage nodes
+// run modules/roles/links instead.
 package links
 
 import (
@@ -22,15 +22,15 @@
 	"cobaltramp.example/cobaltramp/internal/transport/tlskeys"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "fleet.links"
 
 func init() {
 	kernel.Register(kernel.Info{Name: ModuleName, New: func() kernel.Module { return &Module{} }})
 }
 
-// Module provides *rpc.Server and *rpc.Pool. Modules register their handlers
-// on the server while they are provisioned.
+// Module provides *rpc.Server, *rpc.Pool and *rpc.Counters. Other modules register their
+// handlers on the server while they are provisioned.
 type Module struct {
 	settings *settings.Settings
 	listener net.Listener
@@ -71,7 +71,7 @@
 	ctx.Provide(m.server)
 	ctx.Provide(m.pool)
 	ctx.Provide(m.counters)
-	m.register(registry)
+	m.registerMetrics(registry)
 	return nil
 }
 
@@ -82,7 +82,7 @@
 	return m.keys.Client
 }
 
-func (m *Module) register(registry prometheus.Registerer) {
+func (m *Module) registerMetrics(registry prometheus.Registerer) {
 	counter := func(name, help string, read func() uint64) {
 		registry.MustRegister(prometheus.NewCounterFunc(
 			prometheus.CounterOpts{Name: "cobaltramp_link_" + name, Help: help},
@@ -109,7 +109,7 @@
 	}
 	m.background.Go(func() {
 		if err := m.server.Serve(listener, serverTLS); !errors.Is(err, net.ErrClosed) {
-			klog.ErrorS(err, "links are not accepted any more", "node", m.settings.Node.ID)
+			klog.ErrorS(err, "server for connections of other nodes stopped", "node", m.settings.Node.ID)
 		}
 	})
 	return nil
@@ -118,7 +118,7 @@
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() {
 	if m.listener != nil {
-		_ = m.listener.Close() // the node ends; nothing is left to do about it
+		_ = m.listener.Close() // an error does not matter while the node shuts down
 	}
 	if m.pool != nil {
 		m.pool.Close()
--- a/modules/fleet/membership/membership.go
+++ b/modules/fleet/membership/membership.go
@@ -1,8 +1,8 @@
-// Package membership runs the failure detector of internal/cluster/membership over
-// the node's links and publishes the view of the fleet. It owns the detector's state
-// and the view in force, both in memory; it relies on the links, on the platform's
-// machine list for the first members, and on the disk's identity, if the node has a
-// disk. The plain node runs it.
+// Package membership runs the failure detector of internal/cluster/membership over the
+// node's connections and publishes the view of the fleet. It owns the state of the detector
+// and the current view, both in memory. It relies on module fleet.links for connections, on
+// the platform's machine list for seeds, and on module batch.disk for the id of the disk, if
+// the node has one. The plain node runs it.
 package membership
 
 import (
@@ -30,7 +30,7 @@
 	"cobaltramp.example/cobaltramp/modules/platform/httpsd"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "fleet.membership"
 
 func init() {
@@ -40,11 +40,11 @@
 	})
 }
 
-// DiskIdentity is provided by the module that owns the data folder; nodes
-// without one have none.
+// DiskIdentity provides the id of the node's disk. Module batch.disk implements it; it is not
+// available on nodes without a disk.
 type DiskIdentity interface{ DiskID() string }
 
-// Module provides fleet views.
+// Module runs the failure detector and provides views of the fleet.
 type Module struct {
 	settings  *settings.Settings
 	pool      *rpc.Pool
@@ -82,13 +82,14 @@
 		return trace.Wrap(err)
 	}
 	m.metrics = newMetrics(registry)
-	m.begin(diskIdentity(ctx))
+	m.initState(findDiskID(ctx))
 	server.HandleNotice(wirev1.Method_METHOD_MEMBERSHIP, m.receive)
 	ctx.Provide(m)
 	return nil
 }
 
-func diskIdentity(ctx *kernel.Context) string {
+// findDiskID returns the id of the node's disk, or "" if the node has none.
+func findDiskID(ctx *kernel.Context) string {
 	disk, err := kernel.Find[DiskIdentity](ctx)
 	if err != nil {
 		return ""
@@ -105,53 +106,55 @@
 	return m
 }
 
-func (m *Module) begin(diskID string) {
+func (m *Module) initState(diskID string) {
 	self := &wirev1.MemberRecord{
 		Id: m.settings.Node.ID, Address: m.settings.Node.InternalAddress,
 		Zone: m.settings.Node.Zone, Region: m.settings.Node.Region, DiskId: diskID,
-		// A restart should outrank the life before it. If the clock went back,
-		// the first gossip about this node raises the incarnation.
+		// The start time as incarnation supersedes the record of an earlier run. If the
+		// clock was set back meanwhile, gossip about the earlier run makes the detector
+		// raise the incarnation.
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 	m.state = membership.New(self, membership.DefaultConfig(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	m.publish()
+	m.publishView()
 }
 
-// View returns the present view.
+// View returns the current view.
 func (m *Module) View() *fleet.View { return m.view.Load() }
 
-// OnView calls listener with every new view, from one goroutine at a time. It
-// is called while modules are provisioned.
+// OnView registers a listener that is called with every new view. Listeners must be
+// registered while modules are provisioned.
 func (m *Module) OnView(listener func(*fleet.View)) { m.listeners = append(m.listeners, listener) }
 
-// SetBundleRevision sets the revision advertised to other members.
+// SetBundleRevision sets the bundle revision that is advertised to other members.
 func (m *Module) SetBundleRevision(revision uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.state.SetBundleGeneration(revision)
 }
 
-// AheadPeer returns the highest bundle revision that a member reported, and that
-// member's address.
+// AheadPeer returns the highest bundle revision that a member reported, and the address of
+// that member.
 func (m *Module) AheadPeer() (uint64, string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.AheadPeer()
 }
 
-// tickInterval is the time between two ticks of the detector, a few in each probe
-// interval.
+// tickInterval is the time between two ticks of the detector; there are several ticks in
+// each probe interval.
 const tickInterval = 100 * time.Millisecond
 
 // Start implements kernel.Starter.
 func (m *Module) Start(ctx context.Context) error {
-	m.notify(m.view.Load())
+	m.notifyListeners(m.view.Load())
 	m.background.Go(func() { m.tickLoop(ctx) })
 	m.background.Go(func() { m.seedLoop(ctx) })
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. The loops end with the context of Start.
+// Cleanup implements kernel.Cleaner. It waits for the loops, which end with the context of
+// Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
 func (m *Module) tickLoop(ctx context.Context) {
@@ -167,14 +170,14 @@
 	}
 }
 
-// seedLoop reads the machine list, which seeds the detector.
+// seedLoop reads the machine list periodically and sets the detector's seeds from it.
 func (m *Module) seedLoop(ctx context.Context) {
 	for {
 		machines, err := m.discovery.Machines(ctx)
 		if err == nil {
-			m.seed(machines)
+			m.setSeeds(machines)
 		} else {
-			klog.V(1).InfoS("machine list not read, the last one stays", "node", m.settings.Node.ID, "err", err)
+			klog.V(1).InfoS("reading the machine list failed; keeping the last one", "node", m.settings.Node.ID, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -184,7 +187,7 @@
 	}
 }
 
-func (m *Module) seed(machines []ports.MachineEntry) {
+func (m *Module) setSeeds(machines []ports.MachineEntry) {
 	var seeds []membership.Seed
 	for _, machine := range machines {
 		if !machine.Leaving && machine.Address != m.settings.Node.InternalAddress {
@@ -199,32 +202,34 @@
 func (m *Module) receive(from string, payload []byte) {
 	var message wirev1.MembershipMessage
 	if err := proto.Unmarshal(payload, &message); err != nil {
-		klog.V(1).InfoS("unreadable membership message dropped", "node", m.settings.Node.ID, "peer", from, "err", err)
+		klog.V(1).InfoS("malformed membership message dropped", "node", m.settings.Node.ID, "peer", from, "err", err)
 		return
 	}
 	m.step(func(state *membership.State) membership.Output { return state.Handle(time.Now(), &message) })
 }
 
-// step runs one transition, sends its messages and publishes a changed view.
+// step runs one transition of the detector, sends the resulting messages and, if members
+// changed, publishes a new view.
 func (m *Module) step(transition func(*membership.State) membership.Output) {
 	m.mutex.Lock()
 	out := transition(m.state)
 	var view *fleet.View
 	if len(out.Changes) > 0 {
-		view = m.publish()
+		view = m.publishView()
 	}
 	m.mutex.Unlock()
 	for _, envelope := range out.Send {
 		m.pool.Notify(envelope.Address, rpc.ClassControl, wirev1.Method_METHOD_MEMBERSHIP, envelope.Message)
 	}
 	if view != nil {
-		m.report(out.Changes)
-		m.notify(view)
+		m.recordChanges(out.Changes)
+		m.notifyListeners(view)
 	}
 }
 
-// publish swaps in a new view; the caller holds the mutex.
-func (m *Module) publish() *fleet.View {
+// publishView replaces the current view and updates the member metrics. The caller holds the
+// mutex.
+func (m *Module) publishView() *fleet.View {
 	records := m.state.Records()
 	view := fleet.NewView(m.state.Self(), records)
 	m.view.Store(view)
@@ -235,13 +240,15 @@
 	return view
 }
 
-func (m *Module) notify(view *fleet.View) {
+func (m *Module) notifyListeners(view *fleet.View) {
 	for _, listener := range m.listeners {
 		listener(view)
 	}
 }
 
-func (m *Module) report(changes []membership.Change) {
+// recordChanges updates the metrics, logs changed states and closes the connections to dead
+// members.
+func (m *Module) recordChanges(changes []membership.Change) {
 	for _, change := range changes {
 		m.metrics.changes.WithLabelValues(stateName(change.After.State)).Inc()
 		if change.Before != nil && change.Before.State == change.After.State {
@@ -269,7 +276,7 @@
 	}
 }
 
-// Leave announces to the fleet that this node takes nothing new.
+// Leave announces to the other members that this node is leaving.
 func (m *Module) Leave() {
 	m.step(func(state *membership.State) membership.Output { return state.Leave() })
 }
--- a/modules/fleet/runners/runners.go
+++ b/modules/fleet/runners/runners.go
@@ -1,7 +1,7 @@
-// Package runners keeps the table of runners and their owners: the platform's
-// runner list joined with the view of the fleet. It owns the last list read, which
-// stays in force while the platform is down, and the table made of it; it relies on
-// the platform's lists and on module fleet.membership. The plain node runs it.
+// Package runners maintains the table of runners and their owners, computed from the
+// platform's runner list and the view of the fleet. It owns the table and the last list
+// read, which stays in use while the platform is unreachable. It relies on the platform's
+// runner list and on module fleet.membership. The plain node runs it.
 package runners
 
 import (
@@ -22,7 +22,7 @@
 	"cobaltramp.example/cobaltramp/modules/fleet/membership"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "fleet.runners"
 
 func init() {
@@ -32,23 +32,23 @@
 	})
 }
 
-// Views is the part of membership this module uses.
+// Views is the part of module fleet.membership that this module uses.
 type Views interface {
 	View() *fleet.View
 	OnView(func(*fleet.View))
 }
 
-// Module provides the runner table.
+// Module maintains and provides the runner table.
 type Module struct {
 	settings  *settings.Settings
 	discovery ports.Discovery
 	views     Views
 
-	mutex     sync.Mutex
-	listed    []ports.RunnerEntry
-	changed   chan struct{}
-	table     atomic.Pointer[fleet.Runners]
-	listeners []func(*fleet.Runners)
+	mutex       sync.Mutex
+	listed      []ports.RunnerEntry
+	viewChanged chan struct{}
+	table       atomic.Pointer[fleet.Runners]
+	listeners   []func(*fleet.Runners)
 
 	background tasks.Group
 }
@@ -67,17 +67,17 @@
 		return trace.Wrap(err)
 	}
 	m.table.Store(fleet.NewRunners(m.views.View(), nil, nil))
-	m.changed = make(chan struct{}, 1)
-	m.views.OnView(func(*fleet.View) { m.noteChange() })
+	m.viewChanged = make(chan struct{}, 1)
+	m.views.OnView(func(*fleet.View) { m.signalViewChange() })
 	ctx.Provide(m)
 	return nil
 }
 
-// Table returns the present table.
+// Table returns the current table.
 func (m *Module) Table() *fleet.Runners { return m.table.Load() }
 
-// OnTable calls listener with every new table. It is called while modules are
-// provisioned.
+// OnTable registers a listener that is called with every new table. Listeners must be
+// registered while modules are provisioned.
 func (m *Module) OnTable(listener func(*fleet.Runners)) { m.listeners = append(m.listeners, listener) }
 
 // Start implements kernel.Starter.
@@ -87,28 +87,30 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. The loops end with the context of Start.
+// Cleanup implements kernel.Cleaner. It waits for the loops, which end with the context of
+// Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
-// rebuildInterval is the minimum time between two tables made for changed views:
-// when a zone is lost, many changes share one table.
+// rebuildInterval is the minimum time between two rebuilds for changed views, so that many
+// changes at once, as when a zone is lost, cause few rebuilds.
 const rebuildInterval = 250 * time.Millisecond
 
-func (m *Module) noteChange() {
+// signalViewChange wakes viewLoop without blocking.
+func (m *Module) signalViewChange() {
 	select {
-	case m.changed <- struct{}{}:
+	case m.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// viewLoop makes a new table at once for a first change, and one later for all
-// that follow it closely.
+// viewLoop rebuilds the table immediately for the first change of the view, and once after
+// rebuildInterval for all changes that follow within it.
 func (m *Module) viewLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.changed:
+		case <-m.viewChanged:
 			m.rebuild(nil)
 		}
 		select {
@@ -119,13 +121,14 @@
 	}
 }
 
+// listLoop reads the runner list periodically and rebuilds the table if it changed.
 func (m *Module) listLoop(ctx context.Context) {
 	for {
 		listed, err := m.discovery.Runners(ctx)
 		if err == nil {
 			m.rebuild(listed)
 		} else {
-			klog.V(1).InfoS("runner list not read, the last one stays", "node", m.settings.Node.ID, "err", err)
+			klog.V(1).InfoS("reading the runner list failed; keeping the last one", "node", m.settings.Node.ID, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -135,8 +138,8 @@
 	}
 }
 
-// rebuild swaps in a new table; a nil list keeps the last one read, which is
-// what serves while the platform is down.
+// rebuild computes a new table and passes it to the listeners. A nil list means the last list
+// read; a list equal to the last one changes nothing.
 func (m *Module) rebuild(listed []ports.RunnerEntry) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
