--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -59,8 +59,8 @@
 	return missing[s.random.IntN(len(missing))]
 }
 
-// handleSyncReply sends the own records where the tables still differ after the peer's
-// records have been merged. A non-empty Target marks the last reply of an exchange.
+// handleSyncReply sends this node's records for the buckets that still differ after the
+// peer's records were merged. A non-empty Target marks the last reply of an exchange.
 func (s *State) handleSyncReply(message *wirev1.MembershipMessage, out *Output) {
 	if message.Target == "" {
 		s.sendDifferences(out, message, "last")
@@ -125,8 +125,8 @@
 	s.setTimers(known, now)
 }
 
-// supersedes reports whether a received record takes precedence over the known one: by the
-// higher incarnation, then by the higher state, as in SWIM.
+// supersedes reports whether a received record takes precedence over the known one, as in
+// SWIM: the higher incarnation wins, then the state with the higher precedence.
 func supersedes(received, known *wirev1.MemberRecord) bool {
 	if received.Incarnation != known.Incarnation {
 		return received.Incarnation > known.Incarnation
@@ -148,8 +148,8 @@
 	}
 }
 
-// refute reacts to a wrong record about this node by raising the incarnation of its own
-// record, which then supersedes the wrong one at every member.
+// refute reacts to a wrong record about this node by raising the incarnation of this node's
+// own record, which then supersedes the wrong record at every member.
 func (s *State) refute(received *wirev1.MemberRecord, out *Output) {
 	same := received.Incarnation == s.self.Incarnation && received.State == s.self.State
 	if received.Incarnation < s.self.Incarnation || same {
@@ -170,27 +170,29 @@
 	s.replace(s.members[next.Id], next, out)
 }
 
+// replace stores a newer record of a member and adds the change to the output.
 func (s *State) replace(known *member, next *wirev1.MemberRecord, out *Output) {
 	before := known.record
 	s.store(next, known)
 	out.Changes = append(out.Changes, Change{before, next})
 }
 
-func (s *State) store(record *wirev1.MemberRecord, known *member) {
+// store puts a record into the table and queues it for gossip.
+func (s *State) store(record *wirev1.MemberRecord, entry *member) {
 	if s.members[record.Id] == nil {
-		known.bucket = int(xxhash.Sum64String(record.Id) % buckets)
-		known.index = len(s.list)
-		s.list = append(s.list, known)
-		s.members[record.Id] = known
+		entry.bucket = int(xxhash.Sum64String(record.Id) % buckets)
+		entry.index = len(s.list)
+		s.list = append(s.list, entry)
+		s.members[record.Id] = entry
 	}
-	s.hashes[known.bucket] ^= known.hash
-	known.record = record
-	known.transmits = 0
-	known.hash = hashRecord(record)
-	s.hashes[known.bucket] ^= known.hash
-	if !known.queued {
-		known.queued = true
-		s.gossipQueue = append(s.gossipQueue, known)
+	s.hashes[entry.bucket] ^= entry.hash
+	entry.record = record
+	entry.transmits = 0
+	entry.hash = hashRecord(record)
+	s.hashes[entry.bucket] ^= entry.hash
+	if !entry.queued {
+		entry.queued = true
+		s.gossipQueue = append(s.gossipQueue, entry)
 	}
 }
 
@@ -205,8 +207,8 @@
 // the number of members.
 func (s *State) transmitLimit() int { return 3 * bits.Len(uint(len(s.members))) }
 
-// piggyback returns the queued records that were transmitted least often, and removes
-// records from the queue that reached the transmit limit.
+// piggyback returns the queued records that were transmitted least often, and removes the
+// records that reached the transmit limit from the queue.
 func (s *State) piggyback() []*wirev1.MemberRecord {
 	if len(s.gossipQueue) == 0 {
 		return nil
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -67,7 +67,7 @@
 	Message *wirev1.MembershipMessage
 }
 
-// Change describes a replaced member record. Before is nil for a new member.
+// Change describes a new or replaced member record. Before is nil for a new member.
 type Change struct {
 	Before, After *wirev1.MemberRecord
 }
@@ -83,6 +83,7 @@
 	Address string
 }
 
+// member is a member's record with its timer and its gossip state.
 type member struct {
 	record    *wirev1.MemberRecord
 	deadline  time.Time // end of the suspicion, or expiry of the tombstone
@@ -90,17 +91,18 @@
 	transmits int       // how often the current record was piggybacked
 	hash      uint64
 	bucket    int
-	index     int // position in State.list
-	queued    bool
+	index     int  // position in State.list
+	queued    bool // whether the member is in State.gossipQueue
 }
 
 // buckets is the number of parts of the table that the anti-entropy exchange compares.
 const buckets = 16
 
+// probe is an unacknowledged probe of this node.
 type probe struct {
 	target   string
 	started  time.Time
-	indirect bool
+	indirect bool // whether indirect probes were sent
 }
 
 // relayedProbe is a probe on behalf of another node, which receives the acknowledgement.
@@ -123,7 +125,7 @@
 	gossipQueue []*member // members whose records are still to be piggybacked
 	seeds       []Seed
 
-	probeOrder    []*member // shuffled probe order
+	probeOrder    []*member // shuffled order of the current probe round
 	probePosition int
 	sequence      uint64
 	probes        map[uint64]probe
@@ -131,11 +133,11 @@
 	nextProbe     time.Time
 	nextSync      time.Time
 	lastTick      time.Time
-	hashes        [buckets]uint64
+	hashes        [buckets]uint64 // exclusive or of the record hashes in each bucket
 
 	bundleGeneration uint64
-	peerGeneration   uint64
-	peerAddress      string
+	peerGeneration   uint64 // highest bundle generation that a member reported
+	peerAddress      string // address of that member
 }
 
 // New returns the state of a node that knows only itself.
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -121,7 +121,7 @@
 	return wirev1.MemberState_MEMBER_STATE_UNSPECIFIED
 }
 
-// disagreements describes the running nodes that see subject in a state that is not wanted.
+// disagreements lists the running nodes that see subject in none of the wanted states.
 func (f *fleet) disagreements(subject string, wanted ...wirev1.MemberState) []string {
 	var wrong []string
 	for _, observer := range f.ids() {
--- a/internal/cluster/peers/contacts.go
+++ b/internal/cluster/peers/contacts.go
@@ -6,7 +6,7 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// contact records when another node was last reachable.
+// contact records when another node last responded and whether it is to be probed.
 type contact struct {
 	// lastContact is the time of the last response or request from the node.
 	lastContact time.Time
@@ -24,7 +24,7 @@
 	d.recordContact(node, now)
 }
 
-// recordContact is RecordContact with the mutex held.
+// recordContact does the work of RecordContact. The mutex is held.
 func (d *Directory) recordContact(node string, now time.Time) {
 	known := d.contacts[node]
 	known.lastContact, known.unansweredSince = now, time.Time{}
--- a/internal/cluster/peers/digests.go
+++ b/internal/cluster/peers/digests.go
@@ -77,8 +77,8 @@
 // sampleSize is the number of records in the reply to a node of another zone.
 const sampleSize = 12
 
-// SampleZone returns some records of a zone, nodes with disks first. A starting node gets
-// them from a seed in another zone and finds the rest of its zone through them.
+// SampleZone returns up to sampleSize records of a zone, nodes with disks first. A starting
+// node gets them from a seed in another zone and finds the rest of its zone through them.
 func (d *Directory) SampleZone(zone string) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -99,8 +99,8 @@
 	return list[:min(len(list), sampleSize)]
 }
 
-// RandomPartners returns up to count random nodes to exchange records with, in a large
-// fleet nodes of this node's zone.
+// RandomPartners returns up to count random nodes to exchange records with. In a large
+// fleet they are nodes of this node's zone.
 func (d *Directory) RandomPartners(count int) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -65,7 +65,7 @@
 	largeFleetSeedRounds = 2
 )
 
-// Serve handles a sync request of a peer.
+// Serve handles a request from a peer's Syncer.
 func (s *Syncer) Serve(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PeerStateRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -221,15 +221,16 @@
 	}
 }
 
-// probe checks that a node with a disk responds. The node sends its record if its
-// incarnation has changed.
+// probe checks that a node with a disk responds, and records it as unresponsive if it does
+// not. The node returns its record if its incarnation is not the one known here.
 func (s *Syncer) probe(ctx context.Context, node *wirev1.NodeRecord) {
 	if s.call(ctx, node.Address, &wirev1.PeerStateRequest{PeerIncarnation: node.Incarnation}) == nil && ctx.Err() == nil {
 		s.Directory.RecordUnresponsive(node.Address, time.Now())
 	}
 }
 
-// call sends a request to a peer and applies the reply. It returns nil if the call failed.
+// call sends a request to a peer, applies the reply and returns it. It returns nil if the
+// call failed.
 func (s *Syncer) call(ctx context.Context, address string, request *wirev1.PeerStateRequest) *wirev1.PeerStateReply {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(s.timeout, callTimeout))
 	defer cancel()
--- a/internal/cluster/subset/index.go
+++ b/internal/cluster/subset/index.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// ListedRunner is a runner of the platform's list, with a value that belongs to it.
+// ListedRunner is a runner of the platform's list with an associated value.
 type ListedRunner[V any] struct {
 	ID          string
 	ServiceZone ServiceZone
 	Value       V
 }
 
-// Index holds runners ordered by position, so that those of a subset are found without
-// scanning the others. Inserting or removing a runner costs a binary search among the
+// Index holds runners sorted by position, so that the runners of a subset are found without
+// scanning all runners. Inserting or removing a runner costs a binary search among the
 // runners of its service and zone.
 type Index[V any] struct {
 	byID  map[string]ListedRunner[V]
