--- a/internal/cluster/peers/large_test.go
+++ b/internal/cluster/peers/large_test.go
@@ -69,7 +69,7 @@
 		}
 		perSecond := float64(calls) / elapsed.Seconds()
 		t.Logf("%d nodes with disks: %.1f calls a second", 150*times, perSecond)
-		is.True(perSecond < 8) // probing every node with a disk would be at least 149
+		is.True(perSecond < 8) // probing every node with a disk takes 149 calls per round even with 150 of them
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	t.Logf("%d rounds for %d nodes", rounds, nodes)
 	is.True(same())
-	is.True(rounds <= nodes) // the order of partners is random
+	is.True(rounds <= nodes) // the choice of partners is random
 	for _, p := range fleet {
 		is.True(len(p.partners.addresses) <= partnerCount)
 	}
--- a/internal/cluster/peers/partners.go
+++ b/internal/cluster/peers/partners.go
@@ -7,8 +7,8 @@
 
 const (
 	// partnerCount is the number of nodes with which a node of a large fleet exchanges
-	// records in turn. A random graph with four edges per node is almost certainly
-	// connected and has logarithmic depth. Each partner costs one idle connection.
+	// records in turn. If each node has four random partners, all nodes are almost certainly
+	// connected by a logarithmic number of hops. Each partner costs one idle connection.
 	partnerCount = 4
 	// turnsPerPartner is the number of calls after which the oldest partner is replaced,
 	// so that no group of nodes stays isolated.
--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -58,7 +58,7 @@
 	largeFleetInterval     = 2 * time.Second
 	largeFleetDiskInterval = time.Second
 	// startupRounds is the number of rounds after the start in which a node always calls
-	// a peer.
+	// a peer, and a node with a disk also the seeds.
 	startupRounds = 6
 	// largeFleetSeedRounds is the number of rounds after the start in which a node with a
 	// disk calls the seeds in a large fleet, where few seeds serve many nodes.
