--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -129,11 +129,11 @@
 			continue
 		}
 		seen := f.stateOf(observer, subject)
-		fine := false
+		matches := false
 		for _, state := range wanted {
-			fine = fine || seen == state
+			matches = matches || seen == state
 		}
-		if !fine {
+		if !matches {
 			wrong = append(wrong, fmt.Sprintf("%s sees %s as %v", observer, subject, seen))
 		}
 	}
--- a/internal/cluster/peers/contacts.go
+++ b/internal/cluster/peers/contacts.go
@@ -87,11 +87,11 @@
 func (d *Directory) requestedProbes(now time.Time) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var wanted []*wirev1.NodeRecord
+	var requested []*wirev1.NodeRecord
 	for node, known := range d.contacts {
 		if record := d.records[node]; record != nil && now.Before(known.probeUntil) && node != d.self.NodeId {
-			wanted = append(wanted, record)
+			requested = append(requested, record)
 		}
 	}
-	return wanted
+	return requested
 }
--- a/internal/cluster/peers/digests_test.go
+++ b/internal/cluster/peers/digests_test.go
@@ -27,19 +27,19 @@
 			}
 			return directory
 		}
-		one, other := fill(-1), fill(-1)
-		if one.Digest() != other.Digest() {
+		first, second := fill(-1), fill(-1)
+		if first.Digest() != second.Digest() {
 			t.Fatal("equal records have different digests")
 		}
 		if len(records) == 0 {
 			return
 		}
 		node := rapid.IntRange(0, len(records)-1).Draw(t, "differs")
-		if fill(node).Digest() == one.Digest() {
+		if fill(node).Digest() == first.Digest() {
 			t.Fatal("the digest does not change when a record is missing")
 		}
-		other.Put(&wirev1.NodeRecord{NodeId: fmt.Sprintf("n%d", node), Incarnation: records[node] + 1})
-		if other.Digest() == one.Digest() {
+		second.Put(&wirev1.NodeRecord{NodeId: fmt.Sprintf("n%d", node), Incarnation: records[node] + 1})
+		if second.Digest() == first.Digest() {
 			t.Fatal("the digest does not change with a newer record")
 		}
 	})
--- a/internal/cluster/peers/sync_test.go
+++ b/internal/cluster/peers/sync_test.go
@@ -62,23 +62,23 @@
 func TestOnlyDifferingPartsAreSent(t *testing.T) {
 	is := is.New(t)
 	const nodes = 300
-	one, other := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
+	first, second := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
 	for number := range nodes {
-		one.Directory.Put(fleetRecord(number, 1))
-		other.Directory.Put(fleetRecord(number, 1))
+		first.Directory.Put(fleetRecord(number, 1))
+		second.Directory.Put(fleetRecord(number, 1))
 	}
 	ctx := context.Background()
-	one.syncWith(ctx, other.address)
-	other.syncWith(ctx, one.address)
-	one.syncWith(ctx, other.address)
-	is.Equal(one.Directory.Digest(), other.Directory.Digest())
-	before := one.counters.BytesReceived.Load()
+	first.syncWith(ctx, second.address)
+	second.syncWith(ctx, first.address)
+	first.syncWith(ctx, second.address)
+	is.Equal(first.Directory.Digest(), second.Directory.Digest())
+	before := first.counters.BytesReceived.Load()
 	for round := range 10 {
-		other.Directory.Put(fleetRecord(round*7, uint64(2+round)))
-		one.syncWith(ctx, other.address)
-		is.Equal(one.Directory.Digest(), other.Directory.Digest())
+		second.Directory.Put(fleetRecord(round*7, uint64(2+round)))
+		first.syncWith(ctx, second.address)
+		is.Equal(first.Directory.Digest(), second.Directory.Digest())
 	}
-	each := (one.counters.BytesReceived.Load() - before) / 10
+	each := (first.counters.BytesReceived.Load() - before) / 10
 	t.Logf("%d bytes per sync with one changed record of %d", each, nodes)
 	is.True(each < 3000)
 }
@@ -86,23 +86,23 @@
 // One sync in each direction brings two nodes to the newest version of every record,
 // whatever each knew before.
 func TestExchangeConvergesToNewestRecords(t *testing.T) {
-	one, other := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
+	first, second := startPeer(t, "one", "", 1), startPeer(t, "other", "", 1)
 	incarnation := uint64(1)
 	rapid.Check(t, func(t *rapid.T) {
 		incarnation++
 		for range rapid.IntRange(0, 40).Draw(t, "changes") {
 			record := fleetRecord(rapid.IntRange(0, 60).Draw(t, "node"), incarnation)
 			if rapid.Bool().Draw(t, "at one") {
-				one.Directory.Put(record)
+				first.Directory.Put(record)
 			} else {
-				other.Directory.Put(record)
+				second.Directory.Put(record)
 			}
 		}
 		ctx := context.Background()
-		one.syncWith(ctx, other.address)
-		other.syncWith(ctx, one.address)
-		if one.Directory.Digest() != other.Directory.Digest() {
-			t.Fatalf("%d and %d records", one.Directory.Count(), other.Directory.Count())
+		first.syncWith(ctx, second.address)
+		second.syncWith(ctx, first.address)
+		if first.Directory.Digest() != second.Directory.Digest() {
+			t.Fatalf("%d and %d records", first.Directory.Count(), second.Directory.Count())
 		}
 	})
 }
--- a/internal/cluster/subset/subset_test.go
+++ b/internal/cluster/subset/subset_test.go
@@ -142,8 +142,8 @@
 					put = append(put, entry(next))
 					next++
 				}
-				for _, one := range put {
-					listed[one.ID] = one
+				for _, runner := range put {
+					listed[runner.ID] = runner
 				}
 				apply(s.Apply(put, nil))
 			},
@@ -161,16 +161,16 @@
 			},
 			"wants": func(t *rapid.T) {
 				interest = Interest{Node: "n", Zone: "z0", Near: rapid.IntRange(1, 300).Draw(t, "near"), Far: 5}
-				if change, other := s.SetInterest(interest); other {
+				if change, changed := s.SetInterest(interest); changed {
 					apply(change)
 				}
 			},
 			"": func(t *rapid.T) {
 				subset := Compute(interest, s.Totals())
 				count := 0
-				for id, one := range listed {
+				for id, runner := range listed {
 					value, knows := known[id]
-					if knows != subset.Contains(one.ServiceZone, PositionOf(id)) || knows && value != one.Value {
+					if knows != subset.Contains(runner.ServiceZone, PositionOf(id)) || knows && value != runner.Value {
 						t.Fatalf("%s is known: %v; the subset says otherwise, or its value is outdated", id, knows)
 					}
 					if knows {
