--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -34,7 +34,7 @@
 // benchmarkSets runs a benchmark on sets that hold the whole fleet and on sets that hold
 // an edge's subset, for fleets of different sizes.
 func benchmarkSets(b *testing.B, run func(b *testing.B, s *Set)) {
-	for _, count := range []int{subset.AllKnown, 5000, 10_000, 20_000} {
+	for _, count := range []int{subset.FullListLimit, 5000, 10_000, 20_000} {
 		known, totals := subsetRecords(count)
 		b.Run(fmt.Sprint("all/", count), func(b *testing.B) {
 			s := New()
