--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -80,7 +80,7 @@
 	}
 	values := selection.Values
 	for key, value := range c.raw {
-		if held := (ports.Value{Key: key, Value: value}); c.selected && selection.Keeps(held, c.schema.Classify) {
+		if held := (ports.Value{Key: key, Value: value}); c.selected && selection.Retains(held, c.schema.Classify) {
 			values = append(values, held)
 		}
 	}
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -25,7 +25,7 @@
 		}
 		klog.InfoS("draw of runners changed", "factor", factor, "choicesWithoutRoom", fullChoices)
 		if follower := i.follower.Load(); follower != nil {
-			follower.Renew()
+			follower.RenewInterest()
 		}
 	}
 }
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -173,7 +173,7 @@
 
 func (r *Reflector) retryWait() time.Duration {
 	wait := minRetry + rand.N(maxRetry-minRetry)
-	if r.Relays != nil && r.Relays.Wanted() {
+	if r.Relays != nil && r.Relays.NeedsRelays() {
 		wait *= relayedRetryFactor
 	}
 	return wait
--- a/internal/cluster/relay/changelog.go
+++ b/internal/cluster/relay/changelog.go
@@ -2,15 +2,15 @@
 
 import "sort"
 
-// note adds to the log. The mutex is held.
-func (m *Mirror) note(revision int64, key string) {
+// appendLog appends a change to the log. The mutex is held.
+func (m *Mirror) appendLog(revision int64, key string) {
 	if last := len(m.log) - 1; last >= 0 && m.log[last].revision > revision {
 		m.unsorted = true
 	}
-	m.log = append(m.log, logged{revision, key})
+	m.log = append(m.log, logEntry{revision, key})
 }
 
-// sortLog puts the log in order if it is not. The mutex is held.
+// sortLog sorts the log by revision if necessary, and compacts it. The mutex is held.
 func (m *Mirror) sortLog() {
 	if m.unsorted {
 		sort.SliceStable(m.log, func(i, j int) bool { return m.log[i].revision < m.log[j].revision })
@@ -19,37 +19,37 @@
 	m.compact()
 }
 
-// compactSlack is how many outdated entries the log may have beyond as many as it
-// has valid ones: dropping them reads all, so it is done seldom.
+// compactSlack is how far outdated log entries may outnumber valid ones before the mirror
+// compacts the log, so that it does not read the whole log for each change.
 const compactSlack = 1024
 
-// compact drops what is outdated in the log once that is the larger part of it, and
-// the oldest ends beyond those that are kept. The mutex is held.
+// compact removes outdated entries from the log once there are too many, and the oldest
+// tombstones beyond maxTombstones. The mutex is held.
 func (m *Mirror) compact() {
-	if len(m.log) <= 2*(len(m.values)+len(m.gone))+compactSlack && len(m.gone) <= maxEnds+compactSlack {
+	if len(m.log) <= 2*(len(m.values)+len(m.tombstones))+compactSlack && len(m.tombstones) <= maxTombstones+compactSlack {
 		return
 	}
-	surplus := len(m.gone) - maxEnds
+	surplus := len(m.tombstones) - maxTombstones
 	kept := m.log[:0:0]
-	for _, one := range m.log {
-		end, isEnd := m.gone[one.key]
+	for _, entry := range m.log {
+		deleted, isDeleted := m.tombstones[entry.key]
 		switch {
-		case isEnd && end.revision == one.revision && surplus > 0:
+		case isDeleted && deleted.revision == entry.revision && surplus > 0:
 			surplus--
-			m.forgotten = max(m.forgotten, one.revision)
-			delete(m.gone, one.key)
-		case m.valid(one):
-			kept = append(kept, one)
+			m.compactedRevision = max(m.compactedRevision, entry.revision)
+			delete(m.tombstones, entry.key)
+		case m.isLatest(entry):
+			kept = append(kept, entry)
 		}
 	}
 	m.log = kept
 }
 
-// valid reports whether an entry of the log is the newest of its key.
-func (m *Mirror) valid(one logged) bool {
-	if value, held := m.values[one.key]; held {
-		return value.Revision == one.revision
+// isLatest reports whether a log entry is the newest entry of its key.
+func (m *Mirror) isLatest(entry logEntry) bool {
+	if value, held := m.values[entry.key]; held {
+		return value.Revision == entry.revision
 	}
-	end, isEnd := m.gone[one.key]
-	return isEnd && end.revision == one.revision
+	deleted, isDeleted := m.tombstones[entry.key]
+	return isDeleted && deleted.revision == entry.revision
 }
--- a/internal/cluster/relay/diskcache.go
+++ b/internal/cluster/relay/diskcache.go
@@ -14,31 +14,31 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// DiskCache keeps on a disk what was last known of the store, so that a deployment
-// that lost power as a whole serves before the store answers.
+// DiskCache keeps a copy of the store's documents on disk. After a power loss of the
+// whole deployment, nodes serve from this copy until the store answers.
 type DiskCache interface {
-	SaveDocuments(whole bool, values []ports.Value, gone []string, revision int64) error
+	SaveDocuments(whole bool, values []ports.Value, deletedKeys []string, revision int64) error
 	LoadDocuments() (values []ports.Value, revision int64, err error)
-	// Fits reports whether the disk has room.
+	// Fits reports whether the disk has room for so many bytes.
 	Fits(bytes int) bool
 }
 
-// persistInterval is the least time between two writes.
+// persistInterval is the minimum time between two writes.
 const persistInterval = 500 * time.Millisecond
 
-// selectionKey is of a document that is kept, beside those of the store, where of the
-// runners a selection is: how many runners there are.
+// selectionKey is the key of an extra document in the disk cache. The document exists if
+// the cache holds a selection of the runners, and contains the total numbers of runners.
 const selectionKey = "kept/selection"
 
-// Restore hands what was kept to a merge, as what it was: everything, or everything
-// but the runners that were not selected.
+// Restore passes the cached documents to a merger: as the complete contents of the store,
+// or, if the cache holds a selection of the runners, as that selection.
 func Restore(cache DiskCache, classify Classifier, merger *Merger) {
-	kept, revision, err := cache.LoadDocuments()
-	klog.InfoS("documents kept on the disk taken", "documents", len(kept), "revision", revision, "err", err)
+	cached, revision, err := cache.LoadDocuments()
+	klog.InfoS("documents restored from the disk cache", "documents", len(cached), "revision", revision, "err", err)
 	if err != nil || revision < 0 {
 		return
 	}
-	values, selection := splitKept(kept, classify)
+	values, selection := splitSelection(cached, classify)
 	if selection == nil {
 		merger.Reset(values, revision)
 		return
@@ -46,15 +46,16 @@
 	merger.ResetToSelection(values, *selection, revision)
 }
 
-// splitKept takes a selection out of what was kept; there is none if all runners were.
-func splitKept(kept []ports.Value, classify Classifier) ([]ports.Value, *Selection) {
+// splitSelection separates the selected runners from the other cached documents. The
+// selection is nil if the cache holds all runners.
+func splitSelection(cached []ports.Value, classify Classifier) ([]ports.Value, *Selection) {
 	var selection *Selection
 	var values, runners []ports.Value
-	for _, value := range kept {
+	for _, value := range cached {
 		_, _, isRunner := classify(value)
 		switch {
 		case value.Key == selectionKey:
-			selection = &Selection{Totals: decodeTotals(value.Value)}
+			selection = &Selection{Totals: decodeStoredTotals(value.Value)}
 		case isRunner:
 			runners = append(runners, value)
 		default:
@@ -68,20 +69,20 @@
 	return values, selection
 }
 
-func decodeTotals(encoded []byte) subset.Totals {
+func decodeStoredTotals(encoded []byte) subset.Totals {
 	reply := &wirev1.FollowReply{}
 	if err := proto.Unmarshal(encoded, reply); err != nil {
-		klog.ErrorS(err, "kept number of runners is unreadable, a relay sends it anew")
+		klog.ErrorS(err, "cached number of runners is unreadable; a relay will send it again")
 	}
-	return totalsOf(reply)
+	return totalsFromReply(reply)
 }
 
-// Persist writes what a mirror holds until the context ends.
+// Persist writes the contents of a mirror to the cache until the context ends.
 func Persist(ctx context.Context, cache DiskCache, mirror *Mirror) {
 	saved := int64(-1)
 	for ctx.Err() == nil {
 		update, changed := mirror.After(saved, nil)
-		if update != nil && save(cache, update, mirror.selectionDocument()) {
+		if update != nil && saveUpdate(cache, update, mirror.selectionDocument()) {
 			saved = update.Revision
 		}
 		pause.For(ctx, persistInterval)
@@ -92,8 +93,8 @@
 	}
 }
 
-// selectionDocument is what is kept of a selection; its value is nil if all runners are
-// held.
+// selectionDocument returns the document to cache under selectionKey. Its value is nil if
+// the mirror holds all runners.
 func (m *Mirror) selectionDocument() ports.Value {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -103,28 +104,29 @@
 	}
 	encoded, err := proto.Marshal(&wirev1.FollowReply{Selection: true, Totals: encodeTotals(m.totals)})
 	if err != nil {
-		klog.ErrorS(err, "number of runners can't be kept")
+		klog.ErrorS(err, "number of runners can't be encoded for the disk cache")
 	}
 	document.Value = encoded
 	return document
 }
 
-// save writes an update. It reports false if it has to be tried again.
-func save(cache DiskCache, update *Update, selection ports.Value) bool {
+// saveUpdate writes an update to the cache. It returns false if the write has to be
+// retried.
+func saveUpdate(cache DiskCache, update *Update, selection ports.Value) bool {
 	values := slices.Clone(update.Values)
-	var gone []string
+	var deletedKeys []string
 	for _, event := range update.Events {
 		if event.Deleted {
-			gone = append(gone, event.Value.Key)
+			deletedKeys = append(deletedKeys, event.Value.Key)
 		}
 	}
 	if !update.Whole {
-		values = newest(update.Events)
+		values = latestValues(update.Events)
 	}
 	if selection.Value != nil {
 		values = append(values, selection)
 	} else {
-		gone = append(gone, selection.Key)
+		deletedKeys = append(deletedKeys, selection.Key)
 	}
 	bytes := 0
 	for _, value := range values {
@@ -133,15 +135,15 @@
 	if !cache.Fits(bytes) {
 		return false
 	}
-	if err := cache.SaveDocuments(update.Whole, values, gone, update.Revision); err != nil {
-		klog.ErrorS(err, "documents not kept", "revision", update.Revision)
+	if err := cache.SaveDocuments(update.Whole, values, deletedKeys, update.Revision); err != nil {
+		klog.ErrorS(err, "documents not written to the disk cache", "revision", update.Revision)
 		return false
 	}
 	return true
 }
 
-// newest returns the values that changes leave behind.
-func newest(events []ports.WatchEvent) []ports.Value {
+// latestValues returns the latest value of each key that the events leave in place.
+func latestValues(events []ports.WatchEvent) []ports.Value {
 	last := map[string]ports.WatchEvent{}
 	for _, event := range events {
 		last[event.Value.Key] = event
--- a/internal/cluster/relay/diskcache_test.go
+++ b/internal/cluster/relay/diskcache_test.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// memoryCache stands in for a disk.
+// memoryCache is a DiskCache in memory.
 type memoryCache struct {
 	mutex    sync.Mutex
 	values   map[string]ports.Value
@@ -49,16 +49,16 @@
 
 func (k *memoryCache) Fits(int) bool { return true }
 
-func (k *memoryCache) at() int64 {
+func (k *memoryCache) savedRevision() int64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.revision
 }
 
-// What was kept of a selection is a selection after a restart, with the number of
-// runners that there are: a node that took it for all that the store holds would pass
-// it on to others as that. What was kept as a whole is whole again.
-func TestKeptSelectionsStaySelections(t *testing.T) {
+// A restored selection is still a selection with the total numbers of runners, so that a
+// node does not serve it as the complete store. Complete contents are restored as
+// complete.
+func TestRestoredSelectionIsStillASelection(t *testing.T) {
 	is := is.New(t)
 	cache := &memoryCache{revision: -1}
 	mirror := NewMirror(classifyTest)
@@ -69,9 +69,9 @@
 	totals := subset.Totals{{Service: "s", Zone: "z1"}: 2048}
 	config := ports.Value{Key: "config", Revision: 3}
 	merge.ResetToSelection([]ports.Value{config}, Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 4}}, Totals: totals}, 4)
-	eventually.Require(t, "it is kept", func() bool { return cache.at() == 4 })
+	eventually.Require(t, "the selection is cached", func() bool { return cache.savedRevision() == 4 })
 
-	node := &selected{values: map[string]int64{}}
+	node := &recordingSink{values: map[string]int64{}}
 	again := NewMerger(node)
 	Restore(cache, classifyTest, again)
 	is.True(again.Partial())
@@ -83,16 +83,16 @@
 	is.Equal(other.totals, totals)
 
 	merge.Reset([]ports.Value{config, {Key: runnerKey(1), Revision: 4}, {Key: runnerKey(2), Revision: 5}}, 5)
-	eventually.Require(t, "the whole is kept", func() bool { return cache.at() == 5 })
+	eventually.Require(t, "the complete contents are cached", func() bool { return cache.savedRevision() == 5 })
 	Restore(cache, classifyTest, again)
 	is.True(!again.Partial())
 	is.Equal(len(node.values), 3)
 }
 
-// A node that holds a selection, its own, passes it on to a node that knows nothing while
-// the store is away, as it is and with the true number of runners; to one that knows
-// something it passes on nothing, which would take from it what it has.
-func TestSelectionsAreToldToWhoKnowsNothing(t *testing.T) {
+// While the store does not answer, a node sends its own selection with the total numbers
+// of runners to an empty node, and refuses any other follower, which would lose runners
+// by it.
+func TestSelectionIsSentOnlyToEmptyNodesDuringAnOutage(t *testing.T) {
 	is := is.New(t)
 	mirror := NewMirror(classifyTest)
 	totals := subset.Totals{{Service: "s", Zone: "z1"}: 2048, {Service: "s", Zone: "z2"}: 2048}
@@ -103,13 +103,13 @@
 	NewMerger(mirror).ResetToSelection([]ports.Value{{Key: "config", Revision: 3}}, Selection{Values: own, Totals: totals}, 4)
 	server := &Source{Mirror: mirror, Lost: func() bool { return true }, Level: func() uint32 { return 1 }}
 	asks := func(after int64) error {
-		return server.refusal(&wirev1.FollowRequest{After: after, Level: leafLevel, Interest: &wirev1.RunnerInterest{}})
+		return server.refusalError(&wirev1.FollowRequest{After: after, Level: leafLevel, Interest: &wirev1.RunnerInterest{}})
 	}
 	is.NoErr(asks(-1))
 	is.True(asks(4) != nil)
 	server.Lost = func() bool { return false }
 	is.True(asks(-1) != nil)
-	update, _ := mirror.After(-1, edgeView(3))
+	update, _ := mirror.After(-1, edgeFollowerView(3))
 	is.Equal(len(update.Selection.Values), len(own))
 	is.Equal(update.Selection.Totals, totals)
 }
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -16,75 +16,77 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Nodes are the nodes of the fleet, as this one knows them.
+// Nodes lists the nodes of the fleet that this node knows.
 type Nodes interface {
 	Self() *wirev1.NodeRecord
 	Count() int
 	Disks() []*wirev1.NodeRecord
-	// Large reports whether the fleet is so large that nodes know parts of it.
+	// Large reports whether the fleet is so large that a node knows only some of the
+	// others.
 	Large() bool
-	// Generation rises with each change of the nodes.
+	// Generation increases with each change of the list of nodes.
 	Generation() uint64
-	// InContactWithin reports whether a node answered this one, or asked it, within a
-	// time, and Unresponsive whether it left the last question unanswered.
+	// InContactWithin reports whether a node sent this node a request or a response
+	// within the given time before now.
 	InContactWithin(node string, now time.Time, within time.Duration) bool
+	// Unresponsive reports whether a node left this node's last request unanswered.
 	Unresponsive(node string) bool
 }
 
-// Follower takes the changes that other nodes pass on. In a fleet of some hundred
-// nodes one node with a disk in each zone follows the store, and all others follow
-// two such nodes.
+// Follower receives the store's changes from other nodes. In a fleet of a few hundred
+// nodes, one node with a disk in each zone watches the store, and all others follow two
+// such nodes.
 //
-// In a large fleet nodes form a tree. At level 0 one node with a disk in each zone
-// follows the store. At level 1 the zone's other relays, which come next in the
-// order of its nodes with disks, follow those of level 0. At level 2 all other
-// nodes follow a relay of their zone; there are as many relays as it takes for each
-// to have about fanOut followers. A node passes on only to a higher level, so no
-// two follow each other. A change is two hops from every node, of which one crosses
-// a zone's border where the zone's own source at level 0 has fallen out.
+// In a large fleet the nodes form a tree of three levels. At level 0, one node with a
+// disk in each zone watches the store. At level 1, the other relays of the zone, which
+// are the next nodes with disks in the order of followWeight, follow nodes of level 0. At
+// level 2, all other nodes follow a relay of their zone. The number of relays is such
+// that each has about fanOut followers. A node sends changes only to higher levels, so no
+// two nodes follow each other. Each node is at most two hops from a node that watches the
+// store. A hop crosses zones only if the zone's own node at level 0 has failed.
 type Follower struct {
 	Nodes  Nodes
 	Pool   *rpc.Pool
 	Merger *Merger
-	// Interest returns the runners that this node wants to know in a large fleet.
+	// Interest returns the node's interest, which determines its subset of the runners in
+	// a large fleet.
 	Interest func() subset.Interest
-	// Lost reports whether the store does not answer this node; nil stands for never.
+	// Lost reports whether the store does not answer this node. Nil means that it always
+	// does.
 	Lost   func() bool
 	Timing FollowTiming
 
-	order atomic.Pointer[zoneOrder]
+	cachedPosition atomic.Pointer[treePosition]
 
 	mutex   sync.Mutex
 	sources [wantedSources]sourceState
-	// failed is when a source last failed, by address.
+	// failed holds, by address, when a source last failed.
 	failed    map[string]time.Time
 	isolation isolation
 }
 
 const (
-	// wantedSources is how many nodes pass changes on to one node at once, and
-	// wantedSourcesInLarge how many in a large fleet: there a node gets a selection, and
-	// only one source can say what has left it.
-	wantedSources        = 2
-	wantedSourcesInLarge = 1
-	// minRetry is the pause before the next source is asked; it doubles up to maxRetry as
-	// long as none answers, as when the store is down for all or fewer nodes follow it
-	// than are wanted.
+	// wantedSources is the number of sources that a node follows at a time. In a large
+	// fleet it is wantedSourcesInLargeFleet: a node there receives a selection, and only
+	// the source of that selection knows which runners have left it.
+	wantedSources             = 2
+	wantedSourcesInLargeFleet = 1
+	// minRetry is the pause before the next attempt to find a source. It doubles up to
+	// maxRetry while no source answers.
 	minRetry = 100 * time.Millisecond
 	maxRetry = 1600 * time.Millisecond
-	// maxIdle is how long a node of a small fleet, or one that follows the store for
-	// others, waits before it looks again whether it needs a source; just after its
-	// start it looks as often as it would ask.
+	// maxIdle limits the interval at which a node that needs no source checks whether it
+	// needs one. The interval starts at minRetry and doubles.
 	maxIdle = time.Second
-	// maxDirectNodes is up to how many nodes each follows the store itself: the
-	// store's calls are few then, and no other node is needed.
+	// maxDirectNodes is the largest number of nodes at which every node watches the store
+	// itself.
 	maxDirectNodes = 16
 )
 
-// HeartbeatInterval is how often a source says that it lives.
+// HeartbeatInterval returns the interval at which sources send heartbeats.
 func (f *Follower) HeartbeatInterval() time.Duration { return f.Timing.orDefault().Heartbeat }
 
-// Run takes changes until the context ends.
+// Run receives changes until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	var running tasks.Group
 	for slot := range wantedSources {
@@ -93,16 +95,16 @@
 	running.Wait()
 }
 
-// runSlot keeps a source for one slot.
+// runSlot finds and follows sources for one slot until the context ends.
 func (f *Follower) runSlot(ctx context.Context, slot int) {
 	wait, idle := minRetry, minRetry
 	for ctx.Err() == nil {
-		if !f.wantsSource(slot) {
+		if !f.needsSource(slot) {
 			pause.For(ctx, idle)
 			idle = min(2*idle, maxIdle)
 			continue
 		}
-		address := f.choose(slot)
+		address := f.chooseSource(slot)
 		answered := false
 		if address != "" {
 			err := f.follow(ctx, slot, address, func() { answered = true })
@@ -110,7 +112,7 @@
 				return
 			}
 			klog.InfoS("source of the store's changes left", "address", address, "revision", f.Merger.Revision(), "err", err)
-			f.leave(slot, address, !errors.Is(err, errOtherInterest) && !errors.Is(err, errBehind))
+			f.dropSource(slot, address, !errors.Is(err, errInterestChanged) && !errors.Is(err, errSourceBehind))
 		}
 		wait = min(2*wait, maxRetry)
 		if address == "" || answered {
@@ -120,21 +122,20 @@
 	}
 }
 
-// Wanted reports whether the fleet is so large that the store is to be followed
-// through others.
-func (f *Follower) Wanted() bool { return f.Nodes.Large() || f.Nodes.Count() > maxDirectNodes }
+// NeedsRelays reports whether the fleet is too large for every node to watch the store
+// itself.
+func (f *Follower) NeedsRelays() bool { return f.Nodes.Large() || f.Nodes.Count() > maxDirectNodes }
 
-// UsesRelay reports whether this node has no need to follow the store itself:
-// another one does so for its zone, and a source has said lately that the store
-// answers it.
-func (f *Follower) UsesRelay() bool { return f.Wanted() && !f.followsForZone() && f.Live() }
+// UsesRelay reports whether this node does not need to watch the store itself: another
+// node watches it for the zone, and this node has a live source.
+func (f *Follower) UsesRelay() bool { return f.NeedsRelays() && !f.followsForZone() && f.HasSource() }
 
-// InTree reports whether this node takes the store's changes from others in a large
-// fleet, or is to.
+// InTree reports whether this node has to receive the store's changes from other nodes of
+// a large fleet.
 func (f *Follower) InTree() bool { return f.Nodes.Large() && f.Level() > 0 }
 
-// followsForZone reports whether this node follows the store for its zone: no node with
-// a disk that comes before it is known to live.
+// followsForZone reports whether this node watches the store for its zone, because no
+// other node with a disk that precedes it in the zone's order is alive.
 func (f *Follower) followsForZone() bool {
 	if f.Nodes.Large() {
 		return f.Level() == 0
@@ -145,23 +146,24 @@
 	}
 	now := time.Now()
 	for _, node := range f.Nodes.Disks() {
-		before := node.Zone == self.Zone && node.NodeId != self.NodeId && followWeight(node) > followWeight(self)
-		if before && f.Nodes.InContactWithin(node.NodeId, now, f.Timing.orDefault().Alive) {
+		precedes := node.Zone == self.Zone && node.NodeId != self.NodeId && followWeight(node) > followWeight(self)
+		if precedes && f.Nodes.InContactWithin(node.NodeId, now, f.Timing.orDefault().AliveTimeout) {
 			return false
 		}
 	}
 	return true
 }
 
-// wantsSource reports whether a slot is to have a source.
-func (f *Follower) wantsSource(slot int) bool {
+// needsSource reports whether a slot needs a source.
+func (f *Follower) needsSource(slot int) bool {
 	if f.Nodes.Large() {
-		return slot < wantedSourcesInLarge && (f.Level() > 0 || f.turnedAway())
+		return slot < wantedSourcesInLargeFleet && (f.Level() > 0 || f.storeUnavailable())
 	}
-	return f.Wanted()
+	return f.NeedsRelays()
 }
 
-// turnedAway reports whether the store does not answer this node, which follows it for
-// a zone. It then takes the changes of who does so for another: that is at level 0 as
-// well, but no two can follow each other, since who is turned away says so and is left.
-func (f *Follower) turnedAway() bool { return f.Lost != nil && f.Lost() }
+// storeUnavailable reports whether the store does not answer this node. A node at level 0
+// then follows the node at level 0 of another zone. Two such nodes can't follow each
+// other: a node without contact to the store reports this to its followers, and they
+// leave it.
+func (f *Follower) storeUnavailable() bool { return f.Lost != nil && f.Lost() }
--- a/internal/cluster/relay/follower_test.go
+++ b/internal/cluster/relay/follower_test.go
@@ -17,9 +17,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// edgeOf returns an edge of a large fleet whose only relay answers as given, by the
-// number of the stream.
-func edgeOf(t *testing.T, merge *Merger, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
+// startEdge starts the follower of an edge in a large fleet with one relay, and returns
+// it. The relay calls answer with the number of the stream.
+func startEdge(t *testing.T, merge *Merger, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,44 +49,44 @@
 		server.Close()
 	})
 	follower := &Follower{
-		Nodes: directory, Pool: pool, Merger: merge, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, Alive: time.Minute},
+		Nodes: directory, Pool: pool, Merger: merge, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, AliveTimeout: time.Minute},
 		Interest: func() subset.Interest { return subset.DefaultInterest("edge", "z0", false) },
 	}
 	go follower.Run(ctx)
 	return follower
 }
 
-// A node that has followed the store itself may be past the selection that a source
-// sends first. It asks again; until it holds a selection the source does not count as
-// one that keeps it up to date, since what that sends next would be left out.
-func TestSelectionThatComesTooLateIsAskedForAgain(t *testing.T) {
+// The first selection from a source may be older than the revision that the node has read
+// from the store. The node then requests it again, and does not count the source as live
+// until it holds a selection.
+func TestOutdatedSelectionIsRequestedAgain(t *testing.T) {
 	is := is.New(t)
-	node := &selected{values: map[string]int64{}}
+	node := &recordingSink{values: map[string]int64{}}
 	merge := NewMerger(node)
 	merge.Reset([]ports.Value{{Key: "config", Revision: 4}}, 5)
-	follower := edgeOf(t, merge, func(stream int, send func(*wirev1.FollowReply)) {
+	follower := startEdge(t, merge, func(stream int, send func(*wirev1.FollowReply)) {
 		if stream == 1 {
-			merge.Apply(nil, 20) // what the store itself has returned meanwhile
+			merge.Apply(nil, 20) // the node reads from the store in the meantime
 			send(&wirev1.FollowReply{Selection: true, Revision: 10})
 			send(&wirev1.FollowReply{Revision: 21, Items: []*wirev1.StoredItem{{Key: "config", Revision: 21}}})
 			return
 		}
 		send(&wirev1.FollowReply{Selection: true, Revision: 22, Items: []*wirev1.StoredItem{{Key: "config", Revision: 21}}})
 	})
-	eventually.Require(t, "the node takes its changes from the source", follower.Live)
+	eventually.Require(t, "the node receives changes from the source", follower.HasSource)
 	is.True(merge.Partial())
 	is.Equal(merge.Revision(), int64(22))
 	is.Equal(node.values["config"], int64(21))
 }
 
-// A source that is behind what a node holds, and so sends nothing yet, does not count
-// as one that keeps it up to date.
-func TestSourceThatIsBehindDoesNotCount(t *testing.T) {
+// A source that is behind the node's revision, and therefore sends no update yet, is not
+// live.
+func TestSourceThatIsBehindIsNotLive(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerger(&selected{values: map[string]int64{}})
+	merge := NewMerger(&recordingSink{values: map[string]int64{}})
 	merge.Reset(nil, 5)
 	caughtUp := make(chan struct{})
-	follower := edgeOf(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
+	follower := startEdge(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
 		for range 3 {
 			send(&wirev1.FollowReply{})
 		}
@@ -94,39 +94,39 @@
 		send(&wirev1.FollowReply{Selection: true, Revision: 6})
 	})
 	for range 20 {
-		is.True(!follower.Live())
+		is.True(!follower.HasSource())
 		time.Sleep(time.Millisecond)
 	}
 	close(caughtUp)
-	eventually.Require(t, "it counts", follower.Live)
+	eventually.Require(t, "the source is live", follower.HasSource)
 }
 
-// While sources answer and say that the store does not answer them, a node leaves the
-// store alone: it is down for all, and would return to all nodes at once. A node whose sources say
-// nothing is alone.
-func TestOutageOfTheStoreIsolatesNobody(t *testing.T) {
+// While its sources report that the store does not answer them, a node is not isolated
+// and leaves the store alone, until maxLostDuration has passed. A node whose sources
+// report nothing is isolated.
+func TestStoreOutageDoesNotCountAsIsolation(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerger(&selected{values: map[string]int64{}})
+	merge := NewMerger(&recordingSink{values: map[string]int64{}})
 	merge.Reset(nil, 5)
-	follower := edgeOf(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
+	follower := startEdge(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
 		send(&wirev1.FollowReply{Lost: true})
 	})
-	eventually.Require(t, "the source was asked twice", func() bool {
+	eventually.Require(t, "the source has received two requests", func() bool {
 		follower.mutex.Lock()
 		defer follower.mutex.Unlock()
-		return follower.isolation.lost.After(follower.isolation.lostSince)
+		return follower.isolation.lastLostReport.After(follower.isolation.firstLostReport)
 	})
 	is.Equal(follower.IsolatedFor(), time.Duration(0))
-	is.True(!follower.Live())
+	is.True(!follower.HasSource())
 	follower.mutex.Lock()
-	follower.isolation.lostSince = time.Now().Add(-maxLostTime)
+	follower.isolation.firstLostReport = time.Now().Add(-maxLostDuration)
 	follower.mutex.Unlock()
 	follower.IsolatedFor()
 	time.Sleep(time.Millisecond)
-	is.True(follower.IsolatedFor() > 0) // so long no outage lasts
+	is.True(follower.IsolatedFor() > 0) // the outage has lasted for maxLostDuration
 
-	silent := edgeOf(t, NewMerger(&selected{}), func(int, func(*wirev1.FollowReply)) {})
-	_ = silent.IsolatedFor()
+	isolated := startEdge(t, NewMerger(&recordingSink{}), func(int, func(*wirev1.FollowReply)) {})
+	_ = isolated.IsolatedFor()
 	time.Sleep(time.Millisecond)
-	is.True(silent.IsolatedFor() > 0)
+	is.True(isolated.IsolatedFor() > 0)
 }
--- a/internal/cluster/relay/isolation.go
+++ b/internal/cluster/relay/isolation.go
@@ -3,42 +3,41 @@
 import "time"
 
 const (
-	// lostReportTime is for how long a source's report counts that the store does not
-	// answer it: longer than the pauses between two sources that are asked.
-	lostReportTime = 4 * time.Second
-	// maxLostTime is how long a node leaves a store alone that answers none of its
-	// sources: an outage lasts shorter, and all nodes at once would be what it returns
-	// to.
-	maxLostTime = 30 * time.Second
+	// lostReportTTL is how long a source's report of a lost store remains valid. It is
+	// longer than the pause before the next source is tried.
+	lostReportTTL = 4 * time.Second
+	// maxLostDuration is how long a node leaves the store alone while its sources report
+	// that the store does not answer them. Outages are usually shorter. If all nodes
+	// turned to the store during an outage, they would overload it when it comes back.
+	maxLostDuration = 30 * time.Second
 )
 
-// isolation decides since when a node is isolated: no source says anything to it, not
-// even that the store does not answer the source.
+// isolation measures how long a node has been isolated: it has no live source, and no
+// source has recently reported that the store does not answer.
 type isolation struct {
 	since time.Time // zero while it is not isolated
-	// lost is when a source last reported that the store does not answer it, and
-	// lostSince the first such report since a source was live.
-	lost, lostSince time.Time
+	// lastLostReport is when a source last reported that the store does not answer it.
+	// firstLostReport is the first such report since a source was last live.
+	lastLostReport, firstLostReport time.Time
 }
 
-// confirm takes that a source is live.
-func (i *isolation) confirm() { i.lostSince = time.Time{} }
+// confirm records that a source is live.
+func (i *isolation) confirm() { i.firstLostReport = time.Time{} }
 
-// reportLost takes a source's report that the store does not answer it.
+// reportLost records that a source reported that the store does not answer it.
 func (i *isolation) reportLost(now time.Time) {
-	i.lost = now
-	if i.lostSince.IsZero() {
-		i.lostSince = now
+	i.lastLostReport = now
+	if i.firstLostReport.IsZero() {
+		i.firstLostReport = now
 	}
 }
 
-// duration returns for how long the node has been isolated, given whether it has a live
-// source at now.
+// duration returns how long the node has been isolated at now.
 func (i *isolation) duration(hasLiveSource bool, now time.Time) time.Duration {
-	storeIsDown := !i.lost.IsZero() && now.Sub(i.lost) < lostReportTime && now.Sub(i.lostSince) < maxLostTime
+	storeIsDown := !i.lastLostReport.IsZero() && now.Sub(i.lastLostReport) < lostReportTTL && now.Sub(i.firstLostReport) < maxLostDuration
 	switch {
 	case hasLiveSource:
-		i.since, i.lostSince = time.Time{}, time.Time{}
+		i.since, i.firstLostReport = time.Time{}, time.Time{}
 		return 0
 	case storeIsDown:
 		i.since = time.Time{}
--- a/internal/cluster/relay/merge.go
+++ b/internal/cluster/relay/merge.go
@@ -7,47 +7,50 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// Merger hands to a sink what several sources send of the same store. A source
-// sends all that changed after a revision the merge had reached when the source
-// began; or it sends a selection of the runners, and all that changes of it. While
-// a selection is held only its source counts, and while all is held no source of a
-// selection does: neither knows what the other has sent.
+// Merger combines the changes that several sources send of the same store and passes them
+// to a sink. A source sends either all changes after the revision that the merger had
+// reached when the stream began, or a selection of the runners and the changes of that
+// selection. While the merger holds a selection it ignores sources that send all runners,
+// and while it holds all runners it ignores sources that send a selection: a source of
+// one kind does not know which changes a source of the other kind has sent.
 //
-// Invariant: its revision never falls, and the sink gets each change once.
+// Invariant: the revision never decreases, and the sink receives each change once.
 type Merger struct {
 	mutex    sync.Mutex
 	sink     SelectiveSink
 	revision int64
-	// partial: of the runners a selection is held.
+	// partial is true while the merger holds a selection of the runners.
 	partial bool
 }
 
-// NewMerger returns a merge that has reached no revision.
+// NewMerger returns a merger without contents; its revision is negative.
 func NewMerger(sink SelectiveSink) *Merger { return &Merger{sink: sink, revision: -1} }
 
 var _ Sink = (*Merger)(nil)
 
-// Partial reports whether a selection of the runners is held, and not all.
+// Partial reports whether the merger holds a selection of the runners, not all of them.
 func (m *Merger) Partial() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.partial
 }
 
-// Select takes a selection with what else has changed; an older one changes nothing.
-// Selections come from one source at a time.
+// Select applies events and then a selection of the same revision. It ignores a selection
+// that is older than the held contents, and one that retains runners if no selection is
+// held. Only one source may send selections at a time.
 func (m *Merger) Select(selection Selection, events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.revision < 0 || revision < m.revision || selection.Kept != nil && !m.partial {
-		return // what it adds to is not held
+	if m.revision < 0 || revision < m.revision || selection.Retained != nil && !m.partial {
+		return // outdated, or it extends contents that are not held
 	}
 	m.apply(events, revision)
 	m.sink.Select(selection, revision)
 	m.partial = true
 }
 
-// ResetToSelection takes everything but the runners that are not selected.
+// ResetToSelection replaces everything by the given values and a selection of the
+// runners.
 func (m *Merger) ResetToSelection(values []ports.Value, selection Selection, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -59,7 +62,7 @@
 	m.revision, m.partial = revision, true
 }
 
-// ApplySelected takes changes from the source of a selection.
+// ApplySelected applies changes from the source of the held selection.
 func (m *Merger) ApplySelected(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -68,14 +71,15 @@
 	}
 }
 
-// Revision returns the revision reached; negative before the first.
+// Revision returns the revision that the merger has reached; it is negative before the
+// first contents arrive.
 func (m *Merger) Revision() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
 }
 
-// Reset implements Sink; an older whole changes nothing.
+// Reset implements Sink. It ignores contents that are older than the held ones.
 func (m *Merger) Reset(values []ports.Value, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -86,7 +90,7 @@
 	m.revision, m.partial = revision, false
 }
 
-// Apply implements Sink; changes that were taken already are left out.
+// Apply implements Sink. It skips changes that were applied before.
 func (m *Merger) Apply(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -95,7 +99,7 @@
 	}
 }
 
-// apply takes changes. The mutex is held.
+// apply passes the changes after the held revision to the sink. The mutex is held.
 func (m *Merger) apply(events []ports.WatchEvent, revision int64) {
 	fresh := make([]ports.WatchEvent, 0, len(events))
 	for _, event := range events {
--- a/internal/cluster/relay/mirror.go
+++ b/internal/cluster/relay/mirror.go
@@ -1,15 +1,16 @@
-// Package relay lets few nodes follow the platform's store and pass on what it holds
-// to the others, so that the calls to the store do not grow with the fleet.
+// Package relay lets a few nodes watch the platform's store and pass its contents on to
+// the other nodes, so that the number of calls to the store does not grow with the fleet.
 //
-// A node with a disk keeps a Mirror of what it follows, serves it (Source) and keeps it
-// on its disk (DiskCache). Other nodes hold a Follower. In a fleet of some hundred nodes
-// it takes the changes of two such nodes at once: one of them may fail and nothing is
-// missed meanwhile. In a larger one nodes form a tree of three levels, see Follower, and
-// get those runners only that they work with, see FollowerView.
+// A node with a disk holds a Mirror of the store, serves it to other nodes (Source) and
+// saves it on its disk (DiskCache). Nodes receive the changes through a Follower. In a
+// fleet of a few hundred nodes, a node follows two sources at once, so that it misses
+// nothing if one of them fails. In a larger fleet the nodes form a tree of three levels
+// (see Follower), and most nodes receive only the runners that they work with (see
+// FollowerView).
 //
-// It owns the mirror, its file on the disk and the choice of sources. It relies on the
-// node records of peers, on subset for who works with which runners, and on the streams
-// of rpc. It runs on edges and storage nodes.
+// The package owns the mirror, the contents of the disk cache and the choice of sources.
+// It relies on package peers for the node records, on package subset for which node works
+// with which runners, and on package rpc for streams. It runs on edges and storage nodes.
 package relay
 
 import (
@@ -21,57 +22,60 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// maxEnds bounds how many ends of values a mirror can pass on one by one, at some 100
-// bytes each; who misses more gets everything. A value that stands is passed on by its
-// own revision however old it is. A release of half of the runners of a fleet with
-// 30,000 ends as many.
-const maxEnds = 16384
+// maxTombstones limits the number of tombstones in a mirror, of some 100 bytes each. A
+// follower that is further behind receives the complete contents. Existing values are not
+// subject to this limit. A release that replaces half of 30,000 runners stays within it.
+const maxTombstones = 16384
 
-// Mirror holds what a node knows of the store, for others. It implements
-// SelectiveSink. What changed after a revision costs as much as it is.
+// Mirror holds a copy of the store for the node's followers. It implements SelectiveSink.
+// The cost of sending an update depends on the number of changes, not on the size of the
+// store.
 //
-// Invariant: its revision never falls; log holds the revision of each value and of
-// each end that is kept, in order.
+// Invariant: the revision never decreases; the log holds the revision of each value and
+// of each tombstone, in ascending order.
 type Mirror struct {
 	classify Classifier
 
 	mutex    sync.Mutex
 	values   map[string]ports.Value
 	revision int64
-	// partial: of the runners the mirror holds a selection, of so many.
+	// partial is true while the mirror holds a selection of the runners. totals then
+	// holds how many runners there are.
 	partial bool
 	totals  subset.Totals
-	runners *subset.Index[string] // the keys of runners' values
-	log     []logged
-	// unsorted: the log is to be put in order before it is read.
-	unsorted bool
-	gone     map[string]ended
-	// forgotten is the revision up to which ends of values are not known any more.
-	forgotten int64
-	changed   chan struct{}
+	runners *subset.Index[string] // the keys of the runners' entries
+	log     []logEntry
+	// unsorted is true if the log has to be sorted before it is read.
+	unsorted   bool
+	tombstones map[string]tombstone
+	// compactedRevision is the newest revision of which tombstones have been removed. A
+	// follower that is further behind needs the complete contents.
+	compactedRevision int64
+	changed           chan struct{}
 }
 
-// logged says that a key had a change at a revision, which may be outdated.
-type logged struct {
+// logEntry records that a key changed at a revision. It is outdated once the key has
+// changed again.
+type logEntry struct {
 	revision int64
 	key      string
 }
 
-// ended is the end of a value.
-type ended struct {
-	revision int64
-	runner   string // empty if it was none
-	place    subset.ServiceZone
+// tombstone records that a value was deleted.
+type tombstone struct {
+	revision    int64
+	runnerID    string // empty if the value was not a runner's entry
+	serviceZone subset.ServiceZone
 }
 
-// NewMirror returns a mirror that knows nothing yet. Without a classifier no value
-// is a runner's.
+// NewMirror returns an empty mirror. If classify is nil, the mirror treats no value as a
+// runner's entry.
 func NewMirror(classify Classifier) *Mirror {
 	if classify == nil {
 		classify = func(ports.Value) (string, subset.ServiceZone, bool) { return "", subset.ServiceZone{}, false }
 	}
 	return &Mirror{
-		classify: classify, revision: -1, runners: subset.NewIndex[string](), gone: map[string]ended{},
+		classify: classify, revision: -1, runners: subset.NewIndex[string](), tombstones: map[string]tombstone{},
 		changed: make(chan struct{}),
 	}
 }
@@ -87,7 +91,7 @@
 	}
 	if m.values == nil || m.partial {
 		m.values, m.runners = map[string]ports.Value{}, subset.NewIndex[string]()
-		m.log, m.gone, m.forgotten = nil, map[string]ended{}, revision
+		m.log, m.tombstones, m.compactedRevision = nil, map[string]tombstone{}, revision
 	}
 	listed := make(map[string]bool, len(values))
 	values = slices.Clone(values)
@@ -98,12 +102,12 @@
 	}
 	for key := range m.values {
 		if !listed[key] {
-			m.end(key, revision)
+			m.remove(key, revision)
 		}
 	}
 	m.partial, m.totals = false, nil
 	m.sortLog()
-	m.move(revision)
+	m.advance(revision)
 }
 
 // Apply implements Sink.
@@ -115,13 +119,13 @@
 	}
 	for _, event := range events {
 		if event.Deleted {
-			m.end(event.Value.Key, event.Value.Revision)
+			m.remove(event.Value.Key, event.Value.Revision)
 		} else {
 			m.put(event.Value)
 		}
 	}
 	m.sortLog()
-	m.move(revision)
+	m.advance(revision)
 }
 
 // Select implements SelectiveSink.
@@ -137,54 +141,55 @@
 		m.put(value)
 	}
 	for key, value := range m.values {
-		if id, place, isRunner := m.classify(value); isRunner && !selected[key] && !selection.keeps(id, place) {
-			m.end(key, revision)
+		if id, serviceZone, isRunner := m.classify(value); isRunner && !selected[key] && !selection.retains(id, serviceZone) {
+			m.remove(key, revision)
 		}
 	}
 	m.partial, m.totals = true, selection.Totals
 	m.sortLog()
-	m.move(revision)
+	m.advance(revision)
 }
 
-// Partial reports whether the mirror holds a selection of the runners only.
+// Partial reports whether the mirror holds a selection of the runners, not all of them.
 func (m *Mirror) Partial() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.partial
 }
 
-// put takes a value unless a newer one is held: the pages of a list are no snapshot,
-// so a list may hold what later changes bring. The mutex is held.
+// put stores a value unless the mirror holds a newer one. The pages of a list are not
+// read from one snapshot, so a list may contain values that later changes repeat. The
+// mutex is held.
 func (m *Mirror) put(value ports.Value) {
 	if held, known := m.values[value.Key]; known && held.Revision >= value.Revision {
 		return
 	}
 	m.values[value.Key] = value
-	delete(m.gone, value.Key)
-	m.note(value.Revision, value.Key)
-	if id, place, isRunner := m.classify(value); isRunner {
-		m.runners.Put(subset.ListedRunner[string]{ID: id, ServiceZone: place, Value: value.Key})
+	delete(m.tombstones, value.Key)
+	m.appendLog(value.Revision, value.Key)
+	if id, serviceZone, isRunner := m.classify(value); isRunner {
+		m.runners.Put(subset.ListedRunner[string]{ID: id, ServiceZone: serviceZone, Value: value.Key})
 	}
 }
 
-// end takes the end of a value. The mutex is held.
-func (m *Mirror) end(key string, revision int64) {
+// remove deletes a value and records a tombstone. The mutex is held.
+func (m *Mirror) remove(key string, revision int64) {
 	value, held := m.values[key]
 	if !held || value.Revision > revision {
 		return
 	}
-	one := ended{revision: revision}
-	if id, place, isRunner := m.classify(value); isRunner {
-		one.runner, one.place = id, place
+	deleted := tombstone{revision: revision}
+	if id, serviceZone, isRunner := m.classify(value); isRunner {
+		deleted.runnerID, deleted.serviceZone = id, serviceZone
 		m.runners.Remove(id)
 	}
 	delete(m.values, key)
-	m.gone[key] = one
-	m.note(revision, key)
+	m.tombstones[key] = deleted
+	m.appendLog(revision, key)
 }
 
-// move takes a revision and wakes who waits. The mutex is held.
-func (m *Mirror) move(revision int64) {
+// advance sets the revision and wakes the waiting followers. The mutex is held.
+func (m *Mirror) advance(revision int64) {
 	m.revision = revision
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -13,21 +13,20 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// contents is a sink that holds what it gets, and sees that no change comes
-// twice or in the wrong order.
-type contents struct {
+// checkingSink is a sink that fails if a change arrives twice or out of order.
+type checkingSink struct {
 	values   map[string]int64
 	revision int64
-	// atRevision are the keys whose changes came with the newest revision: a list ends
-	// several values at once.
+	// atRevision holds the keys that changed at the newest revision: a list may delete
+	// several values at one revision.
 	atRevision map[string]bool
 	fail       func(string, ...any)
 }
 
-// Select implements SelectiveSink; these streams have no selections.
-func (c *contents) Select(Selection, int64) { c.fail("a selection came") }
+// Select implements SelectiveSink. No stream in these tests sends a selection.
+func (c *checkingSink) Select(Selection, int64) { c.fail("a selection arrived") }
 
-func (c *contents) Reset(values []ports.Value, revision int64) {
+func (c *checkingSink) Reset(values []ports.Value, revision int64) {
 	c.values = map[string]int64{}
 	for _, value := range values {
 		c.values[value.Key] = value.Revision
@@ -35,7 +34,7 @@
 	c.revision, c.atRevision = revision, nil
 }
 
-func (c *contents) Apply(events []ports.WatchEvent, revision int64) {
+func (c *checkingSink) Apply(events []ports.WatchEvent, revision int64) {
 	for _, event := range events {
 		if event.Value.Revision > c.revision {
 			c.atRevision = map[string]bool{}
@@ -54,16 +53,16 @@
 	c.revision = max(c.revision, revision)
 }
 
-// storeModel is the platform's store with two mirrors that follow it, at times
-// far behind, at times having lost its history.
+// storeModel is the platform's store with two mirrors that watch it. A mirror may be far
+// behind or may have lost the store's history.
 type storeModel struct {
 	values   map[string]int64
 	events   []ports.WatchEvent
 	revision int64
 	mirrors  [2]*Mirror
-	streams  [2]int64 // up to where the follower has got the changes of each mirror
+	streams  [2]int64 // the revision that the stream of each mirror has reached
 	merge    *Merger
-	taken    *contents
+	sink     *checkingSink
 }
 
 func (m *storeModel) change(key string, gone bool) {
@@ -77,7 +76,7 @@
 	}
 }
 
-// catchUp lets a mirror follow up to a revision, as watches do.
+// catchUp advances a mirror to a revision, as watches do.
 func (m *storeModel) catchUp(mirror *Mirror, upTo int64) {
 	var events []ports.WatchEvent
 	for _, event := range m.events {
@@ -98,24 +97,24 @@
 	mirror.Reset(values, m.revision)
 }
 
-// pass passes on what a mirror has, as its stream does.
-func (m *storeModel) pass(index int) {
+// sendUpdate passes an update from a mirror to the merger, as a stream does.
+func (m *storeModel) sendUpdate(index int) {
 	update, _ := m.mirrors[index].After(m.streams[index], nil)
 	if update == nil {
 		return
 	}
-	deliver(encode(update), m.merge, subset.Interest{})
+	applyReply(encodeUpdate(update), m.merge, subset.Interest{})
 	m.streams[index] = update.Revision
 }
 
-// A follower of two nodes that follow the store comes to hold what the store
-// holds, gets each change once and in order, and never goes back, however far
-// behind either is, and whichever stream breaks and begins anew.
-func TestFollowersHoldWhatTheStoreHolds(t *testing.T) {
+// A follower of two sources receives each change once and in order, never goes back to an
+// older revision, and finally holds the contents of the store. Sources may be behind, and
+// streams may end and start again.
+func TestFollowerConvergesToTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{values: map[string]int64{}, mirrors: [2]*Mirror{NewMirror(nil), NewMirror(nil)}, streams: [2]int64{-1, -1}}
-		m.taken = &contents{values: map[string]int64{}, fail: t.Fatalf}
-		m.merge = NewMerger(m.taken)
+		m.sink = &checkingSink{values: map[string]int64{}, fail: t.Fatalf}
+		m.merge = NewMerger(m.sink)
 		for _, mirror := range m.mirrors {
 			m.list(mirror)
 		}
@@ -131,22 +130,22 @@
 				m.catchUp(mirror, mirror.revision+rapid.Int64Range(0, m.revision-mirror.revision).Draw(t, "by"))
 			},
 			"mirror lists again": func(t *rapid.T) { m.list(m.mirrors[which.Draw(t, "mirror")]) },
-			"passed on":          func(t *rapid.T) { m.pass(which.Draw(t, "mirror")) },
+			"passed on":          func(t *rapid.T) { m.sendUpdate(which.Draw(t, "mirror")) },
 			"stream begins anew": func(t *rapid.T) { m.streams[which.Draw(t, "mirror")] = m.merge.Revision() },
 		})
 		for index, mirror := range m.mirrors {
 			m.catchUp(mirror, m.revision)
-			m.pass(index)
+			m.sendUpdate(index)
 		}
-		if m.merge.Revision() != m.revision || !maps.Equal(m.taken.values, m.values) {
-			t.Fatalf("held %v at %d, the store has %v at %d", m.taken.values, m.merge.Revision(), m.values, m.revision)
+		if m.merge.Revision() != m.revision || !maps.Equal(m.sink.values, m.values) {
+			t.Fatalf("held %v at %d, the store has %v at %d", m.sink.values, m.merge.Revision(), m.values, m.revision)
 		}
 	})
 }
 
-// What a mirror keeps of changes is bounded: of each value the newest form only, and
-// so many ends. Who misses more gets all there is, which is as large as the store.
-func TestChangesKeptAreBounded(t *testing.T) {
+// The mirror keeps only the newest change of each value and a limited number of
+// tombstones. A follower that is further behind receives the complete contents.
+func TestChangeLogIsBounded(t *testing.T) {
 	mirror := NewMirror(nil)
 	mirror.Reset(nil, 1)
 	large := make([]byte, 1<<20)
@@ -160,12 +159,12 @@
 	if update.Whole || len(update.Events) != 1 || update.Revision != 4999 {
 		t.Fatalf("whole: %v, %d changes at %d", update.Whole, len(update.Events), update.Revision)
 	}
-	for key := range int64(3 * maxEnds) {
+	for key := range int64(3 * maxTombstones) {
 		revision := 5000 + 2*key
 		value := ports.Value{Key: fmt.Sprint("gone-", key), Revision: revision}
 		mirror.Apply([]ports.WatchEvent{{Value: value}, {Value: ports.Value{Key: value.Key, Revision: revision + 1}, Deleted: true}}, revision+1)
-		if len(mirror.gone) > maxEnds+compactSlack+1 {
-			t.Fatalf("%d ends are kept", len(mirror.gone))
+		if len(mirror.tombstones) > maxTombstones+compactSlack+1 {
+			t.Fatalf("%d ends are kept", len(mirror.tombstones))
 		}
 	}
 	if update, _ := mirror.After(5001, nil); !update.Whole || len(update.Values) != 1 {
--- a/internal/cluster/relay/serve.go
+++ b/internal/cluster/relay/serve.go
@@ -14,28 +14,29 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Source passes a mirror on.
+// Source serves a mirror to followers.
 type Source struct {
 	Mirror *Mirror
 	// Lost reports whether the store does not answer this node.
 	Lost func() bool
-	// UsesRelay reports whether this node follows others itself; in a fleet that is
-	// not large it is no source then, so that no two nodes follow each other. Nil
-	// stands for never.
+	// UsesRelay reports whether this node follows other nodes itself. If the fleet is not
+	// large it then refuses followers, so that no two nodes follow each other. Nil means
+	// that it never follows others.
 	UsesRelay func() bool
-	// Level is how many hops from the store this node takes its changes in a large
-	// fleet (see Follower); nil stands for 0.
+	// Level returns this node's level in the tree of a large fleet (see Follower). Nil
+	// means level 0.
 	Level func() uint32
-	// Timing of heartbeats.
+	// Timing holds the heartbeat interval.
 	Timing FollowTiming
 
 	followers atomic.Int64
 }
 
-// Followers returns how many nodes follow this one at present.
+// Followers returns the current number of followers.
 func (s *Source) Followers() int64 { return s.followers.Load() }
 
-// Serve answers METHOD_FOLLOW until the asker leaves.
+// Serve handles METHOD_FOLLOW: it sends updates and heartbeats until the follower
+// disconnects.
 func (s *Source) Serve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.FollowRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -46,15 +47,15 @@
 	}
 	s.followers.Add(1)
 	defer s.followers.Add(-1)
-	after, view := request.After, viewOf(&request)
+	after, view := request.After, viewFromRequest(&request)
 	ticker := time.NewTicker(s.Timing.orDefault().Heartbeat)
 	defer ticker.Stop()
 	for {
-		if err := s.refusal(&request); err != nil {
+		if err := s.refusalError(&request); err != nil {
 			return err
 		}
 		update, changed := s.Mirror.After(after, view)
-		reply := encode(update)
+		reply := encodeUpdate(update)
 		reply.Lost = s.Lost()
 		if err := stream.Send(reply); err != nil {
 			return err
@@ -68,8 +69,9 @@
 	}
 }
 
-// refusal says why this node is no source for a follower.
-func (s *Source) refusal(request *wirev1.FollowRequest) error {
+// refusalError returns the error with which this node refuses a follower, or nil if it
+// accepts the follower.
+func (s *Source) refusalError(request *wirev1.FollowRequest) error {
 	if request.Level == 0 {
 		if s.UsesRelay != nil && s.UsesRelay() {
 			return result.New(result.NotReady, "this node does not follow the store at present")
@@ -79,16 +81,16 @@
 	if s.Level != nil && s.Level() >= request.Level {
 		return result.New(result.NotReady, "this node takes the store's changes at level %d, the asker at %d", s.Level(), request.Level)
 	}
-	// Who holds a selection may pass it on to a node that knows nothing while the store
-	// does not answer; to any other it would be a loss.
+	// A node that holds a selection may send it to an empty node while the store does not
+	// answer. Any other follower would lose runners by it.
 	if s.Mirror.Partial() && !(s.Lost() && request.After < 0) {
 		return result.New(result.NotReady, "this node does not hold all that the store holds")
 	}
 	return nil
 }
 
-// wait returns when something has changed or a heartbeat is due. It reports
-// false when the asker has left.
+// wait returns when the mirror has changed or a heartbeat is due. It returns false if the
+// follower has disconnected.
 func (s *Source) wait(ctx context.Context, changed <-chan struct{}, heartbeat <-chan time.Time, level uint32) bool {
 	select {
 	case <-ctx.Done():
@@ -100,16 +102,18 @@
 	if level == 0 {
 		return true
 	}
-	// What changes next goes with it: changes that come from the store are coalesced, but
-	// those that this node takes from several sources are not.
+	// The follower receives the changes of this pause in the same update. Changes read
+	// from the store are coalesced already, but changes that this node receives from
+	// several sources are not.
 	pause.For(ctx, followerCoalescing)
 	return ctx.Err() == nil
 }
 
-// followerCoalescing is how long changes are coalesced for a follower in a large fleet.
+// followerCoalescing is how long a source coalesces changes for a follower in a large
+// fleet.
 const followerCoalescing = 20 * time.Millisecond
 
-func viewOf(request *wirev1.FollowRequest) *FollowerView {
+func viewFromRequest(request *wirev1.FollowRequest) *FollowerView {
 	if request.Interest == nil {
 		return nil
 	}
@@ -118,7 +122,7 @@
 	}}
 }
 
-func encode(update *Update) *wirev1.FollowReply {
+func encodeUpdate(update *Update) *wirev1.FollowReply {
 	reply := &wirev1.FollowReply{}
 	if update == nil {
 		return reply
@@ -128,7 +132,7 @@
 	if update.Selection != nil {
 		reply.Selection, reply.Selected = true, encodeValues(update.Selection.Values)
 		reply.Totals = encodeTotals(update.Selection.Totals)
-		reply.Added = update.Selection.Kept != nil
+		reply.Added = update.Selection.Retained != nil
 	}
 	for _, event := range update.Events {
 		reply.Items = append(reply.Items, &wirev1.StoredItem{
@@ -156,13 +160,13 @@
 
 func encodeTotals(totals subset.Totals) []*wirev1.RunnerTotal {
 	var list []*wirev1.RunnerTotal
-	for place, count := range totals {
-		list = append(list, &wirev1.RunnerTotal{Service: place.Service, Zone: place.Zone, Count: uint32(count)})
+	for serviceZone, count := range totals {
+		list = append(list, &wirev1.RunnerTotal{Service: serviceZone.Service, Zone: serviceZone.Zone, Count: uint32(count)})
 	}
 	return list
 }
 
-func totalsOf(reply *wirev1.FollowReply) subset.Totals {
+func totalsFromReply(reply *wirev1.FollowReply) subset.Totals {
 	totals := subset.Totals{}
 	for _, total := range reply.Totals {
 		totals[subset.ServiceZone{Service: total.Service, Zone: total.Zone}] = int(total.Count)
@@ -179,13 +183,13 @@
 	return events
 }
 
-// deliver hands a reply to a merge. Interest is in the runners that were asked for; its
-// zero value stands for all.
-func deliver(reply *wirev1.FollowReply, merger *Merger, interest subset.Interest) {
+// applyReply passes a source's reply to a merger. The interest is the one that was sent
+// in the request; the zero value stands for all runners.
+func applyReply(reply *wirev1.FollowReply, merger *Merger, interest subset.Interest) {
 	selective := interest != (subset.Interest{})
-	selection := Selection{Values: decodeValues(reply.Selected), Totals: totalsOf(reply)}
+	selection := Selection{Values: decodeValues(reply.Selected), Totals: totalsFromReply(reply)}
 	if reply.Added {
-		selection.Kept = subset.Compute(interest, selection.Totals)
+		selection.Retained = subset.Compute(interest, selection.Totals)
 	}
 	switch {
 	case reply.Whole && selective:
@@ -202,5 +206,5 @@
 	}
 }
 
-// errLost: the store does not answer the node that passes its changes on.
-var errLost = errors.New("the store does not answer the source")
+// errStoreLost ends a stream whose source has lost contact with the store.
+var errStoreLost = errors.New("the store does not answer the source")
--- a/internal/cluster/relay/sink.go
+++ b/internal/cluster/relay/sink.go
@@ -5,43 +5,44 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// Sink takes what lies in the store.
+// Sink receives the contents of the store.
 type Sink interface {
-	// Reset takes everything, as of a revision.
+	// Reset replaces the contents by the given values, as of a revision.
 	Reset(values []ports.Value, revision int64)
-	// Apply takes changes up to a revision.
+	// Apply applies changes up to a revision.
 	Apply(events []ports.WatchEvent, revision int64)
 }
 
-// Selection is the part of the runners that a node gets, in place of all.
+// Selection contains the runners that one node receives instead of all runners.
 type Selection struct {
 	Values []ports.Value
-	// Totals are how many runners there are.
+	// Totals holds how many runners there are, by service and zone.
 	Totals subset.Totals
-	// Kept: of the runners known so far those that this draw knows stay; nil for none.
-	// As runners become many the draws of all nodes shrink again and again, and only
-	// the totals have to be sent.
-	Kept *subset.Subset
+	// Retained is the subset whose runners the node keeps if it holds them already; nil
+	// if the node keeps none. As the number of runners grows, the subsets of all nodes
+	// shrink repeatedly, and a source then has to send only the totals.
+	Retained *subset.Subset
 }
 
-// keeps reports whether a runner that is known stays so.
-func (s *Selection) keeps(id string, place subset.ServiceZone) bool {
-	return s.Kept != nil && s.Kept.Contains(place, subset.PositionOf(id))
+// retains reports whether the node keeps a runner that it holds already.
+func (s *Selection) retains(id string, serviceZone subset.ServiceZone) bool {
+	return s.Retained != nil && s.Retained.Contains(serviceZone, subset.PositionOf(id))
 }
 
-// Keeps reports whether a value that is known stays so, by a classifier.
-func (s *Selection) Keeps(value ports.Value, classify Classifier) bool {
-	id, place, isRunner := classify(value)
-	return isRunner && s.keeps(id, place)
+// Retains reports whether value is the entry of a runner that the node keeps if it holds
+// it already.
+func (s *Selection) Retains(value ports.Value, classify Classifier) bool {
+	id, serviceZone, isRunner := classify(value)
+	return isRunner && s.retains(id, serviceZone)
 }
 
-// SelectiveSink takes a selection as well: of the runners its values are all that
-// is known from now on, until the next Reset.
+// SelectiveSink is a Sink that also accepts selections. After Select it holds only the
+// selected runners, until the next Reset.
 type SelectiveSink interface {
 	Sink
 	Select(selection Selection, revision int64)
 }
 
-// Classifier reports whether a stored value is a runner's entry, and of which runner
-// where.
-type Classifier func(value ports.Value) (id string, place subset.ServiceZone, isRunner bool)
+// Classifier reports whether a stored value is a runner's entry, and returns the runner's
+// id, service and zone.
+type Classifier func(value ports.Value) (id string, serviceZone subset.ServiceZone, isRunner bool)
--- a/internal/cluster/relay/sources.go
+++ b/internal/cluster/relay/sources.go
@@ -7,39 +7,39 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// sourceState is a node whose changes are taken.
+// sourceState is the state of a source that this node follows.
 type sourceState struct {
 	address string
 	zone    string
-	// confirmed is when it last said that the store answers it.
+	// confirmed is when the source last reported that the store answers it.
 	confirmed time.Time
-	// interest is what it was asked for, and end ends it.
+	// interest is the interest sent in the request; stop ends the stream.
 	interest subset.Interest
-	end      context.CancelFunc
+	stop     context.CancelFunc
 }
 
-// failedTime is how long a source that failed is asked last.
-const failedTime = 3 * time.Second
+// failedSourceBackoff is how long a failed source ranks below all other candidates.
+const failedSourceBackoff = 3 * time.Second
 
-// Live reports whether a source has said lately that the store answers it.
-func (f *Follower) Live() bool {
+// HasSource reports whether this node has a live source.
+func (f *Follower) HasSource() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.liveSource(time.Now()) != nil
 }
 
-// liveSource returns a source that has said lately that the store answers it; nil
-// if there is none. The mutex is held.
+// liveSource returns a source that recently reported that the store answers it, or nil if
+// there is none. The mutex is held.
 func (f *Follower) liveSource(now time.Time) *sourceState {
 	for slot := range f.sources {
-		if one := &f.sources[slot]; f.isLive(one, now) {
-			return one
+		if source := &f.sources[slot]; f.isLive(source, now) {
+			return source
 		}
 	}
 	return nil
 }
 
-// Sources lists the addresses of the live sources.
+// Sources returns the addresses of the live sources.
 func (f *Follower) Sources() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -53,13 +53,13 @@
 	return live
 }
 
-func (f *Follower) isLive(one *sourceState, now time.Time) bool {
-	return one.address != "" && now.Sub(one.confirmed) < f.Timing.orDefault().HeartbeatTimeout
+func (f *Follower) isLive(source *sourceState, now time.Time) bool {
+	return source.address != "" && now.Sub(source.confirmed) < f.Timing.orDefault().HeartbeatTimeout
 }
 
-// choose picks a source that no other slot has: one that follows the store for
-// its zone, this node's zone first, those that failed lately last.
-func (f *Follower) choose(slot int) string {
+// chooseSource returns the address of the best candidate that no other slot uses; it is
+// empty if there is none.
+func (f *Follower) chooseSource(slot int) string {
 	self := f.Nodes.Self()
 	list := candidates(f.Nodes.Disks(), self)
 	if f.Nodes.Large() {
@@ -70,8 +70,8 @@
 	defer f.mutex.Unlock()
 	var best *candidate
 	for _, next := range list {
-		next.failed = now.Sub(f.failed[next.node.Address]) < failedTime
-		if next.node.NodeId != self.NodeId && !f.taken(slot, next.node.Address) && (best == nil || next.before(best)) {
+		next.failed = now.Sub(f.failed[next.node.Address]) < failedSourceBackoff
+		if next.node.NodeId != self.NodeId && !f.usedByOtherSlot(slot, next.node.Address) && (best == nil || next.preferredTo(best)) {
 			best = next
 		}
 	}
@@ -82,17 +82,17 @@
 	return best.node.Address
 }
 
-func (f *Follower) taken(slot int, address string) bool {
-	for other, one := range f.sources {
-		if other != slot && one.address == address {
+func (f *Follower) usedByOtherSlot(slot int, address string) bool {
+	for other, source := range f.sources {
+		if other != slot && source.address == address {
 			return true
 		}
 	}
 	return false
 }
 
-// leave ends a source, and marks it as failed unless it is left for another reason.
-func (f *Follower) leave(slot int, address string, failed bool) {
+// dropSource clears a slot. If failed is true it records that the source failed.
+func (f *Follower) dropSource(slot int, address string, failed bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.failed == nil {
@@ -112,15 +112,14 @@
 	f.isolation.confirm()
 }
 
-// reportLost records that a source says that the store does not answer it.
+// reportLost records that a source reported that the store does not answer it.
 func (f *Follower) reportLost() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.isolation.reportLost(time.Now())
 }
 
-// IsolatedFor returns for how long this node has been without a source that says
-// anything.
+// IsolatedFor returns how long this node has been isolated (see isolation).
 func (f *Follower) IsolatedFor() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/cluster/relay/stream.go
+++ b/internal/cluster/relay/stream.go
@@ -10,19 +10,21 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// openTimeout bounds the time until a source has taken the question.
+// openTimeout limits the time until a source accepts a request.
 const openTimeout = 500 * time.Millisecond
 
-// errOtherInterest ends a source that was asked for other runners than are wanted
-// now.
-var errOtherInterest = errors.New("other runners are wanted")
+// errInterestChanged ends a stream whose request no longer matches this node's level or
+// interest.
+var errInterestChanged = errors.New("the node's interest or level has changed")
 
-// errBehind ends a source whose list or selection was older than what is held here by
-// then, and so was left out, as would be all that follows. It is asked again.
-var errBehind = errors.New("what the source sent first is behind this node")
+// errSourceBehind ends a stream whose first list or selection was older than this node's
+// contents. The merger ignored it and would ignore all that follows, so the node has to
+// open a new stream.
+var errSourceBehind = errors.New("the source's first list or selection is older than this node's")
 
-// Renew asks again for the runners that are wanted, if these are others.
-func (f *Follower) Renew() {
+// RenewInterest ends the streams that were opened with another interest than the current
+// one, so that they are opened again.
+func (f *Follower) RenewInterest() {
 	if f.Interest == nil {
 		return
 	}
@@ -30,14 +32,14 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for slot := range f.sources {
-		one := &f.sources[slot]
-		if one.end != nil && one.interest != (subset.Interest{}) && one.interest != wanted {
-			one.end()
+		source := &f.sources[slot]
+		if source.stop != nil && source.interest != (subset.Interest{}) && source.interest != wanted {
+			source.stop()
 		}
 	}
 }
 
-// request is what this node asks a source for.
+// request returns the request to send to a source, and the interest that it contains.
 func (f *Follower) request() (*wirev1.FollowRequest, subset.Interest) {
 	request := &wirev1.FollowRequest{After: f.Merger.Revision()}
 	if !f.Nodes.Large() {
@@ -46,7 +48,7 @@
 	request.Level = f.Level()
 	if request.Level < leafLevel || f.Interest == nil {
 		if f.Merger.Partial() {
-			request.After = -1 // all runners are wanted from now on
+			request.After = -1 // the node needs all runners, not a selection
 		}
 		return request, subset.Interest{}
 	}
@@ -57,17 +59,17 @@
 	return request, interest
 }
 
-// follow takes a source's changes until it falls silent, or says that the store
-// does not answer it. It calls answered for each reply of a source that is up to
+// follow receives a source's changes until its heartbeats stop or it reports that the
+// store does not answer it. It calls answered for each reply of a source that is up to
 // date with the store.
 func (f *Follower) follow(parent context.Context, slot int, address string, answered func()) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	silence := time.AfterFunc(openTimeout, cancel)
-	defer silence.Stop()
+	timeout := time.AfterFunc(openTimeout, cancel)
+	defer timeout.Stop()
 	request, interest := f.request()
 	f.mutex.Lock()
-	f.sources[slot].interest, f.sources[slot].end = interest, cancel
+	f.sources[slot].interest, f.sources[slot].stop = interest, cancel
 	f.mutex.Unlock()
 	stream, err := f.Pool.Open(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_FOLLOW, request)
 	if err != nil {
@@ -75,37 +77,37 @@
 	}
 	defer stream.Close()
 	for {
-		silence.Reset(f.Timing.orDefault().HeartbeatTimeout)
+		timeout.Reset(f.Timing.orDefault().HeartbeatTimeout)
 		reply := &wirev1.FollowReply{}
 		if err := stream.Receive(ctx, reply); err != nil {
-			if parent.Err() == nil && f.outdated(request, interest) {
-				return errOtherInterest
+			if parent.Err() == nil && f.requestOutdated(request, interest) {
+				return errInterestChanged
 			}
 			return err
 		}
 		selective := request.Interest != nil
-		deliver(reply, f.Merger, interest)
-		taken := f.Merger.Partial() == selective
+		applyReply(reply, f.Merger, interest)
+		applied := f.Merger.Partial() == selective
 		switch {
-		case f.outdated(request, interest):
-			return errOtherInterest
-		case reply.Revision > 0 && !taken:
-			return errBehind
+		case f.requestOutdated(request, interest):
+			return errInterestChanged
+		case reply.Revision > 0 && !applied:
+			return errSourceBehind
 		case reply.Lost:
 			f.reportLost()
-			return errLost
-		case taken: // else the source has yet to come up to what is held here
+			return errStoreLost
+		case applied: // otherwise the source has yet to reach the revision of this node
 			f.confirm(slot)
 			answered()
 		}
 	}
 }
 
-// outdated reports whether a source would be asked for something else by now.
-func (f *Follower) outdated(request *wirev1.FollowRequest, interest subset.Interest) bool {
+// requestOutdated reports whether this node would now send a source another request.
+func (f *Follower) requestOutdated(request *wirev1.FollowRequest, interest subset.Interest) bool {
 	if !f.Nodes.Large() {
 		return false
 	}
 	level := f.Level()
-	return request.Level != level || level == 0 && !f.turnedAway() || request.Interest != nil && f.Interest() != interest
+	return request.Level != level || level == 0 && !f.storeUnavailable() || request.Interest != nil && f.Interest() != interest
 }
--- a/internal/cluster/relay/timing.go
+++ b/internal/cluster/relay/timing.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// FollowTiming holds the times of following others.
+// FollowTiming holds the intervals and timeouts between sources and followers.
 type FollowTiming struct {
-	// Heartbeat is how often a source says that it lives.
+	// Heartbeat is the interval at which a source sends heartbeats.
 	Heartbeat time.Duration
-	// HeartbeatTimeout is how long a source without a heartbeat counts as live.
+	// HeartbeatTimeout is how long a source counts as live after its last heartbeat.
 	HeartbeatTimeout time.Duration
-	// Alive is how long after its last contact a node with a disk counts as alive.
-	Alive time.Duration
+	// AliveTimeout is how long a node with a disk counts as alive after the last contact.
+	AliveTimeout time.Duration
 }
 
 const (
-	// heartbeatShare of the time in which a leaving runner still takes requests passes
-	// between two heartbeats: with missedHeartbeats missed, a source is left after less
-	// than half of that time, and the remainder is for the way of a change.
+	// heartbeatShare is the heartbeat interval as a share of the drain time, during which
+	// a leaving runner still accepts requests. A source that misses missedHeartbeats is
+	// left after less than half of the drain time, so that changes still arrive in time.
 	heartbeatShare   = 0.15
 	missedHeartbeats = 3
-	// minHeartbeat and maxHeartbeat bound it; minHeartbeat also holds where that time is
-	// not known.
+	// minHeartbeat and maxHeartbeat limit the heartbeat interval. minHeartbeat also
+	// applies if the drain time is unknown.
 	minHeartbeat = 300 * time.Millisecond
 	maxHeartbeat = time.Second
-	// aliveTime is some missed questions at one a second.
-	aliveTime = 2500 * time.Millisecond
+	// defaultAliveTimeout covers two missed probes at one probe a second.
+	defaultAliveTimeout = 2500 * time.Millisecond
 )
 
-// TimingWithin returns the times for a deployment whose leaving runners take requests
-// for so long; 0 if that is not known.
+// TimingWithin returns the timing for a deployment with the given drain time of runners;
+// 0 means that the drain time is unknown.
 func TimingWithin(drain time.Duration) FollowTiming {
 	heartbeat := min(max(time.Duration(heartbeatShare*float64(drain)), minHeartbeat), maxHeartbeat)
-	return FollowTiming{Heartbeat: heartbeat, HeartbeatTimeout: missedHeartbeats * heartbeat, Alive: aliveTime}
+	return FollowTiming{Heartbeat: heartbeat, HeartbeatTimeout: missedHeartbeats * heartbeat, AliveTimeout: defaultAliveTimeout}
 }
 
 func (t FollowTiming) orDefault() FollowTiming {
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// fanOut is about how many nodes a relay passes changes on to in a large fleet: a
-	// start of all, some 50 KB each, is 3 MB for a relay. Two hops of it reach zones
-	// of 4,000 nodes.
+	// fanOut is the approximate number of followers of a relay in a large fleet. If all
+	// followers start at once, a relay sends about 3 MB. Two hops reach zones of 4,000
+	// nodes.
 	fanOut = 64
-	// minRelays is how many relays a zone has at least, with the node of level 0: one may
-	// be lost without a wait.
+	// minRelays is the minimum number of relays of a zone, including the node at level 0.
+	// With three, followers need not wait when one fails.
 	minRelays = 3
-	// leafLevel is that of the nodes that pass nothing on.
+	// leafLevel is the level of the nodes that have no followers.
 	leafLevel = 2
-	// maxWatched bounds the nodes that a node asks whether they live.
+	// maxWatched limits the number of nodes that a node probes.
 	maxWatched = 12
 )
 
-// followWeight orders the nodes of a zone by who follows the store.
+// followWeight orders the nodes of a zone; the living node with the highest weight
+// watches the store.
 func followWeight(node *wirev1.NodeRecord) uint64 { return ownership.NodeWeight("store", node.NodeId) }
 
-// inOrder returns nodes with disks in the order in which they follow the store.
-func inOrder(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
-	type weighed struct {
+// byFollowWeight returns nodes with disks by descending followWeight.
+func byFollowWeight(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
+	type weightedNode struct {
 		node   *wirev1.NodeRecord
 		weight uint64
 	}
-	list := make([]weighed, len(disks))
+	list := make([]weightedNode, len(disks))
 	for i, node := range disks {
-		list[i] = weighed{node, followWeight(node)}
+		list[i] = weightedNode{node, followWeight(node)}
 	}
-	slices.SortFunc(list, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
+	slices.SortFunc(list, func(a, b weightedNode) int { return cmp.Compare(b.weight, a.weight) })
 	ordered := make([]*wirev1.NodeRecord, len(list))
 	for i := range list {
 		ordered[i] = list[i].node
@@ -46,183 +47,187 @@
 	return ordered
 }
 
-// candidate is a node that may be a source.
+// candidate is a node that this node may follow.
 type candidate struct {
 	node *wirev1.NodeRecord
-	// failed lately as a source.
+	// failed is true if the candidate failed recently as a source.
 	failed bool
-	// place is how many of its zone come before it in following the store.
-	place int
-	// far: of another zone.
-	far   bool
-	order uint64
+	// rank is the number of nodes of the candidate's zone with a higher followWeight; in
+	// a large fleet it is the result of treeRank.
+	rank int
+	// otherZone is true if the candidate is in another zone than this node.
+	otherZone bool
+	tieBreak  uint64
 }
 
-// candidates ranks nodes with disks, as seen from a node.
+// candidates returns the nodes with disks as candidates for the node self.
 func candidates(disks []*wirev1.NodeRecord, self *wirev1.NodeRecord) []*candidate {
-	places := map[string]int{}
+	ranks := map[string]int{}
 	list := make([]*candidate, 0, len(disks))
-	for _, node := range inOrder(disks) {
+	for _, node := range byFollowWeight(disks) {
 		list = append(list, &candidate{
-			node: node, place: places[node.Zone], far: node.Zone != self.Zone, order: order(self.NodeId, node.NodeId),
+			node: node, rank: ranks[node.Zone], otherZone: node.Zone != self.Zone, tieBreak: tieBreak(self.NodeId, node.NodeId),
 		})
-		places[node.Zone]++
+		ranks[node.Zone]++
 	}
 	return list
 }
 
-// before orders candidates: the first is asked first.
-func (c *candidate) before(other *candidate) bool {
+// preferredTo reports whether a node tries c before other.
+func (c *candidate) preferredTo(other *candidate) bool {
 	switch {
 	case c.failed != other.failed:
 		return other.failed
-	case c.place != other.place:
-		return c.place < other.place
-	case c.far != other.far:
-		return other.far
+	case c.rank != other.rank:
+		return c.rank < other.rank
+	case c.otherZone != other.otherZone:
+		return other.otherZone
 	default:
-		return c.order < other.order
+		return c.tieBreak < other.tieBreak
 	}
 }
 
-func order(self, node string) uint64 { return xxhash.Sum64String(self + "/" + node) }
+func tieBreak(self, node string) uint64 { return xxhash.Sum64String(self + "/" + node) }
 
-// relays is how many relays a zone with so many nodes has.
-func relays(nodes int) int { return max(minRelays, (nodes+fanOut-1)/fanOut+1) }
+// relayCount returns the number of relays of a zone with so many nodes.
+func relayCount(nodes int) int { return max(minRelays, (nodes+fanOut-1)/fanOut+1) }
 
-// zoneOrder is what follows from the records for one node's place in the tree.
-type zoneOrder struct {
+// treePosition holds the data from which a node derives its level in the tree.
+type treePosition struct {
 	generation uint64
-	// before are the nodes with disks of the zone that come before this one, in order.
-	before []*wirev1.NodeRecord
-	// relays is how many relays the zone has.
-	relays int
+	// preceding holds the zone's nodes with disks that precede this one, by descending
+	// followWeight.
+	preceding  []*wirev1.NodeRecord
+	relayCount int
 }
 
-// zone works out this node's place once for each change of the records.
-func (f *Follower) zone() *zoneOrder {
+// position returns this node's position. It recomputes the position after each change of
+// the list of nodes.
+func (f *Follower) position() *treePosition {
 	generation := f.Nodes.Generation()
-	if held := f.order.Load(); held != nil && held.generation == generation {
+	if held := f.cachedPosition.Load(); held != nil && held.generation == generation {
 		return held
 	}
 	self, disks := f.Nodes.Self(), f.Nodes.Disks()
-	var own []*wirev1.NodeRecord
+	var inZone []*wirev1.NodeRecord
 	for _, node := range disks {
 		if node.Zone == self.Zone {
-			own = append(own, node)
+			inZone = append(inZone, node)
 		}
 	}
-	// Of the other zones only nodes with disks are known.
-	next := &zoneOrder{generation: generation, relays: relays(f.Nodes.Count() - len(disks) + len(own))}
-	for _, node := range inOrder(own) {
+	// Of other zones, this node knows only the nodes with disks.
+	next := &treePosition{generation: generation, relayCount: relayCount(f.Nodes.Count() - len(disks) + len(inZone))}
+	for _, node := range byFollowWeight(inZone) {
 		if self.DiskId == "" || followWeight(node) > followWeight(self) {
-			next.before = append(next.before, node)
+			next.preceding = append(next.preceding, node)
 		}
 	}
-	f.order.Store(next)
+	f.cachedPosition.Store(next)
 	return next
 }
 
-// Level returns the hops from the store at which this node takes its changes in a
-// large fleet. A node that comes before it counts as alive until a question to it
-// was left unanswered, and has not been answered for a while.
+// Level returns this node's level in the tree of a large fleet: the number of hops
+// between it and a node that watches the store. The level depends on how many of the
+// preceding nodes are alive.
 func (f *Follower) Level() uint32 {
 	if f.Nodes.Self().DiskId == "" {
 		return leafLevel
 	}
-	zone, living := f.zone(), 0
-	for _, node := range zone.before {
-		if living >= zone.relays {
+	position, alive := f.position(), 0
+	for _, node := range position.preceding {
+		if alive >= position.relayCount {
 			return leafLevel
 		}
-		if f.lives(node) {
-			living++
+		if f.isAlive(node) {
+			alive++
 		}
 	}
 	switch {
-	case living == 0:
+	case alive == 0:
 		return 0
-	case living < zone.relays:
+	case alive < position.relayCount:
 		return 1
 	default:
 		return leafLevel
 	}
 }
 
-func (f *Follower) lives(node *wirev1.NodeRecord) bool {
-	return !f.Nodes.Unresponsive(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().Alive)
+// isAlive reports whether a node counts as alive. It does until it leaves a request
+// unanswered and has not been in contact for AliveTimeout.
+func (f *Follower) isAlive(node *wirev1.NodeRecord) bool {
+	return !f.Nodes.Unresponsive(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().AliveTimeout)
 }
 
-// Watched lists the nodes whose life this node has to know of, to know its level:
-// a relay those before it, any other node with a disk the relays of its zone as
-// long as it has no live source there.
+// Watched returns the nodes that this node has to probe in order to determine its level.
+// A relay probes the nodes that precede it. Any other node with a disk probes the relays
+// of its zone while it has no live source there.
 func (f *Follower) Watched() []*wirev1.NodeRecord {
 	self := f.Nodes.Self()
 	if self.DiskId == "" || !f.Nodes.Large() {
 		return nil
 	}
-	zone := f.zone()
-	if len(zone.before) >= zone.relays && f.liveIn(self.Zone) {
+	position := f.position()
+	if len(position.preceding) >= position.relayCount && f.hasLiveSourceIn(self.Zone) {
 		return nil
 	}
 	var watched []*wirev1.NodeRecord
-	living := 0
-	for _, node := range zone.before {
-		if living >= zone.relays || len(watched) >= maxWatched {
+	alive := 0
+	for _, node := range position.preceding {
+		if alive >= position.relayCount || len(watched) >= maxWatched {
 			break
 		}
-		if f.lives(node) {
-			living++
+		if f.isAlive(node) {
+			alive++
 		}
 		watched = append(watched, node)
 	}
 	return watched
 }
 
-// liveIn reports whether there is a live source in a zone.
-func (f *Follower) liveIn(zone string) bool {
+// hasLiveSourceIn reports whether this node has a live source in a zone.
+func (f *Follower) hasLiveSourceIn(zone string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	live := f.liveSource(time.Now())
 	return live != nil && live.zone == zone
 }
 
-// treeCandidates ranks the sources of a node of a level in a large fleet.
+// treeCandidates returns the candidates of a node at the given level of a large fleet.
 func (f *Follower) treeCandidates(level uint32) []*candidate {
-	relays := f.zone().relays
+	relayCount := f.position().relayCount
 	list := candidates(f.Nodes.Disks(), f.Nodes.Self())
-	living := map[string]int{}
-	for _, one := range list {
-		if !f.lives(one.node) {
-			one.place = placeOther + one.place
+	alive := map[string]int{}
+	for _, next := range list {
+		if !f.isAlive(next.node) {
+			next.rank = rankFallback + next.rank
 			continue
 		}
-		one.place = living[one.node.Zone]
-		living[one.node.Zone]++
-		one.place = treePlace(one, level, relays)
+		next.rank = alive[next.node.Zone]
+		alive[next.node.Zone]++
+		next.rank = treeRank(next, level, relayCount)
 	}
 	return list
 }
 
-// Places of candidates in a large fleet, the first to be asked first.
+// Ranks of candidates in a large fleet. A node tries the lowest rank first.
 const (
-	placeAbove = iota // of the own zone, at the level above
-	placeFirst        // of the own zone, two levels above
-	placeFar          // of another zone
-	placeOther        // no source as long as those before it live
+	rankLevelAbove = iota // in the same zone, one level above
+	rankZoneFirst         // in the same zone, two levels above
+	rankOtherZone         // in another zone
+	rankFallback          // not a source while the nodes that precede it are alive
 )
 
-func treePlace(one *candidate, level uint32, relays int) int {
-	isFirst := one.place == 0
-	isSource := isFirst || level == leafLevel && one.place < relays
+func treeRank(option *candidate, level uint32, relayCount int) int {
+	isFirst := option.rank == 0
+	isSource := isFirst || level == leafLevel && option.rank < relayCount
 	switch {
 	case !isSource:
-		return placeOther + one.place
-	case one.far:
-		return placeFar
+		return rankFallback + option.rank
+	case option.otherZone:
+		return rankOtherZone
 	case isFirst && level == leafLevel:
-		return placeFirst
+		return rankZoneFirst
 	default:
-		return placeAbove
+		return rankLevelAbove
 	}
 }
--- a/internal/cluster/relay/tree_test.go
+++ b/internal/cluster/relay/tree_test.go
@@ -14,8 +14,8 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// largeFleet is the followers of a fleet, as each node sees it once it has asked those
-// that it watches.
+// largeFleet holds the followers of all nodes of a large fleet, each with the state that
+// it has after it has probed the nodes that it watches.
 type largeFleet struct {
 	records   map[string]*wirev1.NodeRecord // by address
 	followers map[string]*Follower          // by address
@@ -37,7 +37,7 @@
 	return f
 }
 
-// follower returns what one node makes of the fleet.
+// follower returns the follower of one node.
 func (f *largeFleet) follower(address string) *Follower {
 	if known := f.followers[address]; known != nil {
 		return known
@@ -47,14 +47,14 @@
 	for _, record := range f.records {
 		directory.Put(record)
 	}
-	known := &Follower{Nodes: directory, Timing: FollowTiming{Heartbeat: time.Second, HeartbeatTimeout: time.Minute, Alive: time.Nanosecond}}
+	known := &Follower{Nodes: directory, Timing: FollowTiming{Heartbeat: time.Second, HeartbeatTimeout: time.Minute, AliveTimeout: time.Nanosecond}}
 	f.followers[address] = known
 	return known
 }
 
-// ask lets a node ask those that it watches, until it watches no others. It returns
-// how many it asked in a round at the most.
-func (f *largeFleet) ask(address string) int {
+// probeWatched lets a node probe the nodes that it watches until their list no longer
+// changes. It returns the largest number of nodes probed in one round.
+func (f *largeFleet) probeWatched(address string) int {
 	follower := f.follower(address)
 	directory := follower.Nodes.(*peers.Directory)
 	most := 0
@@ -75,8 +75,9 @@
 	return most
 }
 
-// source returns whom a node comes to follow, trying one candidate after the other;
-// empty if it follows the store.
+// source returns the address of the node that a node follows after trying its candidates
+// in order. It is empty if the node watches the store, and "nobody" if no candidate
+// accepts.
 func (f *largeFleet) source(address string) string {
 	follower := f.follower(address)
 	level := follower.Level()
@@ -84,19 +85,19 @@
 		return ""
 	}
 	for range len(f.records) {
-		chosen := follower.choose(0)
+		chosen := follower.chooseSource(0)
 		if chosen == "" {
 			return "nobody"
 		}
 		if !f.dead[chosen] && f.follower(chosen).Level() < level {
 			return chosen
 		}
-		follower.leave(0, chosen, true)
+		follower.dropSource(0, chosen, true)
 	}
 	return "nobody"
 }
 
-func (f *largeFleet) living() []string {
+func (f *largeFleet) alive() []string {
 	var list []string
 	for address := range f.records {
 		if !f.dead[address] {
@@ -107,54 +108,54 @@
 	return list
 }
 
-// Whichever nodes are lost, each that lives has a way of two hops at the most to one
-// that follows the store, and these are at most one a zone.
-func TestEachNodeHasAWayToTheStore(t *testing.T) {
+// Whichever nodes fail, each living node is at most two hops from a node that watches the
+// store, and at most one node of each zone watches it.
+func TestEachNodeReachesTheStoreInTwoHops(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
 		f := newLargeFleet(zones, rapid.IntRange(0, 60).Draw(t, "edges"), rapid.IntRange(zones, 30).Draw(t, "disks"))
 		share := rapid.IntRange(0, 90).Draw(t, "lost of 100")
-		for _, address := range f.living() {
+		for _, address := range f.alive() {
 			f.dead[address] = rapid.IntRange(1, 100).Draw(t, "draw") <= share
 		}
-		living := f.living()
-		for _, address := range living {
-			f.ask(address)
+		alive := f.alive()
+		for _, address := range alive {
+			f.probeWatched(address)
 		}
 		first := map[string]string{}
-		for _, address := range living {
+		for _, address := range alive {
 			if f.records[address].DiskId != "" && f.follower(address).Level() == 0 {
 				if other := first[f.records[address].Zone]; other != "" {
-					t.Fatalf("%s and %s both follow the store for a zone", other, address)
+					t.Fatalf("%s and %s both watch the store for one zone", other, address)
 				}
 				first[f.records[address].Zone] = address
 			}
 		}
 		if len(first) == 0 {
-			return // no disk lives: each node follows the store itself, once it was alone for a while
+			return // no node with a disk is alive: each node watches the store itself after a timeout
 		}
-		for _, address := range living {
+		for _, address := range alive {
 			at := address
 			for hops := 0; f.follower(at).Level() > 0; hops++ {
 				at = f.source(at)
 				if at == "nobody" || hops == 2 {
-					t.Fatalf("%s has no way to the store of two hops", address)
+					t.Fatalf("%s does not reach the store in two hops", address)
 				}
 			}
 		}
 	})
 }
 
-// However large the fleet is, a node passes changes on to about so many others, asks
-// of the life of few, and all nodes but one a zone take them from their own zone.
-func TestFanOutDoesNotGrowWithTheFleet(t *testing.T) {
+// The number of followers of a node and the number of nodes that it probes do not grow
+// with the fleet, and all nodes except those at level 0 have a source in their own zone.
+func TestFanOutDoesNotGrowWithFleetSize(t *testing.T) {
 	const zones = 5
 	for _, times := range []int{1, 2} {
 		is := is.New(t)
 		f := newLargeFleet(zones, 835*times, 150*times)
-		followers, asked, far := map[string]int{}, 0, 0
-		for _, address := range f.living() {
-			asked = max(asked, f.ask(address))
+		followers, probed, far := map[string]int{}, 0, 0
+		for _, address := range f.alive() {
+			probed = max(probed, f.probeWatched(address))
 			source := f.source(address)
 			if source == "" {
 				continue
@@ -168,21 +169,21 @@
 		for _, count := range followers {
 			most = max(most, count)
 		}
-		t.Logf("%d nodes: %d sources, the busiest of %d nodes, %d of another zone; a node asks %d others at the most", len(f.records), len(followers), most, far, asked)
-		is.True(most <= 2*fanOut) // who follows whom is drawn
-		is.True(asked <= maxWatched)
+		t.Logf("%d nodes: %d sources, the busiest with %d followers, %d followers with a source in another zone; a node probes at most %d others", len(f.records), len(followers), most, far, probed)
+		is.True(most <= 2*fanOut) // sources are chosen at random
+		is.True(probed <= maxWatched)
 		is.Equal(far, 0)
 	}
 }
 
-// Who follows the store for a zone and is turned away by it takes its changes from who
-// does so for another, as long as that lasts.
-func TestFirstOfAZoneThatIsTurnedAway(t *testing.T) {
+// A node at level 0 that has lost the store follows the level-0 node of another zone,
+// until the store answers again.
+func TestLevelZeroNodeFollowsAnotherZoneWhileItsStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	f := newLargeFleet(3, 20, 12)
 	var firsts []string
-	for _, address := range f.living() {
-		f.ask(address)
+	for _, address := range f.alive() {
+		f.probeWatched(address)
 		if f.follower(address).Level() == 0 {
 			firsts = append(firsts, address)
 		}
@@ -191,14 +192,14 @@
 	lost := false
 	first := f.follower(firsts[0])
 	first.Lost = func() bool { return lost }
-	is.True(!first.wantsSource(0))
+	is.True(!first.needsSource(0))
 	lost = true
-	is.True(first.wantsSource(0))
-	chosen := first.choose(0)
+	is.True(first.needsSource(0))
+	chosen := first.chooseSource(0)
 	is.True(slices.Contains(firsts[1:], chosen))
 	request, _ := (&Follower{Nodes: first.Nodes, Merger: NewMerger(nil), Lost: first.Lost}).request()
-	is.Equal((&Source{Mirror: NewMirror(nil), Level: f.follower(chosen).Level}).refusal(request), nil)
-	is.True(!first.outdated(request, subset.Interest{}))
+	is.Equal((&Source{Mirror: NewMirror(nil), Level: f.follower(chosen).Level}).refusalError(request), nil)
+	is.True(!first.requestOutdated(request, subset.Interest{}))
 	lost = false
-	is.True(first.outdated(request, subset.Interest{}))
+	is.True(first.requestOutdated(request, subset.Interest{}))
 }
--- a/internal/cluster/relay/update.go
+++ b/internal/cluster/relay/update.go
@@ -7,85 +7,88 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// Update is what is new after a revision.
+// Update contains the changes after a revision.
 type Update struct {
-	// Whole: Values are all there is. Else Events are what changed.
+	// Whole is true if Values are the complete contents. Otherwise Events are the
+	// changes.
 	Whole    bool
 	Values   []ports.Value
 	Events   []ports.WatchEvent
 	Revision int64
-	// Selection is what is selected of the runners; nil if that is what it was but for
-	// the events. Whole values hold no runners if there is one.
+	// Selection replaces the follower's selection of the runners. It is nil if the
+	// follower has to apply only the events. If it is set, Whole values contain no
+	// runners.
 	Selection *Selection
 }
 
-// FollowerView is what one follower gets: of the runners, those of its interest.
+// FollowerView determines which runners one follower receives.
 type FollowerView struct {
 	Interest subset.Interest
-	subset   *subset.Subset // as it was sent last; nil before
+	subset   *subset.Subset // the subset sent last; nil before the first update
 }
 
-// After returns what is new after a revision, negative for none; nil if nothing
-// is. The channel closes with the next change. A nil view gets everything.
+// After returns the update after a revision, or nil if there are no changes, and a
+// channel that closes with the next change. A negative revision stands for a follower
+// without contents. A nil view stands for a follower that receives all runners.
 func (m *Mirror) After(revision int64, view *FollowerView) (*Update, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.values == nil || revision > m.revision {
 		return nil, m.changed
 	}
-	draw, before, redrawn := m.redraw(view)
-	if revision == m.revision && !redrawn {
+	current, previous, subsetChanged := m.refreshSubset(view)
+	if revision == m.revision && !subsetChanged {
 		return nil, m.changed
 	}
 	update := &Update{Revision: m.revision}
-	if revision < m.forgotten {
+	if revision < m.compactedRevision {
 		update.Whole = true
-		update.Values = m.wholeBeside(view)
+		update.Values = m.fullValues(view)
 		if view != nil {
-			update.Selection = m.selected(draw, nil)
+			update.Selection = m.newSelection(current, nil)
 		}
 		return update, m.changed
 	}
-	if redrawn {
-		update.Selection = m.selected(draw, before)
+	if subsetChanged {
+		update.Selection = m.newSelection(current, previous)
 	}
-	update.Events = m.eventsAfter(revision, draw)
+	update.Events = m.eventsAfter(revision, current)
 	return update, m.changed
 }
 
-// redraw works out the draw of a view, and the one before it if that is another; nil
-// for none. The mutex is held.
-func (m *Mirror) redraw(view *FollowerView) (draw, before *subset.Subset, redrawn bool) {
+// refreshSubset computes the current subset of a view, and returns the previous one if it
+// has changed. The subsets are nil for a nil view. The mutex is held.
+func (m *Mirror) refreshSubset(view *FollowerView) (current, previous *subset.Subset, subsetChanged bool) {
 	if view == nil {
 		return nil, nil, false
 	}
-	draw, before = subset.Compute(view.Interest, m.runners.Totals()), view.subset
-	if draw.Equal(before) {
-		return draw, nil, false
+	current, previous = subset.Compute(view.Interest, m.runners.Totals()), view.subset
+	if current.Equal(previous) {
+		return current, nil, false
 	}
-	view.subset = draw
-	return draw, before, true
+	view.subset = current
+	return current, previous, true
 }
 
-// selected returns the runners of a draw that the one before it did not know. The
-// mutex is held.
-func (m *Mirror) selected(draw, before *subset.Subset) *Selection {
-	if m.partial { // all that there is, to a node that knows nothing
+// newSelection returns a selection with the runners of the current subset that are not in
+// the previous one. The mutex is held.
+func (m *Mirror) newSelection(current, previous *subset.Subset) *Selection {
+	if m.partial { // the follower is empty and receives the mirror's own selection
 		return &Selection{Values: m.runnerValues(), Totals: m.totals}
 	}
 	selection := &Selection{Totals: m.runners.Totals()}
-	if before != nil {
-		selection.Kept = draw
+	if previous != nil {
+		selection.Retained = current
 	}
-	for _, entry := range m.runners.Select(draw) {
-		if before == nil || !before.Contains(entry.ServiceZone, subset.PositionOf(entry.ID)) {
+	for _, entry := range m.runners.Select(current) {
+		if previous == nil || !previous.Contains(entry.ServiceZone, subset.PositionOf(entry.ID)) {
 			selection.Values = append(selection.Values, m.values[entry.Value])
 		}
 	}
 	return selection
 }
 
-// runnerValues returns the values of all runners that are held. The mutex is held.
+// runnerValues returns the entries of all runners in the mirror. The mutex is held.
 func (m *Mirror) runnerValues() []ports.Value {
 	var values []ports.Value
 	for _, value := range m.values {
@@ -96,9 +99,9 @@
 	return values
 }
 
-// wholeBeside returns all values; without those of runners for a view. The mutex is
-// held.
-func (m *Mirror) wholeBeside(view *FollowerView) []ports.Value {
+// fullValues returns all values. With a view, it leaves out the runners' entries. The
+// mutex is held.
+func (m *Mirror) fullValues(view *FollowerView) []ports.Value {
 	var values []ports.Value
 	for _, value := range m.values {
 		if _, _, isRunner := m.classify(value); !isRunner || view == nil {
@@ -108,23 +111,23 @@
 	return values
 }
 
-// eventsAfter lists what changed after a revision, of each key the last change, in
-// order. The mutex is held.
-func (m *Mirror) eventsAfter(revision int64, draw *subset.Subset) []ports.WatchEvent {
+// eventsAfter returns the last change of each key after a revision, in ascending order of
+// revision. It leaves out runners that are not in the current subset. The mutex is held.
+func (m *Mirror) eventsAfter(revision int64, current *subset.Subset) []ports.WatchEvent {
 	from := sort.Search(len(m.log), func(i int) bool { return m.log[i].revision > revision })
 	var events []ports.WatchEvent
-	for _, one := range m.log[from:] {
-		if !m.valid(one) || one.revision > m.revision {
+	for _, entry := range m.log[from:] {
+		if !m.isLatest(entry) || entry.revision > m.revision {
 			continue
 		}
-		if value, held := m.values[one.key]; held {
-			if id, place, isRunner := m.classify(value); draw == nil || !isRunner || draw.Contains(place, subset.PositionOf(id)) {
+		if value, held := m.values[entry.key]; held {
+			if id, serviceZone, isRunner := m.classify(value); current == nil || !isRunner || current.Contains(serviceZone, subset.PositionOf(id)) {
 				events = append(events, ports.WatchEvent{Value: value})
 			}
 			continue
 		}
-		if end := m.gone[one.key]; draw == nil || end.runner == "" || draw.Contains(end.place, subset.PositionOf(end.runner)) {
-			events = append(events, ports.WatchEvent{Value: ports.Value{Key: one.key, Revision: one.revision}, Deleted: true})
+		if deleted := m.tombstones[entry.key]; current == nil || deleted.runnerID == "" || current.Contains(deleted.serviceZone, subset.PositionOf(deleted.runnerID)) {
+			events = append(events, ports.WatchEvent{Value: ports.Value{Key: entry.key, Revision: entry.revision}, Deleted: true})
 		}
 	}
 	return events
