--- a/internal/cluster/listwatch/coalescing.go
+++ b/internal/cluster/listwatch/coalescing.go
@@ -3,55 +3,56 @@
 import "time"
 
 const (
-	// minCoalescing is the pause between two watches: changes that come together are
-	// read by one call, since each call has its price.
+	// minCoalescing is the pause between two watches. Changes that arrive during the
+	// pause are read by one call.
 	minCoalescing = 80 * time.Millisecond
-	// coalescingShare of the time in which a leaving runner still takes requests is the
-	// pause while one change follows the other, as when runners start or configurations
-	// come in quick succession.
+	// coalescingShare is the pause during a burst of changes, as a share of the drain
+	// time, during which a leaving runner still accepts requests. Bursts occur when many
+	// runners start or when the configuration changes several times in a row.
 	coalescingShare = 0.2
-	// defaultCoalescing is that pause in a deployment that states no such time.
+	// defaultCoalescing is the pause during a burst if the drain time is unknown.
 	defaultCoalescing = 400 * time.Millisecond
-	// burstTime is how soon after the last one a change counts as part of a burst.
-	burstTime = 700 * time.Millisecond
+	// burstWindow is the longest interval between two changes of one burst.
+	burstWindow = 700 * time.Millisecond
 )
 
-// For settleTime after its start a node pauses for startCoalescing: all nodes and
-// runners of a deployment may be starting, and each writes its entry.
+// During startupPeriod a node pauses for startupCoalescing: all nodes and runners of the
+// deployment may be starting, and each writes its own entry.
 const (
-	settleTime      = 2500 * time.Millisecond
-	startCoalescing = 700 * time.Millisecond
+	startupPeriod     = 2500 * time.Millisecond
+	startupCoalescing = 700 * time.Millisecond
 )
 
-// coalescer decides how long a node pauses after changes before it watches again.
+// coalescer determines how long a node pauses after changes before it watches again.
 type coalescer struct {
 	started time.Time
-	// changed is when the last changes came; zero if none did.
-	changed time.Time
-	// burstPause is the pause while changes follow each other.
-	burstPause time.Duration
+	// lastChange is when the last changes arrived; zero if none have arrived yet.
+	lastChange time.Time
+	// burstDelay is the pause during a burst.
+	burstDelay time.Duration
 }
 
-// newCoalescer returns the coalescer of a node that started at a time, in a deployment
-// whose leaving runners take requests for so long; 0 if that is not known.
+// newCoalescer returns the coalescer of a node that started at the given time, in a
+// deployment with the given drain time of runners; 0 means that the drain time is
+// unknown.
 func newCoalescer(started time.Time, drain time.Duration) *coalescer {
-	burstPause := defaultCoalescing
+	burstDelay := defaultCoalescing
 	if drain > 0 {
-		burstPause = max(minCoalescing, time.Duration(coalescingShare*float64(drain)))
+		burstDelay = max(minCoalescing, time.Duration(coalescingShare*float64(drain)))
 	}
-	return &coalescer{started: started, burstPause: burstPause}
+	return &coalescer{started: started, burstDelay: burstDelay}
 }
 
-// pauseAfter returns how long to pause after changes that came at now.
-func (c *coalescer) pauseAfter(now time.Time) time.Duration {
-	if now.Sub(c.started) < settleTime {
-		c.changed = now
-		return startCoalescing
+// delayAfter returns how long to pause after changes that arrived at now.
+func (c *coalescer) delayAfter(now time.Time) time.Duration {
+	if now.Sub(c.started) < startupPeriod {
+		c.lastChange = now
+		return startupCoalescing
 	}
-	burst := !c.changed.IsZero() && now.Sub(c.changed) < burstTime
-	c.changed = now
+	burst := !c.lastChange.IsZero() && now.Sub(c.lastChange) < burstWindow
+	c.lastChange = now
 	if burst {
-		return c.burstPause
+		return c.burstDelay
 	}
 	return minCoalescing
 }
--- a/internal/cluster/listwatch/contact.go
+++ b/internal/cluster/listwatch/contact.go
@@ -9,25 +9,25 @@
 	"cobaltramp.example/cobaltramp/internal/app/boottime"
 )
 
-// StoreContact is what a node knows of its contact with the platform's store, direct or
+// StoreContact records a node's contact with the platform's store, either direct or
 // through the nodes that relay its changes.
 //
-// Invariant: a probe that is answered renews the age, but only who follows the store
-// ends a loss.
+// Invariant: a successful probe renews the age of the contact, but a lost contact is
+// regained only by a list, a watch or a relay.
 type StoreContact struct {
-	last  atomic.Int64 // when it was renewed last, after processStart, in nanoseconds
-	lost  atomic.Bool
-	mutex sync.Mutex
-	// answering ends when the store is found not to answer.
+	renewedAt atomic.Int64 // time of the last renewal, in nanoseconds after processStart
+	lost      atomic.Bool
+	mutex     sync.Mutex
+	// answering ends when a call or a probe finds that the store does not answer.
 	answering    context.Context
 	endAnswering context.CancelFunc
 }
 
-// processStart anchors the age of a contact to a clock that counts the time in which
-// the machine was suspended: keys may have been revoked meanwhile.
+// processStart is the origin of renewedAt. Its clock includes the time during which the
+// machine was suspended, because keys may have been revoked in that time.
 var processStart = boottime.Now()
 
-// NewStoreContact returns a contact that was not made yet.
+// NewStoreContact returns a StoreContact without contact.
 func NewStoreContact() *StoreContact {
 	contact := &StoreContact{}
 	contact.answering, contact.endAnswering = context.WithCancel(context.Background())
@@ -35,13 +35,13 @@
 	return contact
 }
 
-// Lost reports whether the node has no contact: the store's last answer due did not
-// come, and no other node relays the store's changes.
+// Lost reports whether the node has no contact: the store did not answer in time, and no
+// other node relays its changes.
 func (c *StoreContact) Lost() bool { return c.lost.Load() }
 
-// Age returns the time since the contact was renewed last.
+// Age returns the time since the contact was last renewed.
 func (c *StoreContact) Age() time.Duration {
-	return boottime.Since(processStart) - time.Duration(c.last.Load())
+	return boottime.Since(processStart) - time.Duration(c.renewedAt.Load())
 }
 
 // Confirm records that the node is up to date with the store.
@@ -51,13 +51,13 @@
 }
 
 // renew records that the store answered.
-func (c *StoreContact) renew() { c.last.Store(int64(boottime.Since(processStart))) }
+func (c *StoreContact) renew() { c.renewedAt.Store(int64(boottime.Since(processStart))) }
 
-// lose records that neither the store nor a relay keeps this node up to date.
-func (c *StoreContact) lose() { c.lost.Store(true) }
+// markLost records that neither the store nor a relay keeps this node up to date.
+func (c *StoreContact) markLost() { c.lost.Store(true) }
 
-// fail records that the store did not answer, and ends the calls that wait.
-func (c *StoreContact) fail() {
+// recordFailure records that the store did not answer, and cancels the waiting calls.
+func (c *StoreContact) recordFailure() {
 	c.lost.Store(true)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -65,7 +65,7 @@
 	c.answering, c.endAnswering = context.WithCancel(context.Background())
 }
 
-// untilFailure returns a context that ends when the store is found not to answer.
+// untilFailure returns a context that also ends when the store is found not to answer.
 func (c *StoreContact) untilFailure(parent context.Context) (context.Context, context.CancelFunc) {
 	c.mutex.Lock()
 	answering := c.answering
--- a/internal/cluster/listwatch/probe.go
+++ b/internal/cluster/listwatch/probe.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// probeInterval and probeTimeout bound how long a store that does not answer is
-	// taken to have no changes. A probe is a read that may be stale, the cheapest call.
+	// probeInterval and probeTimeout limit how long a failure of the store stays
+	// undetected. A probe is a read that may return stale data, the cheapest call of the
+	// store.
 	probeInterval = time.Second
 	probeTimeout  = 800 * time.Millisecond
 )
 
-// probe asks the store at intervals whether it answers, until the context ends: a
-// watch that waits shows no difference between a silent store and one without changes.
+// probe probes the store at intervals until the context ends. A waiting watch alone can't
+// distinguish a store that does not answer from one without changes.
 func (r *Reflector) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, probeInterval)
 		if r.Contact.Lost() || r.usesRelay() {
-			continue // the loop is trying already, or need not
+			continue // follow is retrying already, or relays keep the node up to date
 		}
 		err := r.probeOnce(ctx)
 		switch {
@@ -30,7 +31,7 @@
 			r.Contact.renew()
 		case ctx.Err() == nil:
 			klog.InfoS("store does not answer a probe", "err", err)
-			r.Contact.fail()
+			r.Contact.recordFailure()
 		}
 	}
 }
@@ -42,15 +43,15 @@
 }
 
 const (
-	// maxWatchTimeout is how long a watch is held without a change, at most historyShare
-	// of the time for which the store keeps its history: a watch from a revision that
-	// is forgotten meanwhile ends in another list.
+	// maxWatchTimeout is the longest time that a watch waits for a change. The timeout is
+	// also at most historyShare of the time for which the store keeps its history,
+	// because a watch from a revision that the store has compacted requires a new list.
 	maxWatchTimeout = 25 * time.Second
 	historyShare    = 0.85
 )
 
-// WatchTimeoutWithin returns how long a watch is held at a store that keeps its history
-// for a time; 0 if that is not known.
+// WatchTimeoutWithin returns the timeout of watches for a store that keeps its history
+// for the given time; 0 means that this time is unknown.
 func WatchTimeoutWithin(history time.Duration) time.Duration {
 	if history <= 0 {
 		return maxWatchTimeout
