--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -7,8 +7,9 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// Asking implements peers.Documents. A node that relays keep up to date asks no peer
-// for the same, and in a large fleet peers know other runners.
+// Asking implements peers.Documents. In a large fleet it requests no runners, because
+// peers know other subsets of them. If relays also keep the node up to date, it requests
+// neither the configuration nor the layout.
 func (i *Informer) Asking(request *wirev1.PeerStateRequest) {
 	request.HoldsDigest = i.Quarantine.Digest()
 	request.RunnersRevision = i.runners.currentRevision()
@@ -42,9 +43,9 @@
 
 // Take implements peers.Documents.
 func (i *Informer) Take(reply *wirev1.PeerStateReply, from string) {
-	i.answered.Store(true)
+	i.peerAnswered.Store(true)
 	if len(reply.Catalog) > 0 {
-		i.offerConfig(reply.Catalog, reply.CatalogRevision, from)
+		i.updateConfig(reply.Catalog, reply.CatalogRevision, from)
 	}
 	for _, document := range reply.Layout {
 		i.Layouts.UpdateIfNewer(document.Key, document.Value, document.Revision, from)
--- a/internal/cluster/informer/informer.go
+++ b/internal/cluster/informer/informer.go
@@ -1,12 +1,12 @@
-// Package informer keeps a node's copy of what the platform's store holds: the
-// configuration, the runners, the nodes and the layout of the queues. It hands each
-// part to the package that owns it, passes on to peers what is newer here, and writes
-// the node's own record and how far the emptying of a node is.
+// Package informer keeps a node's copy of the contents of the platform's store: the
+// configuration, the runners, the nodes and the layout of the queues. It passes each part
+// to the package that owns it, and sends peers the parts that are newer here. It also
+// writes the node's own record and the progress of retirements.
 //
-// It owns which runners this node knows, and at which revision. It relies on listwatch
-// to follow the store, on relay for the changes that other nodes pass on, and on a
-// Schema for the store's keys and encodings, which are the platform's. It runs on edges
-// and storage nodes.
+// The package owns which runners this node knows, and at which revision. It relies on
+// package listwatch to watch the store, on package relay for changes that other nodes
+// pass on, and on a Schema for the platform's keys and encodings. It runs on edges and
+// storage nodes.
 package informer
 
 import (
@@ -28,53 +28,54 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// StoreAPI is what a client of the platform's store offers.
+// StoreAPI is the interface of a client of the platform's store.
 type StoreAPI interface {
 	ports.KeyValueStore
 	listwatch.ListerWatcher
 }
 
-// Options are what an Informer works with.
+// Options configures an Informer.
 type Options struct {
 	Schema *Schema
 	Store  StoreAPI
-	// WatchTimeout is how long a watch of the store is held without a change.
+	// WatchTimeout is how long a watch of the store waits for a change.
 	WatchTimeout time.Duration
 	Contact      *listwatch.StoreContact
 	Catalogs     *catalog.Holder
 	Runners      *runnerset.Set
 	Layouts      *queuestore.Layouts
 	Directory    *peers.Directory
-	// Mirror is what a node with a disk passes on of the store; nil on others,
-	// which take it from such nodes through the pool.
+	// Mirror is the copy of the store that a node with a disk serves to other nodes; nil
+	// on nodes without a disk.
 	Mirror *relay.Mirror
 	Pool   *rpc.Pool
-	// Drain is how long a leaving runner still takes requests; 0 if not known.
+	// Drain is how long a leaving runner still accepts requests; 0 if unknown.
 	Drain time.Duration
-	// DiskCache keeps what the mirror holds on this node's disk; nil without one.
+	// DiskCache keeps the contents of the mirror on this node's disk; nil without a disk.
 	DiskCache relay.DiskCache
-	// Quarantine takes the holds of requests that crash runners; nil takes none.
+	// Quarantine receives the holds of requests that crash runners. If it is nil, holds
+	// are ignored.
 	Quarantine *quarantine.Coordinator
-	// Interest is how many runners this node wants to know where there are many; the
-	// zero value is all.
+	// Interest determines this node's subset of the runners in a large fleet; the zero
+	// value stands for all runners.
 	Interest subset.Interest
-	// Timing is of the nodes that pass the store's changes on.
+	// Timing holds the intervals and timeouts between sources and followers.
 	Timing relay.FollowTiming
 }
 
-// Informer keeps a node's copy of what the platform's store holds. Options may be
-// changed until Run.
+// Informer keeps a node's copy of the contents of the platform's store. Options must not
+// be changed after Run is called.
 type Informer struct {
 	Options
 
 	runners  *runnerCache
 	follower atomic.Pointer[relay.Follower]
 	merger   atomic.Pointer[relay.Merger]
-	// answered: another node has answered a question of this one.
-	answered atomic.Bool
+	// peerAnswered is true if another node has answered a request of this node.
+	peerAnswered atomic.Bool
 }
 
-// New returns an informer that knows nothing yet.
+// New returns an informer without contents.
 func New(options Options) *Informer {
 	return &Informer{Options: options, runners: newRunnerCache(options.Schema, options.Runners, options.Interest)}
 }
@@ -84,14 +85,14 @@
 	_ queuestore.Retirement = (*Informer)(nil)
 )
 
-// UsesRelay reports whether other nodes follow the store for this one.
+// UsesRelay reports whether relays keep this node up to date with the store.
 func (i *Informer) UsesRelay() bool {
 	follower := i.follower.Load()
 	return follower != nil && follower.UsesRelay()
 }
 
-// Level returns how many hops from the store this node takes its changes in a large
-// fleet.
+// Level returns this node's level in the tree of a large fleet: the number of hops
+// between it and a node that watches the store.
 func (i *Informer) Level() uint32 {
 	if follower := i.follower.Load(); follower != nil {
 		return follower.Level()
@@ -99,7 +100,7 @@
 	return 0
 }
 
-// Sources lists the addresses of the nodes that keep this node up to date with the
+// Sources returns the addresses of the nodes that keep this node up to date with the
 // store.
 func (i *Informer) Sources() []string {
 	if follower := i.follower.Load(); follower != nil {
@@ -108,16 +109,16 @@
 	return nil
 }
 
-// storeRevision returns up to which revision of the store this node knows it; negative
-// before the first.
+// storeRevision returns the store's revision that this node has reached; it is negative
+// before the first contents arrive.
 func (i *Informer) storeRevision() int64 {
-	if merge := i.merger.Load(); merge != nil {
-		return merge.Revision()
+	if merger := i.merger.Load(); merger != nil {
+		return merger.Revision()
 	}
 	return -1
 }
 
-// Watched lists the nodes of which this node has to know whether they live.
+// Watched returns the nodes that this node has to probe in order to determine its level.
 func (i *Informer) Watched() []*wirev1.NodeRecord {
 	if follower := i.follower.Load(); follower != nil {
 		return follower.Watched()
@@ -125,23 +126,23 @@
 	return nil
 }
 
-// Run follows the store until the context ends.
+// Run keeps the copy up to date until the context ends.
 func (i *Informer) Run(ctx context.Context) {
-	merge := relay.NewMerger(i.sinks())
-	i.merger.Store(merge)
+	merger := relay.NewMerger(i.sinks())
+	i.merger.Store(merger)
 	reflector := listwatch.New(listwatch.Options{
-		Store: i.Store, Prefix: everything, Contact: i.Contact, Merger: merge, WatchTimeout: i.WatchTimeout, Drain: i.Drain,
+		Store: i.Store, Prefix: allKeys, Contact: i.Contact, Merger: merger, WatchTimeout: i.WatchTimeout, Drain: i.Drain,
 	})
 	var running tasks.Group
 	if i.Mirror != nil && i.DiskCache != nil {
-		relay.Restore(i.DiskCache, i.Schema.Classify, merge)
+		relay.Restore(i.DiskCache, i.Schema.Classify, merger)
 		running.Go(func() { relay.Persist(ctx, i.DiskCache, i.Mirror) })
 	}
 	if i.Pool != nil {
-		follower := i.newFollower(merge)
+		follower := i.newFollower(merger)
 		reflector.Relays, reflector.MarkLarge = follower, i.Directory.MarkLarge
-		if i.Mirror == nil { // a node with a disk may be the one that is to follow the store
-			reflector.PeerAnswered = i.answered.Load
+		if i.Mirror == nil { // a node with a disk may have to watch the store for its zone
+			reflector.PeerAnswered = i.peerAnswered.Load
 		}
 		running.Go(func() { follower.Run(ctx) })
 		running.Go(func() { i.widen(ctx) })
@@ -154,19 +155,19 @@
 func (i *Informer) newFollower(merger *relay.Merger) *relay.Follower {
 	follower := &relay.Follower{Nodes: i.Directory, Pool: i.Pool, Merger: merger, Timing: i.Timing, Lost: i.Contact.Lost}
 	if i.Interest != (subset.Interest{}) {
-		follower.Interest = i.runners.wanted
+		follower.Interest = i.runners.widenedInterest
 	}
 	i.follower.Store(follower)
 	return follower
 }
 
-// sinks are those who take a part of what the store holds.
+// sinks returns the receivers of the store's contents.
 func (i *Informer) sinks() sinksByPrefix {
 	sinks := sinksByPrefix{
-		{i.Schema.OperatorPrefix, (*operatorSink)(i)}, {i.Schema.RunnersPrefix, i.runners}, {ownPrefix, (*ownSink)(i)},
+		{i.Schema.OperatorPrefix, (*operatorSink)(i)}, {i.Schema.RunnersPrefix, i.runners}, {productPrefix, (*productSink)(i)},
 	}
 	if i.Mirror != nil {
-		sinks = append(sinks, sinkOfPrefix{everything, i.Mirror})
+		sinks = append(sinks, prefixSink{allKeys, i.Mirror})
 	}
 	return sinks
 }
--- a/internal/cluster/informer/metrics.go
+++ b/internal/cluster/informer/metrics.go
@@ -6,8 +6,8 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/relay"
 )
 
-// RegisterMetrics registers gauges of how this node is kept up to date with the store,
-// whom it keeps up to date by a server, and how many runners it works with.
+// RegisterMetrics registers gauges of this node's sources, level and revision, of the
+// server's followers, and of the number of runners that the node knows.
 func (i *Informer) RegisterMetrics(registry prometheus.Registerer, server *relay.Source) {
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
@@ -21,7 +21,7 @@
 			return float64(i.Runners.Total())
 		}),
 		gauge("cobaltramp_runner_draw_factor", "By how much more runners are wanted than usual, for want of room.", func() float64 {
-			return float64(i.runners.factor())
+			return float64(i.runners.wideningFactor())
 		}),
 		gauge("cobaltramp_store_level", "Hops from the store at which this node takes its changes in a large fleet.", func() float64 {
 			return float64(i.Level())
--- a/internal/cluster/informer/operator.go
+++ b/internal/cluster/informer/operator.go
@@ -9,7 +9,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// operatorSink takes what operators write.
+// operatorSink receives the keys that operators write.
 type operatorSink Informer
 
 // Reset implements relay.Sink.
@@ -19,7 +19,7 @@
 		if node, found := strings.CutPrefix(value.Key, s.Schema.RetirePrefix); found {
 			retiring[node] = true
 		}
-		s.take(value)
+		s.handleValue(value)
 	}
 	(*Informer)(s).setRetiring(retiring)
 }
@@ -39,33 +39,33 @@
 			}
 		}
 		if !event.Deleted {
-			s.take(event.Value)
+			s.handleValue(event.Value)
 		}
 	}
 	(*Informer)(s).setRetiring(retiring)
 }
 
-func (s *operatorSink) take(value ports.Value) {
+func (s *operatorSink) handleValue(value ports.Value) {
 	if value.Key == s.Schema.ConfigKey {
-		(*Informer)(s).offerConfig(value.Value, value.Revision, "store")
+		(*Informer)(s).updateConfig(value.Value, value.Revision, "store")
 	}
 }
 
 func (i *Informer) setRetiring(retiring map[string]bool) {
 	if len(retiring) != len(i.Directory.Retiring()) {
-		klog.InfoS("nodes to be emptied", "nodes", retiring)
+		klog.InfoS("list of nodes to retire changed", "nodes", retiring)
 	}
 	i.Directory.SetRetiring(retiring)
 }
 
-// offerConfig puts a configuration in force if it is newer and can be served.
-func (i *Informer) offerConfig(document []byte, revision int64, source string) {
+// updateConfig activates a configuration if it is valid and newer than the current one.
+func (i *Informer) updateConfig(document []byte, revision int64, source string) {
 	next, err := i.Schema.ParseConfig(document)
 	if err != nil {
-		klog.ErrorS(err, "configuration refused, the one in force stays", "revision", revision, "source", source)
+		klog.ErrorS(err, "configuration is invalid; the current one stays active", "revision", revision, "source", source)
 		return
 	}
 	if i.Catalogs.UpdateIfNewer(next, document, revision, time.Now()) {
-		klog.InfoS("configuration in force", "version", next.Version, "revision", revision, "routes", next.Routes(), "source", source)
+		klog.InfoS("configuration activated", "version", next.Version, "revision", revision, "routes", next.Routes(), "source", source)
 	}
 }
--- a/internal/cluster/informer/own.go
+++ b/internal/cluster/informer/own.go
@@ -11,37 +11,39 @@
 	"cobaltramp.example/cobaltramp/internal/serving/quarantine"
 )
 
-// ownSink takes the product's own keys: node records and the layout.
-type ownSink Informer
+// productSink receives the keys that this product writes: node records, the layout of the
+// queues and the quarantine document.
+type productSink Informer
 
 // Reset implements relay.Sink.
-func (s *ownSink) Reset(values []ports.Value, _ int64) {
-	s.takeAll(values)
+func (s *productSink) Reset(values []ports.Value, _ int64) {
+	s.handleValues(values)
 }
 
 // Apply implements relay.Sink.
-func (s *ownSink) Apply(events []ports.WatchEvent, _ int64) {
+func (s *productSink) Apply(events []ports.WatchEvent, _ int64) {
 	var values []ports.Value
 	for _, event := range events {
 		if !event.Deleted {
 			values = append(values, event.Value)
 		}
 	}
-	s.takeAll(values)
+	s.handleValues(values)
 }
 
-func (s *ownSink) takeAll(values []ports.Value) {
+func (s *productSink) handleValues(values []ports.Value) {
 	var records []*wirev1.NodeRecord
 	for _, value := range values {
-		if record := s.take(value); record != nil {
+		if record := s.handleValue(value); record != nil {
 			records = append(records, record)
 		}
 	}
 	s.Directory.PutAll(records, "store")
 }
 
-// take takes a value; it returns a node's record instead.
-func (s *ownSink) take(value ports.Value) *wirev1.NodeRecord {
+// handleValue processes a value. If the value is a node record, it returns the record
+// instead.
+func (s *productSink) handleValue(value ports.Value) *wirev1.NodeRecord {
 	switch {
 	case s.Layouts.HasKey(value.Key):
 		s.Layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "store")
--- a/internal/cluster/informer/registration.go
+++ b/internal/cluster/informer/registration.go
@@ -12,27 +12,28 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// registerInterval is the pause between two tries to write the node's record, and
-// registeredInterval how often a node whose record is written looks whether it has
-// changed.
+// registerRetryInterval is the pause after a failed attempt to write the node's record.
+// registeredCheckInterval is how often a node checks whether its record has changed since
+// the last write.
 const (
-	registerInterval   = 500 * time.Millisecond
-	registeredInterval = 2 * time.Second
+	registerRetryInterval   = 500 * time.Millisecond
+	registeredCheckInterval = 2 * time.Second
 )
 
-// register writes this node's record until the store holds it as it is.
+// register writes this node's record to the store when it has changed, until the context
+// ends.
 func (i *Informer) register(ctx context.Context) {
 	written := uint64(0)
 	for ctx.Err() == nil {
 		self := i.Directory.Self()
-		// Only disks have to be found without asking a peer.
+		// Only nodes with a disk have to be found without asking a peer.
 		if self.DiskId != "" && self.Incarnation != written && i.writeRecord(ctx, self) {
 			written = self.Incarnation
 		}
 		if self.DiskId == "" || self.Incarnation == written {
-			pause.For(ctx, registeredInterval)
+			pause.For(ctx, registeredCheckInterval)
 		} else {
-			pause.For(ctx, registerInterval)
+			pause.For(ctx, registerRetryInterval)
 		}
 	}
 }
@@ -41,16 +42,16 @@
 	key := nodesPrefix + self.NodeId
 	held, _, err := i.Store.Get(ctx, key)
 	if err != nil {
-		klog.V(1).InfoS("node record not read, it is tried again", "node", self.NodeId, "err", err)
+		klog.V(1).InfoS("node record could not be read; it will be retried", "node", self.NodeId, "err", err)
 		return false
 	}
 	stored := &wirev1.NodeRecord{}
 	if json.Unmarshal(held.Value, stored) == nil && stored.NodeId != "" && i.Directory.Put(stored) {
-		return false // it is of an earlier run of this node: the incarnation is raised first
+		return false // the record is from an earlier run; Put has raised the incarnation
 	}
 	text, err := json.Marshal(self)
 	if err != nil {
-		klog.ErrorS(err, "node record can't be encoded", "node", self.NodeId)
+		klog.ErrorS(err, "node record could not be encoded", "node", self.NodeId)
 		return false
 	}
 	done, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: held.Revision}}, []ports.Put{{Key: key, Value: text}})
@@ -58,13 +59,13 @@
 	return done && err == nil
 }
 
-// Report implements queuestore.Retirement. A state is written once, and never
-// goes back.
+// Report implements queuestore.Retirement. It writes each state once and never returns to
+// an earlier state.
 func (i *Informer) Report(ctx context.Context, node string, done bool) {
 	key := i.Schema.RetirementPrefix + node
 	held, found, err := i.Store.Get(ctx, key)
 	if err != nil {
-		klog.V(1).InfoS("report of a node's emptying not read, it is reported again", "node", node, "err", err)
+		klog.V(1).InfoS("retirement report could not be read; it will be retried", "node", node, "err", err)
 		return
 	}
 	if found {
@@ -74,15 +75,15 @@
 	}
 	report, err := i.Schema.EncodeRetirement(done)
 	if err != nil {
-		klog.ErrorS(err, "emptying of a node can't be reported", "node", node)
+		klog.ErrorS(err, "retirement report could not be encoded", "node", node)
 		return
 	}
 	written, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: held.Revision}}, []ports.Put{{Key: key, Value: report}})
-	klog.InfoS("emptying of a node reported", "node", node, "state", stateOf(done), "written", written, "err", err)
+	klog.InfoS("emptying of a node reported", "node", node, "state", retirementState(done), "written", written, "err", err)
 }
 
-// stateOf names how far the emptying of a node is, for the log.
-func stateOf(done bool) string {
+// retirementState returns the name of a retirement's state for the log.
+func retirementState(done bool) string {
 	if done {
 		return "completed"
 	}
--- a/internal/cluster/informer/registration_test.go
+++ b/internal/cluster/informer/registration_test.go
@@ -9,7 +9,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// oneValueStore holds the value of one key and counts how often it is written.
+// oneValueStore holds the value of one key and counts the writes.
 type oneValueStore struct {
 	StoreAPI
 	value  ports.Value
@@ -29,9 +29,9 @@
 	return true, nil
 }
 
-// How far the emptying of a node is gets written once for each state and never goes
-// back; a report that can't be read is written anew.
-func TestReportsOfAnEmptyingNeverGoBack(t *testing.T) {
+// Each state of a retirement is written once, and an earlier state never replaces a later
+// one. An unreadable report is overwritten.
+func TestRetirementReportNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	store := &oneValueStore{}
 	informer := New(Options{Store: store, Schema: &Schema{
--- a/internal/cluster/informer/routing.go
+++ b/internal/cluster/informer/routing.go
@@ -7,12 +7,12 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/relay"
 )
 
-// sinksByPrefix splits what one watch returns among those who take parts of it, so
-// that a node holds one watch and not one for each part. A sink gets changes
-// only if some lie below its prefix.
-type sinksByPrefix []sinkOfPrefix
+// sinksByPrefix distributes the results of one watch to several sinks by key prefix, so
+// that a node needs only one watch. Apply calls a sink only if a change has the sink's
+// prefix.
+type sinksByPrefix []prefixSink
 
-type sinkOfPrefix struct {
+type prefixSink struct {
 	prefix string
 	sink   relay.Sink
 }
--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -14,23 +14,24 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// runnerCache keeps the set of runners in line with the entries that the store holds:
-// with all of them, or with this node's subset.
+// runnerCache keeps the set of runners up to date with the store: either with all
+// runners' entries or with this node's subset.
 //
-// Invariant: its revision never falls; raw holds the entries of the runners known.
+// Invariant: the revision never decreases; raw holds the entries of the known runners.
 type runnerCache struct {
 	schema *Schema
 	set    *runnerset.Set
-	// interest is how many runners this node wants to know as long as it finds free slots.
+	// interest determines this node's subset, before widening.
 	interest subset.Interest
 
 	mutex    sync.Mutex
 	widening subset.Widening
-	// selector picks this node's subset from the entries of all runners; nil before the
-	// first. It is not in use while selected: then a relay has picked the subset.
+	// selector picks this node's subset from the entries of all runners. It is nil before
+	// the first use, and not in use while selected is true.
 	selector *subset.Selector[runnerset.Record]
+	// selected is true while a relay picks the subset.
 	selected bool
-	raw      map[string][]byte // entries as stored, by key
+	raw      map[string][]byte // stored entries by key
 	revision int64
 }
 
@@ -40,24 +41,24 @@
 	return &runnerCache{schema: schema, set: set, interest: interest, raw: map[string][]byte{}}
 }
 
-// parse returns the entries that can be read, and their stored form.
+// parse returns the entries that can be decoded, and their stored form by key.
 func (c *runnerCache) parse(values []ports.Value, now time.Time) ([]subset.ListedRunner[runnerset.Record], map[string][]byte) {
 	entries, raw := make([]subset.ListedRunner[runnerset.Record], 0, len(values)), make(map[string][]byte, len(values))
 	for _, value := range values {
 		if record, ok := c.schema.parseRunner(value, now); ok {
-			entries = append(entries, entryOf(record))
+			entries = append(entries, listedRunner(record))
 			raw[value.Key] = value.Value
 		}
 	}
 	return entries, raw
 }
 
-func entryOf(record runnerset.Record) subset.ListedRunner[runnerset.Record] {
-	place := subset.ServiceZone{Service: record.Service, Zone: record.Zone}
-	return subset.ListedRunner[runnerset.Record]{ID: record.ID, ServiceZone: place, Value: record}
+func listedRunner(record runnerset.Record) subset.ListedRunner[runnerset.Record] {
+	serviceZone := subset.ServiceZone{Service: record.Service, Zone: record.Zone}
+	return subset.ListedRunner[runnerset.Record]{ID: record.ID, ServiceZone: serviceZone, Value: record}
 }
 
-func recordsOf(entries []subset.ListedRunner[runnerset.Record]) []runnerset.Record {
+func runnerRecords(entries []subset.ListedRunner[runnerset.Record]) []runnerset.Record {
 	records := make([]runnerset.Record, 0, len(entries))
 	for _, entry := range entries {
 		records = append(records, entry.Value)
@@ -87,12 +88,12 @@
 	var entries []subset.ListedRunner[runnerset.Record]
 	entries, c.raw = c.parse(values, now)
 	c.selected, c.revision = true, revision
-	if c.set.Select(recordsOf(entries), selection.Totals, revision, now) {
-		klog.InfoS("selection of runners taken", "runners", len(entries), "of", total(selection.Totals), "revision", revision)
+	if c.set.Select(runnerRecords(entries), selection.Totals, revision, now) {
+		klog.InfoS("selection of runners taken", "runners", len(entries), "of", sumTotals(selection.Totals), "revision", revision)
 	}
 }
 
-func total(totals subset.Totals) int {
+func sumTotals(totals subset.Totals) int {
 	sum := 0
 	for _, count := range totals {
 		sum += count
@@ -100,16 +101,16 @@
 	return sum
 }
 
-// selectorOfAll returns the selector that is fed with the entries of all runners. The
-// mutex is held.
-func (c *runnerCache) selectorOfAll() *subset.Selector[runnerset.Record] {
+// allRunnersSelector returns the selector, and creates it if necessary. The mutex is
+// held.
+func (c *runnerCache) allRunnersSelector() *subset.Selector[runnerset.Record] {
 	if c.selector == nil {
-		c.selector = subset.NewSelector[runnerset.Record](c.wantedNow())
+		c.selector = subset.NewSelector[runnerset.Record](c.widenedInterestLocked())
 	}
 	return c.selector
 }
 
-// replace takes the entries of all runners from a source, unless they are older.
+// replace replaces the entries of all runners, unless the given ones are older.
 func (c *runnerCache) replace(values []ports.Value, revision int64, source string) {
 	now := time.Now()
 	c.mutex.Lock()
@@ -120,39 +121,39 @@
 	var entries []subset.ListedRunner[runnerset.Record]
 	entries, c.raw = c.parse(values, now)
 	c.selected, c.revision = false, revision
-	c.handOn(c.selectorOfAll().Reset(entries), revision, source, now)
+	c.applyChange(c.allRunnersSelector().Reset(entries), revision, source, now)
 }
 
-// handOn changes the set by what changes in this node's subset. The mutex is held.
-func (c *runnerCache) handOn(change subset.DrawChange[runnerset.Record], revision int64, source string, now time.Time) {
+// applyChange applies a change of this node's subset to the set. The mutex is held.
+func (c *runnerCache) applyChange(change subset.DrawChange[runnerset.Record], revision int64, source string, now time.Time) {
 	if !change.Whole {
-		logRunners(change, revision)
-		c.set.ApplyChanges(recordsOf(change.Put), change.Removed, revision, now)
+		logRunnerChanges(change, revision)
+		c.set.ApplyChanges(runnerRecords(change.Put), change.Removed, revision, now)
 		return
 	}
-	if c.set.Select(recordsOf(change.Put), c.selector.Totals(), revision, now) {
-		klog.InfoS("runner list taken", "runners", len(change.Put), "of", total(c.selector.Totals()), "revision", revision, "source", source)
+	if c.set.Select(runnerRecords(change.Put), c.selector.Totals(), revision, now) {
+		klog.InfoS("runner list applied", "runners", len(change.Put), "of", sumTotals(c.selector.Totals()), "revision", revision, "source", source)
 	}
 }
 
-// maxSingleLines is how many runners that change together get a log line each; above
-// it they are counted.
-const maxSingleLines = 8
+// maxLoggedRunners is the largest number of changed runners that are logged one by one.
+// If more runners change at once, only their number is logged.
+const maxLoggedRunners = 8
 
 // Apply implements relay.Sink.
 func (c *runnerCache) Apply(events []ports.WatchEvent, _ int64) {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	// The list is as of its own last change: what else the store's revision
-	// counts does not make it another list.
-	revision := newestOf(events)
+	// The list has the revision of its own last change. Changes of other keys do not make
+	// it newer.
+	revision := maxRevision(events)
 	if revision <= c.revision {
 		return
 	}
 	var put []subset.ListedRunner[runnerset.Record]
 	var removed []string
-	for _, event := range lastOfEach(events) {
+	for _, event := range latestPerKey(events) {
 		id := strings.TrimPrefix(event.Value.Key, c.schema.RunnersPrefix)
 		if event.Deleted {
 			delete(c.raw, event.Value.Key)
@@ -161,27 +162,27 @@
 		}
 		if record, ok := c.schema.parseRunner(event.Value, now); ok {
 			c.raw[event.Value.Key] = event.Value.Value
-			put = append(put, entryOf(record))
+			put = append(put, listedRunner(record))
 		}
 	}
 	c.revision = revision
 	if c.selected {
-		logRunners(subset.DrawChange[runnerset.Record]{Put: put, Removed: removed}, revision)
-		c.set.ApplyChanges(recordsOf(put), removed, revision, now)
+		logRunnerChanges(subset.DrawChange[runnerset.Record]{Put: put, Removed: removed}, revision)
+		c.set.ApplyChanges(runnerRecords(put), removed, revision, now)
 		return
 	}
-	c.handOn(c.selectorOfAll().Apply(put, removed), revision, "store", now)
+	c.applyChange(c.allRunnersSelector().Apply(put, removed), revision, "store", now)
 }
 
-// currentRevision returns the revision that the entries are of.
+// currentRevision returns the revision of the entries.
 func (c *runnerCache) currentRevision() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.revision
 }
 
-// newerThan returns the entries of all runners and their revision, if that is newer
-// and this node knows all.
+// newerThan returns the entries of all runners and their revision. found is false if the
+// revision is not newer, or if a relay picks this node's subset.
 func (c *runnerCache) newerThan(revision int64) (entries []*wirev1.KeyValue, newer int64, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -194,8 +195,8 @@
 	return entries, c.revision, true
 }
 
-func logRunners(change subset.DrawChange[runnerset.Record], revision int64) {
-	if len(change.Put)+len(change.Removed) > maxSingleLines {
+func logRunnerChanges(change subset.DrawChange[runnerset.Record], revision int64) {
+	if len(change.Put)+len(change.Removed) > maxLoggedRunners {
 		klog.InfoS("runners changed", "changed", len(change.Put), "gone", len(change.Removed), "revision", revision)
 		return
 	}
@@ -209,9 +210,9 @@
 	}
 }
 
-// lastOfEach leaves the last event of each key: an entry that lapsed in an outage of
-// the store and is back comes as gone and put together.
-func lastOfEach(events []ports.WatchEvent) []ports.WatchEvent {
+// latestPerKey returns the last event of each key. If an entry expires during an outage
+// of the store and is written again, both events may arrive together.
+func latestPerKey(events []ports.WatchEvent) []ports.WatchEvent {
 	last := make(map[string]int64, len(events))
 	for _, event := range events {
 		last[event.Value.Key] = event.Value.Revision
@@ -225,7 +226,7 @@
 	return kept
 }
 
-func newestOf(events []ports.WatchEvent) int64 {
+func maxRevision(events []ports.WatchEvent) int64 {
 	newest := int64(0)
 	for _, event := range events {
 		newest = max(newest, event.Value.Revision)
--- a/internal/cluster/informer/runners_test.go
+++ b/internal/cluster/informer/runners_test.go
@@ -12,7 +12,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// testSchema has runners below runners/, each a record as JSON.
+// testSchema stores runners under runners/, each as a JSON record.
 var testSchema = &Schema{
 	RunnersPrefix: "runners/",
 	ParseRunner: func(id string, entry []byte, _ time.Time) (record runnerset.Record, err error) {
@@ -22,10 +22,9 @@
 	},
 }
 
-// Entries of runners that lapsed while the store was away come as gone and, once
-// the runners have reached it again, as put; both may come together. The last
-// change of each runner holds.
-func TestLapsedRunnersThatAreBackStay(t *testing.T) {
+// Entries that expire during an outage of the store are deleted, and put again when their
+// runners reach the store. Both events may arrive together, and the last one applies.
+func TestLastChangeOfEachRunnerApplies(t *testing.T) {
 	is := is.New(t)
 	set := runnerset.New()
 	cache := newRunnerCache(testSchema, set, subset.Interest{})
@@ -43,5 +42,5 @@
 			ids = append(ids, runner.ID)
 		}
 	}
-	is.Equal(ids, []string{"a"}) // b has not come back, and c left after it was put
+	is.Equal(ids, []string{"a"}) // b was not put again, and c was deleted after its put
 }
--- a/internal/cluster/informer/schema.go
+++ b/internal/cluster/informer/schema.go
@@ -12,35 +12,39 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// Schema says where the platform's store holds what operators and runners write, and
-// how it is encoded. The adapter to the platform provides it.
+// Schema describes the keys and encodings of the documents that operators and runners
+// write to the platform's store. The adapter to the platform provides it.
 type Schema struct {
-	// OperatorPrefix of all keys that operators write, among them ConfigKey, of the
-	// configuration, and RetirePrefix, of the keys that name a node to be emptied.
+	// OperatorPrefix is the prefix of all keys that operators write. ConfigKey is the key
+	// of the configuration, and RetirePrefix is the prefix of the keys that name the
+	// nodes to retire; both are under OperatorPrefix.
 	OperatorPrefix string
 	ConfigKey      string
 	RetirePrefix   string
-	// RetirementPrefix of the keys under which operators read how far the emptying of a
-	// node is.
+	// RetirementPrefix is the prefix of the keys under which operators read the progress
+	// of retirements.
 	RetirementPrefix string
-	// RunnersPrefix of the keys of runners' entries; the rest of a key is the runner's id.
+	// RunnersPrefix is the prefix of the keys of the runners' entries; the rest of a key
+	// is the runner's id.
 	RunnersPrefix string
 
-	// ParseConfig decodes a configuration, or says why it can't be served.
+	// ParseConfig decodes a configuration. It returns an error if the configuration is
+	// invalid.
 	ParseConfig func(document []byte) (*catalog.Catalog, error)
-	// ParseRunner decodes the entry of the runner with an id, as read at now.
+	// ParseRunner decodes the entry of the runner with the given id, read at now.
 	ParseRunner func(id string, entry []byte, now time.Time) (runnerset.Record, error)
-	// EncodeRetirement and DecodeRetirement translate a report of how far the emptying
-	// of a node is; what can't be read is not known.
+	// EncodeRetirement and DecodeRetirement convert the report of a retirement's
+	// progress. known is false if the report can't be decoded.
 	EncodeRetirement func(done bool) ([]byte, error)
 	DecodeRetirement func(report []byte) (done, known bool)
 }
 
-// The product's own keys.
+// Key prefixes. allKeys matches every key, and productPrefix matches the keys that this
+// product writes.
 const (
-	everything  = ""
-	ownPrefix   = "cobaltramp/"
-	nodesPrefix = ownPrefix + "nodes/"
+	allKeys       = ""
+	productPrefix = "cobaltramp/"
+	nodesPrefix   = productPrefix + "nodes/"
 )
 
 func (s *Schema) parseRunner(value ports.Value, now time.Time) (runnerset.Record, bool) {
@@ -52,7 +56,7 @@
 }
 
 // Classify implements relay.Classifier.
-func (s *Schema) Classify(value ports.Value) (id string, place subset.ServiceZone, isRunner bool) {
+func (s *Schema) Classify(value ports.Value) (id string, serviceZone subset.ServiceZone, isRunner bool) {
 	if !strings.HasPrefix(value.Key, s.RunnersPrefix) {
 		return "", subset.ServiceZone{}, false
 	}
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -10,11 +10,11 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// widenInterval is how often a node looks whether it wants more runners, or fewer.
+// widenInterval is how often a node checks whether it needs more or fewer runners.
 const widenInterval = time.Second
 
-// widen asks for more runners while choices find no free slot among those known, until
-// the context ends.
+// widen adjusts the size of this node's subset to the number of choices that found no
+// free slot, until the context ends.
 func (i *Informer) widen(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, widenInterval)
@@ -30,39 +30,39 @@
 	}
 }
 
-// widen takes whether a choice found no free slot since the last call. It returns by
-// how much this node's subset is larger than usual, and whether that has changed.
+// widen records whether a choice since the last call found no free slot. It returns the
+// factor by which this node's subset is enlarged, and whether the factor has changed.
 func (c *runnerCache) widen(slotsMissing bool, now time.Time) (factor int, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	changed = c.widening.Note(slotsMissing && c.knowsPart(), now)
+	changed = c.widening.Note(slotsMissing && c.isPartial(), now)
 	if changed && c.selector != nil {
-		if change, other := c.selector.Want(c.wantedNow()); other && !c.selected && c.revision > 0 {
-			c.handOn(change, c.revision, "widened", now)
+		if change, subsetChanged := c.selector.Want(c.widenedInterestLocked()); subsetChanged && !c.selected && c.revision > 0 {
+			c.applyChange(change, c.revision, "widened", now)
 		}
 	}
 	return c.widening.Factor(), changed
 }
 
-// knowsPart reports whether this node knows a part of the runners only.
-func (c *runnerCache) knowsPart() bool {
+// isPartial reports whether this node knows only some of the runners.
+func (c *runnerCache) isPartial() bool {
 	listed, _ := c.set.Count()
 	return listed < c.set.Total()
 }
 
-// wanted returns the runners that this node wants to know now.
-func (c *runnerCache) wanted() subset.Interest {
+// widenedInterest returns this node's interest, enlarged by the current factor.
+func (c *runnerCache) widenedInterest() subset.Interest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.wantedNow()
+	return c.widenedInterestLocked()
 }
 
-// wantedNow is wanted with the mutex held.
-func (c *runnerCache) wantedNow() subset.Interest {
+// widenedInterestLocked is widenedInterest with the mutex held.
+func (c *runnerCache) widenedInterestLocked() subset.Interest {
 	return c.interest.Widened(c.widening.Factor())
 }
 
-func (c *runnerCache) factor() int {
+func (c *runnerCache) wideningFactor() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.widening.Factor()
