--- a/internal/cluster/ports/ports.go
+++ b/internal/cluster/ports/ports.go
@@ -1,10 +1,10 @@
-// Package ports declares what the product needs of the services of the platform that
-// it runs on: a key-value store, lists of machines and runners. The adapters are
-// platform/ (edges and storage nodes) and the modules under modules/platform (plain
-// nodes); replacing one changes nothing else.
+// Package ports declares the interfaces of the platform's services that the product uses:
+// a key-value store, and lists of machines and runners. The adapters are in platform/
+// (edges and storage nodes) and in modules/platform (plain nodes). To support another
+// platform, only the adapters have to be replaced.
 //
-// Nothing here is called per request or per job: the store holds configuration, who
-// the nodes are, and the layout and member sets of shards.
+// These services are not called for individual requests or jobs. The store holds the
+// configuration, the node records, and the layout and members of shards.
 package ports
 
 import (
@@ -12,17 +12,17 @@
 	"errors"
 )
 
-// ErrUnavailable: the service did not take the request. A change asked for was
-// not made.
+// ErrUnavailable reports that the service did not accept the request. A requested change
+// was not made.
 var ErrUnavailable = errors.New("platform service unavailable")
 
-// ErrOutcomeUnknown: the request was sent and its answer was lost. A change asked for
-// may have been made; the caller resolves it by reading.
+// ErrOutcomeUnknown reports that the request was sent but its answer was lost. A
+// requested change may have been made; the caller has to read the store to find out.
 var ErrOutcomeUnknown = errors.New("platform answer lost")
 
-// ErrCompacted: the changes after a revision can't be had any more; the caller
-// lists again.
-var ErrCompacted = errors.New("the store's history is gone")
+// ErrCompacted reports that the store no longer has the changes after a revision. The
+// caller has to list again.
+var ErrCompacted = errors.New("the store has compacted the changes after this revision")
 
 // Value is a stored value with the revision that wrote it.
 type Value struct {
@@ -31,39 +31,40 @@
 	Revision int64
 }
 
-// Condition requires a key to be at a revision; revision 0 means absent.
+// Condition requires that a key has a revision; revision 0 means that the key is absent.
 type Condition struct {
 	Key      string
 	Revision int64
 }
 
-// Put is one write.
+// Put is a write of one key.
 type Put struct {
 	Key   string
 	Value []byte
 }
 
-// WatchEvent is one change seen by a watch.
+// WatchEvent is a change that a watch returns.
 type WatchEvent struct {
 	Value   Value
 	Deleted bool
 }
 
-// KeyValueStore is the small, rate-limited key-value service.
+// KeyValueStore is the platform's key-value store. It is small and rate-limited.
 type KeyValueStore interface {
-	// Get returns the value of a key; found is false if it is absent.
+	// Get returns the value of a key; found is false if the key is absent.
 	Get(ctx context.Context, key string) (value Value, found bool, err error)
-	// List returns the values below a prefix and the revision read at.
+	// List returns the values under a prefix, and the revision at which they were read.
 	List(ctx context.Context, prefix string) ([]Value, int64, error)
-	// Commit makes all writes if every condition holds, else none. It returns
-	// whether they were made. On ErrOutcomeUnknown they may have been.
+	// Commit makes all writes if every condition holds, and none otherwise. It returns
+	// whether the writes were made. If the error is ErrOutcomeUnknown they may have been
+	// made.
 	Commit(ctx context.Context, conditions []Condition, puts []Put) (bool, error)
-	// Watch calls handle for each change below prefix after the revision until
-	// the context ends or the watch breaks; the caller then lists and compares.
+	// Watch calls handle for each change under prefix after the revision. It returns when
+	// the context ends or the watch breaks; the caller then has to list and compare.
 	Watch(ctx context.Context, prefix string, after int64, handle func(WatchEvent)) error
 }
 
-// MachineEntry is an entry of the machine list.
+// MachineEntry is an entry in the list of machines.
 type MachineEntry struct {
 	Address string
 	Zone    string
@@ -71,20 +72,21 @@
 	Leaving bool
 }
 
-// RunnerEntry is an entry of the runner list: a model engine.
+// RunnerEntry is an entry in the list of runners, which are model engines.
 type RunnerEntry struct {
-	// ID is unique and survives a restart of the engine on the same machine.
+	// ID is unique and stays the same when the engine restarts on the same machine.
 	ID string
 	// Address is the engine's IP:port.
 	Address string
 	Zone    string
 	Region  string
-	// Service is the pool the runner belongs to, for example "asistente".
+	// Service is the pool to which the runner belongs, for example "asistente".
 	Service string
 	Leaving bool
 }
 
-// Discovery is the platform's lists of machines and runners; they lag.
+// Discovery returns the platform's lists of machines and runners. The lists may be out of
+// date.
 type Discovery interface {
 	Machines(ctx context.Context) ([]MachineEntry, error)
 	Runners(ctx context.Context) ([]RunnerEntry, error)
