--- a/internal/cluster/notify/notify.go
+++ b/internal/cluster/notify/notify.go
@@ -1,11 +1,11 @@
-// Package notify coalesces what a node reports to other nodes: reports that come
-// together leave in one notice a node. Notices are one-way messages, which may be
-// lost; who sends them has to repeat, or bear the loss.
+// Package notify coalesces the reports that a node sends to other nodes: reports that
+// arrive within a short time are sent to each node in one notice. Notices are one-way
+// messages and may be lost. The sender has to repeat them or accept the loss.
 //
-// It owns when notices are sent. What is in them and who receives them belongs to
-// its users: loadshare (requests at runners) and quarantine (requests that crash
-// runners). It relies on package rpc for the links. The edge, the storage node and
-// the plain node run it.
+// The package owns the times at which notices are sent. Its users own their contents and
+// receivers: package loadshare (requests at runners) and package quarantine (requests
+// that crash runners). It relies on package rpc for the connections. It runs on edges,
+// storage nodes and plain nodes.
 package notify
 
 import (
@@ -18,7 +18,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// NodeDirectory knows the nodes.
+// NodeDirectory returns the records of this node and of all nodes that it knows.
 type NodeDirectory interface {
 	Self() *wirev1.NodeRecord
 	Records() []*wirev1.NodeRecord
@@ -29,39 +29,43 @@
 	NotifyAll(addresses []string, class rpc.Class, method wirev1.Method, message proto.Message)
 }
 
-// Schedule says when a Batcher does what.
+// Schedule configures a Batcher.
 type Schedule struct {
-	// Delay is how long reports are coalesced, from the first one; 0 is not at all.
+	// Delay is how long reports are coalesced after the first report. With 0 they are not
+	// coalesced.
 	Delay time.Duration
-	// Flush sends what is pending. Reports that come while it runs make another one.
+	// Flush sends the pending reports. A report that arrives while Flush runs causes
+	// another call.
 	Flush func(ctx context.Context)
-	// RepeatInterval is how often Repeat is called, whatever is pending; 0 is never.
+	// RepeatInterval is the interval between calls of Repeat, whether or not reports are
+	// pending. With 0 Repeat is never called.
 	RepeatInterval time.Duration
-	// Repeat sends again what still holds. It never runs beside Flush.
+	// Repeat sends again the reports that are still valid. It never runs concurrently
+	// with Flush.
 	Repeat func(now time.Time)
 }
 
-// Batcher calls Flush a delay after something began to be pending.
+// Batcher calls Flush once Schedule.Delay has passed after a report becomes pending.
 type Batcher struct {
 	schedule Schedule
-	// due is signalled when something begins to be pending.
+	// due receives a signal when a report becomes pending.
 	due chan struct{}
 }
 
-// NewBatcher returns a batcher with nothing pending.
+// NewBatcher returns a batcher without pending reports.
 func NewBatcher(schedule Schedule) *Batcher {
 	return &Batcher{schedule: schedule, due: make(chan struct{}, 1)}
 }
 
-// Trigger says that there is something to flush. It does not block.
+// Trigger signals that reports are pending. It does not block.
 func (b *Batcher) Trigger() {
 	select {
 	case b.due <- struct{}{}:
-	default: // it is signalled already
+	default: // a signal is pending already
 	}
 }
 
-// Run flushes and repeats until the context ends.
+// Run calls Flush and Repeat until the context ends.
 func (b *Batcher) Run(ctx context.Context) {
 	var repeat <-chan time.Time // nil: never
 	if b.schedule.RepeatInterval > 0 {
@@ -78,15 +82,15 @@
 			continue
 		case <-b.due:
 		}
-		if !b.delay(ctx) {
+		if !b.waitDelay(ctx) {
 			return
 		}
 		b.schedule.Flush(ctx)
 	}
 }
 
-// delay waits while reports are coalesced. It reports false if the context ended.
-func (b *Batcher) delay(ctx context.Context) bool {
+// waitDelay waits while reports are coalesced. It returns false if the context has ended.
+func (b *Batcher) waitDelay(ctx context.Context) bool {
 	if b.schedule.Delay == 0 {
 		return true
 	}
--- a/internal/cluster/notify/notify_test.go
+++ b/internal/cluster/notify/notify_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// Reports that come within the delay leave together, a delay after the first.
+// Reports that arrive within the delay are flushed together, one delay after the first.
 func TestReportsAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -19,7 +19,7 @@
 		var flushed []time.Duration
 		batcher := NewBatcher(Schedule{Delay: 60 * time.Millisecond, Flush: func(context.Context) { flushed = append(flushed, time.Since(started)) }})
 		go batcher.Run(ctx)
-		time.Sleep(time.Second) // nothing is pending
+		time.Sleep(time.Second) // no report is pending
 		synctest.Wait()
 		is.Equal(len(flushed), 0)
 		for range 5 {
@@ -29,13 +29,13 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		is.Equal(flushed[0], time.Second+60*time.Millisecond)
-		// The signal of a report that came during the delay makes one more flush.
+		// A report that arrived during the delay causes one more flush.
 		is.Equal(flushed[1:], []time.Duration{time.Second + 120*time.Millisecond})
 	})
 }
 
-// A report that comes while a flush runs is flushed after it, not lost.
-func TestReportDuringAFlushIsFlushed(t *testing.T) {
+// A report that arrives during a flush causes another flush.
+func TestReportDuringFlushIsFlushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -54,9 +54,9 @@
 	})
 }
 
-// Repeats come at their interval whether anything is pending or not, and end with
-// the context.
-func TestRepeats(t *testing.T) {
+// Repeat is called at its interval whether or not reports are pending, until the context
+// ends.
+func TestRepeatIsCalledAtInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -76,13 +76,13 @@
 	})
 }
 
-// A context that ends during the delay ends the batcher without a flush.
-func TestEndDuringTheDelay(t *testing.T) {
+// The batcher ends without a flush if the context ends during the delay.
+func TestContextEndsDuringDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := false
-		batcher := NewBatcher(Schedule{Delay: time.Minute, Flush: func(context.Context) { t.Error("it has ended") }})
+		batcher := NewBatcher(Schedule{Delay: time.Minute, Flush: func(context.Context) { t.Error("flushed after the context ended") }})
 		go func() { batcher.Run(ctx); ended = true }()
 		batcher.Trigger()
 		synctest.Wait()
