--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,10 +1,9 @@
-// Package cluster groups what a process knows of the other processes and of the
-// runners, and how it learns it. It holds no code itself.
+// Package cluster contains the packages with which a process learns of other processes
+// and of the runners. It contains no code itself.
 //
-//   - informer, listwatch, relay, peers and subset serve the edge and the storage
-//     node, which learn of each other from records in the platform's store.
-//   - membership, fleet and spread serve the plain node, which learns of its
-//     peers by gossip.
-//   - ownership (rendezvous hashing), notify (coalesced notices between nodes)
-//     and ports (to the platform's services) serve all three.
+//   - Edges and storage nodes use informer, listwatch, relay, peers and subset. These nodes
+//     learn of each other from records in the platform's store.
+//   - Plain nodes use membership, fleet and spread. They learn of each other by gossip.
+//   - All of them use ownership (rendezvous hashing), notify (coalesced notices between
+//     nodes) and ports (interfaces of the platform's services).
 package cluster
--- a/internal/cluster/spread/spread.go
+++ b/internal/cluster/spread/spread.go
@@ -1,9 +1,9 @@
-// Package spread decides how a new bundle head reaches every node: a few nodes
-// of each region watch the platform's service, and whoever learns a new
-// revision notifies a few random others once, who fetch it and do the same. Push
-// gossip reaches n nodes in about log(n) rounds (Karp and others 2000);
-// revisions carried on membership messages repair what was lost. It is pure and
-// keeps nothing; the plain node runs it.
+// Package spread decides how a new revision of the configuration bundle reaches every
+// node. A few nodes of each region watch the platform's service. Each node that learns of
+// a new revision notifies a few random nodes once, which fetch the revision and do the
+// same. Such push gossip reaches n nodes in about log(n) rounds (Karp and others 2000).
+// Membership messages also carry the revision, so that a node that lost a notice learns
+// of it later. The package keeps no state. It runs on plain nodes.
 package spread
 
 import (
@@ -15,40 +15,41 @@
 )
 
 const (
-	// WatchersPerRegion bounds the watches held at the platform's service.
+	// WatchersPerRegion is the maximum number of nodes of a region that watch the
+	// platform's service.
 	WatchersPerRegion = 3
-	// Fanout is how many others a node notifies of a revision it has learned.
-	// Four leave a node out with a chance of e^-4 per spread; gossip repairs.
+	// Fanout is the number of nodes that a node notifies of a new revision. With four, a
+	// node is missed with a probability of about e^-4; membership messages reach it
+	// later.
 	Fanout = 4
 )
 
-// IsWatcher reports whether a node is one of the few of its region that watch
-// the platform's service: those with the highest weights.
+// IsWatcher reports whether a node is one of the nodes of its region that watch the
+// platform's service. These are the nodes with the highest watchWeight.
 func IsWatcher(self ownership.Node, candidates []ownership.Node) bool {
-	better := 0
+	higher := 0
 	own := watchWeight(self.ID)
 	for _, candidate := range candidates {
 		if candidate.Region == self.Region && candidate.ID != self.ID && watchWeight(candidate.ID) > own {
-			better++
+			higher++
 		}
 	}
-	return better < WatchersPerRegion
+	return higher < WatchersPerRegion
 }
 
 func watchWeight(id string) uint64 { return xxhash.Sum64String("bundle-watch\x00" + id) }
 
-// DigestFanout is how many nodes of its zone a node sends its load to each
-// second. Accepting nodes that send it requests receive its load with every
-// answer; the digests serve the others, at a cost that does not grow with the
-// zone.
+// DigestFanout is the number of nodes of its zone to which a node sends its load every
+// second. Nodes that send it requests receive its load with each answer. The digests
+// reach the other nodes, at a cost that does not grow with the zone.
 const DigestFanout = 4
 
-// Targets picks the nodes to notify of a revision.
+// Targets returns the nodes to notify of a new revision.
 func Targets(self string, candidates []ownership.Node, random *rand.Rand) []string {
 	return Sample(self, candidates, Fanout, random)
 }
 
-// Sample picks up to count of the candidates at random, without self.
+// Sample returns up to count random candidates other than self.
 func Sample(self string, candidates []ownership.Node, count int, random *rand.Rand) []string {
 	others := make([]string, 0, len(candidates))
 	for _, candidate := range candidates {
