--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -21,15 +21,15 @@
 		request.LayoutKnown = true
 		return
 	}
-	if held := i.Catalogs.Current(); held != nil {
-		request.CatalogVersion = held.Version
+	if current := i.Catalogs.Current(); current != nil {
+		request.CatalogVersion = current.Version
 	}
 	request.LayoutDigest = i.Layouts.Digest()
 }
 
 // Newer implements peers.Documents.
 func (i *Informer) Newer(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
-	if held := i.Catalogs.Current(); held != nil && held.Version > request.CatalogVersion {
+	if current := i.Catalogs.Current(); current != nil && current.Version > request.CatalogVersion {
 		reply.Catalog, reply.CatalogRevision = i.Catalogs.Document()
 	}
 	if request.LayoutDigest != i.Layouts.Digest() && !request.LayoutKnown {
@@ -55,8 +55,8 @@
 		return
 	}
 	values := make([]ports.Value, 0, len(reply.Runners))
-	for _, pair := range reply.Runners {
-		values = append(values, ports.Value{Key: string(pair.Key), Value: pair.Value})
+	for _, entry := range reply.Runners {
+		values = append(values, ports.Value{Key: string(entry.Key), Value: entry.Value})
 	}
 	i.runners.replace(values, reply.RunnersRevision, from)
 }
--- a/internal/cluster/informer/registration.go
+++ b/internal/cluster/informer/registration.go
@@ -40,21 +40,21 @@
 
 func (i *Informer) writeRecord(ctx context.Context, self *wirev1.NodeRecord) bool {
 	key := nodesPrefix + self.NodeId
-	held, _, err := i.Store.Get(ctx, key)
+	existing, _, err := i.Store.Get(ctx, key)
 	if err != nil {
 		klog.V(1).InfoS("node record could not be read; it will be retried", "node", self.NodeId, "err", err)
 		return false
 	}
 	stored := &wirev1.NodeRecord{}
-	if json.Unmarshal(held.Value, stored) == nil && stored.NodeId != "" && i.Directory.Put(stored) {
+	if json.Unmarshal(existing.Value, stored) == nil && stored.NodeId != "" && i.Directory.Put(stored) {
 		return false // the record is from an earlier run; Put has raised the incarnation
 	}
-	text, err := json.Marshal(self)
+	encoded, err := json.Marshal(self)
 	if err != nil {
 		klog.ErrorS(err, "node record could not be encoded", "node", self.NodeId)
 		return false
 	}
-	done, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: held.Revision}}, []ports.Put{{Key: key, Value: text}})
+	done, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: existing.Revision}}, []ports.Put{{Key: key, Value: encoded}})
 	klog.InfoS("node record written", "node", self.NodeId, "incarnation", self.Incarnation, "disk", self.DiskId, "done", done, "err", err)
 	return done && err == nil
 }
@@ -63,13 +63,13 @@
 // an earlier state.
 func (i *Informer) Report(ctx context.Context, node string, done bool) {
 	key := i.Schema.RetirementPrefix + node
-	held, found, err := i.Store.Get(ctx, key)
+	existing, found, err := i.Store.Get(ctx, key)
 	if err != nil {
 		klog.V(1).InfoS("retirement report could not be read; it will be retried", "node", node, "err", err)
 		return
 	}
 	if found {
-		if reported, known := i.Schema.DecodeRetirement(held.Value); known && (reported == done || reported) {
+		if reported, known := i.Schema.DecodeRetirement(existing.Value); known && (reported == done || reported) {
 			return
 		}
 	}
@@ -78,7 +78,7 @@
 		klog.ErrorS(err, "retirement report could not be encoded", "node", node)
 		return
 	}
-	written, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: held.Revision}}, []ports.Put{{Key: key, Value: report}})
+	written, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: existing.Revision}}, []ports.Put{{Key: key, Value: report}})
 	klog.InfoS("emptying of a node reported", "node", node, "state", retirementState(done), "written", written, "err", err)
 }
 
--- a/internal/cluster/informer/routing.go
+++ b/internal/cluster/informer/routing.go
@@ -21,36 +21,36 @@
 
 // Reset implements relay.Sink.
 func (s sinksByPrefix) Reset(values []ports.Value, revision int64) {
-	for _, part := range s {
-		var own []ports.Value
+	for _, target := range s {
+		var matching []ports.Value
 		for _, value := range values {
-			if strings.HasPrefix(value.Key, part.prefix) {
-				own = append(own, value)
+			if strings.HasPrefix(value.Key, target.prefix) {
+				matching = append(matching, value)
 			}
 		}
-		part.sink.Reset(own, revision)
+		target.sink.Reset(matching, revision)
 	}
 }
 
 // Apply implements relay.Sink.
 func (s sinksByPrefix) Apply(events []ports.WatchEvent, revision int64) {
-	for _, part := range s {
-		var own []ports.WatchEvent
+	for _, target := range s {
+		var matching []ports.WatchEvent
 		for _, event := range events {
-			if strings.HasPrefix(event.Value.Key, part.prefix) {
-				own = append(own, event)
+			if strings.HasPrefix(event.Value.Key, target.prefix) {
+				matching = append(matching, event)
 			}
 		}
-		if len(own) > 0 {
-			part.sink.Apply(own, revision)
+		if len(matching) > 0 {
+			target.sink.Apply(matching, revision)
 		}
 	}
 }
 
 // Select implements relay.SelectiveSink.
 func (s sinksByPrefix) Select(selection relay.Selection, revision int64) {
-	for _, part := range s {
-		if selective, takes := part.sink.(relay.SelectiveSink); takes {
+	for _, target := range s {
+		if selective, isSelective := target.sink.(relay.SelectiveSink); isSelective {
 			selective.Select(selection, revision)
 		}
 	}
--- a/internal/cluster/informer/runners_test.go
+++ b/internal/cluster/informer/runners_test.go
@@ -33,8 +33,8 @@
 		return ports.WatchEvent{Value: ports.Value{Key: testSchema.RunnersPrefix + id, Value: []byte(text), Revision: revision}, Deleted: gone}
 	}
 	cache.Reset([]ports.Value{entry("a", 1, false).Value, entry("b", 2, false).Value, entry("c", 3, false).Value}, 3)
-	_, taking := set.Count()
-	is.Equal(taking, 3)
+	_, accepting := set.Count()
+	is.Equal(accepting, 3)
 	cache.Apply([]ports.WatchEvent{entry("a", 4, true), entry("b", 5, true), entry("a", 6, false), entry("c", 7, false), entry("c", 8, true)}, 8)
 	var ids []string
 	for _, runner := range set.Service("s") {
--- a/internal/cluster/listwatch/contact.go
+++ b/internal/cluster/listwatch/contact.go
@@ -18,9 +18,10 @@
 	renewedAt atomic.Int64 // time of the last renewal, in nanoseconds after processStart
 	lost      atomic.Bool
 	mutex     sync.Mutex
-	// answering ends when a call or a probe finds that the store does not answer.
-	answering    context.Context
-	endAnswering context.CancelFunc
+	// callsContext ends when the store is found not to answer; calls that wait end with
+	// it.
+	callsContext context.Context
+	cancelCalls  context.CancelFunc
 }
 
 // processStart is the origin of renewedAt. Its clock includes the time during which the
@@ -30,7 +31,7 @@
 // NewStoreContact returns a StoreContact without contact.
 func NewStoreContact() *StoreContact {
 	contact := &StoreContact{}
-	contact.answering, contact.endAnswering = context.WithCancel(context.Background())
+	contact.callsContext, contact.cancelCalls = context.WithCancel(context.Background())
 	contact.lost.Store(true)
 	return contact
 }
@@ -61,17 +62,17 @@
 	c.lost.Store(true)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.endAnswering()
-	c.answering, c.endAnswering = context.WithCancel(context.Background())
+	c.cancelCalls()
+	c.callsContext, c.cancelCalls = context.WithCancel(context.Background())
 }
 
 // untilFailure returns a context that also ends when the store is found not to answer.
 func (c *StoreContact) untilFailure(parent context.Context) (context.Context, context.CancelFunc) {
 	c.mutex.Lock()
-	answering := c.answering
+	callsContext := c.callsContext
 	c.mutex.Unlock()
 	ctx, cancel := context.WithCancel(parent)
-	detach := context.AfterFunc(answering, cancel)
+	detach := context.AfterFunc(callsContext, cancel)
 	return ctx, func() {
 		detach()
 		cancel()
--- a/internal/cluster/listwatch/probe.go
+++ b/internal/cluster/listwatch/probe.go
@@ -23,7 +23,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, probeInterval)
 		if r.Contact.Lost() || r.usesRelay() {
-			continue // follow is retrying already, or relays keep the node up to date
+			continue // listAndWatch is retrying already, or relays keep the node up to date
 		}
 		err := r.probeOnce(ctx)
 		switch {
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -91,15 +91,15 @@
 // Run keeps the merger up to date with the store until the context ends.
 func (r *Reflector) Run(ctx context.Context) {
 	var running tasks.Group
-	running.Go(func() { r.follow(ctx) })
+	running.Go(func() { r.listAndWatch(ctx) })
 	running.Go(func() { r.probe(ctx) })
 	running.Wait()
 }
 
-// follow lists the store, watches it from the revision of the list, and lists it again if
-// the store has compacted its history. It makes no calls while relays keep the node up to
-// date.
-func (r *Reflector) follow(ctx context.Context) {
+// listAndWatch lists the store, watches it from the revision of the list, and lists it
+// again if the store has compacted its history. It makes no calls while relays keep the
+// node up to date.
+func (r *Reflector) listAndWatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.waitsForPeer(time.Now()) {
 			pause.For(ctx, peerCheckInterval)
@@ -116,7 +116,7 @@
 			pause.For(ctx, minRetry)
 			continue
 		}
-		err := r.listOrWatch(ctx)
+		err := r.listOrWatchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -213,8 +213,8 @@
 	}
 }
 
-// listOrWatch makes one list or one watch, and passes the result to the merger.
-func (r *Reflector) listOrWatch(ctx context.Context) error {
+// listOrWatchOnce makes one list or one watch, and passes the result to the merger.
+func (r *Reflector) listOrWatchOnce(ctx context.Context) error {
 	revision := r.Merger.Revision()
 	if revision < 0 || r.needsList || r.Merger.Partial() {
 		return r.listAll(ctx)
--- a/internal/cluster/relay/diskcache.go
+++ b/internal/cluster/relay/diskcache.go
@@ -17,7 +17,11 @@
 // DiskCache keeps a copy of the store's documents on disk. After a power loss of the
 // whole deployment, nodes serve from this copy until the store answers.
 type DiskCache interface {
+	// SaveDocuments saves values and deletes keys, as of a revision. If whole is true,
+	// the values replace all values saved before.
 	SaveDocuments(whole bool, values []ports.Value, deletedKeys []string, revision int64) error
+	// LoadDocuments returns the saved values and their revision, which is negative if
+	// nothing was saved.
 	LoadDocuments() (values []ports.Value, revision int64, err error)
 	// Fits reports whether the disk has room for so many bytes.
 	Fits(bytes int) bool
--- a/internal/cluster/relay/diskcache_test.go
+++ b/internal/cluster/relay/diskcache_test.go
@@ -21,13 +21,13 @@
 	revision int64
 }
 
-func (k *memoryCache) SaveDocuments(whole bool, values []ports.Value, gone []string, revision int64) error {
+func (k *memoryCache) SaveDocuments(whole bool, values []ports.Value, deletedKeys []string, revision int64) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if whole || k.values == nil {
 		k.values = map[string]ports.Value{}
 	}
-	for _, key := range gone {
+	for _, key := range deletedKeys {
 		delete(k.values, key)
 	}
 	for _, value := range values {
@@ -62,19 +62,19 @@
 	is := is.New(t)
 	cache := &memoryCache{revision: -1}
 	mirror := NewMirror(classifyTest)
-	merge := NewMerger(mirror)
+	merger := NewMerger(mirror)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go Persist(ctx, cache, mirror)
 	totals := subset.Totals{{Service: "s", Zone: "z1"}: 2048}
 	config := ports.Value{Key: "config", Revision: 3}
-	merge.ResetToSelection([]ports.Value{config}, Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 4}}, Totals: totals}, 4)
+	merger.ResetToSelection([]ports.Value{config}, Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 4}}, Totals: totals}, 4)
 	eventually.Require(t, "the selection is cached", func() bool { return cache.savedRevision() == 4 })
 
 	node := &recordingSink{values: map[string]int64{}}
-	again := NewMerger(node)
-	Restore(cache, classifyTest, again)
-	is.True(again.Partial())
+	restored := NewMerger(node)
+	Restore(cache, classifyTest, restored)
+	is.True(restored.Partial())
 	is.True(node.partial)
 	is.Equal(node.values, map[string]int64{"config": 3, runnerKey(1): 4})
 	other := NewMirror(classifyTest)
@@ -82,10 +82,10 @@
 	is.True(other.Partial())
 	is.Equal(other.totals, totals)
 
-	merge.Reset([]ports.Value{config, {Key: runnerKey(1), Revision: 4}, {Key: runnerKey(2), Revision: 5}}, 5)
+	merger.Reset([]ports.Value{config, {Key: runnerKey(1), Revision: 4}, {Key: runnerKey(2), Revision: 5}}, 5)
 	eventually.Require(t, "the complete contents are cached", func() bool { return cache.savedRevision() == 5 })
-	Restore(cache, classifyTest, again)
-	is.True(!again.Partial())
+	Restore(cache, classifyTest, restored)
+	is.True(!restored.Partial())
 	is.Equal(len(node.values), 3)
 }
 
@@ -102,13 +102,13 @@
 	}
 	NewMerger(mirror).ResetToSelection([]ports.Value{{Key: "config", Revision: 3}}, Selection{Values: own, Totals: totals}, 4)
 	server := &Source{Mirror: mirror, Lost: func() bool { return true }, Level: func() uint32 { return 1 }}
-	asks := func(after int64) error {
+	request := func(after int64) error {
 		return server.refusalError(&wirev1.FollowRequest{After: after, Level: leafLevel, Interest: &wirev1.RunnerInterest{}})
 	}
-	is.NoErr(asks(-1))
-	is.True(asks(4) != nil)
+	is.NoErr(request(-1))
+	is.True(request(4) != nil)
 	server.Lost = func() bool { return false }
-	is.True(asks(-1) != nil)
+	is.True(request(-1) != nil)
 	update, _ := mirror.After(-1, edgeFollowerView(3))
 	is.Equal(len(update.Selection.Values), len(own))
 	is.Equal(update.Selection.Totals, totals)
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -18,8 +18,11 @@
 
 // Nodes lists the nodes of the fleet that this node knows.
 type Nodes interface {
+	// Self returns the record of this node.
 	Self() *wirev1.NodeRecord
+	// Count returns the number of known nodes.
 	Count() int
+	// Disks returns the records of the nodes with disks.
 	Disks() []*wirev1.NodeRecord
 	// Large reports whether the fleet is so large that a node knows only some of the
 	// others.
@@ -39,7 +42,7 @@
 //
 // In a large fleet the nodes form a tree of three levels. At level 0, one node with a
 // disk in each zone watches the store. At level 1, the other relays of the zone, which
-// are the next nodes with disks in the order of followWeight, follow nodes of level 0. At
+// are the next nodes with disks in the order of watchWeight, follow nodes of level 0. At
 // level 2, all other nodes follow a relay of their zone. The number of relays is such
 // that each has about fanOut followers. A node sends changes only to higher levels, so no
 // two nodes follow each other. Each node is at most two hops from a node that watches the
@@ -128,15 +131,15 @@
 
 // UsesRelay reports whether this node does not need to watch the store itself: another
 // node watches it for the zone, and this node has a live source.
-func (f *Follower) UsesRelay() bool { return f.NeedsRelays() && !f.followsForZone() && f.HasSource() }
+func (f *Follower) UsesRelay() bool { return f.NeedsRelays() && !f.watchesForZone() && f.HasSource() }
 
 // InTree reports whether this node has to receive the store's changes from other nodes of
 // a large fleet.
 func (f *Follower) InTree() bool { return f.Nodes.Large() && f.Level() > 0 }
 
-// followsForZone reports whether this node watches the store for its zone, because no
+// watchesForZone reports whether this node watches the store for its zone, because no
 // other node with a disk that precedes it in the zone's order is alive.
-func (f *Follower) followsForZone() bool {
+func (f *Follower) watchesForZone() bool {
 	if f.Nodes.Large() {
 		return f.Level() == 0
 	}
@@ -146,7 +149,7 @@
 	}
 	now := time.Now()
 	for _, node := range f.Nodes.Disks() {
-		precedes := node.Zone == self.Zone && node.NodeId != self.NodeId && followWeight(node) > followWeight(self)
+		precedes := node.Zone == self.Zone && node.NodeId != self.NodeId && watchWeight(node) > watchWeight(self)
 		if precedes && f.Nodes.InContactWithin(node.NodeId, now, f.Timing.orDefault().AliveTimeout) {
 			return false
 		}
--- a/internal/cluster/relay/follower_test.go
+++ b/internal/cluster/relay/follower_test.go
@@ -19,7 +19,7 @@
 
 // startEdge starts the follower of an edge in a large fleet with one relay, and returns
 // it. The relay calls answer with the number of the stream.
-func startEdge(t *testing.T, merge *Merger, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
+func startEdge(t *testing.T, merger *Merger, answer func(stream int, send func(*wirev1.FollowReply))) *Follower {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 		server.Close()
 	})
 	follower := &Follower{
-		Nodes: directory, Pool: pool, Merger: merge, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, AliveTimeout: time.Minute},
+		Nodes: directory, Pool: pool, Merger: merger, Timing: FollowTiming{Heartbeat: 5 * time.Millisecond, HeartbeatTimeout: time.Minute, AliveTimeout: time.Minute},
 		Interest: func() subset.Interest { return subset.DefaultInterest("edge", "z0", false) },
 	}
 	go follower.Run(ctx)
@@ -62,11 +62,11 @@
 func TestOutdatedSelectionIsRequestedAgain(t *testing.T) {
 	is := is.New(t)
 	node := &recordingSink{values: map[string]int64{}}
-	merge := NewMerger(node)
-	merge.Reset([]ports.Value{{Key: "config", Revision: 4}}, 5)
-	follower := startEdge(t, merge, func(stream int, send func(*wirev1.FollowReply)) {
+	merger := NewMerger(node)
+	merger.Reset([]ports.Value{{Key: "config", Revision: 4}}, 5)
+	follower := startEdge(t, merger, func(stream int, send func(*wirev1.FollowReply)) {
 		if stream == 1 {
-			merge.Apply(nil, 20) // the node reads from the store in the meantime
+			merger.Apply(nil, 20) // the node reads from the store in the meantime
 			send(&wirev1.FollowReply{Selection: true, Revision: 10})
 			send(&wirev1.FollowReply{Revision: 21, Items: []*wirev1.StoredItem{{Key: "config", Revision: 21}}})
 			return
@@ -74,8 +74,8 @@
 		send(&wirev1.FollowReply{Selection: true, Revision: 22, Items: []*wirev1.StoredItem{{Key: "config", Revision: 21}}})
 	})
 	eventually.Require(t, "the node receives changes from the source", follower.HasSource)
-	is.True(merge.Partial())
-	is.Equal(merge.Revision(), int64(22))
+	is.True(merger.Partial())
+	is.Equal(merger.Revision(), int64(22))
 	is.Equal(node.values["config"], int64(21))
 }
 
@@ -83,10 +83,10 @@
 // live.
 func TestSourceThatIsBehindIsNotLive(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerger(&recordingSink{values: map[string]int64{}})
-	merge.Reset(nil, 5)
+	merger := NewMerger(&recordingSink{values: map[string]int64{}})
+	merger.Reset(nil, 5)
 	caughtUp := make(chan struct{})
-	follower := startEdge(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
+	follower := startEdge(t, merger, func(_ int, send func(*wirev1.FollowReply)) {
 		for range 3 {
 			send(&wirev1.FollowReply{})
 		}
@@ -106,9 +106,9 @@
 // report nothing is isolated.
 func TestStoreOutageDoesNotCountAsIsolation(t *testing.T) {
 	is := is.New(t)
-	merge := NewMerger(&recordingSink{values: map[string]int64{}})
-	merge.Reset(nil, 5)
-	follower := startEdge(t, merge, func(_ int, send func(*wirev1.FollowReply)) {
+	merger := NewMerger(&recordingSink{values: map[string]int64{}})
+	merger.Reset(nil, 5)
+	follower := startEdge(t, merger, func(_ int, send func(*wirev1.FollowReply)) {
 		send(&wirev1.FollowReply{Lost: true})
 	})
 	eventually.Require(t, "the source has received two requests", func() bool {
--- a/internal/cluster/relay/isolation.go
+++ b/internal/cluster/relay/isolation.go
@@ -6,9 +6,9 @@
 	// lostReportTTL is how long a source's report of a lost store remains valid. It is
 	// longer than the pause before the next source is tried.
 	lostReportTTL = 4 * time.Second
-	// maxLostDuration is how long a node leaves the store alone while its sources report
-	// that the store does not answer them. Outages are usually shorter. If all nodes
-	// turned to the store during an outage, they would overload it when it comes back.
+	// maxLostDuration is how long a node makes no calls to the store while its sources
+	// report that the store does not answer them. Outages are usually shorter. If all
+	// nodes called the store during an outage, they would overload it when it comes back.
 	maxLostDuration = 30 * time.Second
 )
 
--- a/internal/cluster/relay/mirror.go
+++ b/internal/cluster/relay/mirror.go
@@ -23,8 +23,8 @@
 )
 
 // maxTombstones limits the number of tombstones in a mirror, of some 100 bytes each. A
-// follower that is further behind receives the complete contents. Existing values are not
-// subject to this limit. A release that replaces half of 30,000 runners stays within it.
+// follower that needs older tombstones receives the complete contents instead. A release
+// that replaces half of 30,000 runners stays within the limit.
 const maxTombstones = 16384
 
 // Mirror holds a copy of the store for the node's followers. It implements SelectiveSink.
@@ -48,8 +48,8 @@
 	// unsorted is true if the log has to be sorted before it is read.
 	unsorted   bool
 	tombstones map[string]tombstone
-	// compactedRevision is the newest revision of which tombstones have been removed. A
-	// follower that is further behind needs the complete contents.
+	// compactedRevision is the newest revision whose tombstones have been removed. A
+	// follower at an older revision needs the complete contents.
 	compactedRevision int64
 	changed           chan struct{}
 }
--- a/internal/cluster/relay/relay_test.go
+++ b/internal/cluster/relay/relay_test.go
@@ -61,7 +61,7 @@
 	revision int64
 	mirrors  [2]*Mirror
 	streams  [2]int64 // the revision that the stream of each mirror has reached
-	merge    *Merger
+	merger   *Merger
 	sink     *checkingSink
 }
 
@@ -103,7 +103,7 @@
 	if update == nil {
 		return
 	}
-	applyReply(encodeUpdate(update), m.merge, subset.Interest{})
+	applyReply(encodeUpdate(update), m.merger, subset.Interest{})
 	m.streams[index] = update.Revision
 }
 
@@ -114,7 +114,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{values: map[string]int64{}, mirrors: [2]*Mirror{NewMirror(nil), NewMirror(nil)}, streams: [2]int64{-1, -1}}
 		m.sink = &checkingSink{values: map[string]int64{}, fail: t.Fatalf}
-		m.merge = NewMerger(m.sink)
+		m.merger = NewMerger(m.sink)
 		for _, mirror := range m.mirrors {
 			m.list(mirror)
 		}
@@ -131,20 +131,20 @@
 			},
 			"mirror lists again": func(t *rapid.T) { m.list(m.mirrors[which.Draw(t, "mirror")]) },
 			"passed on":          func(t *rapid.T) { m.sendUpdate(which.Draw(t, "mirror")) },
-			"stream begins anew": func(t *rapid.T) { m.streams[which.Draw(t, "mirror")] = m.merge.Revision() },
+			"stream begins anew": func(t *rapid.T) { m.streams[which.Draw(t, "mirror")] = m.merger.Revision() },
 		})
 		for index, mirror := range m.mirrors {
 			m.catchUp(mirror, m.revision)
 			m.sendUpdate(index)
 		}
-		if m.merge.Revision() != m.revision || !maps.Equal(m.sink.values, m.values) {
-			t.Fatalf("held %v at %d, the store has %v at %d", m.sink.values, m.merge.Revision(), m.values, m.revision)
+		if m.merger.Revision() != m.revision || !maps.Equal(m.sink.values, m.values) {
+			t.Fatalf("the follower holds %v at %d, the store holds %v at %d", m.sink.values, m.merger.Revision(), m.values, m.revision)
 		}
 	})
 }
 
 // The mirror keeps only the newest change of each value and a limited number of
-// tombstones. A follower that is further behind receives the complete contents.
+// tombstones. A follower that needs older tombstones receives the complete contents.
 func TestChangeLogIsBounded(t *testing.T) {
 	mirror := NewMirror(nil)
 	mirror.Reset(nil, 1)
@@ -164,7 +164,7 @@
 		value := ports.Value{Key: fmt.Sprint("gone-", key), Revision: revision}
 		mirror.Apply([]ports.WatchEvent{{Value: value}, {Value: ports.Value{Key: value.Key, Revision: revision + 1}, Deleted: true}}, revision+1)
 		if len(mirror.tombstones) > maxTombstones+compactSlack+1 {
-			t.Fatalf("%d ends are kept", len(mirror.tombstones))
+			t.Fatalf("%d tombstones are kept", len(mirror.tombstones))
 		}
 	}
 	if update, _ := mirror.After(5001, nil); !update.Whole || len(update.Values) != 1 {
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -25,19 +25,19 @@
 	maxWatched = 12
 )
 
-// followWeight orders the nodes of a zone; the living node with the highest weight
+// watchWeight orders the nodes of a zone; the living node with the highest weight
 // watches the store.
-func followWeight(node *wirev1.NodeRecord) uint64 { return ownership.NodeWeight("store", node.NodeId) }
+func watchWeight(node *wirev1.NodeRecord) uint64 { return ownership.NodeWeight("store", node.NodeId) }
 
-// byFollowWeight returns nodes with disks by descending followWeight.
-func byFollowWeight(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
+// byWatchWeight returns nodes with disks by descending watchWeight.
+func byWatchWeight(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
 	type weightedNode struct {
 		node   *wirev1.NodeRecord
 		weight uint64
 	}
 	list := make([]weightedNode, len(disks))
 	for i, node := range disks {
-		list[i] = weightedNode{node, followWeight(node)}
+		list[i] = weightedNode{node, watchWeight(node)}
 	}
 	slices.SortFunc(list, func(a, b weightedNode) int { return cmp.Compare(b.weight, a.weight) })
 	ordered := make([]*wirev1.NodeRecord, len(list))
@@ -52,7 +52,7 @@
 	node *wirev1.NodeRecord
 	// failed is true if the candidate failed recently as a source.
 	failed bool
-	// rank is the number of nodes of the candidate's zone with a higher followWeight; in
+	// rank is the number of nodes of the candidate's zone with a higher watchWeight; in
 	// a large fleet it is the result of treeRank.
 	rank int
 	// otherZone is true if the candidate is in another zone than this node.
@@ -64,7 +64,7 @@
 func candidates(disks []*wirev1.NodeRecord, self *wirev1.NodeRecord) []*candidate {
 	ranks := map[string]int{}
 	list := make([]*candidate, 0, len(disks))
-	for _, node := range byFollowWeight(disks) {
+	for _, node := range byWatchWeight(disks) {
 		list = append(list, &candidate{
 			node: node, rank: ranks[node.Zone], otherZone: node.Zone != self.Zone, tieBreak: tieBreak(self.NodeId, node.NodeId),
 		})
@@ -96,7 +96,7 @@
 type treePosition struct {
 	generation uint64
 	// preceding holds the zone's nodes with disks that precede this one, by descending
-	// followWeight.
+	// watchWeight.
 	preceding  []*wirev1.NodeRecord
 	relayCount int
 }
@@ -117,8 +117,8 @@
 	}
 	// Of other zones, this node knows only the nodes with disks.
 	next := &treePosition{generation: generation, relayCount: relayCount(f.Nodes.Count() - len(disks) + len(inZone))}
-	for _, node := range byFollowWeight(inZone) {
-		if self.DiskId == "" || followWeight(node) > followWeight(self) {
+	for _, node := range byWatchWeight(inZone) {
+		if self.DiskId == "" || watchWeight(node) > watchWeight(self) {
 			next.preceding = append(next.preceding, node)
 		}
 	}
--- a/internal/cluster/relay/tree_test.go
+++ b/internal/cluster/relay/tree_test.go
@@ -170,7 +170,7 @@
 			most = max(most, count)
 		}
 		t.Logf("%d nodes: %d sources, the busiest with %d followers, %d followers with a source in another zone; a node probes at most %d others", len(f.records), len(followers), most, far, probed)
-		is.True(most <= 2*fanOut) // sources are chosen at random
+		is.True(most <= 2*fanOut) // sources are chosen by a hash, so the numbers vary
 		is.True(probed <= maxWatched)
 		is.Equal(far, 0)
 	}
--- a/internal/cluster/relay/view_test.go
+++ b/internal/cluster/relay/view_test.go
@@ -76,7 +76,7 @@
 }
 
 func (m *treeModel) openStream(source int) {
-	m.source, m.view, m.after = source, &FollowerView{Interest: m.interest}, m.merge.Revision()
+	m.source, m.view, m.after = source, &FollowerView{Interest: m.interest}, m.merger.Revision()
 }
 
 func (m *treeModel) sendUpdateToNode() {
@@ -84,7 +84,7 @@
 	if update == nil {
 		return
 	}
-	applyReply(encodeUpdate(update), m.merge, m.view.Interest)
+	applyReply(encodeUpdate(update), m.merger, m.view.Interest)
 	m.after = update.Revision
 }
 
@@ -96,7 +96,7 @@
 		m := &treeModel{storeModel: storeModel{values: map[string]int64{}, mirrors: [2]*Mirror{NewMirror(classifyTest), NewMirror(classifyTest)}}}
 		m.interest = subset.Interest{Node: "edge", Zone: "z0", Near: 16, Far: 4}
 		m.node = &recordingSink{values: map[string]int64{}}
-		m.merge = NewMerger(m.node)
+		m.merger = NewMerger(m.node)
 		for _, mirror := range m.mirrors {
 			m.list(mirror)
 		}
@@ -133,10 +133,10 @@
 				m.openStream(m.source)
 			},
 			"": func(t *rapid.T) {
-				if m.merge.Revision() < held {
-					t.Fatalf("the revision went back from %d to %d", held, m.merge.Revision())
+				if m.merger.Revision() < held {
+					t.Fatalf("the revision went back from %d to %d", held, m.merger.Revision())
 				}
-				held = m.merge.Revision()
+				held = m.merger.Revision()
 			},
 		})
 		m.catchUp(m.mirrors[m.source], m.revision)
@@ -159,22 +159,22 @@
 	})
 }
 
-// A node that holds all runners ignores changes from the source of a selection, and a
-// node that holds a selection ignores changes from a source of all runners.
+// A merger that holds all runners ignores changes from the source of a selection, and a
+// merger that holds a selection ignores changes from a source of all runners.
 func TestFullAndSelectiveSourcesDoNotMix(t *testing.T) {
 	is := is.New(t)
 	node := &recordingSink{values: map[string]int64{}}
-	merge := NewMerger(node)
-	merge.Reset([]ports.Value{{Key: runnerKey(1), Revision: 1}, {Key: runnerKey(2), Revision: 2}}, 2)
-	merge.ApplySelected([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(1), Revision: 4}, Deleted: true}}, 4)
-	is.Equal(merge.Revision(), int64(2)) // otherwise the change at 3 would be ignored as old
-	merge.Apply([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(2), Revision: 3}, Deleted: true}}, 4)
+	merger := NewMerger(node)
+	merger.Reset([]ports.Value{{Key: runnerKey(1), Revision: 1}, {Key: runnerKey(2), Revision: 2}}, 2)
+	merger.ApplySelected([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(1), Revision: 4}, Deleted: true}}, 4)
+	is.Equal(merger.Revision(), int64(2)) // otherwise the change at 3 would be ignored as old
+	merger.Apply([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(2), Revision: 3}, Deleted: true}}, 4)
 	is.Equal(len(node.values), 1)
-	merge.Select(Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 1}}}, nil, 4)
-	merge.Apply([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(9), Revision: 5}}}, 5)
-	is.Equal(merge.Revision(), int64(4)) // no source would send the deletion of that runner
+	merger.Select(Selection{Values: []ports.Value{{Key: runnerKey(1), Revision: 1}}}, nil, 4)
+	merger.Apply([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(9), Revision: 5}}}, 5)
+	is.Equal(merger.Revision(), int64(4)) // no source would send the deletion of that runner
 	is.Equal(len(node.values), 1)
-	merge.ApplySelected([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(1), Revision: 5}, Deleted: true}}, 5)
+	merger.ApplySelected([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(1), Revision: 5}, Deleted: true}}, 5)
 	is.Equal(len(node.values), 0)
 }
 
@@ -255,7 +255,7 @@
 	is := is.New(t)
 	mirror := newFleetMirror(10_000)
 	before := mirror.revision
-	for number := range 3000 { // more changes than the log keeps
+	for number := range 3000 { // many changes of few keys
 		mirror.Apply([]ports.WatchEvent{{Value: ports.Value{Key: runnerKey(number % 30), Value: make([]byte, 180), Revision: before + int64(number) + 1}}}, before+int64(number)+1)
 	}
 	update, _ := mirror.After(before, nil)
