--- a/internal/cluster/notify/notify.go
+++ b/internal/cluster/notify/notify.go
@@ -26,6 +26,7 @@
 
 // NoticeSender sends one-way messages, which may be lost. It does not block.
 type NoticeSender interface {
+	// NotifyAll sends a message to each address.
 	NotifyAll(addresses []string, class rpc.Class, method wirev1.Method, message proto.Message)
 }
 
--- a/internal/cluster/relay/diskcache.go
+++ b/internal/cluster/relay/diskcache.go
@@ -23,7 +23,7 @@
 	// LoadDocuments returns the saved values and their revision, which is negative if
 	// nothing was saved.
 	LoadDocuments() (values []ports.Value, revision int64, err error)
-	// Fits reports whether the disk has room for so many bytes.
+	// Fits reports whether the disk has room for the given number of bytes.
 	Fits(bytes int) bool
 }
 
@@ -146,7 +146,8 @@
 	return true
 }
 
-// latestValues returns the latest value of each key that the events leave in place.
+// latestValues returns the newest value of each key, without the keys whose last event is
+// a deletion.
 func latestValues(events []ports.WatchEvent) []ports.Value {
 	last := map[string]ports.WatchEvent{}
 	for _, event := range events {
--- a/internal/cluster/relay/isolation.go
+++ b/internal/cluster/relay/isolation.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// duration returns how long the node has been isolated at now.
+// duration returns how long the node has been isolated; 0 if it is not isolated at now.
 func (i *isolation) duration(hasLiveSource bool, now time.Time) time.Duration {
 	storeIsDown := !i.lastLostReport.IsZero() && now.Sub(i.lastLostReport) < lostReportTTL && now.Sub(i.firstLostReport) < maxLostDuration
 	switch {
--- a/internal/cluster/relay/sink.go
+++ b/internal/cluster/relay/sink.go
@@ -15,6 +15,7 @@
 
 // Selection contains the runners that one node receives instead of all runners.
 type Selection struct {
+	// Values holds the entries of the selected runners, without the retained ones.
 	Values []ports.Value
 	// Totals holds how many runners there are, by service and zone.
 	Totals subset.Totals
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -87,9 +87,11 @@
 	}
 }
 
+// tieBreak orders candidates of equal rank differently for each node, which spreads the
+// followers over the candidates.
 func tieBreak(self, node string) uint64 { return xxhash.Sum64String(self + "/" + node) }
 
-// relayCount returns the number of relays of a zone with so many nodes.
+// relayCount returns the number of relays of a zone with the given number of nodes.
 func relayCount(nodes int) int { return max(minRelays, (nodes+fanOut-1)/fanOut+1) }
 
 // treePosition holds the data from which a node derives its level in the tree.
@@ -217,6 +219,8 @@
 	rankFallback          // not a source while the nodes that precede it are alive
 )
 
+// treeRank returns the rank of a living candidate for a node at the given level. It
+// expects option.rank to be the candidate's position among the living nodes of its zone.
 func treeRank(option *candidate, level uint32, relayCount int) int {
 	isFirst := option.rank == 0
 	isSource := isFirst || level == leafLevel && option.rank < relayCount
--- a/internal/cluster/relay/view_test.go
+++ b/internal/cluster/relay/view_test.go
@@ -178,7 +178,7 @@
 	is.Equal(len(node.values), 0)
 }
 
-// newFleetMirror returns a mirror with so many runners and one other value.
+// newFleetMirror returns a mirror with the given number of runners and one other value.
 func newFleetMirror(runners int) *Mirror {
 	mirror := NewMirror(classifyTest)
 	values := []ports.Value{{Key: "config", Value: make([]byte, 20_000), Revision: 1}}
