--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -7,8 +7,9 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// Asking implements peers.Documents. A node that relays keep up to date asks no peer
-// for the same, and in a large fleet peers know other runners.
+// Asking implements peers.Documents. In a large fleet it requests no runners, because
+// peers know other subsets of them. If relays also keep the node up to date, it requests
+// neither the configuration nor the layout.
 func (i *Informer) FillRequest(request *wirev1.PeerStateRequest) {
 	request.HoldsDigest = i.Quarantine.Digest()
 	request.RunnersRevision = i.runners.currentRevision()
@@ -20,15 +21,15 @@
 		request.LayoutKnown = true
 		return
 	}
-	if held := i.Catalogs.Current(); held != nil {
-		request.CatalogVersion = held.Version
+	if current := i.Catalogs.Current(); current != nil {
+		request.CatalogVersion = current.Version
 	}
 	request.LayoutDigest = i.Layouts.Digest()
 }
 
 // Newer implements peers.Documents.
 func (i *Informer) FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
-	if held := i.Catalogs.Current(); held != nil && held.Version > request.CatalogVersion {
+	if current := i.Catalogs.Current(); current != nil && current.Version > request.CatalogVersion {
 		reply.Catalog, reply.CatalogRevision = i.Catalogs.Document()
 	}
 	if request.LayoutDigest != i.Layouts.Digest() && !request.LayoutKnown {
@@ -42,9 +43,9 @@
 
 // Take implements peers.Documents.
 func (i *Informer) ApplyReply(reply *wirev1.PeerStateReply, from string) {
-	i.answered.Store(true)
+	i.peerAnswered.Store(true)
 	if len(reply.Catalog) > 0 {
-		i.offerConfig(reply.Catalog, reply.CatalogRevision, from)
+		i.updateConfig(reply.Catalog, reply.CatalogRevision, from)
 	}
 	for _, document := range reply.Layout {
 		i.Layouts.UpdateIfNewer(document.Key, document.Value, document.Revision, from)
@@ -54,8 +55,8 @@
 		return
 	}
 	values := make([]ports.Value, 0, len(reply.Runners))
-	for _, pair := range reply.Runners {
-		values = append(values, ports.Value{Key: string(pair.Key), Value: pair.Value})
+	for _, entry := range reply.Runners {
+		values = append(values, ports.Value{Key: string(entry.Key), Value: entry.Value})
 	}
 	i.runners.replace(values, reply.RunnersRevision, from)
 }
--- a/internal/cluster/informer/routing.go
+++ b/internal/cluster/informer/routing.go
@@ -7,12 +7,12 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/relay"
 )
 
-// sinksByPrefix splits what one watch returns among those who take parts of it, so
-// that a node holds one watch and not one for each part. A sink gets changes
-// only if some lie below its prefix.
-type sinksByPrefix []sinkOfPrefix
+// sinksByPrefix distributes the results of one watch to several sinks by key prefix, so
+// that a node needs only one watch. Apply calls a sink only if a change has the sink's
+// prefix.
+type sinksByPrefix []prefixSink
 
-type sinkOfPrefix struct {
+type prefixSink struct {
 	prefix string
 	sink   relay.Sink
 }
@@ -21,36 +21,36 @@
 
 // Reset implements relay.Sink.
 func (s sinksByPrefix) Reset(values []ports.Value, revision int64) {
-	for _, part := range s {
-		var own []ports.Value
+	for _, target := range s {
+		var matching []ports.Value
 		for _, value := range values {
-			if strings.HasPrefix(value.Key, part.prefix) {
-				own = append(own, value)
+			if strings.HasPrefix(value.Key, target.prefix) {
+				matching = append(matching, value)
 			}
 		}
-		part.sink.Reset(own, revision)
+		target.sink.Reset(matching, revision)
 	}
 }
 
 // Apply implements relay.Sink.
 func (s sinksByPrefix) Apply(events []ports.WatchEvent, revision int64) {
-	for _, part := range s {
-		var own []ports.WatchEvent
+	for _, target := range s {
+		var matching []ports.WatchEvent
 		for _, event := range events {
-			if strings.HasPrefix(event.Value.Key, part.prefix) {
-				own = append(own, event)
+			if strings.HasPrefix(event.Value.Key, target.prefix) {
+				matching = append(matching, event)
 			}
 		}
-		if len(own) > 0 {
-			part.sink.Apply(own, revision)
+		if len(matching) > 0 {
+			target.sink.Apply(matching, revision)
 		}
 	}
 }
 
 // Select implements relay.SelectiveSink.
 func (s sinksByPrefix) Select(selection relay.Selection, revision int64) {
-	for _, part := range s {
-		if selective, takes := part.sink.(relay.SelectiveSink); takes {
+	for _, target := range s {
+		if selective, isSelective := target.sink.(relay.SelectiveSink); isSelective {
 			selective.Select(selection, revision)
 		}
 	}
