--- a/internal/batch/logstore/db.go
+++ b/internal/batch/logstore/db.go
@@ -1,8 +1,9 @@
-// Package logstore keeps the replicated logs and states of a node's shards in
-// one embedded pebble database under the data folder, and what was last known of the
-// platform's store. It owns the folder and the disk's identity. All shards share its
-// write-ahead log, so their fsyncs are grouped. Storage nodes and plain nodes with a
-// data folder run it; what it has written has to stay readable.
+// Package logstore stores the replicated logs and states of a node's shards in one
+// embedded pebble database in the data folder. The same database holds a copy of the
+// documents of the platform's store. The package owns the data folder and the disk's
+// identity. All shards share the database's write-ahead log, so that one fsync serves
+// several of them. Storage nodes and plain nodes with a data folder use the package.
+// Later versions must be able to read the stored data.
 package logstore
 
 import (
@@ -28,11 +29,11 @@
 	identityFile   = "disk-id"
 )
 
-// DiskLimits bound what a database takes of its disk; zero values bound nothing.
+// DiskLimits limits the disk space that a database uses. A zero value means no limit.
 type DiskLimits struct {
-	// ReservedBytes is how many bytes of the file system stay free.
+	// ReservedBytes is the space on the file system that must stay free.
 	ReservedBytes int64
-	// MaxBytes is how many bytes the database may take.
+	// MaxBytes is the largest size of the database.
 	MaxBytes int64
 }
 
@@ -43,17 +44,17 @@
 	diskID string
 	limits DiskLimits
 	pebble *pebble.DB
-	// closing is held by those who may write while the database is closed.
+	// closing is read-locked by operations that use the database, and locked by Close.
 	closing sync.RWMutex
 	closed  bool
 }
 
-// Open opens or creates the database of a data folder. A database that is
-// damaged is moved aside and replaced by an empty one with a new identity: it
-// may have forgotten promises, so it must not vote as the disk it was.
+// Open opens or creates the database of a data folder. It moves a damaged database
+// aside and replaces it by an empty one. The disk then gets a new identity: promises
+// may be lost with the old database, so the disk must not vote as the same member.
 func Open(folder string, limits DiskLimits) (*DB, error) { return OpenOn(vfs.Default, folder, limits) }
 
-// OpenOn is Open on a file system.
+// OpenOn is like Open, but uses the given file system.
 func OpenOn(fs vfs.FS, folder string, limits DiskLimits) (*DB, error) {
 	if err := fs.MkdirAll(folder, 0o755); err != nil {
 		return nil, trace.Wrap(trace.ConvertSystemError(err), "data folder")
@@ -71,20 +72,20 @@
 	}
 	d.pebble = opened
 	if d.diskID, err = d.identity(); err != nil {
-		closeUnneeded(opened)
+		closeIgnoringError(opened)
 		return nil, err
 	}
 	return d, nil
 }
 
-// openChecked opens a database and checks every entry of every log.
+// openChecked opens a database and verifies every entry of every log.
 func (d *DB) openChecked(path string) (*pebble.DB, error) {
 	opened, err := d.openPebble(path)
 	if err != nil {
 		return nil, err
 	}
 	if err := (&DB{pebble: opened}).check(); err != nil {
-		closeUnneeded(opened)
+		closeIgnoringError(opened)
 		return nil, err
 	}
 	return opened, nil
@@ -106,14 +107,14 @@
 func (d *DB) openPebble(path string) (*pebble.DB, error) {
 	options := &pebble.Options{
 		FS:           d.fs,
-		Logger:       quietLogger{},
+		Logger:       errorLogger{},
 		MemTableSize: memTableBytes(d.limits.MaxBytes),
-		// Values are small records and segments that are read once or twice.
+		// A small table cache suffices: values are rarely read more than twice.
 		MaxOpenFiles: 256,
 	}
 	if d.limits.MaxBytes > 0 {
-		// Most of what is written is soon dropped: it is merged early, so that it
-		// takes little of the disk.
+		// Most data is deleted soon after it was written. Early compaction frees its
+		// space on a small disk.
 		options.L0CompactionThreshold = 2
 		options.LBaseMaxBytes = int64(options.MemTableSize)
 	}
@@ -121,46 +122,46 @@
 }
 
 const (
-	maxMemTable = 16 << 20
-	minMemTable = 1 << 20
-	// memTablePart of a small disk: what is in memory is in the write-ahead log
-	// too, of which there are several.
-	memTablePart = 1.0 / 96
+	maxMemTableBytes = 16 << 20
+	minMemTableBytes = 1 << 20
+	// memTableFraction is the share of a small disk that one memory table may have. It
+	// is small because each table is in a write-ahead log too, and several logs exist.
+	memTableFraction = 1.0 / 96
 )
 
-// memTableBytes is how much is collected in memory before it becomes a table.
+// memTableBytes returns the size at which a memory table is flushed to disk.
 func memTableBytes(disk int64) uint64 {
 	if disk <= 0 {
-		return maxMemTable
+		return maxMemTableBytes
 	}
-	return uint64(min(max(memTablePart*float64(disk), minMemTable), maxMemTable))
+	return uint64(min(max(memTableFraction*float64(disk), minMemTableBytes), maxMemTableBytes))
 }
 
-// quietLogger drops pebble's routine messages; a fatal one ends the process,
-// because a log that cannot be written must not acknowledge.
-type quietLogger struct{}
+// errorLogger drops pebble's routine messages. A fatal message ends the process,
+// because a node whose log cannot be written must not acknowledge entries.
+type errorLogger struct{}
 
 // Infof implements pebble.Logger.
-func (quietLogger) Infof(string, ...any) {}
+func (errorLogger) Infof(string, ...any) {}
 
-// errorPause is how long the database's background work pauses after an error: it
-// tries again at once, which a full disk would make it do without end.
-const errorPause = 200 * time.Millisecond
+// errorRetryDelay is the delay after an error of the database's background work.
+// Pebble retries without a delay of its own and would loop on a full disk.
+const errorRetryDelay = 200 * time.Millisecond
 
 // Errorf implements pebble.Logger.
-func (quietLogger) Errorf(format string, args ...any) {
+func (errorLogger) Errorf(format string, args ...any) {
 	klog.Errorf("storage: "+format, args...)
-	time.Sleep(errorPause)
+	time.Sleep(errorRetryDelay)
 }
 
 // Fatalf implements pebble.Logger.
-func (quietLogger) Fatalf(format string, args ...any) { klog.Fatalf("storage: "+format, args...) }
+func (errorLogger) Fatalf(format string, args ...any) { klog.Fatalf("storage: "+format, args...) }
 
-// identity returns the disk's identity, which lives beside the database and is
-// replaced with it.
+// identity returns the disk's identity. It creates the identity file, which lies
+// beside the database, if there is none.
 func (d *DB) identity() (string, error) {
 	path := filepath.Join(d.folder, identityFile)
-	if text := d.read(path); text != "" {
+	if text := d.readText(path); text != "" {
 		return text, nil
 	}
 	id := newDiskID()
@@ -170,13 +171,14 @@
 	return id, nil
 }
 
-// read returns a small file's text without its end, "" if it can't be read.
-func (d *DB) read(path string) string {
+// readText returns the content of a small file without surrounding white space, or ""
+// if the file cannot be read.
+func (d *DB) readText(path string) string {
 	file, err := d.fs.Open(path)
 	if err != nil {
 		return ""
 	}
-	defer closeUnneeded(file)
+	defer closeIgnoringError(file)
 	text, err := io.ReadAll(file)
 	if err != nil {
 		return ""
@@ -184,7 +186,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// diskIDBytes of randomness name a disk; ids travel on every replica message.
+// diskIDBytes is the number of random bytes in a disk identity. It is small because
+// every replica message carries identities.
 const diskIDBytes = 8
 
 func newDiskID() string {
@@ -192,8 +195,9 @@
 	return fmt.Sprintf("disk-%x", random[:diskIDBytes])
 }
 
-// writeSynced replaces a file so that a loss of power leaves the old or the
-// new one: the text is synced before the name, and the name before return.
+// writeSynced replaces a file atomically: after a power loss the file has either its
+// old or its new content. It syncs the content before the rename, and the folders
+// before it returns.
 func (d *DB) writeSynced(path string, text []byte) error {
 	temporary := path + ".new"
 	file, err := d.fs.Create(temporary, vfs.WriteCategoryUnspecified)
@@ -201,11 +205,11 @@
 		return trace.ConvertSystemError(err)
 	}
 	if _, err := file.Write(text); err != nil {
-		closeUnneeded(file)
+		closeIgnoringError(file)
 		return trace.ConvertSystemError(err)
 	}
 	if err := file.Sync(); err != nil {
-		closeUnneeded(file)
+		closeIgnoringError(file)
 		return trace.ConvertSystemError(err)
 	}
 	if err := file.Close(); err != nil {
@@ -217,11 +221,12 @@
 	return d.syncFolders()
 }
 
-// syncFolders makes the names in the data folder, and its own, last.
+// syncFolders syncs the data folder and its parents, so that their entries survive a
+// power loss.
 func (d *DB) syncFolders() error {
 	for folder := d.folder; ; folder = filepath.Dir(folder) {
 		if err := d.syncFolder(folder); err != nil && folder == d.folder {
-			return err // the folders above may be out of reach
+			return err // errors of the parents are ignored: the process may lack access
 		}
 		if folder == filepath.Dir(folder) {
 			return nil
@@ -234,15 +239,16 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	defer closeUnneeded(opened)
+	defer closeIgnoringError(opened)
 	return trace.ConvertSystemError(opened.Sync())
 }
 
-// closeUnneeded closes what was only read, a batch that is committed or dropped, or
-// what another error has made useless: an error of the close itself can't matter.
-func closeUnneeded(closer io.Closer) { _ = closer.Close() }
+// closeIgnoringError closes a resource whose close error has no consequence: a reader,
+// a batch that was committed or dropped, or a file whose write has failed already.
+func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
-// moveAside keeps a damaged database for inspection and forgets its identity.
+// moveAside renames a damaged database, so that it can be inspected, and removes the
+// disk's identity.
 func (d *DB) moveAside() error {
 	stamp := time.Now().UTC().Format("20060102-150405.000")
 	from := filepath.Join(d.folder, databaseFolder)
@@ -266,9 +272,10 @@
 	return trace.Wrap(d.pebble.Close())
 }
 
-// use keeps the database open until it is released; the error says that it is closed.
-// A node that stops, or whose start has failed, closes it while others still read.
-func (d *DB) use() (release func(), err error) {
+// acquire keeps the database open until release is called. It returns an error if the
+// database is closed: a node that stops, or whose start has failed, closes the
+// database while other goroutines still read.
+func (d *DB) acquire() (release func(), err error) {
 	d.closing.RLock()
 	if d.closed {
 		d.closing.RUnlock()
@@ -277,37 +284,38 @@
 	return d.closing.RUnlock, nil
 }
 
-// HasFreeSpace reports whether more than the reserve is free under the data folder.
+// HasFreeSpace reports whether the data folder's file system has more free space than
+// the reserved bytes.
 func (d *DB) HasFreeSpace() bool {
 	usage, err := d.fs.GetDiskUsage(d.folder)
 	return err == nil && int64(usage.AvailBytes) > d.limits.ReservedBytes
 }
 
-// usablePart of the disk may be taken when something is accepted: what is accepted has
-// to be finished, and tables are written anew before old ones go.
-const usablePart = 0.7
+// usableFraction is the share of MaxBytes up to which new data is accepted. The rest is
+// for completing accepted work, and for compactions, which write new tables before they
+// delete the old ones.
+const usableFraction = 0.7
 
-// WriteAmplification is how many times what is accepted lies on a disk until the log
-// and older tables are dropped.
+// WriteAmplification is the number of copies of accepted data on a disk until the log
+// and older tables are deleted.
 const WriteAmplification = 2
 
-// Fits reports whether something of that size may be accepted.
+// Fits reports whether the database has space to accept data of the given size.
 func (d *DB) Fits(bytes int) bool { return uint64(WriteAmplification*bytes) < d.FreeBytes() }
 
-// FreeBytes returns how many bytes may be written before nothing is accepted any
-// more.
+// FreeBytes returns how many bytes can be written before new data is refused.
 func (d *DB) FreeBytes() uint64 {
 	if d.limits.MaxBytes <= 0 {
 		return math.MaxUint64 >> 1
 	}
-	full := uint64(usablePart * float64(d.limits.MaxBytes))
-	return full - min(full, d.Used())
+	usable := uint64(usableFraction * float64(d.limits.MaxBytes))
+	return usable - min(usable, d.Used())
 }
 
-// Used returns how many bytes the database takes of the disk; all of them once it is
-// closed, so that nothing is accepted.
+// Used returns the disk space of the database. For a closed database it returns the
+// largest value, so that no data is accepted.
 func (d *DB) Used() uint64 {
-	release, err := d.use()
+	release, err := d.acquire()
 	if err != nil {
 		return math.MaxUint64
 	}
@@ -318,11 +326,11 @@
 // Metrics returns pebble's metrics.
 func (d *DB) Metrics() *pebble.Metrics { return d.pebble.Metrics() }
 
-// Key spaces of a shard.
+// Key spaces of a shard, each a byte that follows the shard's number.
 const (
 	spaceMeta  = 0x01
 	spaceLog   = 0x02
-	spaceState = 0x03 // followed by the slot
+	spaceState = 0x03 // a byte with the slot follows
 )
 
 func shardPrefix(shard uint32, space byte) []byte {
--- a/internal/batch/logstore/documents.go
+++ b/internal/batch/logstore/documents.go
@@ -9,36 +9,36 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// documentSpace is where a shard's number stands for keys that belong to no
-// shard: the documents last known of the platform's store.
-const documentSpace = ^uint32(0)
+// documentShard is the reserved shard number in the keys of the documents that were
+// copied from the platform's store.
+const documentShard = ^uint32(0)
 
 const (
-	documentKind = 'd' // revision, value
-	revisionKind = 'r'
+	documentKind = 'd' // the value is the document's revision and its content
+	revisionKind = 'r' // the value is the revision of the whole copy
 	revisionSize = 8
 )
 
 func documentKey(kind byte, key string) []byte {
-	return append(append(binary.BigEndian.AppendUint32(nil, documentSpace), kind), key...)
+	return append(append(binary.BigEndian.AppendUint32(nil, documentShard), kind), key...)
 }
 
-// SaveDocuments keeps what is known of the platform's store: all of it, or what
-// has changed. It is durable when it returns.
-func (d *DB) SaveDocuments(whole bool, values []ports.Value, gone []string, revision int64) error {
-	release, err := d.use()
+// SaveDocuments saves documents of the platform's store: all of them if replaceAll is
+// set, otherwise the changed and deleted ones. The data is durable on return.
+func (d *DB) SaveDocuments(replaceAll bool, values []ports.Value, deleted []string, revision int64) error {
+	release, err := d.acquire()
 	if err != nil {
 		return err
 	}
 	defer release()
 	batch := d.pebble.NewBatch()
-	defer closeUnneeded(batch)
-	if whole {
+	defer closeIgnoringError(batch)
+	if replaceAll {
 		if err := batch.DeleteRange(documentKey(documentKind, ""), documentKey(documentKind+1, ""), nil); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	for _, key := range gone {
+	for _, key := range deleted {
 		if err := batch.Delete(documentKey(documentKind, key), nil); err != nil {
 			return trace.Wrap(err)
 		}
@@ -52,13 +52,13 @@
 	if err := batch.Set(documentKey(revisionKind, ""), binary.BigEndian.AppendUint64(nil, uint64(revision)), nil); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(batch.Commit(pebble.Sync), "keeping documents")
+	return trace.Wrap(batch.Commit(pebble.Sync), "saving documents")
 }
 
-// LoadDocuments returns what was kept, and the revision it is of; negative if
-// nothing was.
+// LoadDocuments returns the saved documents and the revision of the platform's store
+// that they belong to. The revision is negative if no documents were saved.
 func (d *DB) LoadDocuments() ([]ports.Value, int64, error) {
-	release, err := d.use()
+	release, err := d.acquire()
 	if err != nil {
 		return nil, -1, err
 	}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, -1, trace.Wrap(err)
 	}
-	defer closeUnneeded(iterator)
+	defer closeIgnoringError(iterator)
 	prefix := len(documentKey(documentKind, ""))
 	var values []ports.Value
 	for valid := iterator.First(); valid; valid = iterator.Next() {
--- a/internal/batch/logstore/documents_test.go
+++ b/internal/batch/logstore/documents_test.go
@@ -12,9 +12,9 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// What was kept of the platform's store comes back after a restart as it was
-// last kept, and is no shard.
-func TestDocumentsComeBack(t *testing.T) {
+// Checks that a restart loads the documents as they were last saved, and that they are
+// not listed as a shard.
+func TestDocumentsSurviveRestart(t *testing.T) {
 	folder := t.TempDir()
 	round := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -24,12 +24,12 @@
 		revision := int64(-1)
 		for range rapid.IntRange(0, 6).Draw(t, "saves") {
 			revision += rapid.Int64Range(1, 5).Draw(t, "revisions")
-			whole := revision < 5 || rapid.Bool().Draw(t, "whole")
-			if whole {
+			replaceAll := revision < 5 || rapid.Bool().Draw(t, "whole")
+			if replaceAll {
 				want = map[string]string{}
 			}
 			var values []ports.Value
-			var gone []string
+			var deleted []string
 			for _, key := range []string{"", "a", "a/b", "b"} {
 				switch rapid.IntRange(0, 2).Draw(t, "change") {
 				case 0:
@@ -37,7 +37,7 @@
 					values = append(values, ports.Value{Key: key, Value: []byte(text), Revision: revision})
 					want[key] = text
 				case 1:
-					gone = append(gone, key)
+					deleted = append(deleted, key)
 					delete(want, key)
 				}
 			}
@@ -45,14 +45,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := db.SaveDocuments(whole, values, gone, revision); err != nil {
+			if err := db.SaveDocuments(replaceAll, values, deleted, revision); err != nil {
 				t.Fatal(err)
 			}
 			if err := db.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if db.SaveDocuments(false, nil, nil, revision) == nil {
-				t.Fatal("a closed database takes documents")
+				t.Fatal("a closed database saves documents")
 			}
 		}
 		db, err := Open(path, DiskLimits{})
@@ -60,13 +60,13 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = db.Close() }()
-		values, at, err := db.LoadDocuments()
+		values, savedRevision, err := db.LoadDocuments()
 		got := map[string]string{}
 		for _, value := range values {
 			got[value.Key] = string(value.Value)
 		}
-		if err != nil || at != revision || !maps.Equal(got, want) {
-			t.Fatalf("came back: %v at %d, %v; want %v at %d", got, at, err, want, revision)
+		if err != nil || savedRevision != revision || !maps.Equal(got, want) {
+			t.Fatalf("loaded documents: %v at %d, %v; want %v at %d", got, savedRevision, err, want, revision)
 		}
 		if shards, err := db.Shards(); err != nil || len(shards) != 0 {
 			t.Fatalf("shards: %v, %v", shards, err)
@@ -74,24 +74,24 @@
 	})
 }
 
-// Documents kept last are there after a loss of power.
+// Checks that saved documents survive a power loss.
 func TestPowerLossKeepsDocuments(t *testing.T) {
 	is := is.New(t)
 	disk := vfs.NewCrashableMem()
 	db, err := OpenOn(disk, "/data/node", DiskLimits{})
 	is.NoErr(err)
 	is.NoErr(db.SaveDocuments(true, []ports.Value{{Key: "k", Value: []byte("v"), Revision: 3}}, nil, 3))
-	again, err := OpenOn(disk.CrashClone(vfs.CrashCloneCfg{}), "/data/node", DiskLimits{})
+	reopened, err := OpenOn(disk.CrashClone(vfs.CrashCloneCfg{}), "/data/node", DiskLimits{})
 	is.NoErr(err)
-	values, revision, err := again.LoadDocuments()
+	values, revision, err := reopened.LoadDocuments()
 	is.NoErr(err)
 	is.Equal(revision, int64(3))
 	is.Equal(len(values), 1)
 }
 
-// A database that was closed, as by a node that stops while it starts, answers with
-// errors and takes nothing: no goroutine that still reads ends the process.
-func TestClosedDatabase(t *testing.T) {
+// Checks that a closed database returns errors and accepts no data. A goroutine that
+// still reads when a node stops must not end the process.
+func TestClosedDatabaseReturnsErrors(t *testing.T) {
 	is := is.New(t)
 	db, err := Open(t.TempDir(), DiskLimits{MaxBytes: 100 << 20})
 	is.NoErr(err)
--- a/internal/batch/logstore/logstore_test.go
+++ b/internal/batch/logstore/logstore_test.go
@@ -39,7 +39,7 @@
 	is.New(t).NoErr(shard.Persist(ready, config, 0, 0))
 }
 
-func TestRestartFindsWhatWasPersisted(t *testing.T) {
+func TestRestartLoadsPersistedEntries(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	db := open(t, folder)
@@ -49,7 +49,7 @@
 
 	db = open(t, folder)
 	defer func() { is.NoErr(db.Close()) }()
-	is.Equal(db.DiskID(), id) // the disk keeps its identity
+	is.Equal(db.DiskID(), id) // the identity survives the restart
 	shards, err := db.Shards()
 	is.NoErr(err)
 	is.Equal(shards, []uint32{5})
@@ -67,7 +67,7 @@
 	shard := db.Shard(1)
 	persist(t, shard, 1, 10)
 	is.NoErr(shard.Persist(&replica.Ready{TruncateFrom: 6, Entries: entries(6, 7)}, config, 0, 0))
-	// Entries 8 to 10 are gone with the tail they belonged to.
+	// Entries 8 to 10 were deleted with the conflicting tail.
 	loaded, err := shard.Load()
 	is.NoErr(err)
 	is.Equal(len(loaded.Epochs), 7)
@@ -91,9 +91,9 @@
 	is.True(errors.As(err, &corrupt))
 }
 
-// A database that does not open is moved aside, and the disk gets a new
-// identity: it may have forgotten promises.
-func TestDamagedDatabaseGetsANewIdentity(t *testing.T) {
+// Checks that a database that cannot be opened is moved aside, and that the disk gets a
+// new identity, because promises may be lost.
+func TestDamagedDatabaseGetsNewIdentity(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	db := open(t, folder)
@@ -113,12 +113,12 @@
 	is.Equal(len(shards), 0)
 	aside, err := filepath.Glob(filepath.Join(folder, "damaged-*"))
 	is.NoErr(err)
-	is.Equal(len(aside), 1) // kept for inspection
+	is.Equal(len(aside), 1) // the damaged database can be inspected
 }
 
-// An entry found damaged at a start costs the disk its identity too: the shard's
-// other members replace it and bring the new one up to date.
-func TestDamagedEntryCostsTheDiskItsIdentity(t *testing.T) {
+// Checks that a damaged entry found at the start also gives the disk a new identity, so
+// that the shard's other members replace the disk.
+func TestDamagedEntryReplacesDiskIdentity(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	db := open(t, folder)
@@ -136,7 +136,7 @@
 	is.Equal(len(shards), 0)
 }
 
-func TestSnapshotReplacesStateWholeOrNotAtAll(t *testing.T) {
+func TestSnapshotReplacesStateAtomically(t *testing.T) {
 	is := is.New(t)
 	source, target := open(t, t.TempDir()), open(t, t.TempDir())
 	defer func() { is.NoErr(source.Close()); is.NoErr(target.Close()) }()
@@ -153,23 +153,23 @@
 	view := from.Snapshot()
 	defer view.Close()
 	var chunks []*wirev1.SnapshotChunk
-	is.NoErr(view.Chunks(40, 9, func(chunk *wirev1.SnapshotChunk) error { chunks = append(chunks, chunk); return nil }))
+	is.NoErr(view.SendChunks(40, 9, func(chunk *wirev1.SnapshotChunk) error { chunks = append(chunks, chunk); return nil }))
 	is.True(len(chunks) > 1)
 	is.True(chunks[len(chunks)-1].Last)
 
-	unfinished, err := to.Install()
+	unfinished, err := to.NewInstaller()
 	is.NoErr(err)
 	is.NoErr(unfinished.Add(chunks[0]))
 	value, err := to.View().Get([]byte("old"))
 	is.NoErr(err)
-	is.Equal(string(value), "value") // an unfinished one changes nothing
+	is.Equal(string(value), "value") // an unfinished snapshot does not change the state
 
-	installer, err := to.Install()
+	installer, err := to.NewInstaller()
 	is.NoErr(err)
 	for _, chunk := range chunks {
 		is.NoErr(installer.Add(chunk))
 	}
-	is.NoErr(installer.Finish(replica.HardState{Promised: 9}, config, 40, 9))
+	is.NoErr(installer.Activate(replica.HardState{Promised: 9}, config, 40, 9))
 	loaded, err := target.Shard(1).Load()
 	is.NoErr(err)
 	is.Equal(loaded.Applied, uint64(40))
@@ -179,9 +179,9 @@
 	is.Equal(count, 3000)
 
 	chunks[0].Pairs[0].Value[0] ^= 1
-	damaged, err := to.Install()
+	damaged, err := to.NewInstaller()
 	is.NoErr(err)
-	is.True(damaged.Add(chunks[0]) != nil) // a damaged chunk is refused
+	is.True(damaged.Add(chunks[0]) != nil) // a damaged chunk is rejected
 }
 
 func FuzzDecodeEntry(f *testing.F) {
@@ -190,7 +190,7 @@
 		shard := &ShardLog{id: 1}
 		entry, err := shard.decodeEntry(shard.logKey(1), value)
 		if err == nil && entry.Checksum != replica.Checksum(entry.Command) {
-			t.Fatal("damaged entry let through")
+			t.Fatal("a damaged entry was accepted")
 		}
 	})
 }
@@ -212,8 +212,8 @@
 	}
 }
 
-// A loss of power right after the first durable write loses neither the disk's
-// identity nor what was written, whatever folder entries were not synced.
+// Checks that the disk's identity and the entries survive a power loss right after the
+// first durable write, even if folder entries that were not synced are lost.
 func TestPowerLossKeepsIdentityAndEntries(t *testing.T) {
 	is := is.New(t)
 	disk := vfs.NewCrashableMem()
@@ -225,10 +225,10 @@
 		Entries:   []*wirev1.LogEntry{{Index: 1, Epoch: 5, Command: []byte("taken"), Checksum: replica.Checksum([]byte("taken"))}},
 	}
 	is.NoErr(db.Shard(0).Persist(ready, replica.MemberSet{Generation: 1, Members: []string{identity}}, 0, 0))
-	after, err := OpenOn(disk.CrashClone(vfs.CrashCloneCfg{}), "/data/node", DiskLimits{})
+	reopened, err := OpenOn(disk.CrashClone(vfs.CrashCloneCfg{}), "/data/node", DiskLimits{})
 	is.NoErr(err)
-	is.Equal(after.DiskID(), identity)
-	loaded, err := after.Shard(0).Load()
+	is.Equal(reopened.DiskID(), identity)
+	loaded, err := reopened.Shard(0).Load()
 	is.NoErr(err)
 	is.Equal(len(loaded.Epochs), 1)
 	is.Equal(loaded.HardState.Promised, uint64(5))
--- a/internal/batch/logstore/logstoretest/logstoretest.go
+++ b/internal/batch/logstore/logstoretest/logstoretest.go
@@ -1,5 +1,5 @@
-// Package logstoretest unpacks data folders that an earlier version of the code
-// has written, for tests that what is stored stays readable.
+// Package logstoretest unpacks data folders written by earlier versions, for tests
+// that check that stored data stays readable.
 package logstoretest
 
 import (
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -13,7 +13,8 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// CorruptError is an entry or record whose checksum does not fit.
+// CorruptError reports a log entry that is damaged or missing, or a snapshot chunk with
+// a wrong checksum.
 type CorruptError struct {
 	Shard uint32
 	Index uint64
@@ -24,15 +25,15 @@
 	return fmt.Sprintf("shard %d: log entry %d is damaged", e.Shard, e.Index)
 }
 
-// ShardLog is one shard's part of the database. Its log and its state are used by
-// one goroutine; snapshots may be read by others.
+// ShardLog is one shard's part of the database. Only one goroutine may use its log and
+// state; any goroutine may read a snapshot.
 type ShardLog struct {
 	db   *pebble.DB
 	id   uint32
 	slot byte
 }
 
-// meta is what a shard's replica must never forget, one record written whole.
+// meta is the durable metadata of a shard's replica, stored as one record.
 type meta struct {
 	Hard      replica.HardState `json:"hard"`
 	Config    replica.MemberSet `json:"config"`
@@ -40,35 +41,35 @@
 	BaseEpoch uint64            `json:"base_epoch"`
 }
 
-// RecoveredState is what a shard's disk holds at start.
+// RecoveredState is a shard's state as loaded from disk at the start.
 type RecoveredState struct {
 	HardState replica.HardState
 	MemberSet replica.MemberSet
 	BaseIndex uint64
 	BaseEpoch uint64
-	// Epochs of the entries after the base.
+	// Epochs holds the epochs of the entries after the base.
 	Epochs []uint64
-	// Applied is the index of the last entry the state contains.
+	// Applied is the index of the last entry that the state contains.
 	Applied uint64
-	// Exists: the shard was here before.
+	// Exists is set if the disk has metadata of the shard.
 	Exists bool
 }
 
 var (
-	metaRecord    = []byte("meta")
-	appliedRecord = []byte("applied") // applied index, slot
+	metaRecordName    = []byte("meta")
+	appliedRecordName = []byte("applied") // the value is the applied index and the state's slot
 )
 
-// Shard returns a shard of the database.
+// Shard returns the part of the database that belongs to a shard.
 func (d *DB) Shard(id uint32) *ShardLog { return &ShardLog{db: d.pebble, id: id} }
 
-// Shards lists the shards the database holds.
+// Shards lists the shards in the database.
 func (d *DB) Shards() ([]uint32, error) {
-	iterator, err := d.pebble.NewIter(&pebble.IterOptions{UpperBound: shardPrefix(documentSpace, 0)})
+	iterator, err := d.pebble.NewIter(&pebble.IterOptions{UpperBound: shardPrefix(documentShard, 0)})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer closeUnneeded(iterator)
+	defer closeIgnoringError(iterator)
 	var ids []uint32
 	for valid := iterator.First(); valid; {
 		id := binary.BigEndian.Uint32(iterator.Key())
@@ -88,12 +89,12 @@
 
 func (s *ShardLog) statePrefix(slot byte) []byte { return append(shardPrefix(s.id, spaceState), slot) }
 
-// Load reads the shard and checks every entry's checksum. The log has to be
-// without gaps; entries behind a gap would be a defect and count as damage.
+// Load reads the shard and verifies the checksum of every entry. A gap in the log is
+// reported as corruption.
 func (s *ShardLog) Load() (*RecoveredState, error) {
 	loaded := &RecoveredState{}
 	var stored meta
-	text, err := s.get(s.metaKey(metaRecord))
+	text, err := s.get(s.metaKey(metaRecordName))
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +121,7 @@
 }
 
 func (s *ShardLog) loadApplied() (uint64, byte, error) {
-	text, err := s.get(s.metaKey(appliedRecord))
+	text, err := s.get(s.metaKey(appliedRecordName))
 	if err != nil || len(text) != 9 {
 		return 0, 0, err
 	}
@@ -135,7 +136,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "reading shard %d", s.id)
 	}
-	defer closeUnneeded(closer)
+	defer closeIgnoringError(closer)
 	return append([]byte{}, value...), nil
 }
 
@@ -144,7 +145,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer closeUnneeded(iterator)
+	defer closeIgnoringError(iterator)
 	for valid := iterator.First(); valid; valid = iterator.Next() {
 		entry, err := s.decodeEntry(iterator.Key(), iterator.Value())
 		if err != nil {
@@ -173,11 +174,11 @@
 func (s *ShardLog) Entries(lo, hi uint64, maxBytes int) ([]*wirev1.LogEntry, error) {
 	var entries []*wirev1.LogEntry
 	size := 0
-	errEnough := trace.LimitExceeded("enough")
+	errLimitReached := trace.LimitExceeded("end of the requested entries")
 	err := s.scanLog(lo, func(entry *wirev1.LogEntry) error {
 		size += len(entry.Command)
 		if entry.Index > hi || (len(entries) > 0 && size > maxBytes) {
-			return errEnough
+			return errLimitReached
 		}
 		if entry.Index != lo+uint64(len(entries)) {
 			return &CorruptError{s.id, lo}
@@ -185,23 +186,24 @@
 		entries = append(entries, entry)
 		return nil
 	})
-	if err != nil && err != errEnough {
+	if err != nil && err != errLimitReached {
 		return nil, err
 	}
 	return entries, nil
 }
 
-// Persist makes a replica's step durable: it returns after the fsync.
+// Persist writes a replica's hard state and entries, and returns after the fsync.
 func (s *ShardLog) Persist(ready *replica.Ready, config replica.MemberSet, baseIndex, baseEpoch uint64) error {
 	batch := s.db.NewBatch()
-	defer closeUnneeded(batch)
+	defer closeIgnoringError(batch)
 	if ready.HardState != nil {
 		if err := s.setMeta(batch, meta{*ready.HardState, config, baseIndex, baseEpoch}); err != nil {
 			return err
 		}
 	}
 	if ready.TruncateFrom > 0 {
-		// To the end: a tail left behind would come back with a restart.
+		// Delete up to the end of the log: entries left there would reappear after a
+		// restart.
 		if err := batch.DeleteRange(s.logKey(ready.TruncateFrom), shardPrefix(s.id, spaceLog+1), nil); err != nil {
 			return trace.Wrap(err)
 		}
@@ -226,14 +228,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(batch.Set(s.metaKey(metaRecord), text, nil))
+	return trace.Wrap(batch.Set(s.metaKey(metaRecordName), text, nil))
 }
 
-// TruncatePrefix drops entries up to an index, which the state contains. It is
-// durable before it returns, and with it the state, which was written before.
+// TruncatePrefix deletes the entries up to an index; the state must contain them. Its
+// fsync also makes the state durable, which was written before without one.
 func (s *ShardLog) TruncatePrefix(hard replica.HardState, config replica.MemberSet, index, epoch uint64) error {
 	batch := s.db.NewBatch()
-	defer closeUnneeded(batch)
+	defer closeIgnoringError(batch)
 	if err := s.setMeta(batch, meta{hard, config, index, epoch}); err != nil {
 		return err
 	}
--- a/internal/batch/logstore/state.go
+++ b/internal/batch/logstore/state.go
@@ -11,9 +11,9 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// StateBatch is a shard's applied state within one batch of applied entries. It
-// implements shard.KeyStore. It is written without an fsync of its own: after a
-// crash the log is applied again from the applied index.
+// StateBatch reads and writes a shard's state while a batch of entries is applied. It
+// implements shard.KeyStore. It is committed without an fsync: after a crash, the
+// entries after the stored applied index are applied again.
 type StateBatch struct {
 	shard  *ShardLog
 	batch  *pebble.Batch
@@ -25,18 +25,18 @@
 	return &StateBatch{shard: s, batch: s.db.NewIndexedBatch(), prefix: s.statePrefix(s.slot)}
 }
 
-// Commit writes the batch with the index it applied up to.
+// Commit writes the batch together with the index of the last applied entry.
 func (s *StateBatch) Commit(applied uint64) error {
-	defer closeUnneeded(s.batch)
+	defer closeIgnoringError(s.batch)
 	record := append(binary.BigEndian.AppendUint64(nil, applied), s.shard.slot)
-	if err := s.batch.Set(s.shard.metaKey(appliedRecord), record, nil); err != nil {
+	if err := s.batch.Set(s.shard.metaKey(appliedRecordName), record, nil); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(s.batch.Commit(pebble.NoSync), "applying to shard %d", s.shard.id)
 }
 
 // Discard drops the batch.
-func (s *StateBatch) Discard() { closeUnneeded(s.batch) }
+func (s *StateBatch) Discard() { closeIgnoringError(s.batch) }
 
 func (s *StateBatch) key(key []byte) []byte {
 	return append(append(make([]byte, 0, len(s.prefix)+len(key)), s.prefix...), key...)
@@ -70,16 +70,16 @@
 	close  func()
 }
 
-// View returns a reader of the present state, for the shard's own goroutine.
+// View returns a reader of the current state, for the shard's own goroutine.
 func (s *ShardLog) View() *StateView {
 	return &StateView{reader: s.db, prefix: s.statePrefix(s.slot), close: func() {}}
 }
 
-// Snapshot returns a reader of the state as it is now, for any goroutine.
-// Close must be called.
+// Snapshot returns a reader of the state at the time of the call. Any goroutine may
+// use the reader, and must close it.
 func (s *ShardLog) Snapshot() *StateView {
 	snapshot := s.db.NewSnapshot()
-	return &StateView{reader: snapshot, prefix: s.statePrefix(s.slot), close: func() { closeUnneeded(snapshot) }}
+	return &StateView{reader: snapshot, prefix: s.statePrefix(s.slot), close: func() { closeIgnoringError(snapshot) }}
 }
 
 // Close releases the view.
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer closeUnneeded(closer)
+	defer closeIgnoringError(closer)
 	return append([]byte{}, value...), nil
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer closeUnneeded(iterator)
+	defer closeIgnoringError(iterator)
 	for valid := iterator.First(); valid; valid = iterator.Next() {
 		if !visit(iterator.Key()[len(prefix):], iterator.Value()) {
 			return nil
@@ -134,11 +134,11 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// chunkBytes is the size of a snapshot chunk.
+// chunkBytes is the size at which a snapshot chunk is sent.
 const chunkBytes = 512 << 10
 
-// Chunks sends the view as snapshot chunks; the last one is marked.
-func (v *StateView) Chunks(index, epoch uint64, send func(*wirev1.SnapshotChunk) error) error {
+// SendChunks sends the state as snapshot chunks. The last chunk is marked.
+func (v *StateView) SendChunks(index, epoch uint64, send func(*wirev1.SnapshotChunk) error) error {
 	chunk := &wirev1.SnapshotChunk{LastIndex: index, LastEpoch: epoch}
 	size := 0
 	var sendErr error
@@ -174,16 +174,16 @@
 	return sum
 }
 
-// Installer writes a received snapshot beside the present state and swaps it
-// in at the end, so that a copy is never given up before the new one is whole.
+// Installer writes a received snapshot into the unused slot and switches slots at the
+// end, so that the old state is kept until the new one is complete.
 type Installer struct {
 	shard  *ShardLog
 	slot   byte
 	prefix []byte
 }
 
-// Install starts to receive a snapshot.
-func (s *ShardLog) Install() (*Installer, error) {
+// NewInstaller clears the unused slot and returns an installer that writes to it.
+func (s *ShardLog) NewInstaller() (*Installer, error) {
 	slot := s.slot ^ 1
 	prefix := s.statePrefix(slot)
 	if err := s.db.DeleteRange(prefix, nextPrefix(prefix), pebble.NoSync); err != nil {
@@ -192,13 +192,13 @@
 	return &Installer{shard: s, slot: slot, prefix: prefix}, nil
 }
 
-// Add writes one chunk.
+// Add verifies and writes one chunk.
 func (i *Installer) Add(chunk *wirev1.SnapshotChunk) error {
 	if chunk.Checksum != chunkChecksum(chunk) {
 		return &CorruptError{Shard: i.shard.id, Index: chunk.LastIndex}
 	}
 	batch := i.shard.db.NewBatch()
-	defer closeUnneeded(batch)
+	defer closeIgnoringError(batch)
 	for _, pair := range chunk.Pairs {
 		if err := batch.Set(append(append([]byte{}, i.prefix...), pair.Key...), pair.Value, nil); err != nil {
 			return trace.Wrap(err)
@@ -207,16 +207,16 @@
 	return trace.Wrap(batch.Commit(pebble.NoSync))
 }
 
-// Finish swaps the new state in, durably, and drops the log before it.
-func (i *Installer) Finish(hard replica.HardState, config replica.MemberSet, index, epoch uint64) error {
+// Activate durably switches to the new state, and deletes the log and the old state.
+func (i *Installer) Activate(hard replica.HardState, config replica.MemberSet, index, epoch uint64) error {
 	s := i.shard
 	batch := s.db.NewBatch()
-	defer closeUnneeded(batch)
+	defer closeIgnoringError(batch)
 	if err := s.setMeta(batch, meta{hard, config, index, epoch}); err != nil {
 		return err
 	}
 	record := append(binary.BigEndian.AppendUint64(nil, index), i.slot)
-	if err := batch.Set(s.metaKey(appliedRecord), record, nil); err != nil {
+	if err := batch.Set(s.metaKey(appliedRecordName), record, nil); err != nil {
 		return trace.Wrap(err)
 	}
 	if err := batch.DeleteRange(s.logKey(0), shardPrefix(s.id, spaceLog+1), nil); err != nil {
--- a/internal/batch/queuestore/idle.go
+++ b/internal/batch/queuestore/idle.go
@@ -53,7 +53,7 @@
 		return false
 	case s.ID == ledgerShard: // all other leaders ask it
 		return false
-	case l.table.Len() > 0 || len(l.decided) > 0 || !s.Quiet():
+	case l.table.Len() > 0 || len(l.decided) > 0 || !s.HasNoPendingWork():
 		return false
 	default:
 		return now.Sub(s.needed) >= idleAfter
@@ -64,7 +64,7 @@
 // goroutine.
 func (s *shard) wakeUp() {
 	// A shard that can't take the question has a lot to do and is not idle.
-	s.Post(func() {
+	s.TryRunInLoop(func() {
 		s.needed = time.Now()
 		s.Replica.Wake(s.needed)
 	})
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -6,28 +6,31 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// A member set is replaced by a sealed hand-over, driven by the leader:
+// A member set is replaced by a sealed hand-over. The leader that drives it is called
+// the sealer:
 //
-//  1. New members catch up as learners, which hold entries and do not count.
-//  2. The leader freezes itself and an election quorum of the old members.
-//     From then on nothing can be committed in the old generation, because
-//     every write quorum has a frozen member.
-//  3. When a write quorum of the new members holds the leader's whole log, the
-//     driver replaces the member set in the platform's service by
-//     compare-and-swap, which decides between rivals.
-//  4. Members activate the new generation. If the sealer is lost before, any
-//     member raises the attempt by compare-and-swap, which makes the sealer's
-//     own fail; then the old generation thaws and goes on.
+//  1. New members catch up as learners, which store entries but do not count towards
+//     any quorum.
+//  2. The sealer freezes itself and an election quorum of the old members. From then
+//     on no entry can be committed in the old generation, because every write quorum
+//     has a frozen member.
+//  3. Once a write quorum of the new members holds the sealer's whole log, the driver
+//     replaces the member set in the platform's store by compare-and-swap. Of several
+//     concurrent changes only one succeeds.
+//  4. Members activate the new generation. If the sealer fails before the swap, any
+//     frozen member raises the attempt by compare-and-swap. The sealer's own swap then
+//     fails, and the members of the old generation thaw and continue.
 
 const (
-	// sealerDelay lets the other members hear of the new generation. While they
-	// have not, the sealer's campaigns are in vain: it tries sealerTries times, so
-	// that no other member comes before it, whose leadership would end its runs.
-	sealerDelay = 80 * time.Millisecond
-	sealerTries = 10
+	// sealerCampaignDelay and sealerCampaigns are the delay and the number of the sealer's
+	// campaigns in the new generation. Campaigns fail until the other members know the
+	// new member set. The sealer retries fast, so that it stays leader: another leader
+	// would interrupt the sealer's runs.
+	sealerCampaignDelay = 80 * time.Millisecond
+	sealerCampaigns     = 10
 )
 
-// SetLearners names disks that catch up without counting.
+// SetLearners sets the disks that receive entries without counting towards a quorum.
 func (r *Replica) SetLearners(now time.Time, learners []string) {
 	r.learners = learners
 	if r.role != Leader {
@@ -35,12 +38,13 @@
 	}
 	for _, learner := range learners {
 		if r.progress[learner] == nil {
-			r.progress[learner] = &progress{next: r.lastIndex() + 1, heardAt: now}
+			r.progress[learner] = &progress{next: r.lastIndex() + 1, lastResponse: now}
 		}
 	}
 }
 
-// CaughtUp reports whether a member or learner has all but a few entries.
+// CaughtUp reports whether a member or learner lacks at most a few entries. Only a leader
+// knows this of others.
 func (r *Replica) CaughtUp(member string) bool {
 	const slack = 64
 	if member == r.self {
@@ -50,13 +54,14 @@
 	return r.role == Leader && p != nil && p.confirmed && p.match+slack >= r.lastIndex()
 }
 
-// Freeze starts to seal the generation. Nothing is proposed after it.
+// Freeze freezes this leader and asks the other members to freeze. Proposals are rejected
+// from then on. It reports false if this replica does not lead.
 func (r *Replica) Freeze() bool {
 	if r.role != Leader {
 		return false
 	}
 	r.hard.Frozen, r.hard.FrozenAttempt = true, r.config.Attempt
-	r.dirty = true
+	r.hardStateChanged = true
 	r.frozenBy = map[string]bool{r.self: true}
 	for _, member := range r.config.Members {
 		if member != r.self {
@@ -66,8 +71,8 @@
 	return true
 }
 
-// Sealed reports whether the old generation can commit nothing more and a
-// write quorum of the next members holds all of its log.
+// Sealed reports whether the old generation can commit no more entries and a write quorum
+// of the next member set holds the whole log.
 func (r *Replica) Sealed(next MemberSet) bool {
 	if r.role != Leader || !r.hard.Frozen || len(r.frozenBy) < r.config.ElectionQuorum() {
 		return false
@@ -82,12 +87,11 @@
 	return holding >= next.WriteQuorum()
 }
 
-// Frozen reports whether this member is sealed.
+// Frozen reports whether this member is frozen.
 func (r *Replica) Frozen() bool { return r.hard.Frozen }
 
-// Observe takes the member set as the platform's service holds it now: a newer
-// generation is activated, and a raised attempt thaws what an earlier attempt
-// froze.
+// Observe handles a member set read from the platform's store. It activates a newer
+// generation. A higher attempt thaws a member that an earlier attempt froze.
 func (r *Replica) Observe(now time.Time, stored MemberSet) {
 	if stored.Generation > r.config.Generation {
 		r.activate(now, stored)
@@ -104,19 +108,19 @@
 
 func (r *Replica) thaw(now time.Time) {
 	r.hard.Frozen = false
-	r.dirty = true
+	r.hardStateChanged = true
 	r.frozenBy = nil
 	r.role = Follower
 	r.progress = nil
 	r.resetDeadline(now)
 }
 
-// activate moves to a newer member set. The log goes on unchanged.
+// activate changes to a newer member set. The log stays unchanged.
 func (r *Replica) activate(now time.Time, next MemberSet) {
 	sealer := r.frozenBy != nil
-	r.eager = 0
+	r.quickCampaigns = 0
 	if sealer {
-		r.eager = sealerTries
+		r.quickCampaigns = sealerCampaigns
 	}
 	r.config = next
 	r.hard.Generation = next.Generation
@@ -124,11 +128,11 @@
 	r.leader = ""
 	r.idleChanges = 0
 	r.thaw(now)
-	// The generation has no leader yet: who led the one before campaigns first.
-	r.leaderSeen = time.Time{}
-	r.deadline = now.Add(sealerDelay)
+	// The new generation has no leader yet. The sealer campaigns first.
+	r.lastLeaderContact = time.Time{}
+	r.deadline = now.Add(sealerCampaignDelay)
 	if !sealer {
-		r.deadline = now.Add(firstElection + time.Duration(r.random.Int64N(int64(firstElection))))
+		r.deadline = now.Add(initialElectionDelay + time.Duration(r.random.Int64N(int64(initialElectionDelay))))
 	}
 }
 
@@ -138,7 +142,7 @@
 	}
 	r.follow(now, message.Epoch, message.From)
 	r.hard.Frozen, r.hard.FrozenAttempt = true, message.Attempt
-	r.dirty = true
+	r.hardStateChanged = true
 	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_FROZEN, To: message.From, Epoch: r.hard.Promised})
 }
 
--- a/internal/batch/replica/handover_test.go
+++ b/internal/batch/replica/handover_test.go
@@ -10,9 +10,9 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// A sealed hand-over to a set with new disks loses nothing, whoever is killed
-// or paused in the middle, and a sealer that wakes late cannot finish it.
-func TestHandOverLosesNothing(t *testing.T) {
+// Checks that a sealed hand-over to a set with a new disk loses no acknowledged entry when
+// members fail during it, and that a fenced sealer cannot complete it.
+func TestHandOverKeepsCommittedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(3, 5).Draw(t, "members")
 		c := newCluster(t, members)
@@ -47,8 +47,8 @@
 	return next
 }
 
-// handOver drives a leader through catching up, freezing and the
-// compare-and-swap, with faults drawn between.
+// handOver drives the catch-up, the freeze and the compare-and-swap of a hand-over, with
+// random faults between.
 func (c *cluster) handOver(next MemberSet) {
 	var sealer *Replica
 	for range 400 {
@@ -66,7 +66,7 @@
 			sealer.Freeze()
 		}
 		if rapid.IntRange(0, 60).Draw(c.t, "fault now") == 0 {
-			c.drawFault()
+			c.injectFault()
 		}
 		if sealer.Sealed(next) && c.replicas[sealer.self] == sealer && !c.paused[sealer.self] {
 			if rapid.Bool().Draw(c.t, "sealer dies before the swap") {
@@ -79,7 +79,7 @@
 	}
 }
 
-// swap is the platform's compare-and-swap.
+// swap simulates the compare-and-swap of the platform's store.
 func (c *cluster) swap(next MemberSet, attempt uint64) bool {
 	if c.stored.Generation+1 != next.Generation || c.stored.Attempt != attempt {
 		return false
@@ -88,8 +88,8 @@
 	return true
 }
 
-// finishOrThaw is what members do when a hand-over does not end: they raise
-// the attempt, which fences the sealer, and go on.
+// finishOrThaw raises the attempt if the hand-over is not complete, as the members do. This
+// fences the sealer, and the members thaw.
 func (c *cluster) finishOrThaw(next MemberSet) {
 	if c.stored.Generation == 1 {
 		c.stored.Attempt++
@@ -103,16 +103,16 @@
 		}
 	}
 	if c.stored.Generation == 1 && len(c.config.Members) == 3 {
-		// Three members with a lost disk cannot go on without a hand-over.
+		// Three members with a lost disk cannot commit without a hand-over.
 		c.run(600)
-		c.handOverAgain(next)
+		c.retryHandOver(next)
 	}
 	if c.stored.Generation > 1 {
 		c.config = c.stored
 	}
 }
 
-func (c *cluster) handOverAgain(next MemberSet) {
+func (c *cluster) retryHandOver(next MemberSet) {
 	for range 1000 {
 		c.step()
 		for _, id := range c.ids() {
@@ -134,11 +134,11 @@
 			}
 		}
 	}
-	c.t.Fatal("the hand-over never ends")
+	c.t.Fatal("the hand-over does not complete")
 }
 
-// A hand-over begun on one side of a partition while the other side goes on
-// loses nothing that either side acknowledged.
+// Checks that a hand-over on one side of a partition, while the other side continues, loses
+// no entry that either side has acknowledged.
 func TestHandOverUnderPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
@@ -148,7 +148,7 @@
 		c.run(300)
 		sealer := c.leader()
 		if sealer == nil {
-			t.Fatalf("no leader in a calm cluster: %s", c.describe())
+			t.Fatalf("no leader in a cluster without faults: %s", c.describe())
 		}
 		next := c.partitionedConfig(sealer.self)
 		for range 60 {
@@ -158,7 +158,7 @@
 				c.propose(false)
 			}
 		}
-		c.drawSides(next)
+		c.partitionMembers(next)
 		if sealer.Role() == Leader && sealer.CaughtUp("new") {
 			c.propose(false)
 			sealer.Freeze()
@@ -182,8 +182,8 @@
 	})
 }
 
-// partitionedConfig is a next member set of three that shares few members with
-// the old one, so that one vote elects in it.
+// partitionedConfig returns a next member set of three with one new member, in which one
+// vote elects a leader.
 func (c *cluster) partitionedConfig(sealer string) MemberSet {
 	next := MemberSet{Generation: 2, Members: []string{sealer, "new"}}
 	for _, id := range c.config.Members {
@@ -196,16 +196,16 @@
 	return next
 }
 
-// drawSides parts the members, often along the line between the old and the
-// next member set, where a hand-over is most in danger.
-func (c *cluster) drawSides(next MemberSet) {
+// partitionMembers partitions the members at random, or along the boundary of the next
+// member set, which is the most critical case for a hand-over.
+func (c *cluster) partitionMembers(next MemberSet) {
 	along := rapid.Bool().Draw(c.t, "along the member sets")
 	for _, id := range c.ids() {
 		if along {
-			c.side[id] = c.side[id] + boolToInt(!next.Has(id))
+			c.partition[id] = c.partition[id] + boolToInt(!next.Has(id))
 			continue
 		}
-		c.side[id] = rapid.IntRange(0, 1).Draw(c.t, "side")
+		c.partition[id] = rapid.IntRange(0, 1).Draw(c.t, "side")
 	}
 }
 
@@ -225,20 +225,20 @@
 	}
 }
 
-// An older layout that comes late changes nothing: it neither thaws what a
-// newer attempt froze nor takes an attempt back.
-func TestOlderLayoutChangesNothing(t *testing.T) {
+// Checks that an older member set is ignored: it neither thaws a member that a newer
+// attempt froze, nor lowers the attempt.
+func TestOlderMemberSetIsIgnored(t *testing.T) {
 	config := MemberSet{Generation: 2, Members: []string{"a", "b", "c"}, Attempt: 3}
 	hard := HardState{Promised: 1, Frozen: true, FrozenAttempt: 3, Generation: 2}
 	r := Restore(0, "a", config, testTiming(), rand.New(rand.NewPCG(1, 1)), &disk{}, hard, 0, 0, nil, time.Unix(0, 0))
-	for _, late := range []MemberSet{
+	for _, older := range []MemberSet{
 		{Generation: 1, Members: []string{"a"}, Attempt: 9},
 		{Generation: 2, Members: config.Members, Attempt: 2},
 		{Generation: 2, Members: config.Members, Attempt: 3},
 	} {
-		r.Observe(time.Unix(1, 0), late)
+		r.Observe(time.Unix(1, 0), older)
 		if !r.Frozen() || r.MemberSet().Attempt != 3 || r.MemberSet().Generation != 2 {
-			t.Fatalf("layout %+v changed the replica to %+v, frozen %v", late, r.MemberSet(), r.Frozen())
+			t.Fatalf("member set %+v changed the replica to %+v, frozen %v", older, r.MemberSet(), r.Frozen())
 		}
 	}
 	r.Observe(time.Unix(2, 0), MemberSet{Generation: 2, Members: config.Members, Attempt: 4})
@@ -247,10 +247,9 @@
 	}
 }
 
-// Members hear of a new member set one after the other, within what a slow
-// service takes. Who sealed the old one leads the new one all the same: what
-// runs under its leadership is not interrupted.
-func TestSealerLeadsThoughOthersHearLate(t *testing.T) {
+// Checks that the sealer of the old member set also leads the new one when the other
+// members observe the new set later. A change of leaders would interrupt running work.
+func TestSealerLeadsNewMemberSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
 		c.run(150)
@@ -269,17 +268,17 @@
 		c.swap(next, leader.config.Attempt)
 		c.config = next
 		leader.Observe(c.now, next)
-		latest := rapid.IntRange(0, 20).Draw(t, "steps until the last hears")
-		hears := map[string]int{}
+		lastStep := rapid.IntRange(0, 20).Draw(t, "steps until the last member observes")
+		observeAt := map[string]int{}
 		for _, id := range c.ids() {
-			hears[id] = latest
-			if latest > 8 {
-				hears[id] = rapid.IntRange(latest-8, latest).Draw(t, "steps until it hears")
+			observeAt[id] = lastStep
+			if lastStep > 8 {
+				observeAt[id] = rapid.IntRange(lastStep-8, lastStep).Draw(t, "steps until the member observes")
 			}
 		}
 		for step := range 120 {
-			for id, at := range hears {
-				if at == step && id != leader.self {
+			for id, observeStep := range observeAt {
+				if observeStep == step && id != leader.self {
 					c.replicas[id].Observe(c.now, next)
 				}
 			}
--- a/internal/batch/replica/idle.go
+++ b/internal/batch/replica/idle.go
@@ -6,58 +6,57 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// An idle shard costs its members messages all the same: in a fleet with a shard for
-// each disk most are idle at any time, and their heartbeats are most of the traffic
-// between nodes with disks. A leader whose shard is idle reports it, and all its
-// members take all times longer by idleFactor until something is to be done. Nothing
-// that is promised depends on these times.
+// Most shards of a large cluster are idle at any time, and their heartbeats would be
+// most of the traffic between nodes with disks. The leader of an idle shard therefore
+// tells its members that the shard is idle, and all of them multiply their heartbeat and
+// election times by idleFactor until the shard has work again. Safety does not depend on
+// these times.
 
-// idleFactor is how many times longer the heartbeats and elections of an idle shard
-// are. Eight heartbeats of 80 ms are 640 ms: a member that does not answer four of
-// these is replaced as it is in a busy shard.
+// idleFactor is the factor by which the heartbeat and election times of an idle shard are
+// longer. The longer heartbeats must still detect a lost member in time to replace it.
 const idleFactor = 8
 
-// scaled returns a time of the replica, longer while the shard is idle.
-func (r *Replica) scaled(time time.Duration) time.Duration {
+// idleScaled returns a time multiplied by idleFactor while the shard is idle.
+func (r *Replica) idleScaled(time time.Duration) time.Duration {
 	if r.Idle() {
 		return idleFactor * time
 	}
 	return time
 }
 
-func (r *Replica) heartbeatTime() time.Duration { return r.scaled(r.timing.Heartbeat) }
+func (r *Replica) heartbeatTime() time.Duration { return r.idleScaled(r.timing.Heartbeat) }
 
-func (r *Replica) electionTime() time.Duration { return r.scaled(r.timing.Election) }
+func (r *Replica) electionTime() time.Duration { return r.idleScaled(r.timing.Election) }
 
 // Idle reports whether the shard is idle.
 func (r *Replica) Idle() bool { return r.idleChanges%2 == 1 }
 
-// endIdle makes the shard busy at this member.
+// endIdle marks the shard as busy at this replica.
 func (r *Replica) endIdle() {
 	if r.Idle() {
 		r.idleChanges++
 	}
 }
 
-// followIdle takes a leader's report whether its shard is idle, unless it is older than
-// what is known.
+// followIdle handles a leader's report that its shard is idle or busy. Older reports are
+// ignored.
 func (r *Replica) followIdle(changes uint64) { r.idleChanges = max(r.idleChanges, changes) }
 
-// SetIdle sets for a leader whether its shard is idle. A shard is not idle while a
-// member misses entries.
+// SetIdle marks the leader's shard as idle or busy. A shard does not become idle while a
+// member or learner lacks entries.
 func (r *Replica) SetIdle(now time.Time, idle bool) {
-	if r.role != Leader || idle == r.Idle() || idle && !r.allMatch() {
+	if r.role != Leader || idle == r.Idle() || idle && !r.allCaughtUp() {
 		return
 	}
 	r.idleChanges++
 	r.heartbeatAt = now.Add(r.heartbeatTime())
-	for _, member := range r.followers() { // at once, before they would miss a heartbeat
+	for _, member := range r.followers() { // at once: the members expect heartbeats at the old interval
 		r.sendAppend(member, r.progress[member], now, true)
 	}
 }
 
-// allMatch reports whether every member and learner has confirmed the whole log.
-func (r *Replica) allMatch() bool {
+// allCaughtUp reports whether every member and learner has confirmed the whole log.
+func (r *Replica) allCaughtUp() bool {
 	for _, member := range r.followers() {
 		if p := r.progress[member]; p == nil || !p.confirmed || p.match != r.lastIndex() {
 			return false
@@ -66,9 +65,8 @@
 	return true
 }
 
-// Wake makes an idle shard busy that is needed. A member that only follows asks its
-// leader to; if the leader is gone the members elect another as soon as those of a
-// busy shard.
+// Wake makes an idle shard busy. A follower asks its leader to do so; if the leader is
+// lost, the members elect another one as fast as in a busy shard.
 func (r *Replica) Wake(now time.Time) {
 	if !r.Idle() {
 		return
@@ -78,15 +76,15 @@
 		return
 	}
 	r.endIdle()
-	// The leader has the usual time to answer before anybody else may lead.
-	r.leaderSeen = now
+	// The leader gets the normal election time to respond before a campaign starts.
+	r.lastLeaderContact = now
 	r.resetDeadline(now)
 	if r.leader != "" {
 		r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_WAKE, To: r.leader, Epoch: r.hard.Promised})
 	}
 }
 
-// handleWake takes a member's request for a busy shard.
+// handleWake handles a member's request to make the shard busy.
 func (r *Replica) handleWake(now time.Time, message *wirev1.ReplicaMessage) {
 	if r.role == Leader && message.Epoch == r.hard.Promised {
 		r.SetIdle(now, false)
--- a/internal/batch/replica/idle_test.go
+++ b/internal/batch/replica/idle_test.go
@@ -6,26 +6,26 @@
 	"pgregory.net/rapid"
 )
 
-// idle makes the leader's shard idle, as its driver does.
+// idle marks the shard as idle at its leader, as the driver does.
 func (c *cluster) idle() {
 	for _, id := range c.ids() {
 		if r := c.replicas[id]; r != nil && !c.paused[id] {
 			r.SetIdle(c.now, true)
-			c.work(id, false)
+			c.processReady(id, false)
 		}
 	}
 }
 
-// wake asks something of the shard at one member.
+// wake makes the shard busy from one member.
 func (c *cluster) wake(id string) {
 	if r := c.replicas[id]; r != nil && !c.paused[id] {
 		r.Wake(c.now)
-		c.work(id, false)
+		c.processReady(id, false)
 	}
 }
 
-// resting returns a cluster whose shard rests, and its leader.
-func resting(t *rapid.T) (*cluster, *Replica) {
+// newIdleCluster returns a cluster whose shard is idle, and its leader.
+func newIdleCluster(t *rapid.T) (*cluster, *Replica) {
 	c := newCluster(t, 5)
 	c.run(300)
 	leader := c.leader()
@@ -44,9 +44,9 @@
 	return nil, nil
 }
 
-// Idle shards that are woken at any member, at any moment, lose nothing that was
-// committed through any faults, and work again after.
-func TestRestsLoseNothing(t *testing.T) {
+// Checks that a shard that changes between idle and busy during faults loses no committed
+// entry, and commits entries again after the faults.
+func TestIdleShardsKeepCommittedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
 		c.run(150)
@@ -57,14 +57,14 @@
 			case 1:
 				c.wake(rapid.SampledFrom(c.ids()).Draw(t, "woken"))
 			case 2:
-				c.drawFault()
+				c.injectFault()
 			case 3:
 				c.propose(true)
 			}
 			c.run(rapid.IntRange(1, 120).Draw(t, "steps"))
 		}
 		c.heal()
-		c.run(1500) // what rests notices a lost leader eight times later
+		c.run(1500) // an idle shard detects a lost leader idleFactor times later
 		c.requireAcked("after healing")
 		before := len(c.acked)
 		c.propose(false)
@@ -75,10 +75,10 @@
 	})
 }
 
-// A shard that rests costs a fraction of the messages, and keeps its leader.
-func TestRestingShardsSayLittle(t *testing.T) {
+// Checks that an idle shard sends a fraction of the messages and keeps its leader.
+func TestIdleShardSendsFewerMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, leader := resting(t)
+		c, leader := newIdleCluster(t)
 		count := func(before func()) int {
 			messages := 0
 			for range 300 {
@@ -101,16 +101,15 @@
 	})
 }
 
-// A member that is asked for something wakes an idle shard without another leader;
-// if the leader is gone, members that are asked elect another as soon as those of a
-// shard at work would.
-func TestWakingFindsALeader(t *testing.T) {
+// Checks that a follower can wake an idle shard without a change of its leader, and that
+// the members elect another leader as fast as in a busy shard if the leader is lost.
+func TestWakeFindsLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, leader := resting(t)
+		c, leader := newIdleCluster(t)
 		epoch := leader.Epoch()
 		if rapid.Bool().Draw(t, "leader lives") {
 			asked := rapid.SampledFrom(leader.followers()).Draw(t, "asked")
-			for range 10 { // this network brings a message from before it was idle late at times
+			for range 10 { // repeated, because the network may deliver older messages late
 				c.wake(asked)
 				c.run(10)
 			}
--- a/internal/batch/replica/lead.go
+++ b/internal/batch/replica/lead.go
@@ -7,22 +7,23 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
+// progress is the state of replication to one member or learner.
 type progress struct {
-	match uint64 // known to be on the member's disk
-	next  uint64 // next entry to send
-	// start is where the member's log is thought to end while it has confirmed
-	// nothing in this epoch: after a silence it is asked from there again.
-	start     uint64
-	heardAt   time.Time
-	seenAt    time.Time
-	sentAt    time.Time
-	confirmed bool // answered in this epoch
-	probe     uint64
-	inFlight  []sentEntries
+	match uint64 // last index known to be on the member's disk
+	next  uint64 // next index to send
+	// resendFrom is the presumed next index of the member's log. If the member does not
+	// respond and match is lower, the leader sends entries from this index again.
+	resendFrom   uint64
+	lastResponse time.Time
+	diskSeenAt   time.Time
+	sentAt       time.Time
+	confirmed    bool // a matching log was confirmed in this epoch
+	probe        uint64
+	inFlight     []inFlightEntries
 }
 
-// sentEntries are entries on their way to a member.
-type sentEntries struct {
+// inFlightEntries are the entries of one message that the member has not acknowledged.
+type inFlightEntries struct {
 	last  uint64
 	bytes int
 }
@@ -35,15 +36,15 @@
 	return total
 }
 
-// landed forgets what a member has answered for.
-func (p *progress) landed(match uint64) {
+// acknowledge removes the in-flight entries up to an index.
+func (p *progress) acknowledge(match uint64) {
 	for len(p.inFlight) > 0 && p.inFlight[0].last <= match {
 		p.inFlight = p.inFlight[1:]
 	}
 }
 
-// BeginProbe starts a round that confirms, once Confirmed reaches the returned
-// number, that no other replica led when the round began.
+// BeginProbe sends a probe to all followers and returns its number. Once ConfirmedProbe
+// reaches the number, it is certain that no other replica led when the probe began.
 func (r *Replica) BeginProbe(now time.Time) uint64 {
 	r.probe++
 	if r.role == Leader {
@@ -54,9 +55,9 @@
 	return r.probe
 }
 
-// Confirmed returns the last round that enough members have answered: any
-// election quorum shares a member with them.
-func (r *Replica) Confirmed() uint64 {
+// ConfirmedProbe returns the number of the last probe that a write quorum has answered.
+// Every election quorum shares a member with that write quorum.
+func (r *Replica) ConfirmedProbe() uint64 {
 	if r.role != Leader {
 		return 0
 	}
@@ -74,27 +75,28 @@
 	return rounds[quorum-1]
 }
 
-// LiveMembers counts members heard of within the election time, a leader's
-// view.
+// LiveMembers returns how many members, this leader included, have responded within the
+// election time. It returns 0 if this replica does not lead.
 func (r *Replica) LiveMembers(now time.Time) int {
 	if r.role != Leader {
 		return 0
 	}
 	live := 1
 	for member, p := range r.progress {
-		if r.config.Has(member) && now.Sub(p.heardAt) < r.electionTime() {
+		if r.config.Has(member) && now.Sub(p.lastResponse) < r.electionTime() {
 			live++
 		}
 	}
 	return live
 }
 
-// LiveMatch returns how far the log is on the disks of all members and learners
-// that were heard of lately, a leader's view; a follower knows only its own.
+// LiveMatch returns the highest index up to which all live members and learners have the
+// log on disk. A member is live if it has confirmed a matching log in this epoch and has
+// responded within the election time. A follower returns its own last index.
 func (r *Replica) LiveMatch(now time.Time) uint64 {
 	match := r.lastIndex()
 	for _, p := range r.progress {
-		if p.confirmed && now.Sub(p.heardAt) < r.electionTime() {
+		if p.confirmed && now.Sub(p.lastResponse) < r.electionTime() {
 			match = min(match, p.match)
 		}
 	}
@@ -108,9 +110,9 @@
 	r.heartbeatAt = now.Add(r.heartbeatTime())
 	for _, member := range r.followers() {
 		p := r.progress[member]
-		// No answer for a while: what was sent may be lost.
-		if p.next > max(p.match+1, p.start) && r.silent(p, now) {
-			p.next = max(p.match+1, p.start)
+		// The entries in flight may be lost: send them again.
+		if p.next > max(p.match+1, p.resendFrom) && r.unresponsive(p, now) {
+			p.next = max(p.match+1, p.resendFrom)
 			p.inFlight = nil
 		}
 		busy := p.confirmed && now.Sub(p.sentAt) < r.heartbeatTime()
@@ -121,39 +123,40 @@
 }
 
 const (
-	// silentHeartbeats without an answer make a member silent.
-	silentHeartbeats = 2
-	// slowestRate is the rate, in bytes a second, at which entries come to a
-	// member's disk at the least: an answer waits for the entries before it.
-	slowestRate = 2 << 20
+	// unresponsiveHeartbeats is the number of heartbeat times without a response after
+	// which a member is unresponsive.
+	unresponsiveHeartbeats = 2
+	// minTransferBytesPerSecond is the lowest assumed rate at which a member stores
+	// entries. A response may have to wait for the entries sent before it.
+	minTransferBytesPerSecond = 2 << 20
 )
 
-// silent reports whether a member has not answered for a while. It is sent no
-// entries until it does: they would pile up on the way to a machine that is
-// gone or stands still.
-func (r *Replica) silent(p *progress, now time.Time) bool {
-	transfer := time.Duration(p.inFlightBytes()) * time.Second / slowestRate
-	return now.Sub(p.heardAt) > silentHeartbeats*r.heartbeatTime()+transfer
+// unresponsive reports whether a member has not responded for some heartbeat times. The
+// leader sends such a member no entries: they would fill the send queue of a machine
+// that is down or paused.
+func (r *Replica) unresponsive(p *progress, now time.Time) bool {
+	transfer := time.Duration(p.inFlightBytes()) * time.Second / minTransferBytesPerSecond
+	return now.Sub(p.lastResponse) > unresponsiveHeartbeats*r.heartbeatTime()+transfer
 }
 
-func (r *Replica) lead(now time.Time) {
+func (r *Replica) becomeLeader(now time.Time) {
 	r.role = Leader
 	r.idleChanges = 0
 	r.leader = r.self
-	r.lonely = 0
-	r.eager = 0
+	r.failedCampaigns = 0
+	r.quickCampaigns = 0
 	r.progress = map[string]*progress{}
 	for _, member := range r.followers() {
-		r.progress[member] = &progress{next: r.lastIndex() + 1, start: r.lastIndex() + 1, heardAt: now}
+		r.progress[member] = &progress{next: r.lastIndex() + 1, resendFrom: r.lastIndex() + 1, lastResponse: now}
 	}
 	r.frozenBy = nil
-	// An empty entry commits all that earlier epochs left.
-	r.epochStart = r.append(now, [][]byte{nil})
+	// Committing an empty entry also commits the entries of earlier epochs.
+	r.epochStart = r.appendCommands(now, [][]byte{nil})
 	r.heartbeatAt = now
 	r.heartbeat(now)
 }
 
-// followers lists the other members, then learners, in a fixed order.
+// followers lists the other members, then the learners, in a fixed order.
 func (r *Replica) followers() []string {
 	list := make([]string, 0, len(r.config.Members)+len(r.learners))
 	for _, member := range r.config.Members {
@@ -169,8 +172,8 @@
 	return list
 }
 
-// Propose appends commands if this replica leads and is not handing over. It
-// returns the index of the first.
+// Propose appends commands to the log and returns the index of the first one. It returns
+// false if this replica does not lead or is frozen.
 func (r *Replica) Propose(now time.Time, commands [][]byte) (uint64, bool) {
 	if r.role != Leader || r.hard.Frozen || len(commands) == 0 {
 		return 0, false
@@ -179,14 +182,14 @@
 		r.idleChanges++
 		r.heartbeatAt = now
 	}
-	first := r.append(now, commands)
+	first := r.appendCommands(now, commands)
 	for _, member := range r.followers() {
 		r.sendAppend(member, r.progress[member], now, false)
 	}
 	return first, true
 }
 
-func (r *Replica) append(_ time.Time, commands [][]byte) uint64 {
+func (r *Replica) appendCommands(_ time.Time, commands [][]byte) uint64 {
 	first := r.lastIndex() + 1
 	for _, command := range commands {
 		entry := &wirev1.LogEntry{Index: r.lastIndex() + 1, Epoch: r.hard.Promised, Command: command, Checksum: Checksum(command)}
@@ -196,7 +199,7 @@
 	return first
 }
 
-// sendAppend sends a member what it misses, or an empty message as heartbeat.
+// sendAppend sends a member the entries that it lacks, or an empty message as heartbeat.
 func (r *Replica) sendAppend(member string, p *progress, now time.Time, heartbeat bool) {
 	if p.next <= r.baseIndex {
 		if heartbeat {
@@ -205,12 +208,12 @@
 		return
 	}
 	for {
-		// A member that has not answered in this epoch is probed one message
+		// Until a member has confirmed a matching log in this epoch, it is sent one message
 		// at a time.
-		blocked := !p.confirmed && !heartbeat || r.silent(p, now) || p.next-p.match > maxInFlight || p.inFlightBytes() > maxInFlightBytes
+		blocked := !p.confirmed && !heartbeat || r.unresponsive(p, now) || p.next-p.match > maxInFlight || p.inFlightBytes() > maxInFlightBytes
 		var entries []*wirev1.LogEntry
 		if !blocked && p.next <= r.lastIndex() {
-			entries = r.read(p.next)
+			entries = r.entriesFrom(p.next)
 		}
 		if len(entries) == 0 && !heartbeat {
 			return
@@ -228,7 +231,7 @@
 		p.sentAt = now
 		p.next += uint64(len(entries))
 		if len(entries) > 0 {
-			p.inFlight = append(p.inFlight, sentEntries{p.next - 1, commandBytes(entries)})
+			p.inFlight = append(p.inFlight, inFlightEntries{p.next - 1, commandBytes(entries)})
 		}
 		heartbeat = false
 		if len(entries) == 0 || !p.confirmed {
@@ -244,11 +247,11 @@
 	})
 }
 
-// read returns entries from an index on: those in memory that await the disk,
-// or persisted ones.
-func (r *Replica) read(from uint64) []*wirev1.LogEntry {
+// entriesFrom returns entries from an index on, either from memory if they are not
+// persisted yet, or from disk.
+func (r *Replica) entriesFrom(from uint64) []*wirev1.LogEntry {
 	if len(r.pending) > 0 && from >= r.pending[0].Index {
-		return bounded(r.pending[from-r.pending[0].Index:])
+		return limitToMessage(r.pending[from-r.pending[0].Index:])
 	}
 	to := r.lastIndex()
 	if len(r.pending) > 0 {
@@ -256,8 +259,8 @@
 	}
 	entries, err := r.store.Entries(from, to, maxAppendBytes)
 	if err != nil {
-		// The member gets nothing now. The driver stops a replica whose log can't be
-		// read when it applies the same entries.
+		// Send nothing now. The driver stops the replica when it applies the same entries
+		// and cannot read them.
 		return nil
 	}
 	return entries
@@ -271,7 +274,8 @@
 	return size
 }
 
-func bounded(entries []*wirev1.LogEntry) []*wirev1.LogEntry {
+// limitToMessage returns the leading entries that fit into one message, at least one.
+func limitToMessage(entries []*wirev1.LogEntry) []*wirev1.LogEntry {
 	size := 0
 	for i, entry := range entries {
 		size += len(entry.Command)
@@ -282,14 +286,14 @@
 	return entries
 }
 
-// Persisted reports that all entries up to an index are on this disk.
+// Persisted records that all entries up to an index are on this replica's disk.
 func (r *Replica) Persisted(index uint64) {
 	r.persisted = max(r.persisted, index)
 	r.advanceCommit()
 }
 
-// advanceCommit commits the highest entry of the own epoch that a write quorum
-// has on disk; entries of earlier epochs are committed with it.
+// advanceCommit commits the highest entry of the leader's epoch that a write quorum has on
+// disk. Entries of earlier epochs are committed with it.
 func (r *Replica) advanceCommit() {
 	if r.role != Leader {
 		return
@@ -312,8 +316,8 @@
 	}
 }
 
-// TransferLeadership asks the most caught-up member to take over, as before a
-// planned stop. It reports whether there was one.
+// TransferLeadership asks a live, caught-up and preferred member to become leader, as
+// before a planned stop. It reports whether there is such a member.
 func (r *Replica) TransferLeadership(now time.Time, preferred func(string) bool) bool {
 	if r.role != Leader {
 		return false
@@ -321,7 +325,7 @@
 	best := ""
 	for _, member := range r.followers() {
 		p := r.progress[member]
-		fresh := now.Sub(p.heardAt) < r.electionTime() && p.match == r.lastIndex()
+		fresh := now.Sub(p.lastResponse) < r.electionTime() && p.match == r.lastIndex()
 		if r.config.Has(member) && fresh && preferred(member) {
 			best = member
 			break
@@ -334,24 +338,24 @@
 	return true
 }
 
-// NoteSeen records that a member's disk is in the fleet, whether or not it
-// answers as a replica.
-func (r *Replica) NoteSeen(member string, now time.Time) {
+// RecordSeen records that a member's disk is present in the cluster, even if its replica
+// does not respond.
+func (r *Replica) RecordSeen(member string, now time.Time) {
 	if p := r.progress[member]; p != nil {
-		p.seenAt = now
+		p.diskSeenAt = now
 	}
 }
 
-// UnseenFor returns how long a leader has neither heard of a member nor seen
-// its disk in the fleet.
+// UnseenFor returns the time since the leader last received a response from a member or saw
+// its disk in the cluster.
 func (r *Replica) UnseenFor(member string, now time.Time) time.Duration {
 	p := r.progress[member]
 	if p == nil {
 		return 0
 	}
-	latest := p.heardAt
-	if p.seenAt.After(latest) {
-		latest = p.seenAt
+	latest := p.lastResponse
+	if p.diskSeenAt.After(latest) {
+		latest = p.diskSeenAt
 	}
 	return now.Sub(latest)
 }
--- a/internal/batch/replica/replica.go
+++ b/internal/batch/replica/replica.go
@@ -1,16 +1,16 @@
-// Package replica is the decision logic of one replica of a replicated log:
-// election, replication and commitment after Raft (Ongaro, Ousterhout 2014)
-// with the flexible quorums of Howard, Malkhi and Spiegelman 2016.
+// Package replica implements one replica of a replicated log: leader election,
+// replication and commit as in Raft (Ongaro, Ousterhout 2014), with the flexible
+// quorums of Howard, Malkhi and Spiegelman 2016.
 //
-// An entry is committed once WriteQuorum members have it on disk; a leader is
-// elected by ElectionQuorum members, chosen so that any two such sets share a
-// member. With five members both are three; with three members the write
-// quorum is all three and one vote elects, so that every acknowledged entry is
-// on three disks and any single survivor can carry on.
+// An entry is committed once WriteQuorum members have it on disk. A leader is elected
+// by ElectionQuorum members. Every write quorum shares a member with every election
+// quorum. With five members both quorums are three. With three members the write quorum
+// is three and the election quorum is one, so that every acknowledged entry is on three
+// disks and any single surviving member can lead.
 //
-// The package does no I/O and reads no clock. The driver, package shardhost on storage
-// nodes and plain nodes, persists what Ready says before it sends Ready.Messages; that
-// order is the durability promise.
+// The package does no I/O and reads no clock. Its driver is package shardhost. The
+// driver must persist the data in Ready before it sends Ready.Messages; durability
+// depends on this order.
 package replica
 
 import (
@@ -22,10 +22,10 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// ElectionRole is what a replica does at present.
+// ElectionRole is a replica's role in the election of a leader.
 type ElectionRole uint8
 
-// Roles.
+// Roles of a replica.
 const (
 	Follower ElectionRole = iota
 	PreCandidate
@@ -33,39 +33,40 @@
 	Leader
 )
 
-// String names the role.
+// String returns the name of the role.
 func (r ElectionRole) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// CopiesWanted is the number of fsynced copies before an acknowledgement: two
-// disks may be lost together after it.
-const CopiesWanted = 3
+// DefaultCopies is the default number of fsynced copies before an acknowledgement.
+// With three copies, an acknowledged entry survives the loss of two disks.
+const DefaultCopies = 3
 
-// MemberSet is the member set of a shard. Members are disk identities, so a
-// replaced disk at an old address is a new member.
+// MemberSet is the member set of a shard. Members are disk identities: a new disk at the
+// address of an old one is a new member.
 type MemberSet struct {
 	Generation uint64   `json:"generation"`
 	Members    []string `json:"members"`
-	// Attempt counts hand-overs of this generation that were given up. Raising
-	// it in the platform's service fences the sealer of the attempt before.
+	// Attempt counts the cancelled hand-overs of this generation. Raising the attempt in
+	// the platform's store fences the sealer, which is the leader that drives the
+	// hand-over of the previous attempt.
 	Attempt uint64 `json:"attempt,omitempty"`
-	// Copies is the number of fsynced copies before an acknowledgement; 0 is
-	// CopiesWanted. It never changes over the life of a shard.
+	// Copies is the number of fsynced copies before an acknowledgement; 0 means
+	// DefaultCopies. It never changes during the life of a shard.
 	Copies int `json:"copies,omitempty"`
 }
 
-// WriteQuorum is the number of disks that must hold an entry to commit it.
+// WriteQuorum returns the number of disks that must hold an entry to commit it.
 func (c MemberSet) WriteQuorum() int {
 	copies := c.Copies
 	if copies == 0 {
-		copies = CopiesWanted
+		copies = DefaultCopies
 	}
 	return min(copies, len(c.Members))
 }
 
-// ElectionQuorum is the number of votes that elect; it shares a member with
-// every write quorum.
+// ElectionQuorum returns the number of votes that elect a leader. Any such set of voters
+// shares a member with every write quorum.
 func (c MemberSet) ElectionQuorum() int { return len(c.Members) - c.WriteQuorum() + 1 }
 
 // Has reports whether the disk is a member.
@@ -80,67 +81,68 @@
 	return -1
 }
 
-// HardState is what a replica must never forget.
+// HardState is the state of a replica that must be durable.
 type HardState struct {
-	// Promised is the highest epoch followed or voted for.
+	// Promised is the highest epoch that the replica has followed or voted for.
 	Promised uint64
-	// Commit is a lower bound of what is committed.
+	// Commit is a lower bound of the commit index.
 	Commit uint64
-	// Frozen: the member takes no more part in Generation, which is being
-	// handed over to a new member set.
+	// Frozen is set while Generation is being handed over to a new member set. A frozen
+	// member does not vote, and accepts entries only in its promised epoch.
 	Frozen bool
-	// FrozenAttempt is the attempt the freeze belongs to.
+	// FrozenAttempt is the hand-over attempt that froze the member.
 	FrozenAttempt uint64
-	// Generation of the member set the state belongs to.
+	// Generation is the generation of the member set that the state belongs to.
 	Generation uint64
 }
 
-// EntryReader reads persisted entries lo to hi, both included, as far as
-// maxBytes reach; at least one.
+// EntryReader reads persisted entries.
 type EntryReader interface {
+	// Entries returns the entries lo to hi, both included. It stops before maxBytes would
+	// be exceeded, but returns at least one entry.
 	Entries(lo, hi uint64, maxBytes int) ([]*wirev1.LogEntry, error)
 }
 
-// ElectionTiming holds the replica's times.
+// ElectionTiming holds the heartbeat and election times of a replica.
 type ElectionTiming struct {
 	// Heartbeat is the time between a leader's messages when idle.
 	Heartbeat time.Duration
-	// Election is the least time without a leader before a campaign; the most
-	// is twice that.
+	// Election is the shortest time without contact to a leader before a campaign. The
+	// longest is twice as long.
 	Election time.Duration
 }
 
-// DefaultTiming suits a node that leads and follows many shards: heartbeats are
-// few, and the loss of a leader's node is reported by LeaderLost long before the
-// election time ends.
+// DefaultTiming returns times for a node with many shards. The times can be long, because
+// LeaderLost reports the loss of a leader's node well before the election time ends.
 func DefaultTiming() ElectionTiming {
 	return ElectionTiming{Heartbeat: time.Second, Election: 3 * time.Second}
 }
 
-// firstElection is the scale of the wait before a campaign when no leader is
-// known: after a start, or when the leader's node is known to be gone.
-const firstElection = 300 * time.Millisecond
+// initialElectionDelay scales the random delay before a campaign when no leader is
+// known: after a start, after a change of the member set, or after the loss of the
+// leader's node.
+const initialElectionDelay = 300 * time.Millisecond
 
 const (
-	// maxAppendBytes bounds the entries of one message.
+	// maxAppendBytes limits the size of the entries in one message.
 	maxAppendBytes = 1 << 20
-	// maxInFlight bounds entries sent and not yet answered by a follower,
-	// maxInFlightBytes their size, so that a member that catches up does not
-	// make the leader hold the whole log in its queues.
+	// maxInFlight and maxInFlightBytes limit the number and the size of entries that were
+	// sent to a member and not acknowledged. Without the limits, a leader would hold its
+	// whole log in its send queues while a member catches up.
 	maxInFlight      = 4096
 	maxInFlightBytes = 4 << 20
-	// An epoch is made of the generation, a counter, and the candidate's place
-	// in the member set. The place keeps candidates of one generation apart, the
-	// generation those of different member sets: an entry's index and epoch must
-	// name one command for ever.
+	// An epoch consists of the generation, a counter, and the candidate's index in the
+	// member set. The index distinguishes candidates of one generation, and the
+	// generation distinguishes candidates of different member sets: an index and an
+	// epoch together must always identify the same entry.
 	indexBits      = 8
 	generationBits = 24
 	counterBits    = 64 - indexBits - generationBits
 )
 
-// Ready is what a step asks of the driver, in this order: send Early; persist
-// HardState, drop entries from TruncateFrom, append Entries, all fsynced;
-// report Persisted; send Messages; apply entries up to Commit.
+// Ready is the work that a replica requests from its driver, in this order: send Early;
+// persist HardState, delete entries from TruncateFrom on and append Entries, all with an
+// fsync; call Persisted; send Messages; apply entries up to Commit.
 type Ready struct {
 	HardState    *HardState
 	TruncateFrom uint64
@@ -150,15 +152,15 @@
 	Commit       uint64
 }
 
-// Empty reports whether nothing is to be done.
+// Empty reports whether there is nothing to persist or send.
 func (r *Ready) Empty() bool {
 	return r.HardState == nil && r.TruncateFrom == 0 && len(r.Entries) == 0 && len(r.Early) == 0 && len(r.Messages) == 0
 }
 
-// Replica is one member's state.
+// Replica is one member or learner of a shard.
 //
-// Invariants: the promised epoch never falls; entries at or below commit never
-// change; an entry is counted towards commit only after its fsync was reported.
+// Invariants: the promised epoch never decreases; entries up to the commit index never
+// change; an entry counts towards commit only after its fsync was reported.
 type Replica struct {
 	shard  uint32
 	self   string
@@ -167,40 +169,41 @@
 	random *rand.Rand
 	store  EntryReader
 
-	hard  HardState
-	dirty bool // hard state must be persisted
+	hard             HardState
+	hardStateChanged bool // the hard state must be persisted
 
-	// The log: entries after base, whose epochs are kept in memory.
+	// The log starts after the base entry. The epochs of its entries are kept in memory.
 	baseIndex uint64
 	baseEpoch uint64
 	epochs    []uint64
 	persisted uint64
 
-	pending  []*wirev1.LogEntry // appended, not yet persisted
-	truncate uint64
-	messages []*wirev1.ReplicaMessage
-	early    []*wirev1.ReplicaMessage
-
-	role        ElectionRole
-	leader      string
-	deadline    time.Time
-	heartbeatAt time.Time
-	leaderSeen  time.Time
-	votes       map[string]bool
-	lonely      int // campaigns in a row without a majority's pre-votes
-	eager       int // campaigns left that follow each other soon
-	progress    map[string]*progress
-	learners    []string
-	// idleChanges counts the leader's changes between idle and busy in this epoch: odd
-	// while the shard is idle, see SetIdle. What was sent before a change may come after it.
+	pending      []*wirev1.LogEntry // appended, but not given to the driver yet
+	truncateFrom uint64
+	messages     []*wirev1.ReplicaMessage
+	early        []*wirev1.ReplicaMessage
+
+	role              ElectionRole
+	leader            string
+	deadline          time.Time
+	heartbeatAt       time.Time
+	lastLeaderContact time.Time
+	votes             map[string]bool
+	failedCampaigns   int // campaigns since the last contact to a leader
+	quickCampaigns    int // remaining campaigns with a short delay, see sealerCampaigns
+	progress          map[string]*progress
+	learners          []string
+	// idleChanges counts the leader's changes between idle and busy in this epoch. It is
+	// odd while the shard is idle, see SetIdle. The counter orders reports, because an
+	// older message may arrive after a newer one.
 	idleChanges uint64
 	epochStart  uint64 // index of the leader's first entry
-	probe       uint64 // the last round of BeginProbe
+	probe       uint64 // number of the last probe, see BeginProbe
 	frozenBy    map[string]bool
 }
 
-// Restore returns a replica with what its disk holds: the hard state, the
-// snapshot base, and the epochs of the entries after it.
+// Restore returns a replica with the state that was loaded from its disk: the hard state,
+// the index and epoch of the base, and the epochs of the entries after the base.
 func Restore(shard uint32, self string, config MemberSet, timing ElectionTiming, random *rand.Rand, store EntryReader,
 	hard HardState, baseIndex, baseEpoch uint64, epochs []uint64, now time.Time,
 ) *Replica {
@@ -211,16 +214,16 @@
 	r.hard.Generation = config.Generation
 	r.hard.Commit = max(hard.Commit, baseIndex)
 	r.persisted = r.lastIndex()
-	// A replica that has just started knows no leader and asks soon. If there is
-	// one, the others' pre-votes say no and nothing changes.
-	r.deadline = now.Add(time.Duration(random.Int64N(int64(2 * firstElection))))
+	// A replica that has just started knows no leader and campaigns soon. If there is a
+	// leader, the others reject the pre-vote and nothing changes.
+	r.deadline = now.Add(time.Duration(random.Int64N(int64(2 * initialElectionDelay))))
 	return r
 }
 
-// Role returns the present role.
+// Role returns the current role.
 func (r *Replica) Role() ElectionRole { return r.role }
 
-// Leader returns the disk identity of the leader as far as known.
+// Leader returns the disk identity of the leader, or "" if no leader is known.
 func (r *Replica) Leader() string { return r.leader }
 
 // Epoch returns the promised epoch.
@@ -229,24 +232,24 @@
 // Commit returns the highest index known to be committed.
 func (r *Replica) Commit() uint64 { return r.hard.Commit }
 
-// MemberSet returns the member set in use.
+// MemberSet returns the current member set.
 func (r *Replica) MemberSet() MemberSet { return r.config }
 
 // LastIndex returns the index of the last entry of the log.
 func (r *Replica) LastIndex() uint64 { return r.lastIndex() }
 
-// Base returns the index and epoch of the entry the log starts after.
+// Base returns the index and epoch of the entry that the log starts after.
 func (r *Replica) Base() (uint64, uint64) { return r.baseIndex, r.baseEpoch }
 
-// Serving reports whether a leader has committed an entry of its own epoch, by
-// which it knows all that was committed before.
+// Serving reports whether the replica leads, has committed an entry of its own epoch, and
+// is not frozen. From that entry on, a leader knows every earlier committed entry.
 func (r *Replica) Serving() bool {
 	return r.role == Leader && r.hard.Commit >= r.epochStart && !r.hard.Frozen
 }
 
 func (r *Replica) lastIndex() uint64 { return r.baseIndex + uint64(len(r.epochs)) }
 
-// epochAt returns the epoch of an entry, false if it is not in the log.
+// epochAt returns the epoch of an entry, and false if the entry is not in the log.
 func (r *Replica) epochAt(index uint64) (uint64, bool) {
 	if index == r.baseIndex {
 		return r.baseEpoch, true
@@ -262,7 +265,7 @@
 	return epoch
 }
 
-// Tick advances timers.
+// Tick sends heartbeats or starts a campaign when the time for it has come.
 func (r *Replica) Tick(now time.Time) {
 	if !r.config.Has(r.self) || r.hard.Frozen {
 		if r.role == Leader {
@@ -279,42 +282,44 @@
 	}
 }
 
-func (r *Replica) address(message *wirev1.ReplicaMessage) *wirev1.ReplicaMessage {
+// setOrigin sets the shard, the sender and the generation of a message.
+func (r *Replica) setOrigin(message *wirev1.ReplicaMessage) *wirev1.ReplicaMessage {
 	message.Shard = r.shard
 	message.From = r.self
 	message.Generation = r.config.Generation
 	return message
 }
 
-// send queues a message that waits for the disk.
+// send queues a message that is sent after the next durable write.
 func (r *Replica) send(message *wirev1.ReplicaMessage) {
-	r.messages = append(r.messages, r.address(message))
+	r.messages = append(r.messages, r.setOrigin(message))
 }
 
-// sendEarly queues a message that asserts nothing about this disk.
+// sendEarly queues a message that may be sent before the next durable write, because it
+// makes no statement about data on this disk.
 func (r *Replica) sendEarly(message *wirev1.ReplicaMessage) {
-	r.early = append(r.early, r.address(message))
+	r.early = append(r.early, r.setOrigin(message))
 }
 
-// Ready returns what the driver has to do and forgets it.
+// Ready returns the pending work for the driver and clears it.
 func (r *Replica) Ready() Ready {
 	ready := Ready{
-		TruncateFrom: r.truncate, Entries: r.pending, Early: r.early, Messages: r.messages, Commit: r.hard.Commit,
+		TruncateFrom: r.truncateFrom, Entries: r.pending, Early: r.early, Messages: r.messages, Commit: r.hard.Commit,
 	}
-	if r.dirty {
+	if r.hardStateChanged {
 		state := r.hard
 		ready.HardState = &state
-		// A promise must be on disk before anything is said under its epoch:
-		// an epoch that was forgotten could be used twice.
+		// A promise must be on disk before a message of its epoch is sent: after a crash,
+		// an epoch that was not persisted could be used twice.
 		ready.Messages = append(ready.Early, ready.Messages...)
 		ready.Early = nil
 	}
-	r.dirty, r.truncate, r.pending, r.early, r.messages = false, 0, nil, nil, nil
+	r.hardStateChanged, r.truncateFrom, r.pending, r.early, r.messages = false, 0, nil, nil, nil
 	return ready
 }
 
-// Truncate records that entries up to an applied index were dropped
-// from the disk's log.
+// Truncate removes the entries up to an index from the log in memory. The driver deletes
+// them from disk.
 func (r *Replica) Truncate(index uint64) error {
 	epoch, known := r.epochAt(index)
 	if !known || index > r.hard.Commit {
@@ -325,20 +330,21 @@
 	return nil
 }
 
-// InstallSnapshot replaces the log by a snapshot that ends at an entry.
+// InstallSnapshot replaces the log by a snapshot whose last entry has the given index and
+// epoch.
 func (r *Replica) InstallSnapshot(index, epoch uint64) {
 	r.baseIndex, r.baseEpoch = index, epoch
 	r.epochs, r.pending = nil, nil
-	r.truncate = 0
+	r.truncateFrom = 0
 	r.persisted = index
 	r.hard.Commit = index
-	r.dirty = true
+	r.hardStateChanged = true
 }
 
-// HardState returns what must never be forgotten, as it is now.
+// HardState returns the current hard state.
 func (r *Replica) HardState() HardState { return r.hard }
 
-// EpochAt returns the epoch of an entry of the log, 0 if it is not in it.
+// EpochAt returns the epoch of an entry, or 0 if the entry is not in the log.
 func (r *Replica) EpochAt(index uint64) uint64 {
 	epoch, _ := r.epochAt(index)
 	return epoch
--- a/internal/batch/replica/replica_test.go
+++ b/internal/batch/replica/replica_test.go
@@ -15,12 +15,12 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// testTiming is shorter than the default, for runs of few steps.
+// testTiming returns shorter times than the default, so that tests need fewer steps.
 func testTiming() ElectionTiming {
 	return ElectionTiming{Heartbeat: 200 * time.Millisecond, Election: time.Second}
 }
 
-// disk is what survives a crash.
+// disk is the state of a replica that survives a crash.
 type disk struct {
 	hard    HardState
 	entries []*wirev1.LogEntry
@@ -52,35 +52,35 @@
 	return epochs
 }
 
-// cluster simulates replicas, their disks and a bad network.
+// cluster simulates replicas, their disks and an unreliable network.
 type cluster struct {
-	t        *rapid.T
-	now      time.Time
-	random   *rand.Rand
-	config   MemberSet
-	stored   MemberSet // what the platform's service holds
-	disks    map[string]*disk
-	replicas map[string]*Replica // nil: down
-	paused   map[string]bool
-	cut      map[string]bool
-	side     map[string]int // messages do not cross sides
-	leaders  map[uint64]string
-	loss     float64
-	network  []*wirev1.ReplicaMessage
-	// committed is what any replica ever saw committed, by index.
+	t         *rapid.T
+	now       time.Time
+	random    *rand.Rand
+	config    MemberSet
+	stored    MemberSet // the member set in the platform's store
+	disks     map[string]*disk
+	replicas  map[string]*Replica // nil if the replica is down
+	paused    map[string]bool
+	isolated  map[string]bool
+	partition map[string]int // messages between different partitions are dropped
+	leaders   map[uint64]string
+	lossRate  float64
+	network   []*wirev1.ReplicaMessage
+	// committed holds every command that a replica has reported as committed, by index.
 	committed map[uint64][]byte
 	acked     map[uint64][]byte
 	proposals int
-	// sent counts the bytes of entries sent to each.
-	sent map[string]int
+	// sentBytes counts the bytes of entries sent to each replica.
+	sentBytes map[string]int
 }
 
 func newCluster(t *rapid.T, members int) *cluster {
 	c := &cluster{
 		t: t, now: time.Unix(0, 0), random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5)),
-		disks: map[string]*disk{}, replicas: map[string]*Replica{}, paused: map[string]bool{}, cut: map[string]bool{},
-		side: map[string]int{}, leaders: map[uint64]string{},
-		committed: map[uint64][]byte{}, acked: map[uint64][]byte{}, sent: map[string]int{},
+		disks: map[string]*disk{}, replicas: map[string]*Replica{}, paused: map[string]bool{}, isolated: map[string]bool{},
+		partition: map[string]int{}, leaders: map[uint64]string{},
+		committed: map[uint64][]byte{}, acked: map[uint64][]byte{}, sentBytes: map[string]int{},
 	}
 	c.config.Generation = 1
 	for i := range members {
@@ -115,8 +115,9 @@
 	c.replicas[id] = Restore(0, id, config, testTiming(), rand.New(rand.NewPCG(c.random.Uint64(), 1)), d, d.hard, 0, 0, d.epochs(), c.now)
 }
 
-// work runs one Ready of a replica; a crash may come between disk and network.
-func (c *cluster) work(id string, crash bool) {
+// processReady handles one Ready of a replica. With crash set, the replica crashes after
+// the disk write and before its messages are sent.
+func (c *cluster) processReady(id string, crash bool) {
 	r := c.replicas[id]
 	ready := r.Ready()
 	c.network = append(c.network, ready.Early...)
@@ -127,12 +128,12 @@
 	}
 	r.Persisted(uint64(len(c.disks[id].entries)))
 	c.network = append(c.network, ready.Messages...)
-	c.observe(id, r.Commit())
+	c.checkCommitted(id, r.Commit())
 }
 
-// observe checks that what is committed never differs and counts as
-// acknowledged only what enough disks hold.
-func (c *cluster) observe(id string, commit uint64) {
+// checkCommitted checks that a committed entry never changes, and that enough disks hold
+// each newly committed entry.
+func (c *cluster) checkCommitted(id string, commit uint64) {
 	d := c.disks[id]
 	for index := uint64(1); index <= min(commit, uint64(len(d.entries))); index++ {
 		command := d.entries[index-1].Command
@@ -165,7 +166,7 @@
 	}
 }
 
-// describe lists the replicas for a failure's message.
+// describe returns the state of all replicas for a failure message.
 func (c *cluster) describe() string {
 	text := ""
 	for _, id := range c.ids() {
@@ -183,12 +184,12 @@
 	c.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, message := range due {
 		if c.random.Float64() < 0.05 {
-			c.network = append(c.network, message) // late
+			c.network = append(c.network, message) // delayed
 			continue
 		}
 		c.deliver(message)
 		if c.random.Float64() < 0.03 {
-			c.deliver(message) // twice
+			c.deliver(message) // duplicated
 		}
 	}
 	for _, id := range c.ids() {
@@ -197,12 +198,12 @@
 			continue
 		}
 		r.Tick(c.now)
-		c.work(id, false)
+		c.processReady(id, false)
 		c.checkLeader(id, r)
 	}
 }
 
-// checkLeader checks that no two replicas ever lead in one epoch.
+// checkLeader checks that no epoch has two leaders.
 func (c *cluster) checkLeader(id string, r *Replica) {
 	if r.Role() != Leader {
 		return
@@ -215,16 +216,16 @@
 }
 
 func (c *cluster) deliver(message *wirev1.ReplicaMessage) {
-	c.sent[message.To] += commandBytes(message.Entries)
+	c.sentBytes[message.To] += commandBytes(message.Entries)
 	r := c.replicas[message.To]
-	if c.side[message.From] != c.side[message.To] {
+	if c.partition[message.From] != c.partition[message.To] {
 		return
 	}
-	if r == nil || c.paused[message.To] || c.cut[message.From] || c.cut[message.To] || c.random.Float64() < c.loss {
+	if r == nil || c.paused[message.To] || c.isolated[message.From] || c.isolated[message.To] || c.random.Float64() < c.lossRate {
 		return
 	}
 	r.Step(c.now, proto.Clone(message).(*wirev1.ReplicaMessage))
-	c.work(message.To, false)
+	c.processReady(message.To, false)
 }
 
 func (c *cluster) run(steps int) {
@@ -237,7 +238,7 @@
 	var best *Replica
 	for _, id := range c.ids() {
 		r := c.replicas[id]
-		if r != nil && !c.paused[id] && !c.cut[id] && r.Serving() && (best == nil || r.Epoch() > best.Epoch()) {
+		if r != nil && !c.paused[id] && !c.isolated[id] && r.Serving() && (best == nil || r.Epoch() > best.Epoch()) {
 			best = r
 		}
 	}
@@ -252,11 +253,11 @@
 		}
 		c.proposals++
 		r.Propose(c.now, [][]byte{fmt.Appendf(nil, "%s/%d", id, c.proposals)})
-		c.work(id, crashes && c.random.Float64() < 0.02)
+		c.processReady(id, crashes && c.random.Float64() < 0.02)
 	}
 }
 
-func (c *cluster) drawFault() {
+func (c *cluster) injectFault() {
 	id := rapid.SampledFrom(c.ids()).Draw(c.t, "victim")
 	switch rapid.IntRange(0, 6).Draw(c.t, "fault") {
 	case 0:
@@ -264,11 +265,11 @@
 	case 1:
 		c.paused[id] = !c.paused[id]
 	case 2:
-		c.cut[id] = !c.cut[id]
+		c.isolated[id] = !c.isolated[id]
 	case 3:
-		c.loss = 0.2
+		c.lossRate = 0.2
 	case 4:
-		c.loss = 0
+		c.lossRate = 0
 	case 5, 6:
 		if c.replicas[id] == nil {
 			c.restart(id)
@@ -277,9 +278,9 @@
 }
 
 func (c *cluster) heal() {
-	c.loss = 0
-	clear(c.cut)
-	clear(c.side)
+	c.lossRate = 0
+	clear(c.isolated)
+	clear(c.partition)
 	clear(c.paused)
 	for _, id := range c.ids() {
 		if c.replicas[id] == nil {
@@ -296,19 +297,20 @@
 	entries := c.disks[leader.self].entries
 	for index, command := range c.acked {
 		if uint64(len(entries)) < index || !bytes.Equal(entries[index-1].Command, command) {
-			c.t.Fatalf("%s: acknowledged entry %d is gone at leader %s", when, index, leader.self)
+			c.t.Fatalf("%s: acknowledged entry %d is missing at leader %s", when, index, leader.self)
 		}
 	}
 }
 
-// Nothing that was committed changes or is lost, through kills, pauses, cuts,
-// loss, delay, duplication and reordering; and the shard works again after.
+// Checks that no committed entry changes or is lost during crashes, pauses, partitions, and
+// message loss, delay, duplication and reordering, and that the shard commits entries
+// again afterwards.
 func TestCommittedEntriesSurviveAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
 		c.run(150)
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
-			c.drawFault()
+			c.injectFault()
 			for range rapid.IntRange(1, 10).Draw(t, "proposals") {
 				c.propose(true)
 				c.run(rapid.IntRange(1, 30).Draw(t, "steps"))
@@ -326,10 +328,9 @@
 	})
 }
 
-// A member that does not answer is sent no entries until it does, however much
-// is proposed: they would pile up in the leader's memory. When it is back it
-// gets them all.
-func TestSilentMemberIsSentNoEntries(t *testing.T) {
+// Checks that a member that does not respond is sent no entries, which would fill the
+// leader's memory, and that it receives all of them after it has returned.
+func TestUnresponsiveMemberIsSentNoEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
 		c.run(300)
@@ -340,23 +341,23 @@
 		gone := rapid.SampledFrom(leader.followers()).Draw(t, "gone")
 		c.replicas[gone] = nil
 		c.run(30) // three heartbeats
-		before := c.sent[gone]
+		before := c.sentBytes[gone]
 		for range 20 {
 			c.propose(false)
 			c.run(3)
 		}
-		if c.leader() == leader && c.sent[gone] > before {
-			t.Fatalf("%d bytes were sent to a silent member", c.sent[gone]-before)
+		if c.leader() == leader && c.sentBytes[gone] > before {
+			t.Fatalf("%d bytes were sent to an unresponsive member", c.sentBytes[gone]-before)
 		}
 		c.restart(gone)
 		c.run(300)
 		if held := len(c.disks[gone].entries); held < len(c.acked) {
-			t.Fatalf("the member is back and holds %d of %d", held, len(c.acked))
+			t.Fatalf("the returned member holds %d of %d entries", held, len(c.acked))
 		}
 	})
 }
 
-// Two disks lost together after the acknowledgement lose nothing.
+// Checks that acknowledged entries survive the loss of two disks at once.
 func TestTwoDisksLostAfterAcknowledgement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(3, 5).Draw(t, "members")
@@ -373,7 +374,7 @@
 			c.replicas[id] = nil
 		}
 		c.run(800)
-		leader := c.survivorWithAll()
+		leader := c.leaderWithAllAcked()
 		if leader == "" {
 			t.Fatalf("no survivor leads with all of %d acknowledged entries: %s", len(c.acked), c.describe())
 		}
@@ -383,9 +384,9 @@
 	})
 }
 
-// survivorWithAll returns a replica that was elected among the survivors and
-// holds all that was acknowledged.
-func (c *cluster) survivorWithAll() string {
+// leaderWithAllAcked returns a leader that holds all acknowledged entries, or "" if there
+// is none.
+func (c *cluster) leaderWithAllAcked() string {
 	for id, r := range c.replicas {
 		if r == nil || r.Role() != Leader {
 			continue
@@ -402,8 +403,8 @@
 	return ""
 }
 
-// A leader that was paused and woken writes nothing in its old epoch.
-func TestWokenLeaderCommitsNothing(t *testing.T) {
+// Checks that a leader that was paused and deposed commits nothing when it resumes.
+func TestDeposedLeaderCommitsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
 		c.run(150)
@@ -419,7 +420,7 @@
 		}
 		c.paused[old.self] = false
 		old.Propose(c.now, [][]byte{[]byte("written while deposed")})
-		c.work(old.self, false)
+		c.processReady(old.self, false)
 		c.run(rapid.IntRange(1, 200).Draw(t, "steps"))
 		if old.Epoch() == oldEpoch && old.Commit() > oldCommit {
 			t.Fatal("a deposed leader committed")
@@ -432,14 +433,14 @@
 	})
 }
 
-// Members that are all cut off from each other may each come to lead, where
-// one vote elects; never in the same epoch.
+// Checks that no epoch has two leaders, even when partitioned members can elect themselves
+// because the election quorum is one.
 func TestNoTwoLeadersInOneEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
 		c.run(rapid.IntRange(0, 150).Draw(t, "before"))
 		for i, id := range c.ids() {
-			c.side[id] = rapid.IntRange(0, 1).Draw(t, "side") * i
+			c.partition[id] = rapid.IntRange(0, 1).Draw(t, "side") * i
 		}
 		for range 10 {
 			c.propose(false)
--- a/internal/batch/replica/step.go
+++ b/internal/batch/replica/step.go
@@ -9,11 +9,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is stored with each entry and checked whenever one is read.
+// Checksum returns the checksum of a command. It is stored with each entry and verified
+// whenever the entry is read.
 func Checksum(command []byte) uint32 { return crc32.Checksum(command, castagnoli) }
 
-// Step takes one message. Messages of other generations are dropped: member
-// sets change only by a sealed hand-over.
+// Step handles one message. It drops messages of other generations, because a member set
+// changes only by a sealed hand-over.
 func (r *Replica) Step(now time.Time, message *wirev1.ReplicaMessage) {
 	if message.Generation != r.config.Generation || message.To != r.self {
 		return
@@ -42,8 +43,8 @@
 	}
 }
 
-// upToDate reports whether a candidate's log holds all this one may have
-// acknowledged.
+// upToDate reports whether a candidate's log contains every entry that this replica may
+// have acknowledged.
 func (r *Replica) upToDate(message *wirev1.ReplicaMessage) bool {
 	if message.LastEpoch != r.lastEpoch() {
 		return message.LastEpoch > r.lastEpoch()
@@ -52,9 +53,9 @@
 }
 
 func (r *Replica) handlePrePrepare(now time.Time, message *wirev1.ReplicaMessage) {
-	leaderLives := r.role == Leader || now.Sub(r.leaderSeen) < r.electionTime()
+	leaderLives := r.role == Leader || now.Sub(r.lastLeaderContact) < r.electionTime()
 	if r.Idle() && r.role != Leader {
-		r.Wake(now) // somebody needs the shard; whether its leader lives shows at once
+		r.Wake(now) // the shard is needed, and a busy shard detects a lost leader sooner
 	}
 	granted := !leaderLives && !r.hard.Frozen && r.upToDate(message)
 	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_PRE_PROMISE, To: message.From, Epoch: r.hard.Promised, Granted: granted})
@@ -64,11 +65,11 @@
 	if r.role != PreCandidate || !message.Granted {
 		return
 	}
-	// Campaign above what others have promised.
-	r.promise(message.Epoch)
+	// The campaign needs an epoch above the ones that others have promised.
+	r.raisePromised(message.Epoch)
 	r.votes[message.From] = true
-	if r.preVotesSuffice() {
-		r.prepare(now)
+	if r.hasEnoughPreVotes() {
+		r.requestVotes(now)
 	}
 }
 
@@ -94,9 +95,10 @@
 	}
 }
 
-// follow steps down to an epoch at or above the promised one.
+// follow makes the replica a follower in an epoch at or above the promised epoch. The
+// leader is "" if it is not known.
 func (r *Replica) follow(now time.Time, epoch uint64, leader string) {
-	r.promise(epoch)
+	r.raisePromised(epoch)
 	r.role = Follower
 	r.leader = leader
 	r.progress = nil
@@ -111,21 +113,21 @@
 	if r.hard.Frozen && message.Epoch != r.hard.Promised {
 		return
 	}
-	r.eager = 0
-	r.promise(message.Epoch)
+	r.quickCampaigns = 0
+	r.raisePromised(message.Epoch)
 	r.followIdle(message.Rest)
 	r.follow(now, message.Epoch, message.From)
-	r.leaderSeen = now
-	r.lonely = 0
+	r.lastLeaderContact = now
+	r.failedCampaigns = 0
 	previousEpoch, known := r.epochAt(message.LastIndex)
 	if message.LastIndex < r.baseIndex {
-		known, previousEpoch = true, message.LastEpoch // below the base all is committed and alike
+		known, previousEpoch = true, message.LastEpoch // entries below the base are committed, so they match
 	}
 	if !known || previousEpoch != message.LastEpoch {
-		r.reject(message, r.hint(message.LastIndex))
+		r.reject(message, r.nextIndexHint(message.LastIndex))
 		return
 	}
-	if !r.take(message.Entries) {
+	if !r.appendReceived(message.Entries) {
 		return
 	}
 	matched := message.LastIndex + uint64(len(message.Entries))
@@ -135,9 +137,9 @@
 	})
 }
 
-// hint is where the leader should try next: the last entry before the mismatch
-// that can match.
-func (r *Replica) hint(mismatch uint64) uint64 {
+// nextIndexHint returns the index that the leader should try next: the last entry before
+// the mismatch that may match the leader's log.
+func (r *Replica) nextIndexHint(mismatch uint64) uint64 {
 	candidate := min(r.lastIndex(), mismatch-min(mismatch, 1))
 	epoch, known := r.epochAt(candidate)
 	for known && candidate > r.hard.Commit && candidate > r.baseIndex {
@@ -156,20 +158,20 @@
 	})
 }
 
-// DeclineSnapshot answers the offer of a snapshot that this log does not need
-// with where the log ends, so that the leader goes on from there.
+// DeclineSnapshot rejects the offer of a snapshot that this replica does not need. The
+// reply contains the last index of the log, so that the leader continues from there.
 func (r *Replica) DeclineSnapshot(now time.Time, offer *wirev1.ReplicaMessage) {
 	if offer.Generation != r.config.Generation || offer.To != r.self || offer.Epoch < r.hard.Promised || r.hard.Frozen {
 		return
 	}
 	r.follow(now, offer.Epoch, offer.From)
-	r.leaderSeen = now
+	r.lastLeaderContact = now
 	r.reject(offer, r.lastIndex())
 }
 
-// take appends the entries this log misses and drops its own that differ. It
-// refuses damaged entries.
-func (r *Replica) take(entries []*wirev1.LogEntry) bool {
+// appendReceived appends entries that are missing in the log and truncates conflicting
+// ones. It reports false, and changes nothing, if an entry is damaged.
+func (r *Replica) appendReceived(entries []*wirev1.LogEntry) bool {
 	for _, entry := range entries {
 		if entry.Checksum != Checksum(entry.Command) {
 			return false
@@ -184,7 +186,7 @@
 			continue
 		}
 		if known {
-			r.dropFrom(entry.Index)
+			r.truncateTail(entry.Index)
 		}
 		r.epochs = append(r.epochs, entry.Epoch)
 		r.pending = append(r.pending, entry)
@@ -192,15 +194,15 @@
 	return true
 }
 
-// dropFrom removes entries that a newer leader does not have. They were never
-// committed.
-func (r *Replica) dropFrom(index uint64) {
+// truncateTail removes the entries from an index on, which conflict with the log of a
+// newer leader. Such entries were never committed.
+func (r *Replica) truncateTail(index uint64) {
 	r.epochs = r.epochs[:index-r.baseIndex-1]
 	for len(r.pending) > 0 && r.pending[len(r.pending)-1].Index >= index {
 		r.pending = r.pending[:len(r.pending)-1]
 	}
-	if r.truncate == 0 || index < r.truncate {
-		r.truncate = index
+	if r.truncateFrom == 0 || index < r.truncateFrom {
+		r.truncateFrom = index
 	}
 	r.persisted = min(r.persisted, index-1)
 }
@@ -214,12 +216,12 @@
 	if r.role != Leader || p == nil || message.Epoch != r.hard.Promised {
 		return
 	}
-	p.heardAt = now
+	p.lastResponse = now
 	p.probe = max(p.probe, message.Probe)
 	if !message.Granted {
 		p.inFlight = nil
 		p.next = max(p.match, min(message.MatchIndex, r.lastIndex())) + 1
-		p.start = p.next
+		p.resendFrom = p.next
 		p.confirmed = false
 		r.sendAppend(message.From, p, now, true)
 		return
@@ -227,14 +229,14 @@
 	p.confirmed = true
 	p.match = max(p.match, message.MatchIndex)
 	p.next = max(p.next, p.match+1)
-	p.landed(p.match)
+	p.acknowledge(p.match)
 	r.advanceCommit()
 	r.sendAppend(message.From, p, now, false)
 }
 
-// handleTransfer campaigns at once: the leader itself asks for it.
+// handleTransfer starts an election without pre-votes, because the leader requested it.
 func (r *Replica) handleTransfer(now time.Time, message *wirev1.ReplicaMessage) {
 	if message.Epoch == r.hard.Promised && r.config.Has(r.self) && !r.hard.Frozen {
-		r.prepare(now)
+		r.requestVotes(now)
 	}
 }
--- a/internal/batch/replica/truncated_test.go
+++ b/internal/batch/replica/truncated_test.go
@@ -11,8 +11,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// truncatedMember is a replica whose log begins after a base, as after a run
-// that was long enough for old entries to be dropped.
+// truncatedMember is a replica whose log starts after a base, because older entries were
+// truncated.
 type truncatedMember struct {
 	replica *Replica
 	base    uint64
@@ -26,7 +26,7 @@
 	return m.entries[lo-m.base-1 : hi-m.base], nil
 }
 
-func (m *truncatedMember) work() []*wirev1.ReplicaMessage {
+func (m *truncatedMember) processReady() []*wirev1.ReplicaMessage {
 	ready := m.replica.Ready()
 	if ready.TruncateFrom > 0 {
 		m.entries = m.entries[:ready.TruncateFrom-m.base-1]
@@ -36,19 +36,18 @@
 	return append(ready.Early, ready.Messages...)
 }
 
-// takeOffer does what the driver does with the offer of a snapshot that ends
-// before the member's own log.
-func (m *truncatedMember) takeOffer(now time.Time, offer *wirev1.ReplicaMessage) {
+// handleSnapshotOffer declines, as the driver does, a snapshot that ends before the end of
+// the member's own log.
+func (m *truncatedMember) handleSnapshotOffer(now time.Time, offer *wirev1.ReplicaMessage) {
 	if offer.LastIndex <= m.replica.LastIndex() {
 		m.replica.DeclineSnapshot(now, offer)
 	}
 }
 
-// Of five members the three that are left restart with logs of different
-// lengths, all of which begin after a base. They come to serve once messages are
-// no longer lost: a leader finds where each member's log ends though it dropped
-// the entries before. None can be elected instead, for that needs all three.
-func TestRestartWithDroppedEntries(t *testing.T) {
+// Checks that three of five members, restarted with truncated logs of different lengths,
+// elect a serving leader after messages were lost. The leader has to find the end of each
+// member's log although it has truncated the entries before its base.
+func TestRestartWithTruncatedLogsElectsLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base, epoch = 100, uint64(1)<<(counterBits+indexBits) + 1<<indexBits + 1
 		config := MemberSet{Generation: 1, Members: []string{"d0", "d1", "d2", "d3", "d4"}}
@@ -74,7 +73,7 @@
 			var sent []*wirev1.ReplicaMessage
 			for _, id := range living {
 				members[id].replica.Tick(now)
-				sent = append(sent, members[id].work()...)
+				sent = append(sent, members[id].processReady()...)
 			}
 			for _, message := range sent {
 				entries := message.Kind == wirev1.ReplicaKind_REPLICA_KIND_APPEND || message.Kind == wirev1.ReplicaKind_REPLICA_KIND_ACCEPTED
@@ -86,7 +85,7 @@
 					continue
 				}
 				if message.Kind == wirev1.ReplicaKind_REPLICA_KIND_SNAPSHOT_OFFER {
-					to.takeOffer(now, message)
+					to.handleSnapshotOffer(now, message)
 				} else {
 					to.replica.Step(now, message)
 				}
--- a/internal/batch/shardhost/application.go
+++ b/internal/batch/shardhost/application.go
@@ -11,10 +11,10 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// Application is what a program runs on a shard: the state machine of its log, what a
-// serving leader does, and the program's rules for the log and the member set. An
-// Application belongs to one Shard; its methods are called from the shard's goroutine
-// and must not block, but for those that say otherwise.
+// Application is the part of a shard that a program supplies: the state machine of its
+// log, the tasks of its leader, and the policies for the log and the member set. An
+// Application belongs to one Shard. The shard's goroutine calls its methods, and they
+// must not block, unless their comments say otherwise.
 type Application[Command proto.Message, Result any] interface {
 	StateMachine[Command, Result]
 	LeaderWork
@@ -25,87 +25,92 @@
 
 // StateMachine applies the commands of the log.
 type StateMachine[Command proto.Message, Result any] interface {
-	// Apply applies one entry to the state. An error stops the replica: it is for a
-	// state that can't be read or written, not for a command that is refused. The
-	// entry's bytes are empty for the entry by which a leader begins.
+	// Apply applies one entry to the state. It returns an error only if the state cannot
+	// be read or written, because an error stops the replica; the rejection of a command
+	// is a Result. The first entry of each leader has an empty command.
 	Apply(state *logstore.StateBatch, entry *wirev1.LogEntry, command Command) (Result, error)
-	// Applied follows in order once the entries are part of the state, before their
-	// proposers are answered.
+	// Applied is called for each entry in order, after the state was written and before
+	// the entry's proposer gets the result.
 	Applied(command Command, result Result)
 }
 
-// LeaderWork is what a serving leader does beside the log.
+// LeaderWork contains the tasks of a serving leader apart from the log.
 type LeaderWork interface {
-	// FollowLeadership is called whenever the replica may have won or lost the lead.
+	// FollowLeadership is called whenever the replica may have gained or lost leadership.
 	FollowLeadership()
-	// DropLeadership is called before the state is replaced by a snapshot, and when
-	// the shard stops; the reason is for the log line.
+	// DropLeadership is called before a snapshot replaces the state, and when the shard
+	// stops. The reason is for the log line.
 	DropLeadership(reason string)
-	// BeforeTick is called before the replica's own timers, unless a snapshot is
+	// BeforeTick is called before each tick of the replica, except while a snapshot is
 	// being installed.
 	BeforeTick(now time.Time)
-	// Tick is called after the replica's timers.
+	// Tick is called after each tick of the replica, also while a snapshot is being
+	// installed.
 	Tick(now time.Time)
-	// TickInterval is the time between ticks wanted now.
+	// TickInterval returns the time between ticks. It may change at any time.
 	TickInterval() time.Duration
 }
 
-// LogPolicy keeps account of the log and says how much of it stays.
+// LogPolicy observes the log and decides how much of it is kept.
 type LogPolicy interface {
-	// Proposed follows a proposal; accepted is false if this replica does not lead.
+	// Proposed is called after each proposal. Accepted is false if the replica rejected it
+	// because it does not lead or is frozen.
 	Proposed(commands [][]byte, accepted bool)
-	// Persisted follows a durable write, with the time that it took.
+	// Persisted is called after each durable write, with the time that it took.
 	Persisted(ready *replica.Ready, took time.Duration)
-	// TruncationPoint is up to which index the log should be dropped; at or below
-	// base it stays as it is. Entries after settled are never dropped.
+	// TruncationPoint returns the index up to which the log should be truncated. The log
+	// is not changed if the index is at or below base, and entries after settled, the
+	// last applied and committed index, are kept.
 	TruncationPoint(now time.Time, base, settled uint64) uint64
-	// Truncated follows once the entries up to an index are dropped.
+	// Truncated is called before the entries up to an index are deleted from disk.
 	Truncated(index uint64)
 }
 
-// MemberPolicy decides on the member set and stores it.
+// MemberPolicy chooses the members of a shard and stores the member set.
 type MemberPolicy interface {
-	// NextMembers returns the member set that the shard should have, the present one
-	// if nothing is to change.
+	// NextMembers returns the members that the shard should have, or the current ones if
+	// no change is needed.
 	NextMembers(now time.Time, config replica.MemberSet) []string
-	// MaySeal reports whether the members of the next set are ready for the sealed
-	// part of a hand-over, during which the shard takes no commands.
+	// MaySeal reports whether the members of the next set are ready for sealing. A sealed
+	// shard accepts no commands until the hand-over ends.
 	MaySeal(now time.Time, next replica.MemberSet) bool
-	// Swap replaces the stored member set of a sealed shard if it is still the one
-	// before. It reports whether the change is known to be stored. It is called from
-	// a goroutine of its own.
+	// Swap replaces the stored member set of a sealed shard by after if the stored set
+	// still equals before. It reports whether the change is known to be stored. It is
+	// called in a separate goroutine and may block.
 	Swap(ctx context.Context, before, after replica.MemberSet) (bool, error)
-	// Fence is Swap for the raised attempt that ends a hand-over which does not
-	// finish; the stored set may have been read long ago.
+	// Fence stores the raised attempt that cancels an unfinished hand-over, in the same
+	// way as Swap. The program's copy of the stored set may be out of date.
 	Fence(ctx context.Context, before, after replica.MemberSet) (bool, error)
 }
 
-// Events are what a program logs and counts. An application embeds NoEvents and has
-// methods for those that it takes.
+// Events contains callbacks for logs and metrics. An application embeds NoEvents and
+// implements the callbacks that it needs.
 type Events interface {
-	// Started: the replica runs with what its disk holds.
+	// Started is called before the replica runs, with the state loaded from disk.
 	Started(loaded *logstore.RecoveredState)
-	// Failed: the replica stopped, because its disk can't be trusted. A restart of
-	// the node checks the disk, gives it a new identity, and the members replace it.
+	// Failed is called when the replica stops after an error of its disk or state. A
+	// restart of the node checks the disk and gives a damaged one a new identity; the
+	// other members then replace it.
 	Failed(err error)
-	// Received: a message of another replica came, before it is handled.
+	// Received is called for each message of another replica before it is handled.
 	Received(message *wirev1.ReplicaMessage)
-	// Dropped: a replica that is no member any more was removed from the disk, or
-	// could not be.
+	// Dropped is called after the data of a replica that is no longer a member was deleted,
+	// or with the error if the deletion failed. Any goroutine may call it.
 	Dropped(err error)
-	// SnapshotSent: a follower asked for a snapshot and is sent one. It is called
-	// from any goroutine.
+	// SnapshotSent is called before a snapshot is sent to a follower that requested it. Any
+	// goroutine may call it.
 	SnapshotSent()
-	// SnapshotRequested: a leader offered a snapshot and is asked for it.
+	// SnapshotRequested is called before a snapshot that a leader offered is fetched.
 	SnapshotRequested(from Peer, index uint64)
-	// SnapshotReceived: all of it came, or an error.
+	// SnapshotReceived is called after the fetch of a snapshot, with an error if it failed.
 	SnapshotReceived(index uint64, err error)
-	// SnapshotInstalled: the state is now that of the snapshot.
+	// SnapshotInstalled is called after a snapshot has replaced the state.
 	SnapshotInstalled(index uint64)
-	// HandOverEnded: a change of members driven here is done or timed out.
+	// HandOverEnded is called when a hand-over that this leader drives is done or has timed
+	// out.
 	HandOverEnded(outcome string)
-	// SwapEnded and FenceEnded: what came of a change of the stored member set. They
-	// are called from any goroutine.
+	// SwapEnded and FenceEnded are called with the outcome of Swap and Fence. Any goroutine
+	// may call them.
 	SwapEnded(after replica.MemberSet, committed bool, err error)
 	FenceEnded(after replica.MemberSet, committed bool, err error)
 }
--- a/internal/batch/shardhost/handover.go
+++ b/internal/batch/shardhost/handover.go
@@ -8,28 +8,29 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// handOver is a member set change this leader drives; see package replica for
-// the steps and why they are safe.
+// handOver is the state of a change of the member set that this leader drives. Package
+// replica describes the steps and why they are safe.
 type handOver struct {
 	next      replica.MemberSet
-	began     time.Time
+	startedAt time.Time
 	frozenAt  time.Time
 	swapping  bool
 	fencing   bool
 	lastCheck time.Time
 }
 
-// HandingOver reports whether a change of the member set is on its way.
+// HandingOver reports whether a change of the member set is in progress.
 func (s *Shard[Command, Result]) HandingOver() bool {
 	return s.handOver.next.Generation != 0 || s.Replica.Frozen()
 }
 
-// tickHandOver looks whether other members are wanted and advances a running change.
+// tickHandOver plans a change of members if one is needed, advances a change in progress,
+// and cancels a hand-over that keeps the shard frozen for too long.
 func (s *Shard[Command, Result]) tickHandOver(now time.Time) {
 	h := &s.handOver
 	times := s.host.options.HandOver
 	if !s.Replica.Frozen() {
-		h.frozenAt = time.Time{} // the next freeze has its own time
+		h.frozenAt = time.Time{} // the next freeze has its own timeout
 	} else if !h.swapping {
 		s.tickFrozen(now, h)
 	}
@@ -48,7 +49,7 @@
 	}
 }
 
-// planHandOver begins a change if the member set should be another.
+// planHandOver starts a hand-over if the shard should have other members.
 func (s *Shard[Command, Result]) planHandOver(now time.Time, h *handOver) {
 	config := s.Replica.MemberSet()
 	next := s.application.NextMembers(now, config)
@@ -56,10 +57,10 @@
 		return
 	}
 	h.next = replica.MemberSet{Generation: config.Generation + 1, Members: next, Copies: config.Copies}
-	h.began = now
+	h.startedAt = now
 	h.frozenAt = time.Time{}
 	s.Replica.SetLearners(now, placement.Without(next, config.Members))
-	s.log("hand-over begun", "generation", h.next.Generation, "from", config.Members, "to", next)
+	s.log("hand-over started", "generation", h.next.Generation, "from", config.Members, "to", next)
 }
 
 func (s *Shard[Command, Result]) advanceHandOver(now time.Time, h *handOver) {
@@ -73,9 +74,10 @@
 	}
 }
 
-// freezeWhenReady begins the sealed part.
+// freezeWhenReady freezes the shard once the next members are ready, and ends the hand-over
+// if they do not catch up in time.
 func (s *Shard[Command, Result]) freezeWhenReady(now time.Time, h *handOver) {
-	if now.Sub(h.began) > s.host.options.HandOver.CatchUpTimeout {
+	if now.Sub(h.startedAt) > s.host.options.HandOver.CatchUpTimeout {
 		s.Replica.SetLearners(now, nil)
 		s.endHandOver(h, "timed out")
 		return
@@ -92,7 +94,7 @@
 	h.swapping = false
 }
 
-// swap replaces the member set in the platform's store, in the background.
+// swap replaces the member set in the platform's store in a background task.
 func (s *Shard[Command, Result]) swap(h *handOver) {
 	before, after := s.Replica.MemberSet(), h.next
 	h.swapping = s.host.tasks.Go(func() {
@@ -100,7 +102,7 @@
 		defer cancel()
 		committed, err := s.application.Swap(ctx, before, after)
 		s.application.SwapEnded(after, committed, err)
-		s.runWhileRunning(func() {
+		s.runInLoopUnlessStopped(func() {
 			h.swapping = false
 			if committed {
 				s.Replica.Observe(time.Now(), after)
@@ -109,8 +111,8 @@
 	})
 }
 
-// tickFrozen ends a hand-over that does not finish: the attempt is raised in the
-// platform's store, which fences whoever began it; then all thaw.
+// tickFrozen cancels a hand-over that does not finish within FreezeTimeout. It raises the
+// attempt in the platform's store, which fences the sealer; then the members thaw.
 func (s *Shard[Command, Result]) tickFrozen(now time.Time, h *handOver) {
 	if h.frozenAt.IsZero() {
 		h.frozenAt = now
@@ -126,7 +128,7 @@
 		after.Attempt++
 		committed, err := s.application.Fence(ctx, before, after)
 		s.application.FenceEnded(after, committed, err)
-		s.runWhileRunning(func() {
+		s.runInLoopUnlessStopped(func() {
 			h.fencing = false
 			h.frozenAt = time.Time{}
 			if committed {
@@ -136,38 +138,39 @@
 	})
 }
 
-// keepRemoved is how long a replica that was replaced keeps its copy.
-const keepRemoved = 60 * time.Second
+// removedRetention is how long a replica keeps its data after it was removed from the
+// member set.
+const removedRetention = 60 * time.Second
 
-// tickRemoved drops a replica whose disk a newer member set leaves out. A learner,
-// whose set is not known yet, is not meant.
+// tickRemoved drops a replica whose disk is no longer in the member set. It keeps a
+// learner, whose member set is still empty.
 func (s *Shard[Command, Result]) tickRemoved(now time.Time) {
 	config := s.Replica.MemberSet()
 	if len(config.Members) == 0 || config.Has(s.Disk) {
-		s.removed = time.Time{}
+		s.removedSince = time.Time{}
 		return
 	}
-	if s.removed.IsZero() {
-		s.removed = now
+	if s.removedSince.IsZero() {
+		s.removedSince = now
 	}
-	if now.Sub(s.removed) > keepRemoved && !s.installing {
-		s.removed = now
+	if now.Sub(s.removedSince) > removedRetention && !s.installing {
+		s.removedSince = now
 		s.host.tasks.Go(func() { s.host.drop(s) })
 	}
 }
 
-// handOnTries times, handOnPause apart, a leader that is to stop asks another member
-// to lead.
+// transferAttempts and transferInterval are the number of requests by which a leader asks
+// another member to lead before a planned stop, and the time between them.
 const (
-	handOnTries = 20
-	handOnPause = 100 * time.Millisecond
+	transferAttempts = 20
+	transferInterval = 100 * time.Millisecond
 )
 
-// HandOnLeadership asks another member to lead, one that is preferred, as before a
-// planned stop. It waits until one does, but not for long. It is for any other
-// goroutine.
+// HandOnLeadership asks a preferred member to become leader, as before a planned stop. It
+// returns once this replica does not lead, or after transferAttempts requests. Any
+// goroutine but the shard's own may call it.
 func (s *Shard[Command, Result]) HandOnLeadership(ctx context.Context, preferred func(disk string) bool) {
-	for range handOnTries {
+	for range transferAttempts {
 		leading := false
 		err := s.RunInLoop(ctx, func() {
 			leading = s.Replica.Role() == replica.Leader
@@ -178,6 +181,6 @@
 		if err != nil || !leading || ctx.Err() != nil {
 			return
 		}
-		time.Sleep(handOnPause)
+		time.Sleep(transferInterval)
 	}
 }
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -1,11 +1,11 @@
-// Package shardhost runs the replicas of shards on a node with a disk: their run
-// loops, the messages between replicas, snapshots, the sealed hand-over of a member
-// set, and the truncation of logs. It owns the goroutines of its shards and what
-// package replica says is written to and sent from this node. It relies on packages
-// replica (decisions) and logstore (disk). What the commands mean, who should be a
-// member and what a leader does come from the program as an Application: queue shards of
-// a storage node (queuestore) and file and job shards of a plain node
-// (modules/batch/store).
+// Package shardhost runs the replicas of shards on a node with a disk: their run loops,
+// the messages between replicas, snapshots, sealed hand-overs to new member sets, and the
+// truncation of logs. It owns the goroutines of its shards. Package replica decides what
+// to persist and send; shardhost carries it out, and stores data by package logstore.
+//
+// The program supplies an Application, which applies the commands, chooses the members
+// and runs the tasks of a leader. There are two programs: the queue shards of a storage
+// node (queuestore), and the file and job shards of a plain node (modules/batch/store).
 package shardhost
 
 import (
@@ -28,44 +28,45 @@
 // Peer is the node that has a disk.
 type Peer struct{ Node, Address string }
 
-// HandOverTiming bounds the change of a member set.
+// HandOverTiming holds the times of a hand-over to a new member set.
 type HandOverTiming struct {
-	// CheckInterval between two looks whether a change is wanted.
+	// CheckInterval is the time between two checks for a wanted change of members.
 	CheckInterval time.Duration
-	// CatchUpTimeout for new members to catch up.
+	// CatchUpTimeout is the time within which new members have to catch up.
 	CatchUpTimeout time.Duration
 	// FreezeTimeout is how long a member stays frozen before it fences the hand-over.
 	FreezeTimeout time.Duration
-	// SwapTimeout bounds one change of the stored member set.
+	// SwapTimeout limits the time of one change of the stored member set.
 	SwapTimeout time.Duration
 }
 
-// HostOptions are what differs between programs.
+// HostOptions configures a Host.
 type HostOptions struct {
 	DB   *logstore.DB
 	Pool *rpc.Pool
-	// Timing of elections and heartbeats.
+	// Timing holds the election and heartbeat times.
 	Timing replica.ElectionTiming
-	// Peer returns the node that has a disk, false if none is known.
+	// Peer returns the node that has a disk, and false if the node is not known.
 	Peer func(disk string) (Peer, bool)
-	// Send sends one message to the replica on the disk that it names; it may be lost.
+	// Send sends a message to the replica on the disk message.To. The message may be lost.
 	Send func(message *wirev1.ReplicaMessage)
-	// SnapshotTimeout bounds the fetch of a snapshot.
+	// SnapshotTimeout limits the time for fetching a snapshot.
 	SnapshotTimeout time.Duration
-	// TruncateInterval is the time between two looks at the length of a log.
+	// TruncateInterval is the time between two checks whether a log can be truncated.
 	TruncateInterval time.Duration
 	HandOver         HandOverTiming
-	// PlanWhileServing: only a leader that serves plans a change of members. Otherwise
-	// one that can't commit plans it too: it was elected by an election quorum, so its
-	// log has all that was acknowledged, and the seal needs no commit.
+	// PlanWhileServing allows only a serving leader to plan a change of members. Without
+	// it, a leader that cannot commit may plan a change too. This is safe: the leader was
+	// elected by an election quorum, so its log has every acknowledged entry, and sealing
+	// needs no commit.
 	PlanWhileServing bool
-	// DeclineSnapshots: a replica that needs no snapshot says from where the leader is
-	// to go on. Otherwise it does not answer the offer.
+	// DeclineSnapshots makes a replica that needs no snapshot reply with the end of its
+	// log, from where the leader continues. Without it, the replica ignores the offer.
 	DeclineSnapshots bool
-	// BatchLoopCalls: calls of RunInLoop are taken along with queued messages before the
-	// next durable write. Otherwise one is taken for each round of the loop.
+	// BatchLoopCalls runs several queued calls of RunInLoop before the next durable write.
+	// Without it, each iteration of the run loop runs at most one.
 	BatchLoopCalls bool
-	// LogKeys come first in each log line.
+	// LogKeys holds the key-value pairs that come first in each log line.
 	LogKeys []any
 }
 
@@ -81,7 +82,7 @@
 	shards map[uint32]*Shard[Command, Result]
 }
 
-// New returns a host without shards. It works until parent ends or Stop is called.
+// New returns a host without shards. The host runs until parent ends or Stop is called.
 func New[Command proto.Message, Result any](
 	parent context.Context, options HostOptions, newApplication func(*Shard[Command, Result]) Application[Command, Result],
 ) *Host[Command, Result] {
@@ -91,8 +92,8 @@
 	}
 }
 
-// Restore starts the shards that the disk holds, before the platform's store is
-// asked: elections need only the shards' own replicas.
+// Restore starts the shards that are on disk. It does not need the platform's store, so
+// replicas can elect a leader before the store is reachable.
 func (h *Host[Command, Result]) Restore() error {
 	ids, err := h.options.DB.Shards()
 	if err != nil {
@@ -106,11 +107,12 @@
 	return nil
 }
 
-// errStopping refuses to start a shard once Stop was called.
+// errStopping reports that a shard was not started because the host is stopping.
 var errStopping = errors.New("the node is stopping")
 
-// Start restores a shard from disk, or creates it with a first member set; it does
-// nothing if the shard runs already, or is neither on disk nor created.
+// Start restores a shard from disk and runs it. If the shard is not on disk, Start creates
+// it with the member set created, or does nothing if created is nil. It also does nothing
+// if the shard runs already.
 func (h *Host[Command, Result]) Start(id uint32, created *replica.MemberSet) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -168,14 +170,14 @@
 	return s
 }
 
-// Shard returns a shard that runs here, nil if it does not.
+// Shard returns a running shard, or nil if the shard does not run on this host.
 func (h *Host[Command, Result]) Shard(id uint32) *Shard[Command, Result] {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.shards[id]
 }
 
-// Shards returns the shards that run here, in no order.
+// Shards returns the running shards in no particular order.
 func (h *Host[Command, Result]) Shards() []*Shard[Command, Result] {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -186,7 +188,7 @@
 	return list
 }
 
-// drop ends a replica that is not a member and frees its space.
+// drop stops a replica that is no longer a member and deletes its data.
 func (h *Host[Command, Result]) drop(s *Shard[Command, Result]) {
 	s.stop()
 	h.mutex.Lock()
@@ -198,7 +200,7 @@
 	s.application.Dropped(s.Store.Drop())
 }
 
-// Stop ends all shards and waits for what they do.
+// Stop stops all shards and waits for their background tasks.
 func (h *Host[Command, Result]) Stop() {
 	h.cancel()
 	for _, s := range h.Shards() {
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -11,7 +11,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// proposal is a command on its way through the log.
+// proposal is a command whose result is pending.
 type proposal[Command proto.Message, Result any] struct {
 	command Command
 	epoch   uint64
@@ -19,8 +19,8 @@
 }
 
 type proposalResult[Result any] struct {
-	applied Result
-	err     error
+	value Result
+	err   error
 }
 
 func newProposal[Command proto.Message, Result any](command Command) *proposal[Command, Result] {
@@ -31,7 +31,7 @@
 	p.result <- proposalResult[Result]{applied, err}
 }
 
-func (p *proposal[Command, Result]) refuse(err error) {
+func (p *proposal[Command, Result]) fail(err error) {
 	var none Result
 	p.finish(none, err)
 }
@@ -44,8 +44,8 @@
 	for _, p := range batch {
 		encoded, err := proto.Marshal(p.command)
 		if err != nil {
-			// The entry is empty then, and changes nothing.
-			klog.ErrorS(err, "command has no encoding", "shard", s.ID)
+			// An empty command has no effect.
+			klog.ErrorS(err, "command cannot be encoded", "shard", s.ID)
 			encoded = nil
 		}
 		commands = append(commands, encoded)
@@ -54,7 +54,7 @@
 	s.application.Proposed(commands, accepted)
 	for i, p := range batch {
 		if !accepted {
-			p.refuse(result.New(result.NotLeader, "shard %d is not led here", s.ID))
+			p.fail(result.New(result.NotLeader, "shard %d is not led here", s.ID))
 			continue
 		}
 		p.epoch = s.Replica.Epoch()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Propose proposes commands whose results nobody waits for.
+// Propose proposes commands without waiting for their results.
 func (s *Shard[Command, Result]) Propose(commands ...Command) {
 	batch := make([]*proposal[Command, Result], 0, len(commands))
 	for _, command := range commands {
@@ -71,36 +71,37 @@
 	s.propose(batch...)
 }
 
-// answer reports to a proposer what became of its command. An entry of another epoch at
-// the index means that the command was not committed there; whether it was anywhere
-// is not known here.
-func (s *Shard[Command, Result]) answer(entry *wirev1.LogEntry, applied Result) {
+// completeProposal passes the result of an applied entry to its proposer. If the entry has
+// another epoch than the proposal, the command was not committed at this index, and
+// whether it was committed at another one is unknown.
+func (s *Shard[Command, Result]) completeProposal(entry *wirev1.LogEntry, applied Result) {
 	p := s.waiting[entry.Index]
 	if p == nil {
 		return
 	}
 	delete(s.waiting, entry.Index)
 	if p.epoch != entry.Epoch {
-		p.refuse(result.New(result.CommitUnknown, "shard %d changed its leader before the command was committed", s.ID))
+		p.fail(result.New(result.CommitUnknown, "shard %d changed its leader before the command was committed", s.ID))
 		return
 	}
 	p.finish(applied, nil)
 }
 
-// failWaiting answers all who wait when the shard stops.
-func (s *Shard[Command, Result]) failWaiting() {
+// failPending fails all pending proposals and reads when the shard stops, and runs the
+// queued calls.
+func (s *Shard[Command, Result]) failPending() {
 	s.application.DropLeadership("stopped")
 	for index, p := range s.waiting {
 		delete(s.waiting, index)
-		p.refuse(result.New(result.CommitUnknown, "shard %d stopped before the command was committed", s.ID))
+		p.fail(result.New(result.CommitUnknown, "shard %d stopped before the command was committed", s.ID))
 	}
 	for _, read := range s.reads {
-		read.release(false)
+		read.complete(false)
 	}
 	for {
 		select {
 		case p := <-s.proposals:
-			p.refuse(result.New(result.NotLeader, "shard %d stopped here", s.ID))
+			p.fail(result.New(result.NotLeader, "shard %d stopped here", s.ID))
 		case call := <-s.loopCalls:
 			call()
 		default:
@@ -109,8 +110,9 @@
 	}
 }
 
-// RunInLoop runs a function on the shard's goroutine and waits for it. The error says that
-// it was not run, or that the shard stopped meanwhile. It is for any other goroutine.
+// RunInLoop runs a function on the shard's goroutine and waits until it returns. An error
+// means that the function was not run, or that the shard stopped before it was known to
+// have run. Any goroutine but the shard's own may call it.
 func (s *Shard[Command, Result]) RunInLoop(ctx context.Context, call func()) error {
 	finished := make(chan struct{})
 	wrapped := func() {
@@ -132,9 +134,9 @@
 	}
 }
 
-// Post runs a function on the shard's goroutine if not much is queued there, and
-// does not wait. It is for any goroutine.
-func (s *Shard[Command, Result]) Post(call func()) bool {
+// TryRunInLoop queues a function for the shard's goroutine without waiting for it. It
+// reports false if the queue is full. Any goroutine may call it.
+func (s *Shard[Command, Result]) TryRunInLoop(call func()) bool {
 	select {
 	case s.loopCalls <- call:
 		return true
@@ -143,15 +145,16 @@
 	}
 }
 
-// ProposeAndWait proposes a command and waits until it is applied. The error says NotLeader
-// if it was not taken and CommitUnknown if its fate is not known. It is for any other
-// goroutine.
+// ProposeAndWait proposes a command and waits until it is applied. The error is NotLeader
+// or StoreUnavailable if the command was not proposed, and CommitUnknown if it is unknown
+// whether the command was or will be committed. Any goroutine but the shard's own may
+// call it.
 func (s *Shard[Command, Result]) ProposeAndWait(ctx context.Context, command Command) (Result, error) {
 	return s.ProposeWithCallback(ctx, command, nil)
 }
 
-// ProposeWithCallback is ProposeAndWait, and calls settled (unless it is nil) once the command is
-// applied or dropped, which may be after the context has ended.
+// ProposeWithCallback is like ProposeAndWait, and calls settled, unless it is nil, when the
+// command was applied, was rejected or failed. That may be after the context has ended.
 func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, settled func()) (Result, error) {
 	if settled == nil {
 		settled = func() {}
@@ -170,18 +173,19 @@
 	select {
 	case answer := <-p.result:
 		settled()
-		return answer.applied, answer.err
+		return answer.value, answer.err
 	case <-s.done:
 		settled()
 		return none, result.New(result.CommitUnknown, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
-		s.settleLater(p, settled)
+		s.settleInBackground(p, settled)
 		return none, result.New(result.CommitUnknown, "shard %d did not confirm in time", s.ID)
 	}
 }
 
-// settleLater waits for the fate of a command whose proposer has left.
-func (s *Shard[Command, Result]) settleLater(p *proposal[Command, Result], settled func()) {
+// settleInBackground waits for the result of a command whose proposer no longer waits, and
+// then calls settled.
+func (s *Shard[Command, Result]) settleInBackground(p *proposal[Command, Result], settled func()) {
 	started := s.host.tasks.Go(func() {
 		select {
 		case <-p.result:
@@ -190,6 +194,6 @@
 		settled()
 	})
 	if !started {
-		settled() // the host has stopped, and the shard with it
+		settled() // the host and the shard have stopped
 	}
 }
--- a/internal/batch/shardhost/read.go
+++ b/internal/batch/shardhost/read.go
@@ -8,15 +8,17 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// readWait is a read that waits until this replica is confirmed to lead.
-type readWait struct {
-	probe   uint64
-	index   uint64
-	release func(confirmed bool)
+// pendingRead is a read that waits until the replica's leadership is confirmed and the
+// state contains the entry at index.
+type pendingRead struct {
+	probe    uint64
+	index    uint64
+	complete func(confirmed bool)
 }
 
-// Confirm waits until this replica is known to have led after the call and to have
-// applied all that was committed before it. It is for any other goroutine.
+// Confirm waits until it is certain that this replica still led after the call, and that
+// it has applied every entry committed before the call. Any goroutine but the shard's own
+// may call it.
 func (s *Shard[Command, Result]) Confirm(ctx context.Context) error {
 	released := make(chan bool, 1)
 	err := s.RunInLoop(ctx, func() {
@@ -25,7 +27,7 @@
 			return
 		}
 		probe := s.Replica.BeginProbe(time.Now())
-		s.reads = append(s.reads, readWait{probe, s.Replica.Commit(), func(ok bool) { released <- ok }})
+		s.reads = append(s.reads, pendingRead{probe, s.Replica.Commit(), func(ok bool) { released <- ok }})
 	})
 	if err != nil {
 		return err
@@ -43,19 +45,19 @@
 	}
 }
 
-func (s *Shard[Command, Result]) releaseReads() {
+func (s *Shard[Command, Result]) completeReads() {
 	if len(s.reads) == 0 {
 		return
 	}
 	leads := s.Replica.Role() == replica.Leader
-	confirmed := s.Replica.Confirmed()
+	confirmed := s.Replica.ConfirmedProbe()
 	kept := s.reads[:0]
 	for _, read := range s.reads {
 		switch {
 		case !leads:
-			read.release(false)
+			read.complete(false)
 		case read.probe <= confirmed && read.index <= s.applied:
-			read.release(true)
+			read.complete(true)
 		default:
 			kept = append(kept, read)
 		}
--- a/internal/batch/shardhost/shard.go
+++ b/internal/batch/shardhost/shard.go
@@ -14,18 +14,19 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// Shard drives one replica. One goroutine takes messages, proposals and calls,
-// persists what the replica says, and applies what is committed. Exported fields and
-// methods are for the shard's goroutine (the application's methods, and functions passed
-// to RunInLoop), unless they say otherwise.
+// Shard drives one replica. Its goroutine handles messages, proposals and calls, persists
+// the replica's state and entries, and applies committed entries. Only this goroutine may
+// use the exported fields and methods, unless their comments say otherwise; it runs the
+// application's methods and the functions passed to RunInLoop.
 //
-// Invariant: nothing is sent in the replica's name before what it rests on is on
-// disk, and nothing is answered before it is applied.
+// Invariant: a message is sent only after the state that it depends on is on disk, and a
+// proposer gets its result only after the command was applied.
 type Shard[Command proto.Message, Result any] struct {
-	// ID of the shard and Disk that holds the replica; they never change.
+	// ID is the shard's number, and Disk the identity of the replica's disk. Any goroutine
+	// may read them; they never change.
 	ID   uint32
 	Disk string
-	// Store is the shard's part of the database. Its snapshots are for any goroutine.
+	// Store is the shard's part of the database. Any goroutine may read its snapshots.
 	Store   *logstore.ShardLog
 	Replica *replica.Replica
 
@@ -39,37 +40,37 @@
 	done      chan struct{}
 	quitOnce  sync.Once
 
-	applied    uint64
-	waiting    map[uint64]*proposal[Command, Result]
-	reads      []readWait
-	truncated  time.Time
-	removed    time.Time // since when the disk is not in the member set
-	installing bool
-	handOver   handOver
-	stopped    bool
+	applied           uint64
+	waiting           map[uint64]*proposal[Command, Result]
+	reads             []pendingRead
+	lastTruncateCheck time.Time
+	removedSince      time.Time // since when the disk is not in the member set; zero if it is
+	installing        bool
+	handOver          handOver
+	stopped           bool
 }
 
 const (
-	// queueLength of messages, proposals and calls each.
+	// queueLength is the capacity of each queue: messages, proposals and calls.
 	queueLength = 1024
-	// maxBatch is how many of these one durable write serves at the most.
+	// maxBatch is the largest number of queued items handled before a durable write.
 	maxBatch = 256
-	// applyBytes of commands are applied in one batch.
+	// applyBytes is the largest size of the commands that are applied in one batch.
 	applyBytes = 8 << 20
 )
 
-// Application returns what was made for the shard. It is for any goroutine.
+// Application returns the shard's application. Any goroutine may call it.
 func (s *Shard[Command, Result]) Application() Application[Command, Result] { return s.application }
 
-// Context ends when the host stops. It is for any goroutine.
+// Context returns a context that ends when the host stops. Any goroutine may call it.
 func (s *Shard[Command, Result]) Context() context.Context { return s.host.context }
 
-// AppliedIndex is the index of the last entry that the state contains.
+// AppliedIndex returns the index of the last entry that the state contains.
 func (s *Shard[Command, Result]) AppliedIndex() uint64 { return s.applied }
 
-// Quiet reports whether nobody waits for a command or a read and no change of
-// members or of the state is on its way.
-func (s *Shard[Command, Result]) Quiet() bool {
+// HasNoPendingWork reports whether no proposal or read is pending, and neither a hand-over
+// nor the installation of a snapshot is in progress.
+func (s *Shard[Command, Result]) HasNoPendingWork() bool {
 	return len(s.waiting) == 0 && len(s.reads) == 0 && !s.HandingOver() && !s.installing
 }
 
@@ -80,7 +81,7 @@
 
 func (s *Shard[Command, Result]) run() {
 	defer close(s.done)
-	defer s.failWaiting()
+	defer s.failPending()
 	interval := s.application.TickInterval()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -100,7 +101,7 @@
 			s.tick(time.Now())
 		}
 		s.drainQueues()
-		if err := s.work(); err != nil {
+		if err := s.processReady(); err != nil {
 			s.Fail(err)
 		}
 		if wanted := s.application.TickInterval(); wanted != interval {
@@ -110,7 +111,7 @@
 	}
 }
 
-// drainQueues takes what else is queued, so that one fsync serves it all.
+// drainQueues handles further queued items, so that one fsync serves all of them.
 func (s *Shard[Command, Result]) drainQueues() {
 	calls := s.loopCalls
 	if !s.host.options.BatchLoopCalls {
@@ -135,7 +136,7 @@
 
 func (s *Shard[Command, Result]) step(message *wirev1.ReplicaMessage) {
 	if message.Kind == wirev1.ReplicaKind_REPLICA_KIND_SNAPSHOT_OFFER {
-		s.considerSnapshot(message)
+		s.handleSnapshotOffer(message)
 		return
 	}
 	s.application.Received(message)
@@ -152,16 +153,17 @@
 	s.application.Tick(now)
 	s.tickHandOver(now)
 	s.tickRemoved(now)
-	if now.Sub(s.truncated) > s.host.options.TruncateInterval {
-		s.truncated = now
+	if now.Sub(s.lastTruncateCheck) > s.host.options.TruncateInterval {
+		s.lastTruncateCheck = now
 		if err := s.truncateLog(now); err != nil {
 			s.Fail(err)
 		}
 	}
 }
 
-// work does what the replica asks for, in the order its promises need.
-func (s *Shard[Command, Result]) work() error {
+// processReady carries out the work that the replica requests, in the order that
+// replica.Ready requires.
+func (s *Shard[Command, Result]) processReady() error {
 	for {
 		ready := s.Replica.Ready()
 		s.sendAll(ready.Early)
@@ -173,7 +175,7 @@
 			return err
 		}
 		s.application.FollowLeadership()
-		s.releaseReads()
+		s.completeReads()
 		if ready.Empty() {
 			return nil
 		}
@@ -202,7 +204,7 @@
 	}
 }
 
-// apply applies committed entries in batches and answers their proposers.
+// apply applies committed entries in batches and passes the results to their proposers.
 func (s *Shard[Command, Result]) apply(commit uint64) error {
 	for s.applied < commit {
 		entries, err := s.Store.Entries(s.applied+1, commit, applyBytes)
@@ -243,7 +245,7 @@
 	s.applied = last
 	for i, entry := range entries {
 		s.application.Applied(commands[i], results[i])
-		s.answer(entry, results[i])
+		s.completeProposal(entry, results[i])
 	}
 	return nil
 }
@@ -254,18 +256,18 @@
 	return none.ProtoReflect().New().Interface().(Command)
 }
 
-// Fail stops a replica whose disk cannot be trusted.
+// Fail stops the replica after an error of its disk or state.
 func (s *Shard[Command, Result]) Fail(err error) {
 	select {
 	case <-s.quit:
-		return // the database was closed under a node that is being stopped
+		return // the shard is being stopped, and the database may be closed already
 	default:
 	}
 	s.stopped = true
 	s.application.Failed(err)
 }
 
-// log writes a line with the host's keys and the shard's number.
+// log writes a log line with the host's keys and the shard's number.
 func (s *Shard[Command, Result]) log(message string, keysAndValues ...any) {
 	keys := append([]any{}, s.host.options.LogKeys...)
 	keys = append(keys, "shard", s.ID)
--- a/internal/batch/shardhost/shardhost_test.go
+++ b/internal/batch/shardhost/shardhost_test.go
@@ -15,7 +15,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// counter is an application whose state is how many commands were applied.
+// counter is an application whose state is the number of applied commands.
 type counter struct{ NoEvents }
 
 var counterKey = []byte("count")
@@ -39,7 +39,7 @@
 func (*counter) Persisted(*replica.Ready, time.Duration) {}
 func (*counter) Truncated(uint64)                        {}
 
-// TruncationPoint implements LogPolicy: two entries stay.
+// TruncationPoint implements LogPolicy. It keeps two entries.
 func (*counter) TruncationPoint(_ time.Time, _, settled uint64) uint64 {
 	return settled - min(settled, 2)
 }
@@ -63,14 +63,15 @@
 type countingHost = Host[*wirev1.QueueCommand, int]
 
 const (
-	testFrozen = time.Minute
-	// testSnapshotTimeout has passed when a fetch begins.
+	testFreezeTimeout = time.Minute
+	// testSnapshotTimeout is so short that it has passed before a fetch starts.
 	testSnapshotTimeout = time.Nanosecond
 	// deadAddress refuses connections.
 	deadAddress = "127.0.0.1:1"
 )
 
-// startHost runs the shards on a disk; shard 0 is made with this disk as its member.
+// startHost runs the shards on a disk. It creates shard 0 with this disk as its only
+// member.
 func startHost(t *testing.T, folder string) *countingHost {
 	t.Helper()
 	is := is.New(t)
@@ -81,7 +82,7 @@
 		DB: db, Pool: pool, Timing: replica.ElectionTiming{Heartbeat: 20 * time.Millisecond, Election: 60 * time.Millisecond},
 		Peer: func(string) (Peer, bool) { return Peer{}, false }, Send: func(*wirev1.ReplicaMessage) {},
 		SnapshotTimeout: testSnapshotTimeout, TruncateInterval: 10 * time.Millisecond,
-		HandOver: HandOverTiming{CheckInterval: time.Second, CatchUpTimeout: time.Second, FreezeTimeout: testFrozen, SwapTimeout: time.Second},
+		HandOver: HandOverTiming{CheckInterval: time.Second, CatchUpTimeout: time.Second, FreezeTimeout: testFreezeTimeout, SwapTimeout: time.Second},
 	}, func(*Shard[*wirev1.QueueCommand, int]) Application[*wirev1.QueueCommand, int] { return &counter{} })
 	t.Cleanup(func() {
 		host.Stop()
@@ -105,8 +106,8 @@
 
 var anyCommand = &wirev1.QueueCommand{Kind: &wirev1.QueueCommand_End{End: "job"}}
 
-// What was answered is there after a restart, with a log that is truncated.
-func TestAppliedStateOutlastsARestart(t *testing.T) {
+// Checks that applied commands survive a restart after the log was truncated.
+func TestAppliedStateSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	const commands = 20
@@ -132,8 +133,8 @@
 	is.Equal(count, commands+1)
 }
 
-// A host that has stopped answers nobody and starts nothing.
-func TestStoppedHostRefuses(t *testing.T) {
+// Checks that a stopped host rejects calls and starts no shard.
+func TestStoppedHostRejectsCalls(t *testing.T) {
 	is := is.New(t)
 	host := startHost(t, t.TempDir())
 	s := host.Shard(0)
@@ -146,33 +147,33 @@
 	is.Equal(host.Shard(1), nil)
 }
 
-// A message that comes after the database was closed starts no shard: nothing of the
-// database is read.
-func TestStoppedHostLeavesTheDatabaseAlone(t *testing.T) {
+// Checks that a stopped host starts no shard and does not read its closed database.
+func TestStoppedHostDoesNotReadDatabase(t *testing.T) {
 	is := is.New(t)
 	var host *countingHost
 	t.Run("until the database is closed", func(t *testing.T) { host = startHost(t, t.TempDir()) })
 	is.True(host.Start(1, nil) != nil)
 }
 
-// A member that was frozen once and thawed gives the next hand-over its full time:
-// the time of the earlier freeze does not count.
-func TestEachFreezeHasItsOwnTime(t *testing.T) {
+// Checks that each freeze gets its full timeout, even if the member was frozen and thawed
+// before.
+func TestEachFreezeHasItsOwnTimeout(t *testing.T) {
 	is := is.New(t)
 	s := startHost(t, t.TempDir()).Shard(0)
 	awaitLeader(t, s)
 	now := time.Now()
 	is.NoErr(s.RunInLoop(t.Context(), func() {
-		s.handOver = handOver{frozenAt: now.Add(-2 * testFrozen)} // of a freeze that has ended
+		s.handOver = handOver{frozenAt: now.Add(-2 * testFreezeTimeout)} // from an earlier freeze
 		s.tickHandOver(now)
 		is.True(s.Replica.Freeze())
 		s.tickHandOver(now)
-		is.True(!s.handOver.fencing) // none of the time has passed
+		is.True(!s.handOver.fencing) // the timeout starts with the new freeze
 	}))
 }
 
-// A replica whose fetch of a snapshot timed out takes messages again, each time.
-func TestEndOfAFetchAlwaysArrives(t *testing.T) {
+// Checks that a replica always handles messages again after the fetch of a snapshot timed
+// out.
+func TestFailedSnapshotFetchEndsInstallation(t *testing.T) {
 	is := is.New(t)
 	s := startHost(t, t.TempDir()).Shard(0)
 	awaitLeader(t, s)
@@ -182,7 +183,7 @@
 		installing := true
 		is.NoErr(s.RunInLoop(t.Context(), func() { installing = s.installing }))
 		if installing {
-			t.Fatalf("round %d: the replica still waits for its snapshot", round)
+			t.Fatalf("round %d: the replica is still installing a snapshot", round)
 		}
 	}
 }
--- a/internal/batch/shardhost/snapshot.go
+++ b/internal/batch/shardhost/snapshot.go
@@ -15,8 +15,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ServeSnapshot streams a leader's applied state to a follower that is too far
-// behind for its log.
+// ServeSnapshot streams the applied state of a leader to a follower that needs entries
+// which the leader's log no longer has.
 func (h *Host[Command, Result]) ServeSnapshot(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.SnapshotRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -43,7 +43,7 @@
 	}
 	defer view.Close()
 	s.application.SnapshotSent()
-	return view.Chunks(index, epoch, func(chunk *wirev1.SnapshotChunk) error {
+	return view.SendChunks(index, epoch, func(chunk *wirev1.SnapshotChunk) error {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -51,9 +51,9 @@
 	})
 }
 
-// considerSnapshot starts to fetch a snapshot a leader offers, if this replica is
-// behind it.
-func (s *Shard[Command, Result]) considerSnapshot(offer *wirev1.ReplicaMessage) {
+// handleSnapshotOffer starts to fetch a snapshot that a leader offers, if this replica's
+// log or state ends before it.
+func (s *Shard[Command, Result]) handleSnapshotOffer(offer *wirev1.ReplicaMessage) {
 	stale := offer.Epoch < s.Replica.Epoch() || offer.Generation != s.Replica.MemberSet().Generation
 	if s.installing || stale {
 		return
@@ -68,7 +68,7 @@
 	if !known {
 		return
 	}
-	installer, err := s.Store.Install()
+	installer, err := s.Store.NewInstaller()
 	if err != nil {
 		s.Fail(err)
 		return
@@ -81,9 +81,9 @@
 	ctx, cancel := context.WithTimeout(s.host.context, s.host.options.SnapshotTimeout)
 	defer cancel()
 	index, epoch, err := s.receiveSnapshot(ctx, address, installer)
-	// Not bounded by the snapshot's timeout: a replica that does not learn of the end
-	// takes no messages any more.
-	s.runWhileRunning(func() {
+	// This call ignores the snapshot's timeout: a replica whose installation was not ended
+	// would handle no more messages.
+	s.runInLoopUnlessStopped(func() {
 		s.installing = false
 		s.application.SnapshotReceived(index, err)
 		if err == nil {
@@ -121,7 +121,7 @@
 	}
 	s.application.DropLeadership("snapshot installed")
 	s.Replica.InstallSnapshot(index, epoch)
-	if err := installer.Finish(s.Replica.HardState(), s.Replica.MemberSet(), index, epoch); err != nil {
+	if err := installer.Activate(s.Replica.HardState(), s.Replica.MemberSet(), index, epoch); err != nil {
 		s.Fail(err)
 		return
 	}
--- a/internal/batch/shardhost/transport.go
+++ b/internal/batch/shardhost/transport.go
@@ -11,22 +11,22 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Handle registers the calls between replicas.
+// Handle registers the handlers for calls between replicas.
 func (h *Host[Command, Result]) Handle(server *rpc.Server) {
 	server.HandleNotice(wirev1.Method_METHOD_REPLICA, h.receive)
 	server.Handle(wirev1.Method_METHOD_SNAPSHOT, h.ServeSnapshot)
 }
 
-// receive passes messages to their shards. A learner's first message makes its
-// replica.
+// receive passes messages to their shards. It creates the replica of a learner on the
+// first message to it.
 func (h *Host[Command, Result]) receive(_ string, payload []byte) {
 	var batch wirev1.ReplicaBatch
 	if proto.Unmarshal(payload, &batch) != nil {
-		return // as if lost: the sender tries again
+		return // treated as lost: the sender retries
 	}
 	for _, message := range batch.Messages {
 		if message.To != h.options.DB.DiskID() {
-			continue // meant for a disk that stood here before
+			continue // addressed to a former disk of this node
 		}
 		s := h.Shard(message.Shard)
 		if s == nil && message.Learner {
@@ -37,7 +37,7 @@
 		}
 		select {
 		case s.messages <- message:
-		default: // the sender tries again
+		default: // the queue is full: the sender retries
 		}
 	}
 }
@@ -46,14 +46,14 @@
 	config := replica.MemberSet{Generation: message.Generation}
 	if err := h.Start(message.Shard, &config); err != nil {
 		keys := append([]any{}, h.options.LogKeys...)
-		klog.ErrorS(err, "learner cannot be started", append(keys, "shard", message.Shard)...)
+		klog.ErrorS(err, "learner could not be started", append(keys, "shard", message.Shard)...)
 		return nil
 	}
 	return h.Shard(message.Shard)
 }
 
-// runWhileRunning is RunInLoop for the host's own tasks: a shard that has stopped needs no
-// answer any more.
-func (s *Shard[Command, Result]) runWhileRunning(call func()) {
-	_ = s.RunInLoop(context.Background(), call) // fails only when the shard has stopped
+// runInLoopUnlessStopped runs a function on the shard's goroutine without a time limit. It
+// has no effect if the shard has stopped. It is for the host's background tasks.
+func (s *Shard[Command, Result]) runInLoopUnlessStopped(call func()) {
+	_ = s.RunInLoop(context.Background(), call) // fails only if the shard has stopped
 }
--- a/internal/batch/shardhost/truncate.go
+++ b/internal/batch/shardhost/truncate.go
@@ -6,11 +6,10 @@
 	"github.com/gravitational/trace"
 )
 
-// truncateLog drops applied entries that no follower is likely to need.
+// truncateLog deletes applied entries up to the application's truncation point.
 func (s *Shard[Command, Result]) truncateLog(now time.Time) error {
 	base, _ := s.Replica.Base()
-	// A replica that has just started does not know yet how far its log is
-	// committed, though it has applied it.
+	// After a restart, the known commit index may be lower than the applied index.
 	settled := min(s.applied, s.Replica.Commit())
 	index := min(s.application.TruncationPoint(now, base, settled), settled)
 	if s.installing || index <= base {
--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -103,8 +103,8 @@
 	if err != nil {
 		return err
 	}
-	if live < replica.CopiesWanted {
-		return result.New(result.StoreUnavailable, "%d disks of shard %d answer, needed: %d", live, s.ID, replica.CopiesWanted).WithRetryAfter(storeRetryAfter)
+	if live < replica.DefaultCopies {
+		return result.New(result.StoreUnavailable, "%d disks of shard %d answer, needed: %d", live, s.ID, replica.DefaultCopies).WithRetryAfter(storeRetryAfter)
 	}
 	return nil
 }
--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -141,7 +141,7 @@
 func (m *Module) found(ctx context.Context, stableSince time.Time, layout *ClusterLayout) time.Time {
 	region := m.settings.Node.Region
 	disks := regionDisks(m.views.View(), region)
-	if len(disks) < replica.CopiesWanted {
+	if len(disks) < replica.DefaultCopies {
 		return time.Time{}
 	}
 	now := time.Now()
--- a/modules/batch/store/members.go
+++ b/modules/batch/store/members.go
@@ -38,7 +38,7 @@
 	if len(next) < len(keep) {
 		return config.Members
 	}
-	if len(next) == len(keep) && len(next) < replica.CopiesWanted {
+	if len(next) == len(keep) && len(next) < replica.DefaultCopies {
 		return config.Members // nothing to gain: a shard is not shrunk below the copies promised
 	}
 	return next
@@ -51,7 +51,7 @@
 	}
 	for _, disk := range disks {
 		if disk.DiskId == member {
-			s.Replica.NoteSeen(member, now)
+			s.Replica.RecordSeen(member, now)
 			return true
 		}
 	}
