--- a/internal/batch/logstore/db.go
+++ b/internal/batch/logstore/db.go
@@ -57,7 +57,7 @@
 // OpenOn is like Open, but uses the given file system.
 func OpenOn(fs vfs.FS, folder string, limits DiskLimits) (*DB, error) {
 	if err := fs.MkdirAll(folder, 0o755); err != nil {
-		return nil, trace.Wrap(trace.ConvertSystemError(err), "data folder")
+		return nil, trace.Wrap(trace.ConvertSystemError(err), "creating data folder")
 	}
 	d := &DB{fs: fs, folder: folder, limits: limits}
 	opened, err := d.openChecked(filepath.Join(folder, databaseFolder))
@@ -124,8 +124,8 @@
 const (
 	maxMemTableBytes = 16 << 20
 	minMemTableBytes = 1 << 20
-	// memTableFraction is the share of a small disk that one memory table may have. It
-	// is small because each table is in a write-ahead log too, and several logs exist.
+	// memTableFraction is the size of a memory table as a share of MaxBytes. It is small
+	// because the disk holds several write-ahead logs, each as large as a memory table.
 	memTableFraction = 1.0 / 96
 )
 
@@ -198,13 +198,13 @@
 // writeSynced replaces a file atomically: after a power loss the file has either its
 // old or its new content. It syncs the content before the rename, and the folders
 // before it returns.
-func (d *DB) writeSynced(path string, text []byte) error {
+func (d *DB) writeSynced(path string, content []byte) error {
 	temporary := path + ".new"
 	file, err := d.fs.Create(temporary, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if _, err := file.Write(text); err != nil {
+	if _, err := file.Write(content); err != nil {
 		closeIgnoringError(file)
 		return trace.ConvertSystemError(err)
 	}
--- a/internal/batch/logstore/documents.go
+++ b/internal/batch/logstore/documents.go
@@ -44,8 +44,8 @@
 		}
 	}
 	for _, value := range values {
-		text := append(binary.BigEndian.AppendUint64(nil, uint64(value.Revision)), value.Value...)
-		if err := batch.Set(documentKey(documentKind, value.Key), text, nil); err != nil {
+		record := append(binary.BigEndian.AppendUint64(nil, uint64(value.Revision)), value.Value...)
+		if err := batch.Set(documentKey(documentKind, value.Key), record, nil); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -63,8 +63,8 @@
 		return nil, -1, err
 	}
 	defer release()
-	text, err := (&ShardLog{db: d.pebble}).get(documentKey(revisionKind, ""))
-	if err != nil || len(text) != revisionSize {
+	storedRevision, err := (&ShardLog{db: d.pebble}).get(documentKey(revisionKind, ""))
+	if err != nil || len(storedRevision) != revisionSize {
 		return nil, -1, err
 	}
 	bounds := &pebble.IterOptions{LowerBound: documentKey(documentKind, ""), UpperBound: documentKey(documentKind+1, "")}
@@ -85,5 +85,5 @@
 			Value: append([]byte{}, stored[revisionSize:]...),
 		})
 	}
-	return values, int64(binary.BigEndian.Uint64(text)), trace.Wrap(iterator.Error())
+	return values, int64(binary.BigEndian.Uint64(storedRevision)), trace.Wrap(iterator.Error())
 }
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -94,12 +94,12 @@
 func (s *ShardLog) Load() (*RecoveredState, error) {
 	loaded := &RecoveredState{}
 	var stored meta
-	text, err := s.get(s.metaKey(metaRecordName))
+	record, err := s.get(s.metaKey(metaRecordName))
 	if err != nil {
 		return nil, err
 	}
-	if text != nil {
-		if err := json.Unmarshal(text, &stored); err != nil {
+	if record != nil {
+		if err := json.Unmarshal(record, &stored); err != nil {
 			return nil, trace.Wrap(err, "decoding shard %d", s.id)
 		}
 		loaded.Exists = true
@@ -121,11 +121,11 @@
 }
 
 func (s *ShardLog) loadApplied() (uint64, byte, error) {
-	text, err := s.get(s.metaKey(appliedRecordName))
-	if err != nil || len(text) != 9 {
+	record, err := s.get(s.metaKey(appliedRecordName))
+	if err != nil || len(record) != 9 {
 		return 0, 0, err
 	}
-	return binary.BigEndian.Uint64(text), text[8], nil
+	return binary.BigEndian.Uint64(record), record[8], nil
 }
 
 func (s *ShardLog) get(key []byte) ([]byte, error) {
@@ -192,7 +192,8 @@
 	return entries, nil
 }
 
-// Persist writes a replica's hard state and entries, and returns after the fsync.
+// Persist deletes the truncated entries, writes the new entries and the hard state, and
+// returns after the fsync.
 func (s *ShardLog) Persist(ready *replica.Ready, config replica.MemberSet, baseIndex, baseEpoch uint64) error {
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
@@ -224,11 +225,11 @@
 }
 
 func (s *ShardLog) setMeta(batch *pebble.Batch, record meta) error {
-	text, err := json.Marshal(record)
+	encoded, err := json.Marshal(record)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(batch.Set(s.metaKey(metaRecordName), text, nil))
+	return trace.Wrap(batch.Set(s.metaKey(metaRecordName), encoded, nil))
 }
 
 // TruncatePrefix deletes the entries up to an index; the state must contain them. Its
--- a/internal/batch/replica/elect.go
+++ b/internal/batch/replica/elect.go
@@ -44,7 +44,8 @@
 }
 
 // hasEnoughPreVotes reports whether the pre-votes allow an election. A majority is needed
-// at first; after several failed campaigns the election quorum suffices, which is safe.
+// at first. After several failed campaigns the election quorum suffices; safety depends
+// on that quorum only.
 func (r *Replica) hasEnoughPreVotes() bool {
 	needed := len(r.config.Members)/2 + 1
 	if r.failedCampaigns >= 3 {
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -24,8 +24,8 @@
 const (
 	// sealerCampaignDelay and sealerCampaigns are the delay and the number of the sealer's
 	// campaigns in the new generation. Campaigns fail until the other members know the
-	// new member set. The sealer retries fast, so that it stays leader: another leader
-	// would interrupt the sealer's runs.
+	// new member set. The sealer retries fast, so that it stays leader: a change of
+	// leaders would interrupt running work.
 	sealerCampaignDelay = 80 * time.Millisecond
 	sealerCampaigns     = 10
 )
--- a/internal/batch/replica/idle.go
+++ b/internal/batch/replica/idle.go
@@ -13,7 +13,7 @@
 // these times.
 
 // idleFactor is the factor by which the heartbeat and election times of an idle shard are
-// longer. The longer heartbeats must still detect a lost member in time to replace it.
+// longer. It must be small enough for a lost member to be noticed and replaced in time.
 const idleFactor = 8
 
 // idleScaled returns a time multiplied by idleFactor while the shard is idle.
--- a/internal/batch/replica/lead.go
+++ b/internal/batch/replica/lead.go
@@ -61,18 +61,18 @@
 	if r.role != Leader {
 		return 0
 	}
-	rounds := []uint64{r.probe}
+	probes := []uint64{r.probe}
 	for member, p := range r.progress {
 		if r.config.Has(member) {
-			rounds = append(rounds, p.probe)
+			probes = append(probes, p.probe)
 		}
 	}
 	quorum := r.config.WriteQuorum()
-	if len(rounds) < quorum {
+	if len(probes) < quorum {
 		return 0
 	}
-	sort.Slice(rounds, func(i, j int) bool { return rounds[i] > rounds[j] })
-	return rounds[quorum-1]
+	sort.Slice(probes, func(i, j int) bool { return probes[i] > probes[j] })
+	return probes[quorum-1]
 }
 
 // LiveMembers returns how many members, this leader included, have responded within the
--- a/internal/batch/replica/replica.go
+++ b/internal/batch/replica/replica.go
@@ -133,8 +133,8 @@
 	maxInFlightBytes = 4 << 20
 	// An epoch consists of the generation, a counter, and the candidate's index in the
 	// member set. The index distinguishes candidates of one generation, and the
-	// generation distinguishes candidates of different member sets: an index and an
-	// epoch together must always identify the same entry.
+	// generation distinguishes candidates of different member sets. Both are needed
+	// because a log index and an epoch must together identify a single entry.
 	indexBits      = 8
 	generationBits = 24
 	counterBits    = 64 - indexBits - generationBits
@@ -242,7 +242,8 @@
 func (r *Replica) Base() (uint64, uint64) { return r.baseIndex, r.baseEpoch }
 
 // Serving reports whether the replica leads, has committed an entry of its own epoch, and
-// is not frozen. From that entry on, a leader knows every earlier committed entry.
+// is not frozen. Once its own entry is committed, a leader knows that all entries before
+// it are committed too.
 func (r *Replica) Serving() bool {
 	return r.role == Leader && r.hard.Commit >= r.epochStart && !r.hard.Frozen
 }
--- a/internal/batch/replica/step.go
+++ b/internal/batch/replica/step.go
@@ -53,11 +53,11 @@
 }
 
 func (r *Replica) handlePrePrepare(now time.Time, message *wirev1.ReplicaMessage) {
-	leaderLives := r.role == Leader || now.Sub(r.lastLeaderContact) < r.electionTime()
+	leaderAlive := r.role == Leader || now.Sub(r.lastLeaderContact) < r.electionTime()
 	if r.Idle() && r.role != Leader {
 		r.Wake(now) // the shard is needed, and a busy shard detects a lost leader sooner
 	}
-	granted := !leaderLives && !r.hard.Frozen && r.upToDate(message)
+	granted := !leaderAlive && !r.hard.Frozen && r.upToDate(message)
 	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_PRE_PROMISE, To: message.From, Epoch: r.hard.Promised, Granted: granted})
 }
 
@@ -124,7 +124,7 @@
 		known, previousEpoch = true, message.LastEpoch // entries below the base are committed, so they match
 	}
 	if !known || previousEpoch != message.LastEpoch {
-		r.reject(message, r.nextIndexHint(message.LastIndex))
+		r.reject(message, r.matchIndexHint(message.LastIndex))
 		return
 	}
 	if !r.appendReceived(message.Entries) {
@@ -137,9 +137,9 @@
 	})
 }
 
-// nextIndexHint returns the index that the leader should try next: the last entry before
-// the mismatch that may match the leader's log.
-func (r *Replica) nextIndexHint(mismatch uint64) uint64 {
+// matchIndexHint returns an index before the mismatch at which the leader's log may match.
+// It goes back to the first entry of an epoch, so that few rejections are needed.
+func (r *Replica) matchIndexHint(mismatch uint64) uint64 {
 	candidate := min(r.lastIndex(), mismatch-min(mismatch, 1))
 	epoch, known := r.epochAt(candidate)
 	for known && candidate > r.hard.Commit && candidate > r.baseIndex {
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -1,11 +1,11 @@
 // Package shardhost runs the replicas of shards on a node with a disk: their run loops,
 // the messages between replicas, snapshots, sealed hand-overs to new member sets, and the
-// truncation of logs. It owns the goroutines of its shards. Package replica decides what
-// to persist and send; shardhost carries it out, and stores data by package logstore.
+// truncation of logs. It owns the goroutines of its shards. It uses package replica to
+// decide what to persist and send, and package logstore to store data on disk.
 //
 // The program supplies an Application, which applies the commands, chooses the members
-// and runs the tasks of a leader. There are two programs: the queue shards of a storage
-// node (queuestore), and the file and job shards of a plain node (modules/batch/store).
+// and runs the tasks of a leader. Package queuestore supplies it for the queue shards of
+// a storage node, and modules/batch/store for the file and job shards of a plain node.
 package shardhost
 
 import (
@@ -60,8 +60,9 @@
 	// elected by an election quorum, so its log has every acknowledged entry, and sealing
 	// needs no commit.
 	PlanWhileServing bool
-	// DeclineSnapshots makes a replica that needs no snapshot reply with the end of its
-	// log, from where the leader continues. Without it, the replica ignores the offer.
+	// DeclineSnapshots is set if a replica replies to the offer of a snapshot that it does
+	// not need. The reply contains the end of its log, and the leader continues from
+	// there. Without it, the replica ignores the offer.
 	DeclineSnapshots bool
 	// BatchLoopCalls runs several queued calls of RunInLoop before the next durable write.
 	// Without it, each iteration of the run loop runs at most one.
@@ -164,7 +165,7 @@
 		proposals: make(chan *proposal[Command, Result], queueLength),
 		loopCalls: make(chan func(), queueLength),
 		quit:      make(chan struct{}), done: make(chan struct{}),
-		waiting: map[uint64]*proposal[Command, Result]{},
+		pendingProposals: map[uint64]*proposal[Command, Result]{},
 	}
 	s.application = h.newApplication(s)
 	return s
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -32,8 +32,8 @@
 }
 
 func (p *proposal[Command, Result]) fail(err error) {
-	var none Result
-	p.finish(none, err)
+	var zero Result
+	p.finish(zero, err)
 }
 
 func (s *Shard[Command, Result]) propose(batch ...*proposal[Command, Result]) {
@@ -58,7 +58,7 @@
 			continue
 		}
 		p.epoch = s.Replica.Epoch()
-		s.waiting[first+uint64(i)] = p
+		s.pendingProposals[first+uint64(i)] = p
 	}
 }
 
@@ -75,11 +75,11 @@
 // another epoch than the proposal, the command was not committed at this index, and
 // whether it was committed at another one is unknown.
 func (s *Shard[Command, Result]) completeProposal(entry *wirev1.LogEntry, applied Result) {
-	p := s.waiting[entry.Index]
+	p := s.pendingProposals[entry.Index]
 	if p == nil {
 		return
 	}
-	delete(s.waiting, entry.Index)
+	delete(s.pendingProposals, entry.Index)
 	if p.epoch != entry.Epoch {
 		p.fail(result.New(result.CommitUnknown, "shard %d changed its leader before the command was committed", s.ID))
 		return
@@ -91,8 +91,8 @@
 // queued calls.
 func (s *Shard[Command, Result]) failPending() {
 	s.application.DropLeadership("stopped")
-	for index, p := range s.waiting {
-		delete(s.waiting, index)
+	for index, p := range s.pendingProposals {
+		delete(s.pendingProposals, index)
 		p.fail(result.New(result.CommitUnknown, "shard %d stopped before the command was committed", s.ID))
 	}
 	for _, read := range s.reads {
@@ -159,16 +159,16 @@
 	if settled == nil {
 		settled = func() {}
 	}
-	var none Result
+	var zero Result
 	p := newProposal[Command, Result](command)
 	select {
 	case s.proposals <- p:
 	case <-s.done:
 		settled()
-		return none, result.New(result.NotLeader, "shard %d stopped here", s.ID)
+		return zero, result.New(result.NotLeader, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
 		settled()
-		return none, result.New(result.StoreUnavailable, "shard %d is busy", s.ID)
+		return zero, result.New(result.StoreUnavailable, "shard %d is busy", s.ID)
 	}
 	select {
 	case answer := <-p.result:
@@ -176,10 +176,10 @@
 		return answer.value, answer.err
 	case <-s.done:
 		settled()
-		return none, result.New(result.CommitUnknown, "shard %d stopped here", s.ID)
+		return zero, result.New(result.CommitUnknown, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
 		s.settleInBackground(p, settled)
-		return none, result.New(result.CommitUnknown, "shard %d did not confirm in time", s.ID)
+		return zero, result.New(result.CommitUnknown, "shard %d did not confirm in time", s.ID)
 	}
 }
 
--- a/internal/batch/shardhost/read.go
+++ b/internal/batch/shardhost/read.go
@@ -16,9 +16,9 @@
 	complete func(confirmed bool)
 }
 
-// Confirm waits until it is certain that this replica still led after the call, and that
-// it has applied every entry committed before the call. Any goroutine but the shard's own
-// may call it.
+// Confirm waits until a quorum has confirmed that this replica was leader at the time of
+// the call, and until the replica has applied every entry that was committed before the
+// call. Any goroutine but the shard's own may call it.
 func (s *Shard[Command, Result]) Confirm(ctx context.Context) error {
 	released := make(chan bool, 1)
 	err := s.RunInLoop(ctx, func() {
--- a/internal/batch/shardhost/shard.go
+++ b/internal/batch/shardhost/shard.go
@@ -41,7 +41,7 @@
 	quitOnce  sync.Once
 
 	applied           uint64
-	waiting           map[uint64]*proposal[Command, Result]
+	pendingProposals  map[uint64]*proposal[Command, Result] // by the index of the entry
 	reads             []pendingRead
 	lastTruncateCheck time.Time
 	removedSince      time.Time // since when the disk is not in the member set; zero if it is
@@ -71,7 +71,7 @@
 // HasNoPendingWork reports whether no proposal or read is pending, and neither a hand-over
 // nor the installation of a snapshot is in progress.
 func (s *Shard[Command, Result]) HasNoPendingWork() bool {
-	return len(s.waiting) == 0 && len(s.reads) == 0 && !s.HandingOver() && !s.installing
+	return len(s.pendingProposals) == 0 && len(s.reads) == 0 && !s.HandingOver() && !s.installing
 }
 
 func (s *Shard[Command, Result]) stop() {
@@ -252,8 +252,8 @@
 
 // newCommand returns an empty message of the command's type.
 func newCommand[Command proto.Message]() Command {
-	var none Command
-	return none.ProtoReflect().New().Interface().(Command)
+	var zero Command
+	return zero.ProtoReflect().New().Interface().(Command)
 }
 
 // Fail stops the replica after an error of its disk or state.
--- a/internal/batch/shardhost/snapshot.go
+++ b/internal/batch/shardhost/snapshot.go
@@ -81,8 +81,8 @@
 	ctx, cancel := context.WithTimeout(s.host.context, s.host.options.SnapshotTimeout)
 	defer cancel()
 	index, epoch, err := s.receiveSnapshot(ctx, address, installer)
-	// This call ignores the snapshot's timeout: a replica whose installation was not ended
-	// would handle no more messages.
+	// This call has no time limit: the replica handles no messages while installing is
+	// set, so installing must be cleared in any case.
 	s.runInLoopUnlessStopped(func() {
 		s.installing = false
 		s.application.SnapshotReceived(index, err)
