--- a/internal/batch/logstore/logstore_test.go
+++ b/internal/batch/logstore/logstore_test.go
@@ -31,12 +31,12 @@
 	return list
 }
 
-var config = replica.MemberSet{Generation: 3, Members: []string{"a", "b", "c"}}
+var testMemberSet = replica.MemberSet{Generation: 3, Members: []string{"a", "b", "c"}}
 
 func persist(t *testing.T, shard *ShardLog, from, to uint64) {
 	t.Helper()
 	ready := &replica.Ready{HardState: &replica.HardState{Promised: 7, Generation: 3}, Entries: entries(from, to)}
-	is.New(t).NoErr(shard.Persist(ready, config, 0, 0))
+	is.New(t).NoErr(shard.Persist(ready, testMemberSet, 0, 0))
 }
 
 func TestRestartLoadsPersistedEntries(t *testing.T) {
@@ -57,7 +57,7 @@
 	is.NoErr(err)
 	is.Equal(len(loaded.Epochs), 10)
 	is.Equal(loaded.HardState.Promised, uint64(7))
-	is.Equal(loaded.MemberSet.Members, config.Members)
+	is.Equal(loaded.MemberSet.Members, testMemberSet.Members)
 }
 
 func TestConflictingTailIsReplaced(t *testing.T) {
@@ -66,7 +66,7 @@
 	defer func() { is.NoErr(db.Close()) }()
 	shard := db.Shard(1)
 	persist(t, shard, 1, 10)
-	is.NoErr(shard.Persist(&replica.Ready{TruncateFrom: 6, Entries: entries(6, 7)}, config, 0, 0))
+	is.NoErr(shard.Persist(&replica.Ready{TruncateFrom: 6, Entries: entries(6, 7)}, testMemberSet, 0, 0))
 	// Entries 8 to 10 were deleted with the conflicting tail.
 	loaded, err := shard.Load()
 	is.NoErr(err)
@@ -111,9 +111,9 @@
 	shards, err := db.Shards()
 	is.NoErr(err)
 	is.Equal(len(shards), 0)
-	aside, err := filepath.Glob(filepath.Join(folder, "damaged-*"))
+	movedAside, err := filepath.Glob(filepath.Join(folder, "damaged-*"))
 	is.NoErr(err)
-	is.Equal(len(aside), 1) // the damaged database can be inspected
+	is.Equal(len(movedAside), 1) // the damaged database can be inspected
 }
 
 // Checks that a damaged entry found at the start also gives the disk a new identity, so
@@ -169,7 +169,7 @@
 	for _, chunk := range chunks {
 		is.NoErr(installer.Add(chunk))
 	}
-	is.NoErr(installer.Activate(replica.HardState{Promised: 9}, config, 40, 9))
+	is.NoErr(installer.Activate(replica.HardState{Promised: 9}, testMemberSet, 40, 9))
 	loaded, err := target.Shard(1).Load()
 	is.NoErr(err)
 	is.Equal(loaded.Applied, uint64(40))
@@ -206,7 +206,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		index++
-		if err := shard.Persist(&replica.Ready{Entries: entries(index, index)}, config, 0, 0); err != nil {
+		if err := shard.Persist(&replica.Ready{Entries: entries(index, index)}, testMemberSet, 0, 0); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -194,11 +194,11 @@
 
 // Persist deletes the truncated entries, writes the new entries and the hard state, and
 // returns after the fsync.
-func (s *ShardLog) Persist(ready *replica.Ready, config replica.MemberSet, baseIndex, baseEpoch uint64) error {
+func (s *ShardLog) Persist(ready *replica.Ready, memberSet replica.MemberSet, baseIndex, baseEpoch uint64) error {
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
 	if ready.HardState != nil {
-		if err := s.setMeta(batch, meta{*ready.HardState, config, baseIndex, baseEpoch}); err != nil {
+		if err := s.setMeta(batch, meta{*ready.HardState, memberSet, baseIndex, baseEpoch}); err != nil {
 			return err
 		}
 	}
@@ -234,10 +234,10 @@
 
 // TruncatePrefix deletes the entries up to an index; the state must contain them. Its
 // fsync also makes the state durable, which was written before without one.
-func (s *ShardLog) TruncatePrefix(hard replica.HardState, config replica.MemberSet, index, epoch uint64) error {
+func (s *ShardLog) TruncatePrefix(hard replica.HardState, memberSet replica.MemberSet, index, epoch uint64) error {
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
-	if err := s.setMeta(batch, meta{hard, config, index, epoch}); err != nil {
+	if err := s.setMeta(batch, meta{hard, memberSet, index, epoch}); err != nil {
 		return err
 	}
 	if err := batch.DeleteRange(s.logKey(0), s.logKey(index+1), nil); err != nil {
--- a/internal/batch/logstore/state.go
+++ b/internal/batch/logstore/state.go
@@ -208,11 +208,11 @@
 }
 
 // Activate durably switches to the new state, and deletes the log and the old state.
-func (i *Installer) Activate(hard replica.HardState, config replica.MemberSet, index, epoch uint64) error {
+func (i *Installer) Activate(hard replica.HardState, memberSet replica.MemberSet, index, epoch uint64) error {
 	s := i.shard
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
-	if err := s.setMeta(batch, meta{hard, config, index, epoch}); err != nil {
+	if err := s.setMeta(batch, meta{hard, memberSet, index, epoch}); err != nil {
 		return err
 	}
 	record := append(binary.BigEndian.AppendUint64(nil, index), i.slot)
--- a/internal/batch/replica/elect.go
+++ b/internal/batch/replica/elect.go
@@ -47,11 +47,11 @@
 // at first. After several failed campaigns the election quorum suffices; safety depends
 // on that quorum only.
 func (r *Replica) hasEnoughPreVotes() bool {
-	needed := len(r.config.Members)/2 + 1
+	needed := len(r.memberSet.Members)/2 + 1
 	if r.failedCampaigns >= 3 {
-		needed = r.config.ElectionQuorum()
+		needed = r.memberSet.ElectionQuorum()
 	}
-	return len(r.votes) >= max(needed, r.config.ElectionQuorum())
+	return len(r.votes) >= max(needed, r.memberSet.ElectionQuorum())
 }
 
 // requestVotes starts an election in a new epoch.
@@ -66,12 +66,12 @@
 }
 
 func (r *Replica) nextEpoch() uint64 {
-	base := r.config.Generation << (counterBits + indexBits)
+	base := r.memberSet.Generation << (counterBits + indexBits)
 	counter := uint64(0)
 	if r.hard.Promised > base {
 		counter = (r.hard.Promised - base) >> indexBits
 	}
-	return base + (counter+1)<<indexBits + uint64(r.config.index(r.self)+1)
+	return base + (counter+1)<<indexBits + uint64(r.memberSet.index(r.self)+1)
 }
 
 func (r *Replica) raisePromised(epoch uint64) {
@@ -83,7 +83,7 @@
 }
 
 func (r *Replica) broadcast(kind wirev1.ReplicaKind, epoch uint64) {
-	for _, member := range r.config.Members {
+	for _, member := range r.memberSet.Members {
 		if member == r.self {
 			continue
 		}
@@ -92,7 +92,7 @@
 }
 
 func (r *Replica) countVotes(now time.Time) {
-	if r.role == Candidate && len(r.votes) >= r.config.ElectionQuorum() {
+	if r.role == Candidate && len(r.votes) >= r.memberSet.ElectionQuorum() {
 		r.becomeLeader(now)
 	}
 }
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -60,12 +60,12 @@
 	if r.role != Leader {
 		return false
 	}
-	r.hard.Frozen, r.hard.FrozenAttempt = true, r.config.Attempt
+	r.hard.Frozen, r.hard.FrozenAttempt = true, r.memberSet.Attempt
 	r.hardStateChanged = true
 	r.frozenBy = map[string]bool{r.self: true}
-	for _, member := range r.config.Members {
+	for _, member := range r.memberSet.Members {
 		if member != r.self {
-			r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_FREEZE, To: member, Epoch: r.hard.Promised, Attempt: r.config.Attempt})
+			r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_FREEZE, To: member, Epoch: r.hard.Promised, Attempt: r.memberSet.Attempt})
 		}
 	}
 	return true
@@ -74,7 +74,7 @@
 // Sealed reports whether the old generation can commit no more entries and a write quorum
 // of the next member set holds the whole log.
 func (r *Replica) Sealed(next MemberSet) bool {
-	if r.role != Leader || !r.hard.Frozen || len(r.frozenBy) < r.config.ElectionQuorum() {
+	if r.role != Leader || !r.hard.Frozen || len(r.frozenBy) < r.memberSet.ElectionQuorum() {
 		return false
 	}
 	holding := 0
@@ -93,14 +93,14 @@
 // Observe handles a member set read from the platform's store. It activates a newer
 // generation. A higher attempt thaws a member that an earlier attempt froze.
 func (r *Replica) Observe(now time.Time, stored MemberSet) {
-	if stored.Generation > r.config.Generation {
+	if stored.Generation > r.memberSet.Generation {
 		r.activate(now, stored)
 		return
 	}
-	if stored.Generation < r.config.Generation || stored.Attempt <= r.config.Attempt {
+	if stored.Generation < r.memberSet.Generation || stored.Attempt <= r.memberSet.Attempt {
 		return
 	}
-	r.config.Attempt = stored.Attempt
+	r.memberSet.Attempt = stored.Attempt
 	if r.hard.Frozen && r.hard.FrozenAttempt < stored.Attempt {
 		r.thaw(now)
 	}
@@ -122,7 +122,7 @@
 	if sealer {
 		r.quickCampaigns = sealerCampaigns
 	}
-	r.config = next
+	r.memberSet = next
 	r.hard.Generation = next.Generation
 	r.learners = nil
 	r.leader = ""
@@ -137,7 +137,7 @@
 }
 
 func (r *Replica) handleFreeze(now time.Time, message *wirev1.ReplicaMessage) {
-	if message.Epoch < r.hard.Promised || message.Attempt < r.config.Attempt {
+	if message.Epoch < r.hard.Promised || message.Attempt < r.memberSet.Attempt {
 		return
 	}
 	r.follow(now, message.Epoch, message.From)
--- a/internal/batch/replica/handover_test.go
+++ b/internal/batch/replica/handover_test.go
@@ -25,7 +25,7 @@
 		c.disks[victim].lost = true
 		c.replicas[victim] = nil
 		c.run(400)
-		next := c.nextConfig(victim)
+		next := c.nextMemberSet(victim)
 		c.handOver(next)
 		c.heal()
 		c.finishOrThaw(next)
@@ -34,9 +34,9 @@
 	})
 }
 
-func (c *cluster) nextConfig(victim string) MemberSet {
+func (c *cluster) nextMemberSet(victim string) MemberSet {
 	next := MemberSet{Generation: 2}
-	for _, id := range c.config.Members {
+	for _, id := range c.memberSet.Members {
 		if id != victim {
 			next.Members = append(next.Members, id)
 		}
@@ -73,7 +73,7 @@
 				c.paused[sealer.self] = true
 				return
 			}
-			c.swap(next, sealer.config.Attempt)
+			c.swap(next, sealer.memberSet.Attempt)
 			return
 		}
 	}
@@ -102,13 +102,13 @@
 			r.Observe(c.now, c.stored)
 		}
 	}
-	if c.stored.Generation == 1 && len(c.config.Members) == 3 {
+	if c.stored.Generation == 1 && len(c.memberSet.Members) == 3 {
 		// Three members with a lost disk cannot commit without a hand-over.
 		c.run(600)
 		c.retryHandOver(next)
 	}
 	if c.stored.Generation > 1 {
-		c.config = c.stored
+		c.memberSet = c.stored
 	}
 }
 
@@ -124,7 +124,7 @@
 			if r.CaughtUp("new") && !r.Frozen() {
 				r.Freeze()
 			}
-			if r.Sealed(next) && c.swap(next, r.config.Attempt) {
+			if r.Sealed(next) && c.swap(next, r.memberSet.Attempt) {
 				for _, other := range c.replicas {
 					if other != nil {
 						other.Observe(c.now, c.stored)
@@ -150,7 +150,7 @@
 		if sealer == nil {
 			t.Fatalf("no leader in a cluster without faults: %s", c.describe())
 		}
-		next := c.partitionedConfig(sealer.self)
+		next := c.partitionedMemberSet(sealer.self)
 		for range 60 {
 			c.step()
 			sealer.SetLearners(c.now, []string{"new"})
@@ -166,7 +166,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			c.step()
 			c.propose(false)
-			if sealer.Role() == Leader && sealer.Sealed(next) && c.swap(next, sealer.config.Attempt) {
+			if sealer.Role() == Leader && sealer.Sealed(next) && c.swap(next, sealer.memberSet.Attempt) {
 				sealer.Observe(c.now, c.stored)
 			}
 		}
@@ -182,11 +182,11 @@
 	})
 }
 
-// partitionedConfig returns a next member set of three with one new member, in which one
+// partitionedMemberSet returns a next member set of three with one new member, in which one
 // vote elects a leader.
-func (c *cluster) partitionedConfig(sealer string) MemberSet {
+func (c *cluster) partitionedMemberSet(sealer string) MemberSet {
 	next := MemberSet{Generation: 2, Members: []string{sealer, "new"}}
-	for _, id := range c.config.Members {
+	for _, id := range c.memberSet.Members {
 		if id != sealer && len(next.Members) < 3 {
 			next.Members = append(next.Members, id)
 		}
@@ -199,9 +199,9 @@
 // partitionMembers partitions the members at random, or along the boundary of the next
 // member set, which is the most critical case for a hand-over.
 func (c *cluster) partitionMembers(next MemberSet) {
-	along := rapid.Bool().Draw(c.t, "along the member sets")
+	byMemberSet := rapid.Bool().Draw(c.t, "along the member sets")
 	for _, id := range c.ids() {
-		if along {
+		if byMemberSet {
 			c.partition[id] = c.partition[id] + boolToInt(!next.Has(id))
 			continue
 		}
@@ -217,7 +217,7 @@
 }
 
 func (c *cluster) observeAll() {
-	c.config = c.stored
+	c.memberSet = c.stored
 	for _, id := range c.ids() {
 		if r := c.replicas[id]; r != nil {
 			r.Observe(c.now, c.stored)
@@ -228,20 +228,20 @@
 // Checks that an older member set is ignored: it neither thaws a member that a newer
 // attempt froze, nor lowers the attempt.
 func TestOlderMemberSetIsIgnored(t *testing.T) {
-	config := MemberSet{Generation: 2, Members: []string{"a", "b", "c"}, Attempt: 3}
+	memberSet := MemberSet{Generation: 2, Members: []string{"a", "b", "c"}, Attempt: 3}
 	hard := HardState{Promised: 1, Frozen: true, FrozenAttempt: 3, Generation: 2}
-	r := Restore(0, "a", config, testTiming(), rand.New(rand.NewPCG(1, 1)), &disk{}, hard, 0, 0, nil, time.Unix(0, 0))
+	r := Restore(0, "a", memberSet, testTiming(), rand.New(rand.NewPCG(1, 1)), &disk{}, hard, 0, 0, nil, time.Unix(0, 0))
 	for _, older := range []MemberSet{
 		{Generation: 1, Members: []string{"a"}, Attempt: 9},
-		{Generation: 2, Members: config.Members, Attempt: 2},
-		{Generation: 2, Members: config.Members, Attempt: 3},
+		{Generation: 2, Members: memberSet.Members, Attempt: 2},
+		{Generation: 2, Members: memberSet.Members, Attempt: 3},
 	} {
 		r.Observe(time.Unix(1, 0), older)
 		if !r.Frozen() || r.MemberSet().Attempt != 3 || r.MemberSet().Generation != 2 {
 			t.Fatalf("member set %+v changed the replica to %+v, frozen %v", older, r.MemberSet(), r.Frozen())
 		}
 	}
-	r.Observe(time.Unix(2, 0), MemberSet{Generation: 2, Members: config.Members, Attempt: 4})
+	r.Observe(time.Unix(2, 0), MemberSet{Generation: 2, Members: memberSet.Members, Attempt: 4})
 	if r.Frozen() {
 		t.Fatal("a raised attempt does not thaw")
 	}
@@ -257,7 +257,7 @@
 		if leader == nil {
 			return
 		}
-		next := MemberSet{Generation: 2, Members: c.config.Members, Copies: c.config.Copies}
+		next := MemberSet{Generation: 2, Members: c.memberSet.Members, Copies: c.memberSet.Copies}
 		leader.Freeze()
 		for step := 0; !leader.Sealed(next); step++ {
 			if step > 100 {
@@ -265,8 +265,8 @@
 			}
 			c.step()
 		}
-		c.swap(next, leader.config.Attempt)
-		c.config = next
+		c.swap(next, leader.memberSet.Attempt)
+		c.memberSet = next
 		leader.Observe(c.now, next)
 		lastStep := rapid.IntRange(0, 20).Draw(t, "steps until the last member observes")
 		observeAt := map[string]int{}
@@ -284,7 +284,7 @@
 			}
 			c.step()
 			for id, r := range c.replicas {
-				if r.Role() == Leader && r.config.Generation == 2 && id != leader.self {
+				if r.Role() == Leader && r.memberSet.Generation == 2 && id != leader.self {
 					t.Fatalf("%s leads the new set, %s sealed the old one", id, leader.self)
 				}
 			}
--- a/internal/batch/replica/idle_test.go
+++ b/internal/batch/replica/idle_test.go
@@ -91,9 +91,9 @@
 		epoch := leader.Epoch()
 		idle := count(c.idle)
 		c.wake(leader.self)
-		working := count(func() {})
-		if idle*idleFactor > 3*working {
-			t.Fatalf("%d messages while idle, %d while busy", idle, working)
+		busy := count(func() {})
+		if idle*idleFactor > 3*busy {
+			t.Fatalf("%d messages while idle, %d while busy", idle, busy)
 		}
 		if c.leader() != leader || leader.Epoch() != epoch {
 			t.Fatalf("the leader changed: %s", c.describe())
@@ -108,9 +108,9 @@
 		c, leader := newIdleCluster(t)
 		epoch := leader.Epoch()
 		if rapid.Bool().Draw(t, "leader lives") {
-			asked := rapid.SampledFrom(leader.followers()).Draw(t, "asked")
+			follower := rapid.SampledFrom(leader.followers()).Draw(t, "asked")
 			for range 10 { // repeated, because the network may deliver older messages late
-				c.wake(asked)
+				c.wake(follower)
 				c.run(10)
 			}
 			if c.leader() != leader || leader.Epoch() != epoch || leader.Idle() {
@@ -123,8 +123,8 @@
 		for _, id := range c.ids() {
 			c.wake(id)
 		}
-		const soon = 250 // steps of 20 ms: five times the election time
-		for range soon {
+		const maxSteps = 250 // steps of 20 ms: five times the election time
+		for range maxSteps {
 			c.step()
 			if c.leader() != nil {
 				return
--- a/internal/batch/replica/lead.go
+++ b/internal/batch/replica/lead.go
@@ -63,11 +63,11 @@
 	}
 	probes := []uint64{r.probe}
 	for member, p := range r.progress {
-		if r.config.Has(member) {
+		if r.memberSet.Has(member) {
 			probes = append(probes, p.probe)
 		}
 	}
-	quorum := r.config.WriteQuorum()
+	quorum := r.memberSet.WriteQuorum()
 	if len(probes) < quorum {
 		return 0
 	}
@@ -83,7 +83,7 @@
 	}
 	live := 1
 	for member, p := range r.progress {
-		if r.config.Has(member) && now.Sub(p.lastResponse) < r.electionTime() {
+		if r.memberSet.Has(member) && now.Sub(p.lastResponse) < r.electionTime() {
 			live++
 		}
 	}
@@ -158,14 +158,14 @@
 
 // followers lists the other members, then the learners, in a fixed order.
 func (r *Replica) followers() []string {
-	list := make([]string, 0, len(r.config.Members)+len(r.learners))
-	for _, member := range r.config.Members {
+	list := make([]string, 0, len(r.memberSet.Members)+len(r.learners))
+	for _, member := range r.memberSet.Members {
 		if member != r.self {
 			list = append(list, member)
 		}
 	}
 	for _, learner := range r.learners {
-		if learner != r.self && !r.config.Has(learner) {
+		if learner != r.self && !r.memberSet.Has(learner) {
 			list = append(list, learner)
 		}
 	}
@@ -226,7 +226,7 @@
 		r.sendEarly(&wirev1.ReplicaMessage{
 			Kind: wirev1.ReplicaKind_REPLICA_KIND_APPEND, To: member, Epoch: r.hard.Promised,
 			LastIndex: previous, LastEpoch: previousEpoch, Commit: r.hard.Commit, Entries: entries,
-			Learner: !r.config.Has(member), Probe: r.probe, Rest: r.idleChanges,
+			Learner: !r.memberSet.Has(member), Probe: r.probe, Rest: r.idleChanges,
 		})
 		p.sentAt = now
 		p.next += uint64(len(entries))
@@ -243,7 +243,7 @@
 func (r *Replica) offerSnapshot(member string) {
 	r.sendEarly(&wirev1.ReplicaMessage{
 		Kind: wirev1.ReplicaKind_REPLICA_KIND_SNAPSHOT_OFFER, To: member, Epoch: r.hard.Promised,
-		LastIndex: r.baseIndex, LastEpoch: r.baseEpoch, Learner: !r.config.Has(member),
+		LastIndex: r.baseIndex, LastEpoch: r.baseEpoch, Learner: !r.memberSet.Has(member),
 	})
 }
 
@@ -300,11 +300,11 @@
 	}
 	matches := []uint64{min(r.persisted, r.lastIndex())}
 	for member, p := range r.progress {
-		if r.config.Has(member) {
+		if r.memberSet.Has(member) {
 			matches = append(matches, p.match)
 		}
 	}
-	quorum := r.config.WriteQuorum()
+	quorum := r.memberSet.WriteQuorum()
 	if len(matches) < quorum {
 		return
 	}
@@ -326,7 +326,7 @@
 	for _, member := range r.followers() {
 		p := r.progress[member]
 		fresh := now.Sub(p.lastResponse) < r.electionTime() && p.match == r.lastIndex()
-		if r.config.Has(member) && fresh && preferred(member) {
+		if r.memberSet.Has(member) && fresh && preferred(member) {
 			best = member
 			break
 		}
--- a/internal/batch/replica/replica.go
+++ b/internal/batch/replica/replica.go
@@ -57,23 +57,23 @@
 }
 
 // WriteQuorum returns the number of disks that must hold an entry to commit it.
-func (c MemberSet) WriteQuorum() int {
-	copies := c.Copies
+func (m MemberSet) WriteQuorum() int {
+	copies := m.Copies
 	if copies == 0 {
 		copies = DefaultCopies
 	}
-	return min(copies, len(c.Members))
+	return min(copies, len(m.Members))
 }
 
 // ElectionQuorum returns the number of votes that elect a leader. Any such set of voters
 // shares a member with every write quorum.
-func (c MemberSet) ElectionQuorum() int { return len(c.Members) - c.WriteQuorum() + 1 }
+func (m MemberSet) ElectionQuorum() int { return len(m.Members) - m.WriteQuorum() + 1 }
 
 // Has reports whether the disk is a member.
-func (c MemberSet) Has(member string) bool { return c.index(member) >= 0 }
+func (m MemberSet) Has(member string) bool { return m.index(member) >= 0 }
 
-func (c MemberSet) index(member string) int {
-	for i, known := range c.Members {
+func (m MemberSet) index(member string) int {
+	for i, known := range m.Members {
 		if known == member {
 			return i
 		}
@@ -162,12 +162,12 @@
 // Invariants: the promised epoch never decreases; entries up to the commit index never
 // change; an entry counts towards commit only after its fsync was reported.
 type Replica struct {
-	shard  uint32
-	self   string
-	config MemberSet
-	timing ElectionTiming
-	random *rand.Rand
-	store  EntryReader
+	shard     uint32
+	self      string
+	memberSet MemberSet
+	timing    ElectionTiming
+	random    *rand.Rand
+	store     EntryReader
 
 	hard             HardState
 	hardStateChanged bool // the hard state must be persisted
@@ -204,14 +204,14 @@
 
 // Restore returns a replica with the state that was loaded from its disk: the hard state,
 // the index and epoch of the base, and the epochs of the entries after the base.
-func Restore(shard uint32, self string, config MemberSet, timing ElectionTiming, random *rand.Rand, store EntryReader,
+func Restore(shard uint32, self string, memberSet MemberSet, timing ElectionTiming, random *rand.Rand, store EntryReader,
 	hard HardState, baseIndex, baseEpoch uint64, epochs []uint64, now time.Time,
 ) *Replica {
 	r := &Replica{
-		shard: shard, self: self, config: config, timing: timing, random: random, store: store,
+		shard: shard, self: self, memberSet: memberSet, timing: timing, random: random, store: store,
 		hard: hard, baseIndex: baseIndex, baseEpoch: baseEpoch, epochs: epochs,
 	}
-	r.hard.Generation = config.Generation
+	r.hard.Generation = memberSet.Generation
 	r.hard.Commit = max(hard.Commit, baseIndex)
 	r.persisted = r.lastIndex()
 	// A replica that has just started knows no leader and campaigns soon. If there is a
@@ -233,7 +233,7 @@
 func (r *Replica) Commit() uint64 { return r.hard.Commit }
 
 // MemberSet returns the current member set.
-func (r *Replica) MemberSet() MemberSet { return r.config }
+func (r *Replica) MemberSet() MemberSet { return r.memberSet }
 
 // LastIndex returns the index of the last entry of the log.
 func (r *Replica) LastIndex() uint64 { return r.lastIndex() }
@@ -268,7 +268,7 @@
 
 // Tick sends heartbeats or starts a campaign when the time for it has come.
 func (r *Replica) Tick(now time.Time) {
-	if !r.config.Has(r.self) || r.hard.Frozen {
+	if !r.memberSet.Has(r.self) || r.hard.Frozen {
 		if r.role == Leader {
 			r.heartbeat(now)
 		}
@@ -287,7 +287,7 @@
 func (r *Replica) setOrigin(message *wirev1.ReplicaMessage) *wirev1.ReplicaMessage {
 	message.Shard = r.shard
 	message.From = r.self
-	message.Generation = r.config.Generation
+	message.Generation = r.memberSet.Generation
 	return message
 }
 
--- a/internal/batch/replica/replica_test.go
+++ b/internal/batch/replica/replica_test.go
@@ -57,7 +57,7 @@
 	t         *rapid.T
 	now       time.Time
 	random    *rand.Rand
-	config    MemberSet
+	memberSet MemberSet
 	stored    MemberSet // the member set in the platform's store
 	disks     map[string]*disk
 	replicas  map[string]*Replica // nil if the replica is down
@@ -82,12 +82,12 @@
 		partition: map[string]int{}, leaders: map[uint64]string{},
 		committed: map[uint64][]byte{}, acked: map[uint64][]byte{}, sentBytes: map[string]int{},
 	}
-	c.config.Generation = 1
+	c.memberSet.Generation = 1
 	for i := range members {
-		c.config.Members = append(c.config.Members, fmt.Sprint("d", i))
+		c.memberSet.Members = append(c.memberSet.Members, fmt.Sprint("d", i))
 	}
-	c.stored = c.config
-	for _, id := range c.config.Members {
+	c.stored = c.memberSet
+	for _, id := range c.memberSet.Members {
 		c.disks[id] = &disk{}
 		c.restart(id)
 	}
@@ -108,11 +108,11 @@
 	if d.lost {
 		return
 	}
-	config := c.config
+	memberSet := c.memberSet
 	if c.stored.Generation >= d.hard.Generation && d.hard.Generation > 0 {
-		config = c.stored
+		memberSet = c.stored
 	}
-	c.replicas[id] = Restore(0, id, config, testTiming(), rand.New(rand.NewPCG(c.random.Uint64(), 1)), d, d.hard, 0, 0, d.epochs(), c.now)
+	c.replicas[id] = Restore(0, id, memberSet, testTiming(), rand.New(rand.NewPCG(c.random.Uint64(), 1)), d, d.hard, 0, 0, d.epochs(), c.now)
 }
 
 // processReady handles one Ready of a replica. With crash set, the replica crashes after
@@ -158,8 +158,8 @@
 			copies++
 		}
 	}
-	if copies+lost < c.config.WriteQuorum() {
-		c.t.Fatalf("entry %d is committed on %d disks, want %d", index, copies, c.config.WriteQuorum())
+	if copies+lost < c.memberSet.WriteQuorum() {
+		c.t.Fatalf("entry %d is committed on %d disks, want %d", index, copies, c.memberSet.WriteQuorum())
 	}
 	if lost == 0 {
 		c.acked[index] = command
@@ -338,20 +338,20 @@
 		if leader == nil {
 			t.Fatalf("no leader: %s", c.describe())
 		}
-		gone := rapid.SampledFrom(leader.followers()).Draw(t, "gone")
-		c.replicas[gone] = nil
+		down := rapid.SampledFrom(leader.followers()).Draw(t, "gone")
+		c.replicas[down] = nil
 		c.run(30) // three heartbeats
-		before := c.sentBytes[gone]
+		before := c.sentBytes[down]
 		for range 20 {
 			c.propose(false)
 			c.run(3)
 		}
-		if c.leader() == leader && c.sentBytes[gone] > before {
-			t.Fatalf("%d bytes were sent to an unresponsive member", c.sentBytes[gone]-before)
+		if c.leader() == leader && c.sentBytes[down] > before {
+			t.Fatalf("%d bytes were sent to an unresponsive member", c.sentBytes[down]-before)
 		}
-		c.restart(gone)
+		c.restart(down)
 		c.run(300)
-		if held := len(c.disks[gone].entries); held < len(c.acked) {
+		if held := len(c.disks[down].entries); held < len(c.acked) {
 			t.Fatalf("the returned member holds %d of %d entries", held, len(c.acked))
 		}
 	})
@@ -392,11 +392,11 @@
 			continue
 		}
 		entries := c.disks[id].entries
-		whole := true
+		complete := true
 		for index, command := range c.acked {
-			whole = whole && uint64(len(entries)) >= index && bytes.Equal(entries[index-1].Command, command)
+			complete = complete && uint64(len(entries)) >= index && bytes.Equal(entries[index-1].Command, command)
 		}
-		if whole {
+		if complete {
 			return id
 		}
 	}
--- a/internal/batch/replica/step.go
+++ b/internal/batch/replica/step.go
@@ -16,7 +16,7 @@
 // Step handles one message. It drops messages of other generations, because a member set
 // changes only by a sealed hand-over.
 func (r *Replica) Step(now time.Time, message *wirev1.ReplicaMessage) {
-	if message.Generation != r.config.Generation || message.To != r.self {
+	if message.Generation != r.memberSet.Generation || message.To != r.self {
 		return
 	}
 	switch message.Kind {
@@ -161,7 +161,7 @@
 // DeclineSnapshot rejects the offer of a snapshot that this replica does not need. The
 // reply contains the last index of the log, so that the leader continues from there.
 func (r *Replica) DeclineSnapshot(now time.Time, offer *wirev1.ReplicaMessage) {
-	if offer.Generation != r.config.Generation || offer.To != r.self || offer.Epoch < r.hard.Promised || r.hard.Frozen {
+	if offer.Generation != r.memberSet.Generation || offer.To != r.self || offer.Epoch < r.hard.Promised || r.hard.Frozen {
 		return
 	}
 	r.follow(now, offer.Epoch, offer.From)
@@ -236,7 +236,7 @@
 
 // handleTransfer starts an election without pre-votes, because the leader requested it.
 func (r *Replica) handleTransfer(now time.Time, message *wirev1.ReplicaMessage) {
-	if message.Epoch == r.hard.Promised && r.config.Has(r.self) && !r.hard.Frozen {
+	if message.Epoch == r.hard.Promised && r.memberSet.Has(r.self) && !r.hard.Frozen {
 		r.requestVotes(now)
 	}
 }
--- a/internal/batch/replica/truncated_test.go
+++ b/internal/batch/replica/truncated_test.go
@@ -50,11 +50,11 @@
 func TestRestartWithTruncatedLogsElectsLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base, epoch = 100, uint64(1)<<(counterBits+indexBits) + 1<<indexBits + 1
-		config := MemberSet{Generation: 1, Members: []string{"d0", "d1", "d2", "d3", "d4"}}
-		living := config.Members[:3]
+		memberSet := MemberSet{Generation: 1, Members: []string{"d0", "d1", "d2", "d3", "d4"}}
+		survivors := memberSet.Members[:3]
 		now := time.Unix(0, 0)
 		members := map[string]*truncatedMember{}
-		for i, id := range living {
+		for i, id := range survivors {
 			m := &truncatedMember{base: base}
 			for n := range rapid.IntRange(0, 6).Draw(t, "entries") {
 				m.entries = append(m.entries, &wirev1.LogEntry{Index: base + uint64(n) + 1, Epoch: epoch, Checksum: Checksum(nil)})
@@ -64,14 +64,14 @@
 				epochs[n] = epoch
 			}
 			hard := HardState{Promised: epoch, Commit: base, Generation: 1}
-			m.replica = Restore(0, id, config, testTiming(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), uint64(i))), m, hard, base, epoch, epochs, now)
+			m.replica = Restore(0, id, memberSet, testTiming(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), uint64(i))), m, hard, base, epoch, epochs, now)
 			members[id] = m
 		}
 		losses := rapid.IntRange(0, 150).Draw(t, "steps with losses")
 		for step := range losses + 600 {
 			now = now.Add(20 * time.Millisecond)
 			var sent []*wirev1.ReplicaMessage
-			for _, id := range living {
+			for _, id := range survivors {
 				members[id].replica.Tick(now)
 				sent = append(sent, members[id].processReady()...)
 			}
--- a/internal/batch/shardhost/application.go
+++ b/internal/batch/shardhost/application.go
@@ -70,7 +70,7 @@
 type MemberPolicy interface {
 	// NextMembers returns the members that the shard should have, or the current ones if
 	// no change is needed.
-	NextMembers(now time.Time, config replica.MemberSet) []string
+	NextMembers(now time.Time, current replica.MemberSet) []string
 	// MaySeal reports whether the members of the next set are ready for sealing. A sealed
 	// shard accepts no commands until the hand-over ends.
 	MaySeal(now time.Time, next replica.MemberSet) bool
--- a/internal/batch/shardhost/handover.go
+++ b/internal/batch/shardhost/handover.go
@@ -51,16 +51,16 @@
 
 // planHandOver starts a hand-over if the shard should have other members.
 func (s *Shard[Command, Result]) planHandOver(now time.Time, h *handOver) {
-	config := s.Replica.MemberSet()
-	next := s.application.NextMembers(now, config)
-	if placement.SameMembers(next, config.Members) {
+	current := s.Replica.MemberSet()
+	next := s.application.NextMembers(now, current)
+	if placement.SameMembers(next, current.Members) {
 		return
 	}
-	h.next = replica.MemberSet{Generation: config.Generation + 1, Members: next, Copies: config.Copies}
+	h.next = replica.MemberSet{Generation: current.Generation + 1, Members: next, Copies: current.Copies}
 	h.startedAt = now
 	h.frozenAt = time.Time{}
-	s.Replica.SetLearners(now, placement.Without(next, config.Members))
-	s.log("hand-over started", "generation", h.next.Generation, "from", config.Members, "to", next)
+	s.Replica.SetLearners(now, placement.Without(next, current.Members))
+	s.log("hand-over started", "generation", h.next.Generation, "from", current.Members, "to", next)
 }
 
 func (s *Shard[Command, Result]) advanceHandOver(now time.Time, h *handOver) {
@@ -145,8 +145,8 @@
 // tickRemoved drops a replica whose disk is no longer in the member set. It keeps a
 // learner, whose member set is still empty.
 func (s *Shard[Command, Result]) tickRemoved(now time.Time) {
-	config := s.Replica.MemberSet()
-	if len(config.Members) == 0 || config.Has(s.Disk) {
+	current := s.Replica.MemberSet()
+	if len(current.Members) == 0 || current.Has(s.Disk) {
 		s.removedSince = time.Time{}
 		return
 	}
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -146,11 +146,11 @@
 }
 
 // create writes the first member set of a shard.
-func create(store *logstore.ShardLog, loaded *logstore.RecoveredState, config replica.MemberSet) error {
-	loaded.MemberSet = config
-	loaded.HardState.Generation = config.Generation
+func create(store *logstore.ShardLog, loaded *logstore.RecoveredState, memberSet replica.MemberSet) error {
+	loaded.MemberSet = memberSet
+	loaded.HardState.Generation = memberSet.Generation
 	first := replica.Ready{HardState: &loaded.HardState}
-	return store.Persist(&first, config, 0, 0)
+	return store.Persist(&first, memberSet, 0, 0)
 }
 
 func (h *Host[Command, Result]) newShard(id uint32, store *logstore.ShardLog, loaded *logstore.RecoveredState) *Shard[Command, Result] {
--- a/internal/batch/shardhost/shardhost_test.go
+++ b/internal/batch/shardhost/shardhost_test.go
@@ -45,7 +45,7 @@
 }
 
 // NextMembers implements MemberPolicy.
-func (*counter) NextMembers(_ time.Time, config replica.MemberSet) []string { return config.Members }
+func (*counter) NextMembers(_ time.Time, current replica.MemberSet) []string { return current.Members }
 
 // MaySeal implements MemberPolicy.
 func (*counter) MaySeal(time.Time, replica.MemberSet) bool { return false }
--- a/internal/batch/shardhost/transport.go
+++ b/internal/batch/shardhost/transport.go
@@ -43,8 +43,8 @@
 }
 
 func (h *Host[Command, Result]) startLearner(message *wirev1.ReplicaMessage) *Shard[Command, Result] {
-	config := replica.MemberSet{Generation: message.Generation}
-	if err := h.Start(message.Shard, &config); err != nil {
+	memberSet := replica.MemberSet{Generation: message.Generation}
+	if err := h.Start(message.Shard, &memberSet); err != nil {
 		keys := append([]any{}, h.options.LogKeys...)
 		klog.ErrorS(err, "learner could not be started", append(keys, "shard", message.Shard)...)
 		return nil
