--- a/internal/batch/logstore/documents_test.go
+++ b/internal/batch/logstore/documents_test.go
@@ -24,7 +24,7 @@
 		revision := int64(-1)
 		for range rapid.IntRange(0, 6).Draw(t, "saves") {
 			revision += rapid.Int64Range(1, 5).Draw(t, "revisions")
-			replaceAll := revision < 5 || rapid.Bool().Draw(t, "whole")
+			replaceAll := revision < 5 || rapid.Bool().Draw(t, "replace all")
 			if replaceAll {
 				want = map[string]string{}
 			}
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -30,7 +30,7 @@
 type ShardLog struct {
 	db   *pebble.DB
 	id   uint32
-	slot byte
+	slot byte // 0 or 1: which of two key ranges holds the current state
 }
 
 // meta is the durable metadata of a shard's replica, stored as one record.
--- a/internal/batch/logstore/state.go
+++ b/internal/batch/logstore/state.go
@@ -174,8 +174,8 @@
 	return sum
 }
 
-// Installer writes a received snapshot into the unused slot and switches slots at the
-// end, so that the old state is kept until the new one is complete.
+// Installer writes a received snapshot into the shard's unused slot and then switches
+// slots, so that the old state is kept until the new one is complete.
 type Installer struct {
 	shard  *ShardLog
 	slot   byte
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// CaughtUp reports whether a member or learner lacks at most a few entries. Only a leader
-// knows this of others.
+// CaughtUp reports whether a member or learner lacks at most a few entries. If this replica
+// does not lead, it reports false for all others.
 func (r *Replica) CaughtUp(member string) bool {
 	const slack = 64
 	if member == r.self {
--- a/internal/batch/replica/handover_test.go
+++ b/internal/batch/replica/handover_test.go
@@ -21,7 +21,7 @@
 			c.propose(false)
 			c.run(5)
 		}
-		victim := rapid.SampledFrom(c.ids()).Draw(t, "dead")
+		victim := rapid.SampledFrom(c.ids()).Draw(t, "lost disk")
 		c.disks[victim].lost = true
 		c.replicas[victim] = nil
 		c.run(400)
@@ -199,13 +199,13 @@
 // partitionMembers partitions the members at random, or along the boundary of the next
 // member set, which is the most critical case for a hand-over.
 func (c *cluster) partitionMembers(next MemberSet) {
-	byMemberSet := rapid.Bool().Draw(c.t, "along the member sets")
+	byMemberSet := rapid.Bool().Draw(c.t, "by member set")
 	for _, id := range c.ids() {
 		if byMemberSet {
 			c.partition[id] = c.partition[id] + boolToInt(!next.Has(id))
 			continue
 		}
-		c.partition[id] = rapid.IntRange(0, 1).Draw(c.t, "side")
+		c.partition[id] = rapid.IntRange(0, 1).Draw(c.t, "partition")
 	}
 }
 
--- a/internal/batch/replica/idle_test.go
+++ b/internal/batch/replica/idle_test.go
@@ -107,8 +107,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, leader := newIdleCluster(t)
 		epoch := leader.Epoch()
-		if rapid.Bool().Draw(t, "leader lives") {
-			follower := rapid.SampledFrom(leader.followers()).Draw(t, "asked")
+		if rapid.Bool().Draw(t, "leader is alive") {
+			follower := rapid.SampledFrom(leader.followers()).Draw(t, "follower")
 			for range 10 { // repeated, because the network may deliver older messages late
 				c.wake(follower)
 				c.run(10)
--- a/internal/batch/replica/replica.go
+++ b/internal/batch/replica/replica.go
@@ -176,7 +176,7 @@
 	baseIndex uint64
 	baseEpoch uint64
 	epochs    []uint64
-	persisted uint64
+	persisted uint64 // last index on this disk
 
 	pending      []*wirev1.LogEntry // appended, but not given to the driver yet
 	truncateFrom uint64
@@ -185,7 +185,7 @@
 
 	role              ElectionRole
 	leader            string
-	deadline          time.Time
+	deadline          time.Time // time of the next campaign, postponed by each contact to a leader
 	heartbeatAt       time.Time
 	lastLeaderContact time.Time
 	votes             map[string]bool
@@ -197,9 +197,9 @@
 	// odd while the shard is idle, see SetIdle. The counter orders reports, because an
 	// older message may arrive after a newer one.
 	idleChanges uint64
-	epochStart  uint64 // index of the leader's first entry
-	probe       uint64 // number of the last probe, see BeginProbe
-	frozenBy    map[string]bool
+	epochStart  uint64          // index of the leader's first entry
+	probe       uint64          // number of the last probe, see BeginProbe
+	frozenBy    map[string]bool // members that confirmed the freeze; nil unless this replica is the sealer
 }
 
 // Restore returns a replica with the state that was loaded from its disk: the hard state,
--- a/internal/batch/replica/replica_test.go
+++ b/internal/batch/replica/replica_test.go
@@ -338,7 +338,7 @@
 		if leader == nil {
 			t.Fatalf("no leader: %s", c.describe())
 		}
-		down := rapid.SampledFrom(leader.followers()).Draw(t, "gone")
+		down := rapid.SampledFrom(leader.followers()).Draw(t, "down")
 		c.replicas[down] = nil
 		c.run(30) // three heartbeats
 		before := c.sentBytes[down]
@@ -440,7 +440,7 @@
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
 		c.run(rapid.IntRange(0, 150).Draw(t, "before"))
 		for i, id := range c.ids() {
-			c.partition[id] = rapid.IntRange(0, 1).Draw(t, "side") * i
+			c.partition[id] = rapid.IntRange(0, 1).Draw(t, "partition") * i
 		}
 		for range 10 {
 			c.propose(false)
