--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -112,9 +112,9 @@
 var errStopping = errors.New("the node is stopping")
 
 // Start restores a shard from disk and runs it. If the shard is not on disk, Start creates
-// it with the member set created, or does nothing if created is nil. It also does nothing
+// it with the initial member set, or does nothing if initial is nil. It also does nothing
 // if the shard runs already.
-func (h *Host[Command, Result]) Start(id uint32, created *replica.MemberSet) error {
+func (h *Host[Command, Result]) Start(id uint32, initial *replica.MemberSet) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.shards[id] != nil {
@@ -129,10 +129,10 @@
 		return trace.Wrap(err, "loading")
 	}
 	if !loaded.Exists {
-		if created == nil {
+		if initial == nil {
 			return nil
 		}
-		if err := create(store, loaded, *created); err != nil {
+		if err := create(store, loaded, *initial); err != nil {
 			return trace.Wrap(err, "creating")
 		}
 	}
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -153,8 +153,9 @@
 	return s.ProposeWithCallback(ctx, command, nil)
 }
 
-// ProposeWithCallback is like ProposeAndWait, and calls settled, unless it is nil, when the
-// command was applied, was rejected or failed. That may be after the context has ended.
+// ProposeWithCallback is like ProposeAndWait, and calls settled, unless it is nil, once the
+// result of the command is known or the shard has stopped. That may be after the context
+// has ended.
 func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, settled func()) (Result, error) {
 	if settled == nil {
 		settled = func() {}
