--- a/internal/batch/queuestore/idle.go
+++ b/internal/batch/queuestore/idle.go
@@ -55,7 +55,7 @@
 		return false
 	case s.ID == ledgerShard: // it receives the reports of all other leaders
 		return false
-	case l.table.Len() > 0 || len(l.decided) > 0 || !s.Quiet():
+	case l.table.Len() > 0 || len(l.decided) > 0 || !s.HasNoPendingWork():
 		return false
 	default:
 		return now.Sub(s.lastUsed) >= idleAfter
@@ -66,7 +66,7 @@
 // goroutine.
 func (s *shard) wakeUp() {
 	// Post fails only if the queue of the shard is full, and then the shard is not idle.
-	s.Post(func() {
+	s.TryRunInLoop(func() {
 		s.lastUsed = time.Now()
 		s.Replica.Wake(s.lastUsed)
 	})
--- a/internal/batch/replica/handover_test.go
+++ b/internal/batch/replica/handover_test.go
@@ -10,9 +10,9 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// A sealed hand-over to a set with new disks loses nothing, whoever is killed
-// or paused in the middle, and a sealer that wakes late cannot finish it.
-func TestHandOverLosesNothing(t *testing.T) {
+// Checks that a sealed hand-over to a set with a new disk loses no acknowledged entry when
+// members fail during it, and that a fenced sealer cannot complete it.
+func TestHandOverKeepsCommittedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(3, 5).Draw(t, "members")
 		c := newCluster(t, members)
@@ -21,11 +21,11 @@
 			c.propose(false)
 			c.run(5)
 		}
-		victim := rapid.SampledFrom(c.ids()).Draw(t, "dead")
+		victim := rapid.SampledFrom(c.ids()).Draw(t, "lost disk")
 		c.disks[victim].lost = true
 		c.replicas[victim] = nil
 		c.run(400)
-		next := c.nextConfig(victim)
+		next := c.nextMemberSet(victim)
 		c.handOver(next)
 		c.heal()
 		c.finishOrThaw(next)
@@ -34,9 +34,9 @@
 	})
 }
 
-func (c *cluster) nextConfig(victim string) MemberSet {
+func (c *cluster) nextMemberSet(victim string) MemberSet {
 	next := MemberSet{Generation: 2}
-	for _, id := range c.config.Members {
+	for _, id := range c.memberSet.Members {
 		if id != victim {
 			next.Members = append(next.Members, id)
 		}
@@ -47,8 +47,8 @@
 	return next
 }
 
-// handOver drives a leader through catching up, freezing and the
-// compare-and-swap, with faults drawn between.
+// handOver drives the catch-up, the freeze and the compare-and-swap of a hand-over, with
+// random faults between.
 func (c *cluster) handOver(next MemberSet) {
 	var sealer *Replica
 	for range 400 {
@@ -66,20 +66,20 @@
 			sealer.Freeze()
 		}
 		if rapid.IntRange(0, 60).Draw(c.t, "fault now") == 0 {
-			c.drawFault()
+			c.injectFault()
 		}
 		if sealer.Sealed(next) && c.replicas[sealer.self] == sealer && !c.paused[sealer.self] {
 			if rapid.Bool().Draw(c.t, "sealer dies before the swap") {
 				c.paused[sealer.self] = true
 				return
 			}
-			c.swap(next, sealer.config.Attempt)
+			c.swap(next, sealer.memberSet.Attempt)
 			return
 		}
 	}
 }
 
-// swap is the platform's compare-and-swap.
+// swap simulates the compare-and-swap of the platform's store.
 func (c *cluster) swap(next MemberSet, attempt uint64) bool {
 	if c.stored.Generation+1 != next.Generation || c.stored.Attempt != attempt {
 		return false
@@ -88,8 +88,8 @@
 	return true
 }
 
-// finishOrThaw is what members do when a hand-over does not end: they raise
-// the attempt, which fences the sealer, and go on.
+// finishOrThaw raises the attempt if the hand-over is not complete, as the members do. This
+// fences the sealer, and the members thaw.
 func (c *cluster) finishOrThaw(next MemberSet) {
 	if c.stored.Generation == 1 {
 		c.stored.Attempt++
@@ -102,17 +102,17 @@
 			r.Observe(c.now, c.stored)
 		}
 	}
-	if c.stored.Generation == 1 && len(c.config.Members) == 3 {
-		// Three members with a lost disk cannot go on without a hand-over.
+	if c.stored.Generation == 1 && len(c.memberSet.Members) == 3 {
+		// Three members with a lost disk cannot commit without a hand-over.
 		c.run(600)
-		c.handOverAgain(next)
+		c.retryHandOver(next)
 	}
 	if c.stored.Generation > 1 {
-		c.config = c.stored
+		c.memberSet = c.stored
 	}
 }
 
-func (c *cluster) handOverAgain(next MemberSet) {
+func (c *cluster) retryHandOver(next MemberSet) {
 	for range 1000 {
 		c.step()
 		for _, id := range c.ids() {
@@ -124,7 +124,7 @@
 			if r.CaughtUp("new") && !r.Frozen() {
 				r.Freeze()
 			}
-			if r.Sealed(next) && c.swap(next, r.config.Attempt) {
+			if r.Sealed(next) && c.swap(next, r.memberSet.Attempt) {
 				for _, other := range c.replicas {
 					if other != nil {
 						other.Observe(c.now, c.stored)
@@ -134,11 +134,11 @@
 			}
 		}
 	}
-	c.t.Fatal("the hand-over never ends")
+	c.t.Fatal("the hand-over does not complete")
 }
 
-// A hand-over begun on one side of a partition while the other side goes on
-// loses nothing that either side acknowledged.
+// Checks that a hand-over on one side of a partition, while the other side continues, loses
+// no entry that either side has acknowledged.
 func TestHandOverUnderPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
@@ -148,9 +148,9 @@
 		c.run(300)
 		sealer := c.leader()
 		if sealer == nil {
-			t.Fatalf("no leader in a calm cluster: %s", c.describe())
+			t.Fatalf("no leader in a cluster without faults: %s", c.describe())
 		}
-		next := c.partitionedConfig(sealer.self)
+		next := c.partitionedMemberSet(sealer.self)
 		for range 60 {
 			c.step()
 			sealer.SetLearners(c.now, []string{"new"})
@@ -158,7 +158,7 @@
 				c.propose(false)
 			}
 		}
-		c.drawSides(next)
+		c.partitionMembers(next)
 		if sealer.Role() == Leader && sealer.CaughtUp("new") {
 			c.propose(false)
 			sealer.Freeze()
@@ -166,7 +166,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			c.step()
 			c.propose(false)
-			if sealer.Role() == Leader && sealer.Sealed(next) && c.swap(next, sealer.config.Attempt) {
+			if sealer.Role() == Leader && sealer.Sealed(next) && c.swap(next, sealer.memberSet.Attempt) {
 				sealer.Observe(c.now, c.stored)
 			}
 		}
@@ -182,11 +182,11 @@
 	})
 }
 
-// partitionedConfig is a next member set of three that shares few members with
-// the old one, so that one vote elects in it.
-func (c *cluster) partitionedConfig(sealer string) MemberSet {
+// partitionedMemberSet returns a next member set of three with one new member, in which one
+// vote elects a leader.
+func (c *cluster) partitionedMemberSet(sealer string) MemberSet {
 	next := MemberSet{Generation: 2, Members: []string{sealer, "new"}}
-	for _, id := range c.config.Members {
+	for _, id := range c.memberSet.Members {
 		if id != sealer && len(next.Members) < 3 {
 			next.Members = append(next.Members, id)
 		}
@@ -196,16 +196,16 @@
 	return next
 }
 
-// drawSides parts the members, often along the line between the old and the
-// next member set, where a hand-over is most in danger.
-func (c *cluster) drawSides(next MemberSet) {
-	along := rapid.Bool().Draw(c.t, "along the member sets")
+// partitionMembers partitions the members at random, or along the boundary of the next
+// member set, which is the most critical case for a hand-over.
+func (c *cluster) partitionMembers(next MemberSet) {
+	byMemberSet := rapid.Bool().Draw(c.t, "by member set")
 	for _, id := range c.ids() {
-		if along {
-			c.side[id] = c.side[id] + boolToInt(!next.Has(id))
+		if byMemberSet {
+			c.partition[id] = c.partition[id] + boolToInt(!next.Has(id))
 			continue
 		}
-		c.side[id] = rapid.IntRange(0, 1).Draw(c.t, "side")
+		c.partition[id] = rapid.IntRange(0, 1).Draw(c.t, "partition")
 	}
 }
 
@@ -217,7 +217,7 @@
 }
 
 func (c *cluster) observeAll() {
-	c.config = c.stored
+	c.memberSet = c.stored
 	for _, id := range c.ids() {
 		if r := c.replicas[id]; r != nil {
 			r.Observe(c.now, c.stored)
@@ -225,32 +225,31 @@
 	}
 }
 
-// An older layout that comes late changes nothing: it neither thaws what a
-// newer attempt froze nor takes an attempt back.
-func TestOlderLayoutChangesNothing(t *testing.T) {
-	config := MemberSet{Generation: 2, Members: []string{"a", "b", "c"}, Attempt: 3}
+// Checks that an older member set is ignored: it neither thaws a member that a newer
+// attempt froze, nor lowers the attempt.
+func TestOlderMemberSetIsIgnored(t *testing.T) {
+	memberSet := MemberSet{Generation: 2, Members: []string{"a", "b", "c"}, Attempt: 3}
 	hard := HardState{Promised: 1, Frozen: true, FrozenAttempt: 3, Generation: 2}
-	r := Restore(0, "a", config, testTiming(), rand.New(rand.NewPCG(1, 1)), &disk{}, hard, 0, 0, nil, time.Unix(0, 0))
-	for _, late := range []MemberSet{
+	r := Restore(0, "a", memberSet, testTiming(), rand.New(rand.NewPCG(1, 1)), &disk{}, hard, 0, 0, nil, time.Unix(0, 0))
+	for _, older := range []MemberSet{
 		{Generation: 1, Members: []string{"a"}, Attempt: 9},
-		{Generation: 2, Members: config.Members, Attempt: 2},
-		{Generation: 2, Members: config.Members, Attempt: 3},
+		{Generation: 2, Members: memberSet.Members, Attempt: 2},
+		{Generation: 2, Members: memberSet.Members, Attempt: 3},
 	} {
-		r.Observe(time.Unix(1, 0), late)
+		r.Observe(time.Unix(1, 0), older)
 		if !r.Frozen() || r.MemberSet().Attempt != 3 || r.MemberSet().Generation != 2 {
-			t.Fatalf("layout %+v changed the replica to %+v, frozen %v", late, r.MemberSet(), r.Frozen())
+			t.Fatalf("member set %+v changed the replica to %+v, frozen %v", older, r.MemberSet(), r.Frozen())
 		}
 	}
-	r.Observe(time.Unix(2, 0), MemberSet{Generation: 2, Members: config.Members, Attempt: 4})
+	r.Observe(time.Unix(2, 0), MemberSet{Generation: 2, Members: memberSet.Members, Attempt: 4})
 	if r.Frozen() {
 		t.Fatal("a raised attempt does not thaw")
 	}
 }
 
-// Members hear of a new member set one after the other, within what a slow
-// service takes. Who sealed the old one leads the new one all the same: what
-// runs under its leadership is not interrupted.
-func TestSealerLeadsThoughOthersHearLate(t *testing.T) {
+// Checks that the sealer of the old member set also leads the new one when the other
+// members observe the new set later. A change of leaders would interrupt running work.
+func TestSealerLeadsNewMemberSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
 		c.run(150)
@@ -258,7 +257,7 @@
 		if leader == nil {
 			return
 		}
-		next := MemberSet{Generation: 2, Members: c.config.Members, Copies: c.config.Copies}
+		next := MemberSet{Generation: 2, Members: c.memberSet.Members, Copies: c.memberSet.Copies}
 		leader.Freeze()
 		for step := 0; !leader.Sealed(next); step++ {
 			if step > 100 {
@@ -266,26 +265,26 @@
 			}
 			c.step()
 		}
-		c.swap(next, leader.config.Attempt)
-		c.config = next
+		c.swap(next, leader.memberSet.Attempt)
+		c.memberSet = next
 		leader.Observe(c.now, next)
-		latest := rapid.IntRange(0, 20).Draw(t, "steps until the last hears")
-		hears := map[string]int{}
+		lastStep := rapid.IntRange(0, 20).Draw(t, "steps until the last member observes")
+		observeAt := map[string]int{}
 		for _, id := range c.ids() {
-			hears[id] = latest
-			if latest > 8 {
-				hears[id] = rapid.IntRange(latest-8, latest).Draw(t, "steps until it hears")
+			observeAt[id] = lastStep
+			if lastStep > 8 {
+				observeAt[id] = rapid.IntRange(lastStep-8, lastStep).Draw(t, "steps until the member observes")
 			}
 		}
 		for step := range 120 {
-			for id, at := range hears {
-				if at == step && id != leader.self {
+			for id, observeStep := range observeAt {
+				if observeStep == step && id != leader.self {
 					c.replicas[id].Observe(c.now, next)
 				}
 			}
 			c.step()
 			for id, r := range c.replicas {
-				if r.Role() == Leader && r.config.Generation == 2 && id != leader.self {
+				if r.Role() == Leader && r.memberSet.Generation == 2 && id != leader.self {
 					t.Fatalf("%s leads the new set, %s sealed the old one", id, leader.self)
 				}
 			}
