--- a/internal/batch/jsonl/jsonl.go
+++ b/internal/batch/jsonl/jsonl.go
@@ -1,7 +1,7 @@
-// Package jsonl reads batch input files (one JSON request per line, the OpenAI
-// batch format) as a stream and cuts them into segments. It owns the limits of the
-// format. Memory is bounded by one segment and eight bytes per line for the check
-// that custom ids are unique. The plain node runs it, at an upload.
+// Package jsonl reads batch input files in the OpenAI batch format (one JSON request
+// per line) as a stream and splits them into segments. It defines and enforces the limits
+// of the format. A Reader keeps one segment in memory, and an eight-byte hash of each
+// custom id to check that the ids are unique. The plain node uses the package for uploads.
 package jsonl
 
 import (
@@ -19,26 +19,27 @@
 
 // Limits of the format.
 const (
-	// MaxLineBytes bounds one line.
+	// MaxLineBytes is the maximum length of one line, including its line end.
 	MaxLineBytes = 1 << 20
-	// MaxItems bounds one file.
+	// MaxItems is the maximum number of items in one file.
 	MaxItems = 500_000
-	// SegmentItems and SegmentBytes end a segment, whichever is reached first.
-	SegmentItems = 1000
-	SegmentBytes = 256 << 10
-	maxCustomID  = 512
+	// A segment ends when it has SegmentItems items or at least SegmentBytes bytes,
+	// whichever comes first.
+	SegmentItems      = 1000
+	SegmentBytes      = 256 << 10
+	maxCustomIDLength = 512
 )
 
-// Rules are what a line is checked against.
+// Rules holds the checks and defaults that depend on the caller and the configuration.
 type Rules struct {
-	// Model maps a requested model to the one that serves it, with an error
-	// that says why it may not be called.
+	// Model returns the name of the model that serves the requested model, or an error
+	// that tells the caller why it may not use the requested model.
 	Model func(name string) (string, error)
-	// DefaultClass of lines that name none.
+	// DefaultClass is the work class of lines that do not specify one.
 	DefaultClass wirev1.WorkClass
 }
 
-// LineError is a bad line.
+// LineError reports the first invalid line of a file.
 type LineError struct {
 	Line    int
 	Problem string
@@ -47,27 +48,27 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Problem) }
 
-// Segment is a run of lines.
+// Segment holds the items of consecutive lines.
 type Segment struct {
 	Items []*wirev1.Item
 	Bytes uint64
 }
 
-// Reader cuts a file into segments.
+// Reader splits a file into segments.
 type Reader struct {
-	source *bufio.Reader
-	rules  Rules
-	line   int
-	items  uint64
-	bytes  uint64
-	seen   map[uint64]struct{}
-	// endpoint is the url of the items so far, empty once they differ.
+	source         *bufio.Reader
+	rules          Rules
+	line           int
+	items          uint64
+	bytes          uint64
+	customIDHashes map[uint64]struct{}
+	// endpoint is the url that all items read so far have, empty if their urls differ.
 	endpoint string
 }
 
-// NewReader reads from source.
+// NewReader returns a Reader of the file that source provides.
 func NewReader(source io.Reader, rules Rules) *Reader {
-	return &Reader{source: bufio.NewReaderSize(source, 64<<10), rules: rules, seen: map[uint64]struct{}{}}
+	return &Reader{source: bufio.NewReaderSize(source, 64<<10), rules: rules, customIDHashes: map[uint64]struct{}{}}
 }
 
 // Items returns the number of items read so far.
@@ -76,11 +77,11 @@
 // Bytes returns the number of bytes read so far.
 func (r *Reader) Bytes() uint64 { return r.bytes }
 
-// Endpoint returns the one url of all items read so far, empty if they differ.
+// Endpoint returns the url that all items read so far have, empty if their urls differ.
 func (r *Reader) Endpoint() string { return r.endpoint }
 
-// Next returns the next segment, or io.EOF when the file has ended. A bad line is a
-// *LineError; other errors are those of the source.
+// Next returns the next segment, or io.EOF at the end of the file. It returns a
+// *LineError if a line is invalid; all other errors come from the source.
 func (r *Reader) Next() (*Segment, error) {
 	segment := &Segment{}
 	for len(segment.Items) < SegmentItems && segment.Bytes < SegmentBytes {
@@ -107,8 +108,8 @@
 	return segment, nil
 }
 
-// readLine returns the next line without its end, trimmed; io.EOF after the
-// last.
+// readLine returns the next line without surrounding white space, or io.EOF after the
+// last line.
 func (r *Reader) readLine() ([]byte, error) {
 	var line []byte
 	for {
@@ -131,18 +132,18 @@
 
 func (r *Reader) parse(line []byte) (*wirev1.Item, error) {
 	if !gjson.ValidBytes(line) {
-		return nil, r.bad("not JSON")
+		return nil, r.lineError("not JSON")
 	}
 	parsed := gjson.ParseBytes(line)
 	item := &wirev1.Item{CustomId: parsed.Get("custom_id").String(), Url: parsed.Get("url").String()}
-	if item.CustomId == "" || len(item.CustomId) > maxCustomID {
-		return nil, r.bad(fmt.Sprintf("custom_id must have 1 to %d characters", maxCustomID))
+	if item.CustomId == "" || len(item.CustomId) > maxCustomIDLength {
+		return nil, r.lineError(fmt.Sprintf("custom_id must have 1 to %d characters", maxCustomIDLength))
 	}
 	if method := parsed.Get("method").String(); method != "POST" {
-		return nil, r.bad(fmt.Sprintf("method is %q, allowed: POST", method))
+		return nil, r.lineError(fmt.Sprintf("method is %q, allowed: POST", method))
 	}
 	if item.Url != "/v1/chat/completions" && item.Url != "/v1/completions" {
-		return nil, r.bad(fmt.Sprintf("url is %q, allowed: /v1/chat/completions or /v1/completions", item.Url))
+		return nil, r.lineError(fmt.Sprintf("url is %q, allowed: /v1/chat/completions or /v1/completions", item.Url))
 	}
 	if err := r.parseBody(parsed, item); err != nil {
 		return nil, err
@@ -150,20 +151,20 @@
 	if err := r.parseClass(parsed, item); err != nil {
 		return nil, err
 	}
-	return item, r.count(item)
+	return item, r.addItem(item)
 }
 
 func (r *Reader) parseBody(parsed gjson.Result, item *wirev1.Item) error {
 	body := parsed.Get("body")
 	if !body.IsObject() {
-		return r.bad("body must be an object")
+		return r.lineError("body must be an object")
 	}
 	if body.Get("stream").Bool() {
-		return r.bad("body.stream must not be true")
+		return r.lineError("body.stream must not be true")
 	}
 	model, err := r.rules.Model(body.Get("model").String())
 	if err != nil {
-		return r.bad(err.Error())
+		return r.lineError(err.Error())
 	}
 	item.Model = model
 	item.Body = []byte(body.Raw)
@@ -179,19 +180,20 @@
 	case "once":
 		item.WorkClass = wirev1.WorkClass_WORK_CLASS_ONCE
 	default:
-		return r.bad(fmt.Sprintf("work_class is %q, allowed: repeatable or once", class))
+		return r.lineError(fmt.Sprintf("work_class is %q, allowed: repeatable or once", class))
 	}
 	return nil
 }
 
-// count checks that the custom id is new. Ids are remembered by a 64-bit hash:
-// among half a million ids a false alarm has a chance below one in 10^8.
-func (r *Reader) count(item *wirev1.Item) error {
+// addItem counts the item and checks that its custom id is unique. It compares 64-bit
+// hashes: the probability that two different ids among MaxItems have the same hash is
+// below 10^-8.
+func (r *Reader) addItem(item *wirev1.Item) error {
 	hash := xxhash.Sum64String(item.CustomId)
-	if _, taken := r.seen[hash]; taken {
-		return r.bad(fmt.Sprintf("custom_id %q stands twice", item.CustomId))
+	if _, duplicate := r.customIDHashes[hash]; duplicate {
+		return r.lineError(fmt.Sprintf("custom_id %q stands twice", item.CustomId))
 	}
-	r.seen[hash] = struct{}{}
+	r.customIDHashes[hash] = struct{}{}
 	if r.items == 0 {
 		r.endpoint = item.Url
 	}
@@ -200,9 +202,9 @@
 	}
 	r.items++
 	if r.items > MaxItems {
-		return r.bad(fmt.Sprintf("more than %d items", MaxItems))
+		return r.lineError(fmt.Sprintf("more than %d items", MaxItems))
 	}
 	return nil
 }
 
-func (r *Reader) bad(problem string) error { return &LineError{r.line, problem} }
+func (r *Reader) lineError(problem string) error { return &LineError{r.line, problem} }
