--- a/internal/batch/shard/apply.go
+++ b/internal/batch/shard/apply.go
@@ -10,9 +10,9 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// Apply applies one command. The error is for a store that cannot be read or
-// written, which stops the replica; what a command was refused for is in the
-// result.
+// Apply applies one command. It returns an error only if the store cannot be read or
+// written, which stops the replica. If the command is rejected, the result holds the code
+// and the reason.
 func Apply(store KeyStore, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	switch kind := command.Kind.(type) {
 	case *wirev1.Command_CreateFile:
@@ -28,9 +28,9 @@
 	case *wirev1.Command_CancelJob:
 		return applyCancelJob(store, kind.CancelJob)
 	case *wirev1.Command_FinishCancel:
-		return finishJob(store, kind.FinishCancel.JobId, wirev1.JobStatus_JOB_STATUS_CANCELLING, wirev1.JobStatus_JOB_STATUS_CANCELLED, kind.FinishCancel.AtUnixMs)
+		return endJob(store, kind.FinishCancel.JobId, wirev1.JobStatus_JOB_STATUS_CANCELLING, wirev1.JobStatus_JOB_STATUS_CANCELLED, kind.FinishCancel.AtUnixMs)
 	case *wirev1.Command_ExpireJob:
-		return finishJob(store, kind.ExpireJob.JobId, wirev1.JobStatus_JOB_STATUS_IN_PROGRESS, wirev1.JobStatus_JOB_STATUS_EXPIRED, kind.ExpireJob.AtUnixMs)
+		return endJob(store, kind.ExpireJob.JobId, wirev1.JobStatus_JOB_STATUS_IN_PROGRESS, wirev1.JobStatus_JOB_STATUS_EXPIRED, kind.ExpireJob.AtUnixMs)
 	case *wirev1.Command_StartItems:
 		return applyStartItems(store, kind.StartItems)
 	case *wirev1.Command_CompleteItems:
@@ -42,18 +42,18 @@
 	case *wirev1.Command_Retain:
 		return applyRetain(store, kind.Retain)
 	default:
-		return refused(result.Internal, "command of unknown kind"), nil
+		return rejection(result.Internal, "command of unknown kind"), nil
 	}
 }
 
-func refused(code result.Code, message string) *wirev1.CommandResult {
+func rejection(code result.Code, message string) *wirev1.CommandResult {
 	return &wirev1.CommandResult{Code: uint32(code), Message: message}
 }
 
 func applyCreateFile(store KeyStore, command *wirev1.CreateFile) (*wirev1.CommandResult, error) {
-	known, err := File(store, command.FileId)
-	if err != nil || known != nil {
-		return &wirev1.CommandResult{File: known}, err
+	existing, err := File(store, command.FileId)
+	if err != nil || existing != nil {
+		return &wirev1.CommandResult{File: existing}, err
 	}
 	record := &wirev1.FileRecord{
 		FileId: command.FileId, Tenant: command.Tenant, Filename: command.Filename,
@@ -62,29 +62,29 @@
 	return &wirev1.CommandResult{File: record}, save(store, fileKey(command.FileId), record)
 }
 
-// applyAppendSegment stores a segment; the same segment again changes nothing.
+// applyAppendSegment stores a segment. Storing the same segment again changes nothing.
 func applyAppendSegment(store KeyStore, command *wirev1.AppendSegment) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
 		return nil, err
 	}
 	if file == nil || file.Deleted {
-		return refused(result.NotFound, "file "+command.FileId+" does not exist"), nil
+		return rejection(result.NotFound, "file "+command.FileId+" does not exist"), nil
 	}
 	if file.Sealed {
-		return refused(result.JobConflict, "file "+command.FileId+" is sealed"), nil
+		return rejection(result.JobConflict, "file "+command.FileId+" is sealed"), nil
 	}
 	return &wirev1.CommandResult{}, save(store, segmentKey(command.FileId, command.Segment), command)
 }
 
-// applySealFile makes a file usable once all its segments are there.
+// applySealFile makes a file usable if all its segments are stored.
 func applySealFile(store KeyStore, command *wirev1.SealFile) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
 		return nil, err
 	}
 	if file == nil || file.Deleted {
-		return refused(result.NotFound, "file "+command.FileId+" does not exist"), nil
+		return rejection(result.NotFound, "file "+command.FileId+" does not exist"), nil
 	}
 	if file.Sealed {
 		return &wirev1.CommandResult{File: file}, nil
@@ -95,7 +95,7 @@
 			return nil, trace.Wrap(err)
 		}
 		if stored == nil {
-			return refused(result.JobConflict, "file "+command.FileId+" lacks a segment"), nil
+			return rejection(result.JobConflict, "file "+command.FileId+" lacks a segment"), nil
 		}
 	}
 	file.Segments, file.Items, file.Bytes = command.Segments, command.Items, command.Bytes
@@ -103,81 +103,83 @@
 	return &wirev1.CommandResult{File: file}, save(store, fileKey(file.FileId), file)
 }
 
-// applyDeleteFile drops a file no unfinished job reads.
+// applyDeleteFile deletes a file unless a stored job has it as input.
 func applyDeleteFile(store KeyStore, command *wirev1.DeleteFile) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
 		return nil, err
 	}
 	if file == nil || file.Tenant != command.Tenant || file.Deleted {
-		return refused(result.NotFound, "file "+command.FileId+" does not exist"), nil
+		return rejection(result.NotFound, "file "+command.FileId+" does not exist"), nil
 	}
 	if file.Jobs > 0 {
-		return refused(result.JobConflict, "file "+command.FileId+" is the input of a job that is kept"), nil
+		return rejection(result.JobConflict, "file "+command.FileId+" is the input of a job that is kept"), nil
 	}
-	return &wirev1.CommandResult{File: file}, dropFile(store, file.FileId)
+	return &wirev1.CommandResult{File: file}, deleteFile(store, file.FileId)
 }
 
-func dropFile(store KeyStore, id string) error {
-	prefix := join(spaceSegment, id)
-	if err := store.DeleteRange(prefix, after(prefix)); err != nil {
+func deleteFile(store KeyStore, id string) error {
+	prefix := composeKey(prefixSegment, id)
+	if err := store.DeleteRange(prefix, prefixEnd(prefix)); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(store.Delete(fileKey(id)))
 }
 
-// applyCreateJob makes a job, or returns the one that the same key or, when no
-// key was sent, the same content made before.
+// applyCreateJob creates a job. If the tenant has already created a job with the same
+// idempotency key, it returns that job; without a key, it returns the job that was created
+// for the same content and endpoint.
 func applyCreateJob(store KeyStore, command *wirev1.CreateJob) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.InputFileId)
 	if err != nil {
 		return nil, err
 	}
 	if file == nil || file.Tenant != command.Tenant || file.Deleted || !file.Sealed {
-		return refused(result.NotFound, "file "+command.InputFileId+" does not exist"), nil
+		return rejection(result.NotFound, "file "+command.InputFileId+" does not exist"), nil
 	}
 	if file.Endpoint != command.Endpoint {
-		return refused(result.InvalidRequest, "the items of file "+command.InputFileId+" are not all for endpoint "+command.Endpoint), nil
+		return rejection(result.InvalidRequest, "the items of file "+command.InputFileId+" are not all for endpoint "+command.Endpoint), nil
 	}
-	identity := jobIdentity(command, file)
-	if known, err := knownJob(store, identity); err != nil || known != nil {
-		return sameJob(known, file, command), err
+	dedupKey := deduplicationKey(command, file)
+	if existing, err := findDuplicateJob(store, dedupKey); err != nil || existing != nil {
+		return duplicateJobResult(existing, file, command), err
 	}
-	if known, err := Job(store, command.JobId); err != nil || known != nil {
-		return &wirev1.CommandResult{Job: known}, err
+	if existing, err := Job(store, command.JobId); err != nil || existing != nil {
+		return &wirev1.CommandResult{Job: existing}, err
 	}
-	return createJob(store, command, file, identity)
+	return createJob(store, command, file, dedupKey)
 }
 
-// jobIdentity is the key under which a resent job is recognised.
-func jobIdentity(command *wirev1.CreateJob, file *wirev1.FileRecord) []byte {
+// deduplicationKey returns the key in the store that detects a job sent again.
+func deduplicationKey(command *wirev1.CreateJob, file *wirev1.FileRecord) []byte {
 	if command.IdempotencyKey != "" {
-		return join(spaceIdem, command.Tenant, command.IdempotencyKey)
+		return composeKey(prefixIdempotencyKey, command.Tenant, command.IdempotencyKey)
 	}
-	return join(spaceDigest, command.Tenant, command.Endpoint+hex.EncodeToString(file.Digest))
+	return composeKey(prefixDigest, command.Tenant, command.Endpoint+hex.EncodeToString(file.Digest))
 }
 
-func knownJob(store KeyStore, identity []byte) (*wirev1.JobRecord, error) {
-	id, err := store.Get(identity)
+func findDuplicateJob(store KeyStore, dedupKey []byte) (*wirev1.JobRecord, error) {
+	id, err := store.Get(dedupKey)
 	if err != nil || id == nil {
 		return nil, trace.Wrap(err)
 	}
 	return Job(store, string(id))
 }
 
-// sameJob answers a resend; a key used for other content is refused.
-func sameJob(known *wirev1.JobRecord, file *wirev1.FileRecord, command *wirev1.CreateJob) *wirev1.CommandResult {
-	if known == nil {
+// duplicateJobResult returns the result of a job sent again, nil if there is no existing
+// job. It rejects an idempotency key that was used with other content or another endpoint.
+func duplicateJobResult(existing *wirev1.JobRecord, file *wirev1.FileRecord, command *wirev1.CreateJob) *wirev1.CommandResult {
+	if existing == nil {
 		return nil
 	}
-	sameContent := known.Spec.InputFileId == file.FileId || bytes.Equal(known.InputDigest, file.Digest)
-	if command.IdempotencyKey != "" && (!sameContent || known.Spec.Endpoint != command.Endpoint) {
-		return refused(result.KeyReused, "the idempotency key made job "+known.Spec.JobId+" of other content")
+	sameContent := existing.Spec.InputFileId == file.FileId || bytes.Equal(existing.InputDigest, file.Digest)
+	if command.IdempotencyKey != "" && (!sameContent || existing.Spec.Endpoint != command.Endpoint) {
+		return rejection(result.KeyReused, "the idempotency key made job "+existing.Spec.JobId+" of other content")
 	}
-	return &wirev1.CommandResult{Job: known, Duplicates: 1}
+	return &wirev1.CommandResult{Job: existing, Duplicates: 1}
 }
 
-func createJob(store KeyStore, command *wirev1.CreateJob, file *wirev1.FileRecord, identity []byte) (*wirev1.CommandResult, error) {
+func createJob(store KeyStore, command *wirev1.CreateJob, file *wirev1.FileRecord, dedupKey []byte) (*wirev1.CommandResult, error) {
 	record := &wirev1.JobRecord{
 		Spec: command, Status: wirev1.JobStatus_JOB_STATUS_IN_PROGRESS,
 		Segments: file.Segments, Total: file.Items, InputDigest: file.Digest,
@@ -190,10 +192,10 @@
 	if err := save(store, fileKey(file.FileId), file); err != nil {
 		return nil, err
 	}
-	if err := store.Set(identity, []byte(command.JobId)); err != nil {
+	if err := store.Set(dedupKey, []byte(command.JobId)); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := store.Set(join(spaceTenantJob, command.Tenant, command.JobId), nil); err != nil {
+	if err := store.Set(composeKey(prefixTenantJob, command.Tenant, command.JobId), nil); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &wirev1.CommandResult{Job: record}, save(store, jobKey(command.JobId), record)
@@ -205,7 +207,7 @@
 		return nil, err
 	}
 	if job == nil || job.Spec.Tenant != command.Tenant {
-		return refused(result.NotFound, "job "+command.JobId+" does not exist"), nil
+		return rejection(result.NotFound, "job "+command.JobId+" does not exist"), nil
 	}
 	switch job.Status {
 	case wirev1.JobStatus_JOB_STATUS_IN_PROGRESS:
@@ -215,18 +217,19 @@
 	case wirev1.JobStatus_JOB_STATUS_CANCELLING, wirev1.JobStatus_JOB_STATUS_CANCELLED:
 		return &wirev1.CommandResult{Job: job}, nil
 	default:
-		return refused(result.JobConflict, "job "+command.JobId+" has ended"), nil
+		return rejection(result.JobConflict, "job "+command.JobId+" has ended"), nil
 	}
 }
 
-// finishJob ends a job that is in the state given; otherwise nothing changes.
-func finishJob(store KeyStore, id string, from, to wirev1.JobStatus, at int64) (*wirev1.CommandResult, error) {
+// endJob moves a job from one status to a final status. A job with any other status does
+// not change.
+func endJob(store KeyStore, id string, from, to wirev1.JobStatus, at int64) (*wirev1.CommandResult, error) {
 	job, err := Job(store, id)
 	if err != nil {
 		return nil, err
 	}
 	if job == nil {
-		return refused(result.NotFound, "job "+id+" does not exist"), nil
+		return rejection(result.NotFound, "job "+id+" does not exist"), nil
 	}
 	if job.Status != from {
 		return &wirev1.CommandResult{Job: job}, nil
@@ -236,20 +239,20 @@
 	return &wirev1.CommandResult{Job: job}, save(store, jobKey(id), job)
 }
 
-// applyStartItems marks items of class once before they are dispatched. Only
-// items marked by this very command may be dispatched after it.
+// applyStartItems marks items of class once as started before they are dispatched. The
+// result lists the items that this command marked; only these may be dispatched.
 func applyStartItems(store KeyStore, command *wirev1.StartItems) (*wirev1.CommandResult, error) {
-	answer := &wirev1.CommandResult{}
+	commandResult := &wirev1.CommandResult{}
 	for _, key := range command.Items {
 		started, err := startItem(store, key)
 		if err != nil {
 			return nil, err
 		}
 		if started {
-			answer.Started = append(answer.Started, key)
+			commandResult.Started = append(commandResult.Started, key)
 		}
 	}
-	return answer, nil
+	return commandResult, nil
 }
 
 func startItem(store KeyStore, key *wirev1.ItemKey) (bool, error) {
@@ -265,39 +268,40 @@
 	return true, save(store, progressKey(key.JobId, key.Segment), progress)
 }
 
-// applyCompleteItems accepts one completion per item, whichever attempt brings
-// it; repeats and results of ended jobs are counted and dropped.
+// applyCompleteItems stores the first result of each item, whichever attempt it comes
+// from. Further results of the item, and results of ended jobs, are counted as duplicates
+// and discarded.
 func applyCompleteItems(store KeyStore, command *wirev1.CompleteItems) (*wirev1.CommandResult, error) {
-	answer := &wirev1.CommandResult{}
-	completion := &completion{store: store, jobs: map[string]*wirev1.JobRecord{}, progress: map[string]*wirev1.SegmentProgress{}, at: command.AtUnixMs}
+	commandResult := &wirev1.CommandResult{}
+	batch := &completionBatch{store: store, jobs: map[string]*wirev1.JobRecord{}, progress: map[string]*wirev1.SegmentProgress{}, at: command.AtUnixMs}
 	for _, item := range command.Results {
-		accepted, err := completion.take(item)
+		accepted, err := batch.accept(item)
 		if err != nil {
 			return nil, err
 		}
 		if accepted {
-			answer.Accepted++
+			commandResult.Accepted++
 		} else {
-			answer.Duplicates++
+			commandResult.Duplicates++
 		}
 	}
-	return answer, completion.flush()
+	return commandResult, batch.flush()
 }
 
-// completion collects the records one command touches, so that each is written
-// once.
-type completion struct {
-	store    KeyStore
-	jobs     map[string]*wirev1.JobRecord
-	progress map[string]*wirev1.SegmentProgress
-	order    [][]byte // progress keys in order of first use
-	jobOrder []string
-	at       int64
+// completionBatch caches the records that one command changes, so that each record is
+// written once.
+type completionBatch struct {
+	store         KeyStore
+	jobs          map[string]*wirev1.JobRecord
+	progress      map[string]*wirev1.SegmentProgress
+	progressOrder [][]byte // keys of progress in order of first use
+	jobOrder      []string
+	at            int64
 }
 
-func (c *completion) job(id string) (*wirev1.JobRecord, error) {
-	if known, found := c.jobs[id]; found {
-		return known, nil
+func (c *completionBatch) job(id string) (*wirev1.JobRecord, error) {
+	if existing, found := c.jobs[id]; found {
+		return existing, nil
 	}
 	job, err := Job(c.store, id)
 	if err != nil {
@@ -308,23 +312,23 @@
 	return job, nil
 }
 
-func (c *completion) segment(job string, segment uint32) (*wirev1.SegmentProgress, error) {
+func (c *completionBatch) segment(job string, segment uint32) (*wirev1.SegmentProgress, error) {
 	key := progressKey(job, segment)
-	if known, found := c.progress[string(key)]; found {
-		return known, nil
+	if existing, found := c.progress[string(key)]; found {
+		return existing, nil
 	}
 	progress, err := Progress(c.store, job, segment)
 	if err != nil {
 		return nil, err
 	}
 	c.progress[string(key)] = progress
-	c.order = append(c.order, key)
+	c.progressOrder = append(c.progressOrder, key)
 	return progress, nil
 }
 
-func (c *completion) take(item *wirev1.ItemResult) (bool, error) {
+func (c *completionBatch) accept(item *wirev1.ItemResult) (bool, error) {
 	job, err := c.job(item.Item.JobId)
-	if err != nil || job == nil || !open(job.Status) || item.Item.Segment >= job.Segments {
+	if err != nil || job == nil || !acceptsCompletions(job.Status) || item.Item.Segment >= job.Segments {
 		return false, err
 	}
 	progress, err := c.segment(item.Item.JobId, item.Item.Segment)
@@ -345,14 +349,14 @@
 	return true, save(c.store, resultKey(item.Item.JobId, item.Item.Segment, item.Item.Offset), item)
 }
 
-// open reports whether a job still takes completions. One that is being
-// cancelled does: what ran to its end is kept.
-func open(status wirev1.JobStatus) bool {
+// acceptsCompletions reports whether results of a job with this status are stored. A job
+// that is being cancelled still accepts results of items that are running.
+func acceptsCompletions(status wirev1.JobStatus) bool {
 	return status == wirev1.JobStatus_JOB_STATUS_IN_PROGRESS || status == wirev1.JobStatus_JOB_STATUS_CANCELLING
 }
 
-func (c *completion) flush() error {
-	for _, key := range c.order {
+func (c *completionBatch) flush() error {
+	for _, key := range c.progressOrder {
 		if err := save(c.store, key, c.progress[string(key)]); err != nil {
 			return err
 		}
--- a/internal/batch/shard/claim.go
+++ b/internal/batch/shard/claim.go
@@ -9,33 +9,34 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// applyClaim grants an idempotency key to the first request that claims it.
-// Others get the record: the answer, "in progress", or "outcome unknown".
+// applyClaim grants an idempotency key to the first request that claims it. Other
+// requests with the key get the record of the claim: the stored response, "in progress" or
+// "outcome unknown".
 //
-// Invariant: between two grants of one key there is a resolution that proves
-// the first did not run. So work under a key runs at most once.
+// Invariant: a key is granted again only after its claim was resolved as not run.
+// Therefore at most one request with a key runs.
 func applyClaim(store KeyStore, claim *wirev1.Claim) (*wirev1.CommandResult, error) {
-	known, err := ClaimOf(store, claim.Tenant, claim.Key)
+	existing, err := IdempotencyClaim(store, claim.Tenant, claim.Key)
 	if err != nil {
 		return nil, err
 	}
-	if known == nil || known.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN {
+	if existing == nil || existing.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN {
 		return grantClaim(store, claim)
 	}
-	if known.Claim.RequestId == claim.RequestId {
-		// The claimant's own command, applied twice because its answer was lost.
-		return &wirev1.CommandResult{Claim: known, Accepted: 1}, nil
+	if existing.Claim.RequestId == claim.RequestId {
+		// The request sent its claim again because the first result was lost.
+		return &wirev1.CommandResult{Claim: existing, Accepted: 1}, nil
 	}
-	if !bytes.Equal(known.Claim.Fingerprint, claim.Fingerprint) {
-		return refused(result.KeyReused, "the idempotency key was used for another request"), nil
+	if !bytes.Equal(existing.Claim.Fingerprint, claim.Fingerprint) {
+		return rejection(result.KeyReused, "the idempotency key was used for another request"), nil
 	}
-	if known.State == wirev1.ClaimState_CLAIM_STATE_IN_PROGRESS && claim.AtUnixMs > known.Claim.ExpiresUnixMs {
-		known.State = wirev1.ClaimState_CLAIM_STATE_UNKNOWN
-		if err := save(store, claimKey(claim.Tenant, claim.Key), known); err != nil {
+	if existing.State == wirev1.ClaimState_CLAIM_STATE_IN_PROGRESS && claim.AtUnixMs > existing.Claim.ExpiresUnixMs {
+		existing.State = wirev1.ClaimState_CLAIM_STATE_UNKNOWN
+		if err := save(store, claimKey(claim.Tenant, claim.Key), existing); err != nil {
 			return nil, err
 		}
 	}
-	return &wirev1.CommandResult{Claim: known}, nil
+	return &wirev1.CommandResult{Claim: existing}, nil
 }
 
 func grantClaim(store KeyStore, claim *wirev1.Claim) (*wirev1.CommandResult, error) {
@@ -43,23 +44,23 @@
 	return &wirev1.CommandResult{Claim: record, Accepted: 1}, save(store, claimKey(claim.Tenant, claim.Key), record)
 }
 
-// applyResolveClaim records how a claimed request ended. Only the claimant
-// resolves, and an answer once recorded stays. An answer that comes after the
-// claim was given up as unknown is still recorded: it is the truth.
+// applyResolveClaim records the outcome of the request that holds a claim. Other requests
+// cannot resolve the claim, and a recorded response never changes. A response may still
+// replace the outcome "unknown", which a claim gets when it expires.
 func applyResolveClaim(store KeyStore, command *wirev1.ResolveClaim) (*wirev1.CommandResult, error) {
-	known, err := ClaimOf(store, command.Tenant, command.Key)
+	existing, err := IdempotencyClaim(store, command.Tenant, command.Key)
 	if err != nil {
 		return nil, err
 	}
-	if known == nil || known.Claim.RequestId != command.RequestId {
-		return refused(result.StaleEpoch, "the key is not claimed by request "+command.RequestId), nil
+	if existing == nil || existing.Claim.RequestId != command.RequestId {
+		return rejection(result.StaleEpoch, "the key is not claimed by request "+command.RequestId), nil
 	}
-	if !mayResolve(known.State, command.State) {
-		return &wirev1.CommandResult{Claim: known, Duplicates: 1}, nil
+	if !mayResolve(existing.State, command.State) {
+		return &wirev1.CommandResult{Claim: existing, Duplicates: 1}, nil
 	}
-	known.State = command.State
-	known.HttpStatus, known.Answer, known.Code = command.HttpStatus, command.Answer, command.Code
-	return &wirev1.CommandResult{Claim: known, Accepted: 1}, save(store, claimKey(command.Tenant, command.Key), known)
+	existing.State = command.State
+	existing.HttpStatus, existing.Answer, existing.Code = command.HttpStatus, command.Answer, command.Code
+	return &wirev1.CommandResult{Claim: existing, Accepted: 1}, save(store, claimKey(command.Tenant, command.Key), existing)
 }
 
 func mayResolve(from, to wirev1.ClaimState) bool {
@@ -67,49 +68,49 @@
 	case wirev1.ClaimState_CLAIM_STATE_IN_PROGRESS:
 		return true
 	case wirev1.ClaimState_CLAIM_STATE_UNKNOWN:
-		// "Unknown" was told to a caller; "not run" must not be told after it.
+		// A caller may have received "unknown"; a later "not run" would contradict it.
 		return to == wirev1.ClaimState_CLAIM_STATE_ANSWERED
 	default:
 		return false
 	}
 }
 
-// applyRetain drops what ended before a time, a bounded number of records per
-// command, so that one command stays small.
+// applyRetain deletes records whose retention has ended. The command limits the number of
+// jobs, files and claims, each separately, so that applying it takes a bounded time.
 func applyRetain(store KeyStore, command *wirev1.Retain) (*wirev1.CommandResult, error) {
-	answer := &wirev1.CommandResult{}
-	jobs, err := endedJobs(store, command)
+	commandResult := &wirev1.CommandResult{}
+	jobs, err := jobsPastRetention(store, command)
 	if err != nil {
 		return nil, err
 	}
 	for _, job := range jobs {
-		if err := dropJob(store, job); err != nil {
+		if err := deleteJob(store, job); err != nil {
 			return nil, err
 		}
-		answer.Accepted++
+		commandResult.Accepted++
 	}
-	files, err := unusedFiles(store, command)
+	files, err := filesPastRetention(store, command)
 	if err != nil {
 		return nil, err
 	}
 	for _, id := range files {
-		if err := dropFile(store, id); err != nil {
+		if err := deleteFile(store, id); err != nil {
 			return nil, err
 		}
-		answer.Accepted++
+		commandResult.Accepted++
 	}
-	dropped, err := dropClaims(store, command)
-	answer.Accepted += dropped
-	return answer, err
+	deletedClaims, err := deleteClaims(store, command)
+	commandResult.Accepted += deletedClaims
+	return commandResult, err
 }
 
-// unusedFiles lists files that no job reads, finished uploads or not, older
-// than the retention.
-func unusedFiles(reader KeyReader, command *wirev1.Retain) ([]string, error) {
+// filesPastRetention lists files that no job uses and that were created before the time
+// in the command. It includes incomplete uploads.
+func filesPastRetention(reader KeyReader, command *wirev1.Retain) ([]string, error) {
 	var ids []string
-	prefix := []byte{spaceFile}
+	prefix := []byte{prefixFile}
 	var decodeErr error
-	err := reader.Scan(prefix, after(prefix), func(_, value []byte) bool {
+	err := reader.Scan(prefix, prefixEnd(prefix), func(_, value []byte) bool {
 		record := &wirev1.FileRecord{}
 		if decodeErr = decode(value, record); decodeErr != nil {
 			return false
@@ -122,25 +123,26 @@
 	return ids, trace.NewAggregate(err, decodeErr)
 }
 
-// HasEnded reports whether Retain would drop anything.
-func HasEnded(reader KeyReader, before int64) (bool, error) {
+// HasRecordsPastRetention reports whether a Retain command with the given time would delete
+// anything.
+func HasRecordsPastRetention(reader KeyReader, before int64) (bool, error) {
 	probe := &wirev1.Retain{FinishedBeforeUnixMs: before, Limit: 1}
-	jobs, err := endedJobs(reader, probe)
+	jobs, err := jobsPastRetention(reader, probe)
 	if err != nil || len(jobs) > 0 {
 		return len(jobs) > 0, err
 	}
-	files, err := unusedFiles(reader, probe)
+	files, err := filesPastRetention(reader, probe)
 	if err != nil || len(files) > 0 {
 		return len(files) > 0, err
 	}
-	claims, err := endedClaims(reader, probe)
+	claims, err := claimsPastRetention(reader, probe)
 	return len(claims) > 0, err
 }
 
-func endedJobs(reader KeyReader, command *wirev1.Retain) ([]*wirev1.JobRecord, error) {
+func jobsPastRetention(reader KeyReader, command *wirev1.Retain) ([]*wirev1.JobRecord, error) {
 	var ended []*wirev1.JobRecord
 	err := Jobs(reader, func(job *wirev1.JobRecord) bool {
-		if !open(job.Status) && job.FinishedUnixMs < command.FinishedBeforeUnixMs {
+		if !acceptsCompletions(job.Status) && job.FinishedUnixMs < command.FinishedBeforeUnixMs {
 			ended = append(ended, job)
 		}
 		return len(ended) < int(command.Limit)
@@ -148,10 +150,10 @@
 	return ended, err
 }
 
-func dropJob(store KeyStore, job *wirev1.JobRecord) error {
+func deleteJob(store KeyStore, job *wirev1.JobRecord) error {
 	id := job.Spec.JobId
-	for _, prefix := range [][]byte{join(spaceProgress, id), join(spaceResult, id)} {
-		if err := store.DeleteRange(prefix, after(prefix)); err != nil {
+	for _, prefix := range [][]byte{composeKey(prefixProgress, id), composeKey(prefixResult, id)} {
+		if err := store.DeleteRange(prefix, prefixEnd(prefix)); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -163,28 +165,28 @@
 		if err := releaseFile(store, file); err != nil {
 			return err
 		}
-		if err := store.Delete(jobIdentity(job.Spec, file)); err != nil {
+		if err := store.Delete(deduplicationKey(job.Spec, file)); err != nil {
 			return trace.Wrap(err)
 		}
 	}
-	if err := store.Delete(join(spaceTenantJob, job.Spec.Tenant, id)); err != nil {
+	if err := store.Delete(composeKey(prefixTenantJob, job.Spec.Tenant, id)); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(store.Delete(jobKey(id)))
 }
 
-// releaseFile forgets one job's use of a file and drops the file with its last
-// job.
+// releaseFile removes one job from the file's count of jobs and deletes the file if no
+// other job uses the file.
 func releaseFile(store KeyStore, file *wirev1.FileRecord) error {
 	if file.Jobs > 1 {
 		file.Jobs--
 		return save(store, fileKey(file.FileId), file)
 	}
-	return dropFile(store, file.FileId)
+	return deleteFile(store, file.FileId)
 }
 
-func dropClaims(store KeyStore, command *wirev1.Retain) (uint32, error) {
-	keys, err := endedClaims(store, command)
+func deleteClaims(store KeyStore, command *wirev1.Retain) (uint32, error) {
+	keys, err := claimsPastRetention(store, command)
 	if err != nil {
 		return 0, err
 	}
@@ -196,11 +198,11 @@
 	return uint32(len(keys)), nil
 }
 
-func endedClaims(reader KeyReader, command *wirev1.Retain) ([][]byte, error) {
+func claimsPastRetention(reader KeyReader, command *wirev1.Retain) ([][]byte, error) {
 	var keys [][]byte
-	prefix := []byte{spaceClaim}
+	prefix := []byte{prefixClaim}
 	var decodeErr error
-	err := reader.Scan(prefix, after(prefix), func(key, value []byte) bool {
+	err := reader.Scan(prefix, prefixEnd(prefix), func(key, value []byte) bool {
 		record := &wirev1.ClaimRecord{}
 		if decodeErr = decode(value, record); decodeErr != nil {
 			return false
--- a/internal/batch/shard/keys.go
+++ b/internal/batch/shard/keys.go
@@ -1,8 +1,8 @@
-// Package shard is the state machine of a batch shard: files, jobs, item
-// results and idempotency claims. Commands come from the shard's replicated
-// log; applying the same commands in the same order gives the same state and
-// the same results on every replica. It reads no clock: commands carry times. Plain
-// nodes run it (modules/batch/store).
+// Package shard implements the replicated state machine of a batch shard, which holds
+// files, jobs, item results and idempotency claims. Commands come from the shard's
+// replicated log. Replicas that apply the same commands in the same order have the same
+// state and return the same results; therefore the package takes all times from the
+// commands and reads no clock. Plain nodes run it (modules/batch/store).
 package shard
 
 import (
@@ -15,17 +15,18 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// KeyReader reads a shard's keys, which are relative to the shard.
+// KeyReader reads the keys and values of one shard. Keys do not contain the shard's
+// number.
 type KeyReader interface {
-	// Get returns a copy of a value, nil if the key is absent.
+	// Get returns a copy of the key's value, nil if the key does not exist.
 	Get(key []byte) ([]byte, error)
-	// Scan calls visit for the keys in [from, to) in order until it returns
-	// false. Keys and values are valid during the call only.
+	// Scan calls visit for the keys in [from, to) in ascending order until visit returns
+	// false. The key and the value are valid only during the call of visit.
 	Scan(from, to []byte, visit func(key, value []byte) bool) error
 }
 
-// KeyStore is a KeyReader that collects writes, visible to its own reads at once and
-// made durable together.
+// KeyStore is a KeyReader that also collects writes. Its reads see the collected writes,
+// which become durable together.
 type KeyStore interface {
 	KeyReader
 	Set(key, value []byte) error
@@ -33,22 +34,24 @@
 	DeleteRange(from, to []byte) error
 }
 
-// Key spaces, one letter each.
+// The first byte of a key identifies the type of the record. The comments list the rest
+// of the key and the value.
 const (
-	spaceClaim     = 'c' // tenant, key → ClaimRecord
-	spaceDigest    = 'd' // tenant, digest → job id
-	spaceFile      = 'f' // file id → FileRecord
-	spaceIdem      = 'i' // tenant, idempotency key → job id
-	spaceJob       = 'j' // job id → JobRecord
-	spaceProgress  = 'p' // job id, segment → SegmentProgress
-	spaceResult    = 'r' // job id, segment, offset → ItemResult
-	spaceSegment   = 's' // file id, segment → AppendSegment
-	spaceTenantJob = 't' // tenant, job id → empty
-	separator      = 0
+	prefixClaim          = 'c' // tenant, key → ClaimRecord
+	prefixDigest         = 'd' // tenant, digest → job id
+	prefixFile           = 'f' // file id → FileRecord
+	prefixIdempotencyKey = 'i' // tenant, idempotency key → job id
+	prefixJob            = 'j' // job id → JobRecord
+	prefixProgress       = 'p' // job id, segment → SegmentProgress
+	prefixResult         = 'r' // job id, segment, offset → ItemResult
+	prefixSegment        = 's' // file id, segment → AppendSegment
+	prefixTenantJob      = 't' // tenant, job id → empty
+	separator            = 0
 )
 
-func join(space byte, parts ...string) []byte {
-	key := []byte{space}
+// composeKey returns the prefix followed by the parts, each with a separator at its end.
+func composeKey(prefix byte, parts ...string) []byte {
+	key := []byte{prefix}
 	for _, part := range parts {
 		key = append(key, part...)
 		key = append(key, separator)
@@ -56,26 +59,27 @@
 	return key
 }
 
-func fileKey(id string) []byte { return join(spaceFile, id) }
-func jobKey(id string) []byte  { return join(spaceJob, id) }
+func fileKey(id string) []byte { return composeKey(prefixFile, id) }
+func jobKey(id string) []byte  { return composeKey(prefixJob, id) }
 
-func claimKey(tenant, key string) []byte { return join(spaceClaim, tenant, key) }
+func claimKey(tenant, key string) []byte { return composeKey(prefixClaim, tenant, key) }
 
 func segmentKey(file string, segment uint32) []byte {
-	return binary.BigEndian.AppendUint32(join(spaceSegment, file), segment)
+	return binary.BigEndian.AppendUint32(composeKey(prefixSegment, file), segment)
 }
 
 func progressKey(job string, segment uint32) []byte {
-	return binary.BigEndian.AppendUint32(join(spaceProgress, job), segment)
+	return binary.BigEndian.AppendUint32(composeKey(prefixProgress, job), segment)
 }
 
 func resultKey(job string, segment, offset uint32) []byte {
-	key := binary.BigEndian.AppendUint32(join(spaceResult, job), segment)
+	key := binary.BigEndian.AppendUint32(composeKey(prefixResult, job), segment)
 	return binary.BigEndian.AppendUint32(key, offset)
 }
 
-// after returns the smallest key above all keys with the prefix.
-func after(prefix []byte) []byte {
+// prefixEnd returns the smallest key that is greater than all keys with the prefix, nil if
+// there is no such key.
+func prefixEnd(prefix []byte) []byte {
 	end := bytes.Clone(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
 		if end[i] < 0xff {
@@ -86,7 +90,8 @@
 	return nil
 }
 
-// load decodes the value of a key; found is false if it is absent.
+// load decodes the value of a key into a message. It returns false if the key does not
+// exist.
 func load(reader KeyReader, key []byte, into proto.Message) (bool, error) {
 	value, err := reader.Get(key)
 	if err != nil || value == nil {
@@ -103,7 +108,7 @@
 	return trace.Wrap(store.Set(key, value))
 }
 
-// File returns a file's record, nil if there is none.
+// File returns the record of a file, nil if the file does not exist.
 func File(reader KeyReader, id string) (*wirev1.FileRecord, error) {
 	record := &wirev1.FileRecord{}
 	found, err := load(reader, fileKey(id), record)
@@ -113,7 +118,7 @@
 	return record, err
 }
 
-// Job returns a job's record, nil if there is none.
+// Job returns the record of a job, nil if the job does not exist.
 func Job(reader KeyReader, id string) (*wirev1.JobRecord, error) {
 	record := &wirev1.JobRecord{}
 	found, err := load(reader, jobKey(id), record)
@@ -123,7 +128,7 @@
 	return record, err
 }
 
-// Segment returns a segment's items, nil if there is none.
+// Segment returns the items of a file's segment, nil if the segment does not exist.
 func Segment(reader KeyReader, file string, segment uint32) ([]*wirev1.Item, error) {
 	stored := &wirev1.AppendSegment{}
 	if _, err := load(reader, segmentKey(file, segment), stored); err != nil {
@@ -132,15 +137,16 @@
 	return stored.Items, nil
 }
 
-// Progress returns which items of a job's segment are done; never nil.
+// Progress returns which items of a job's segment are started and done. It returns an
+// empty record, not nil, if none is stored.
 func Progress(reader KeyReader, job string, segment uint32) (*wirev1.SegmentProgress, error) {
 	progress := &wirev1.SegmentProgress{}
 	_, err := load(reader, progressKey(job, segment), progress)
 	return progress, err
 }
 
-// ClaimOf returns an idempotency claim, nil if there is none.
-func ClaimOf(reader KeyReader, tenant, key string) (*wirev1.ClaimRecord, error) {
+// IdempotencyClaim returns the claim of an idempotency key, nil if the key is not claimed.
+func IdempotencyClaim(reader KeyReader, tenant, key string) (*wirev1.ClaimRecord, error) {
 	record := &wirev1.ClaimRecord{}
 	found, err := load(reader, claimKey(tenant, key), record)
 	if !found {
@@ -149,7 +155,7 @@
 	return record, err
 }
 
-// Done reports whether bit i is set.
+// bitSet reports whether bit i is set.
 func bitSet(bits []byte, i uint32) bool {
 	return int(i/8) < len(bits) && bits[i/8]&(1<<(i%8)) != 0
 }
@@ -162,12 +168,13 @@
 	return bits
 }
 
-// IsDone reports whether an item has its completion.
+// IsDone reports whether the result of an item is stored.
 func IsDone(progress *wirev1.SegmentProgress, offset uint32) bool {
 	return bitSet(progress.Done, offset)
 }
 
-// IsStarted reports whether an item of class once may have been dispatched.
+// IsStarted reports whether an item of class once was marked as started, so that it may
+// have been dispatched.
 func IsStarted(progress *wirev1.SegmentProgress, offset uint32) bool {
 	return bitSet(progress.Started, offset)
 }
--- a/internal/batch/shard/read.go
+++ b/internal/batch/shard/read.go
@@ -12,11 +12,11 @@
 	return trace.Wrap(proto.Unmarshal(value, into), "decoding a stored record")
 }
 
-// Jobs calls visit for every job in order of id until it returns false.
+// Jobs calls visit for each job in the order of job ids until visit returns false.
 func Jobs(reader KeyReader, visit func(*wirev1.JobRecord) bool) error {
-	prefix := []byte{spaceJob}
+	prefix := []byte{prefixJob}
 	var decodeErr error
-	err := reader.Scan(prefix, after(prefix), func(_, value []byte) bool {
+	err := reader.Scan(prefix, prefixEnd(prefix), func(_, value []byte) bool {
 		job := &wirev1.JobRecord{}
 		if decodeErr = decode(value, job); decodeErr != nil {
 			return false
@@ -26,16 +26,17 @@
 	return trace.NewAggregate(err, decodeErr)
 }
 
-// TenantFiles lists a tenant's sealed files after an id, up to limit.
+// TenantFiles lists up to limit sealed files of a tenant in the order of file ids,
+// starting after afterID.
 func TenantFiles(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.FileRecord, error) {
-	prefix := []byte{spaceFile}
+	prefix := []byte{prefixFile}
 	from := prefix
 	if afterID != "" {
-		from = after(fileKey(afterID))
+		from = prefixEnd(fileKey(afterID))
 	}
 	var files []*wirev1.FileRecord
 	var decodeErr error
-	err := reader.Scan(from, after(prefix), func(_, value []byte) bool {
+	err := reader.Scan(from, prefixEnd(prefix), func(_, value []byte) bool {
 		record := &wirev1.FileRecord{}
 		if decodeErr = decode(value, record); decodeErr != nil {
 			return false
@@ -48,15 +49,16 @@
 	return files, trace.NewAggregate(err, decodeErr)
 }
 
-// TenantJobs lists a tenant's jobs after an id, up to limit.
+// TenantJobs lists up to limit jobs of a tenant in the order of job ids, starting after
+// afterID.
 func TenantJobs(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.JobRecord, error) {
-	prefix := join(spaceTenantJob, tenant)
+	prefix := composeKey(prefixTenantJob, tenant)
 	from := prefix
 	if afterID != "" {
-		from = after(join(spaceTenantJob, tenant, afterID))
+		from = prefixEnd(composeKey(prefixTenantJob, tenant, afterID))
 	}
 	var ids []string
-	err := reader.Scan(from, after(prefix), func(key, _ []byte) bool {
+	err := reader.Scan(from, prefixEnd(prefix), func(key, _ []byte) bool {
 		ids = append(ids, string(key[len(prefix):len(key)-1]))
 		return len(ids) < limit
 	})
@@ -76,9 +78,9 @@
 	return jobs, nil
 }
 
-// Outcomes returns the ended items of one segment: those with a result, or
-// those with an error. Items that a cancelled or expired job never completed
-// have a numbered error too, so that each accepted item has one outcome.
+// Outcomes returns the ended items of one segment: the failed items if errors is set, the
+// successful items otherwise. Items that a cancelled or expired job did not complete count
+// as failed, so that each item of an ended job has exactly one outcome.
 func Outcomes(reader KeyReader, job *wirev1.JobRecord, segment uint32, errors bool) ([]*wirev1.ItemOutcome, error) {
 	items, err := Segment(reader, job.Spec.InputFileId, segment)
 	if err != nil {
@@ -90,14 +92,14 @@
 	}
 	var outcomes []*wirev1.ItemOutcome
 	for offset, item := range items {
-		ended := results[uint32(offset)]
-		if ended == nil {
-			ended = unfinished(job, segment, uint32(offset))
+		itemResult := results[uint32(offset)]
+		if itemResult == nil {
+			itemResult = resultOfUnfinishedItem(job, segment, uint32(offset))
 		}
-		if ended == nil || (ended.Code != 0) != errors {
+		if itemResult == nil || (itemResult.Code != 0) != errors {
 			continue
 		}
-		outcomes = append(outcomes, &wirev1.ItemOutcome{CustomId: item.CustomId, Result: ended})
+		outcomes = append(outcomes, &wirev1.ItemOutcome{CustomId: item.CustomId, Result: itemResult})
 	}
 	return outcomes, nil
 }
@@ -107,18 +109,20 @@
 	from := resultKey(job, segment, 0)
 	prefix := from[:len(from)-4]
 	var decodeErr error
-	err := reader.Scan(prefix, after(prefix), func(_, value []byte) bool {
-		ended := &wirev1.ItemResult{}
-		if decodeErr = decode(value, ended); decodeErr != nil {
+	err := reader.Scan(prefix, prefixEnd(prefix), func(_, value []byte) bool {
+		itemResult := &wirev1.ItemResult{}
+		if decodeErr = decode(value, itemResult); decodeErr != nil {
 			return false
 		}
-		results[ended.Item.Offset] = ended
+		results[itemResult.Item.Offset] = itemResult
 		return true
 	})
 	return results, trace.NewAggregate(err, decodeErr)
 }
 
-func unfinished(job *wirev1.JobRecord, segment, offset uint32) *wirev1.ItemResult {
+// resultOfUnfinishedItem returns the error of an item that has no stored result, nil if
+// the item may still get a result.
+func resultOfUnfinishedItem(job *wirev1.JobRecord, segment, offset uint32) *wirev1.ItemResult {
 	key := &wirev1.ItemKey{JobId: job.Spec.JobId, Segment: segment, Offset: offset}
 	switch job.Status {
 	case wirev1.JobStatus_JOB_STATUS_CANCELLED:
--- a/internal/batch/shard/shard_test.go
+++ b/internal/batch/shard/shard_test.go
@@ -15,20 +15,20 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// memory is a KeyStore on a map.
-type memory struct{ values map[string][]byte }
+// memoryStore is a KeyStore backed by a map.
+type memoryStore struct{ values map[string][]byte }
 
-func newMemory() *memory { return &memory{values: map[string][]byte{}} }
+func newMemoryStore() *memoryStore { return &memoryStore{values: map[string][]byte{}} }
 
-func (m *memory) Get(key []byte) ([]byte, error) { return bytes.Clone(m.values[string(key)]), nil }
-func (m *memory) Delete(key []byte) error        { delete(m.values, string(key)); return nil }
+func (m *memoryStore) Get(key []byte) ([]byte, error) { return bytes.Clone(m.values[string(key)]), nil }
+func (m *memoryStore) Delete(key []byte) error        { delete(m.values, string(key)); return nil }
 
-func (m *memory) Set(key, value []byte) error {
+func (m *memoryStore) Set(key, value []byte) error {
 	m.values[string(key)] = append([]byte{}, value...)
 	return nil
 }
 
-func (m *memory) keys(from, to []byte) []string {
+func (m *memoryStore) keys(from, to []byte) []string {
 	var keys []string
 	for key := range m.values {
 		if key >= string(from) && (to == nil || key < string(to)) {
@@ -39,7 +39,7 @@
 	return keys
 }
 
-func (m *memory) Scan(from, to []byte, visit func(key, value []byte) bool) error {
+func (m *memoryStore) Scan(from, to []byte, visit func(key, value []byte) bool) error {
 	for _, key := range m.keys(from, to) {
 		if !visit([]byte(key), m.values[key]) {
 			return nil
@@ -48,22 +48,22 @@
 	return nil
 }
 
-func (m *memory) DeleteRange(from, to []byte) error {
+func (m *memoryStore) DeleteRange(from, to []byte) error {
 	for _, key := range m.keys(from, to) {
 		delete(m.values, key)
 	}
 	return nil
 }
 
-func apply(t fatal, store *memory, command *wirev1.Command) *wirev1.CommandResult {
-	answer, err := Apply(store, command)
+func apply(t failer, store *memoryStore, command *wirev1.Command) *wirev1.CommandResult {
+	commandResult, err := Apply(store, command)
 	if err != nil {
 		t.Fatalf("applying: %v", err)
 	}
-	return answer
+	return commandResult
 }
 
-type fatal interface {
+type failer interface {
 	Fatalf(string, ...any)
 }
 
@@ -72,8 +72,9 @@
 	endpoint = "/v1/chat/completions"
 )
 
-// makeJob uploads segments of items and makes a job of them.
-func makeJob(t fatal, store *memory, id string, segments, items int, class wirev1.WorkClass) {
+// makeJob uploads a file with the given numbers of segments and items per segment, and
+// creates a job for it.
+func makeJob(t failer, store *memoryStore, id string, segments, items int, class wirev1.WorkClass) {
 	file := "file-" + id
 	apply(t, store, &wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{FileId: file, Tenant: tenant}}})
 	for segment := range segments {
@@ -84,9 +85,9 @@
 		apply(t, store, &wirev1.Command{Kind: &wirev1.Command_AppendSegment{AppendSegment: command}})
 	}
 	apply(t, store, &wirev1.Command{Kind: &wirev1.Command_SealFile{SealFile: &wirev1.SealFile{FileId: file, Segments: uint32(segments), Items: uint64(segments * items), Digest: []byte(id), Endpoint: endpoint}}})
-	answer := apply(t, store, createJobCommand(id, "job-"+id, ""))
-	if answer.Code != 0 {
-		t.Fatalf("job refused: %v", answer)
+	commandResult := apply(t, store, createJobCommand(id, "job-"+id, ""))
+	if commandResult.Code != 0 {
+		t.Fatalf("job was rejected: %v", commandResult)
 	}
 }
 
@@ -102,30 +103,30 @@
 	return &wirev1.ItemKey{JobId: job, Segment: uint32(segment), Offset: uint32(offset)}
 }
 
-// Whatever is completed, repeated, cancelled or expired in whatever order:
-// each item has at most one outcome, which never changes, and an ended job has
-// exactly one for each item.
-func TestEachItemHasExactlyOneOutcome(t *testing.T) {
+// Checks, for random completions, repetitions, cancellations and expirations, that each
+// item has at most one outcome, that the outcome never changes, and that an ended job has
+// one outcome for each item.
+func TestEachItemHasOneOutcomeThatNeverChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := newMemory()
+		store := newMemoryStore()
 		segments, items := rapid.IntRange(1, 3).Draw(t, "segments"), rapid.IntRange(1, 5).Draw(t, "items")
 		makeJob(t, store, "a", segments, items, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
-		first := map[string][]byte{}
+		recorded := map[string][]byte{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			drawJobCommand(t, store, step, segments, items)
-			checkOutcomes(t, store, segments, first)
+			checkOutcomes(t, store, segments, recorded)
 		}
 		job, err := Job(store, "job-a")
 		if err != nil || job == nil {
-			t.Fatalf("job is gone: %v", err)
+			t.Fatalf("job is missing: %v", err)
 		}
-		if !open(job.Status) && len(first) != segments*items {
-			t.Fatalf("job is %v with outcomes of %d of %d items", job.Status, len(first), segments*items)
+		if !acceptsCompletions(job.Status) && len(recorded) != segments*items {
+			t.Fatalf("job is %v with outcomes of %d of %d items", job.Status, len(recorded), segments*items)
 		}
 	})
 }
 
-func drawJobCommand(t *rapid.T, store *memory, step, segments, items int) {
+func drawJobCommand(t *rapid.T, store *memoryStore, step, segments, items int) {
 	switch rapid.IntRange(0, 20).Draw(t, "command") {
 	case 0:
 		apply(t, store, &wirev1.Command{Kind: &wirev1.Command_CancelJob{CancelJob: &wirev1.CancelJob{JobId: "job-a", Tenant: tenant}}})
@@ -146,7 +147,7 @@
 	}
 }
 
-func checkOutcomes(t *rapid.T, store *memory, segments int, first map[string][]byte) {
+func checkOutcomes(t *rapid.T, store *memoryStore, segments int, recorded map[string][]byte) {
 	job, err := Job(store, "job-a")
 	if err != nil {
 		t.Fatalf("reading job: %v", err)
@@ -165,48 +166,48 @@
 				}
 				seen[outcome.CustomId] = true
 				encoded, _ := proto.Marshal(outcome.Result)
-				if known, had := first[outcome.CustomId]; had && !bytes.Equal(known, encoded) {
+				if previous, found := recorded[outcome.CustomId]; found && !bytes.Equal(previous, encoded) {
 					t.Fatalf("outcome of %s changed", outcome.CustomId)
 				}
-				first[outcome.CustomId] = encoded
+				recorded[outcome.CustomId] = encoded
 				counted++
 			}
 		}
 	}
-	if open(job.Status) && counted != job.Completed+job.Failed {
-		t.Fatalf("%d outcomes, counts say %d and %d", counted, job.Completed, job.Failed)
+	if acceptsCompletions(job.Status) && counted != job.Completed+job.Failed {
+		t.Fatalf("%d outcomes, but the job counts %d completed and %d failed", counted, job.Completed, job.Failed)
 	}
 }
 
-// A resent job, by key or by content, is the same job; a key with other content
-// is refused.
-func TestResentJobIsTheSameJob(t *testing.T) {
+// Checks that a job sent again with the same key or the same content returns the existing
+// job, and that a key used with other content is rejected.
+func TestResentJobIsDeduplicated(t *testing.T) {
 	is := is.New(t)
-	store := newMemory()
+	store := newMemoryStore()
 	makeJob(t, store, "a", 1, 2, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	again := apply(t, store, createJobCommand("a", "job-b", ""))
 	is.Equal(again.Job.Spec.JobId, "job-a")
 
 	keyed := apply(t, store, createJobCommand("a", "job-c", "key-1"))
-	is.Equal(keyed.Job.Spec.JobId, "job-c") // an explicit key makes a job of its own
+	is.Equal(keyed.Job.Spec.JobId, "job-c") // a job with an idempotency key is not deduplicated by content
 	is.Equal(apply(t, store, createJobCommand("a", "job-d", "key-1")).Job.Spec.JobId, "job-c")
 
 	makeJob(t, store, "b", 1, 2, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	is.Equal(result.Code(apply(t, store, createJobCommand("b", "job-e", "key-1")).Code), result.KeyReused)
 }
 
-func TestJobOfAnotherEndpointIsRefused(t *testing.T) {
+func TestJobWithAnotherEndpointThanItsFileIsRejected(t *testing.T) {
 	is := is.New(t)
-	store := newMemory()
+	store := newMemoryStore()
 	makeJob(t, store, "a", 1, 1, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	command := createJobCommand("a", "job-x", "key-x")
 	command.GetCreateJob().Endpoint = "/v1/completions"
 	is.Equal(result.Code(apply(t, store, command).Code), result.InvalidRequest)
 }
 
-func TestFilesAreListedByTenant(t *testing.T) {
+func TestListedFilesBelongToTheTenant(t *testing.T) {
 	is := is.New(t)
-	store := newMemory()
+	store := newMemoryStore()
 	for _, id := range []string{"a", "b", "c"} {
 		makeJob(t, store, id, 1, 1, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	}
@@ -218,10 +219,10 @@
 	is.Equal(len(none), 0)
 }
 
-// Of all starts of a once item exactly one is granted, and none after its end.
-func TestOnceItemStartsOnce(t *testing.T) {
+// Checks that an item of class once is marked as started by at most one command.
+func TestOnceItemIsStartedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := newMemory()
+		store := newMemoryStore()
 		makeJob(t, store, "a", 1, 3, wirev1.WorkClass_WORK_CLASS_ONCE)
 		starts := map[uint32]int{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -230,8 +231,8 @@
 				apply(t, store, completeCommand(&wirev1.ItemResult{Item: itemKey("job-a", 0, offset)}))
 				continue
 			}
-			answer := apply(t, store, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: []*wirev1.ItemKey{itemKey("job-a", 0, offset)}}}})
-			for _, started := range answer.Started {
+			commandResult := apply(t, store, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: []*wirev1.ItemKey{itemKey("job-a", 0, offset)}}}})
+			for _, started := range commandResult.Started {
 				starts[started.Offset]++
 			}
 		}
@@ -243,64 +244,65 @@
 	})
 }
 
-// claimModel drives one key with drawn requests and checks that work under it
-// runs at most once and that "not run" is never said of work that may have run.
+// claimModel sends random claims and resolutions of one idempotency key. It checks that
+// at most one request with the key runs, and that no caller gets "not run" after a request
+// has run or has been reported as unknown.
 type claimModel struct {
-	store    *memory
+	store    *memoryStore
 	now      int64
 	requests int
-	// running holds requests that were granted and have not resolved.
-	running map[string]bool
-	// ran is the request whose work reached an engine, if any.
-	ran     string
-	unknown bool
+	// granted holds the requests that have the key and have not resolved their claim.
+	granted map[string]bool
+	// dispatched is the request that was sent to an engine, empty if there is none.
+	dispatched      string
+	reportedUnknown bool
 }
 
 func (m *claimModel) Init() {
-	m.store = newMemory()
-	m.running = map[string]bool{}
+	m.store = newMemoryStore()
+	m.granted = map[string]bool{}
 }
 
 func (m *claimModel) Claim(t *rapid.T) {
 	m.requests++
 	id := fmt.Sprint("request-", m.requests)
-	answer := apply(t, m.store, claimCommand(id, m.now))
-	if answer.Accepted == 0 {
-		if answer.Claim.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN && m.ran != "" {
-			t.Fatalf("a resend is told not run, but %s ran", m.ran)
+	commandResult := apply(t, m.store, claimCommand(id, m.now))
+	if commandResult.Accepted == 0 {
+		if commandResult.Claim.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN && m.dispatched != "" {
+			t.Fatalf("a request got the state not run, but %s ran", m.dispatched)
 		}
-		m.unknown = m.unknown || answer.Claim.State == wirev1.ClaimState_CLAIM_STATE_UNKNOWN
+		m.reportedUnknown = m.reportedUnknown || commandResult.Claim.State == wirev1.ClaimState_CLAIM_STATE_UNKNOWN
 		return
 	}
-	if m.ran != "" {
-		t.Fatalf("%s granted though %s ran", id, m.ran)
+	if m.dispatched != "" {
+		t.Fatalf("%s was granted the key although %s ran", id, m.dispatched)
 	}
-	m.running[id] = true
+	m.granted[id] = true
 }
 
 func claimCommand(id string, now int64) *wirev1.Command {
 	return &wirev1.Command{Kind: &wirev1.Command_Claim{Claim: &wirev1.Claim{Tenant: tenant, Key: "k", Fingerprint: []byte("f"), RequestId: id, AtUnixMs: now, ExpiresUnixMs: now + 10}}}
 }
 
-// Run dispatches a granted request: from here its work may have run.
-func (m *claimModel) Run(t *rapid.T) {
-	for id := range m.running {
-		if m.ran != "" && m.ran != id {
-			t.Fatalf("%s and %s both ran", m.ran, id)
+// Dispatch sends a granted request to an engine, which may run it from then on.
+func (m *claimModel) Dispatch(t *rapid.T) {
+	for id := range m.granted {
+		if m.dispatched != "" && m.dispatched != id {
+			t.Fatalf("%s and %s both ran", m.dispatched, id)
 		}
-		m.ran = id
+		m.dispatched = id
 		return
 	}
 }
 
 func (m *claimModel) Resolve(t *rapid.T) {
-	for id := range m.running {
+	for id := range m.granted {
 		state := rapid.SampledFrom([]wirev1.ClaimState{wirev1.ClaimState_CLAIM_STATE_ANSWERED, wirev1.ClaimState_CLAIM_STATE_UNKNOWN}).Draw(t, "state")
-		if m.ran != id {
+		if m.dispatched != id {
 			state = wirev1.ClaimState_CLAIM_STATE_NOT_RUN
 		}
 		apply(t, m.store, &wirev1.Command{Kind: &wirev1.Command_ResolveClaim{ResolveClaim: &wirev1.ResolveClaim{Tenant: tenant, Key: "k", RequestId: id, State: state}}})
-		delete(m.running, id)
+		delete(m.granted, id)
 		return
 	}
 }
@@ -308,12 +310,12 @@
 func (m *claimModel) Wait(t *rapid.T) { m.now += int64(rapid.IntRange(1, 30).Draw(t, "ms")) }
 
 func (m *claimModel) Check(t *rapid.T) {
-	record, err := ClaimOf(m.store, tenant, "k")
+	record, err := IdempotencyClaim(m.store, tenant, "k")
 	if err != nil {
 		t.Fatalf("reading claim: %v", err)
 	}
-	if record != nil && m.unknown && record.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN {
-		t.Fatalf("a key reported as unknown became not run")
+	if record != nil && m.reportedUnknown && record.State == wirev1.ClaimState_CLAIM_STATE_NOT_RUN {
+		t.Fatalf("the key was reported as unknown and later as not run")
 	}
 }
 
@@ -321,22 +323,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &claimModel{}
 		m.Init()
-		t.Repeat(map[string]func(*rapid.T){"claim": m.Claim, "run": m.Run, "resolve": m.Resolve, "wait": m.Wait, "": m.Check})
+		t.Repeat(map[string]func(*rapid.T){"claim": m.Claim, "run": m.Dispatch, "resolve": m.Resolve, "wait": m.Wait, "": m.Check})
 	})
 }
 
-func TestRetentionDropsEndedJobsWithAllTheirKeys(t *testing.T) {
+func TestRetentionDeletesEveryKeyOfAnEndedJob(t *testing.T) {
 	is := is.New(t)
-	store := newMemory()
+	store := newMemoryStore()
 	makeJob(t, store, "a", 1, 1, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	apply(t, store, completeCommand(&wirev1.ItemResult{Item: itemKey("job-a", 0, 0)}))
 	apply(t, store, &wirev1.Command{Kind: &wirev1.Command_Retain{Retain: &wirev1.Retain{FinishedBeforeUnixMs: 10, Limit: 10}}})
-	is.Equal(len(store.values), 0) // nothing of the job is left
+	is.Equal(len(store.values), 0) // the job's keys and its file are deleted
 }
 
-func TestRetentionKeepsWhatIsUsedAndDropsUnusedFiles(t *testing.T) {
+func TestRetentionKeepsUsedFilesAndDeletesOldUnusedFiles(t *testing.T) {
 	is := is.New(t)
-	store := newMemory()
+	store := newMemoryStore()
 	makeJob(t, store, "used", 1, 1, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	for _, id := range []string{"old", "new"} {
 		created := int64(5)
@@ -345,7 +347,7 @@
 		}
 		apply(t, store, &wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{FileId: id, Tenant: tenant, CreatedUnixMs: created}}})
 	}
-	ended, err := HasEnded(store, 10)
+	ended, err := HasRecordsPastRetention(store, 10)
 	is.NoErr(err)
 	is.True(ended)
 	apply(t, store, &wirev1.Command{Kind: &wirev1.Command_Retain{Retain: &wirev1.Retain{FinishedBeforeUnixMs: 10, Limit: 10}}})
@@ -354,13 +356,13 @@
 		is.NoErr(err)
 		is.Equal(file != nil, kept)
 	}
-	ended, err = HasEnded(store, 10)
+	ended, err = HasRecordsPastRetention(store, 10)
 	is.NoErr(err)
 	is.True(!ended)
 }
 
 func BenchmarkCompleteItems(b *testing.B) {
-	store := newMemory()
+	store := newMemoryStore()
 	makeJob(b, store, "a", 1000, 1000, wirev1.WorkClass_WORK_CLASS_REPEATABLE)
 	body := bytes.Repeat([]byte("x"), 600)
 	next := 0
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -123,7 +123,7 @@
 	}
 	s.retained = now
 	before := now.Add(-snapshot.Policy.Batch.Retention.Std()).UnixMilli()
-	ended, err := shard.HasEnded(s.Store.View(), before)
+	ended, err := shard.HasRecordsPastRetention(s.Store.View(), before)
 	if err != nil {
 		s.Fail(err)
 		return
--- a/modules/batch/store/stored_test.go
+++ b/modules/batch/store/stored_test.go
@@ -107,7 +107,7 @@
 		}
 	}
 	checkStoredOutcomes(t, state)
-	claim, err := shard.ClaimOf(state, storedTenant, "claim")
+	claim, err := shard.IdempotencyClaim(state, storedTenant, "claim")
 	is.NoErr(err)
 	is.Equal(claim.Claim.RequestId, "request")
 	is.Equal(string(claim.Claim.Fingerprint), "digest")
