--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -28,29 +28,30 @@
 		}
 	}
 	if layout != nil && request.WantLayout {
-		reply.Layout, reply.LayoutRevision = layout.text, layout.revision
+		reply.Layout, reply.LayoutRevision = layout.encoded, layout.revision
 	}
-	for _, held := range m.allReplicas() {
-		// A shard that has stopped or is too busy to answer is not listed as led here.
-		_ = held.RunInLoop(ctx, func() {
-			if held.table == nil {
+	for _, local := range m.allReplicas() {
+		// The reply does not list a shard whose replica has stopped or is too busy to
+		// respond.
+		_ = local.RunInLoop(ctx, func() {
+			if local.table == nil {
 				return
 			}
-			reply.Leading = append(reply.Leading, held.ID)
-			if held.table.HasPending() {
-				reply.Pending = append(reply.Pending, held.ID)
+			reply.Leading = append(reply.Leading, local.ID)
+			if local.table.HasPending() {
+				reply.Pending = append(reply.Pending, local.ID)
 			}
 		})
 	}
 	return stream.Send(reply)
 }
 
-func (m *Module) leaderReplica(id uint32) (*shardReplica, error) {
-	held := m.replica(id)
-	if held == nil {
+func (m *Module) requireReplica(id uint32) (*shardReplica, error) {
+	local := m.replica(id)
+	if local == nil {
 		return nil, result.New(result.NotLeader, "shard %d is not here", id)
 	}
-	return held, nil
+	return local, nil
 }
 
 func (m *Module) servePropose(ctx context.Context, stream *rpc.ServerStream) error {
@@ -58,31 +59,32 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	answer, err := m.Propose(ctx, request.Shard, request.Command)
+	commandResult, err := m.Propose(ctx, request.Shard, request.Command)
 	if err != nil {
 		return err
 	}
-	return stream.Send(answer)
+	return stream.Send(commandResult)
 }
 
-// Propose proposes a command to a shard led here. New work is taken only while
-// three disks answer and this one has free space.
+// Propose proposes a command to a shard that this node leads. It accepts commands that add
+// work only while replica.CopiesWanted members of the shard are alive and this node's disk
+// has free space.
 func (m *Module) Propose(ctx context.Context, id uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
-	held, err := m.leaderReplica(id)
+	local, err := m.requireReplica(id)
 	if err != nil {
 		return nil, err
 	}
-	if bringsNewWork(command) {
-		if err := held.admitNewWork(ctx); err != nil {
+	if addsNewWork(command) {
+		if err := local.admitNewWork(ctx); err != nil {
 			return nil, err
 		}
 	}
-	answer, err := held.ProposeAndWait(ctx, command)
+	commandResult, err := local.ProposeAndWait(ctx, command)
 	m.metrics.proposals.WithLabelValues(result.CodeOf(err).String()).Inc()
-	return answer, err
+	return commandResult, err
 }
 
-func bringsNewWork(command *wirev1.Command) bool {
+func addsNewWork(command *wirev1.Command) bool {
 	switch command.Kind.(type) {
 	case *wirev1.Command_CreateFile, *wirev1.Command_AppendSegment, *wirev1.Command_CreateJob, *wirev1.Command_Claim:
 		return true
@@ -96,7 +98,7 @@
 		return result.New(result.StoreFull, "the disk of node %s is nearly full", s.module.settings.Node.ID)
 	}
 	live := 0
-	err := s.askTable(ctx, func(*grants.Table, time.Time) error {
+	err := s.withTable(ctx, func(*grants.Table, time.Time) error {
 		live = s.Replica.LiveMembers(time.Now())
 		return nil
 	})
@@ -116,11 +118,11 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	held, err := m.leaderReplica(request.Shard)
+	local, err := m.requireReplica(request.Shard)
 	if err != nil {
 		return err
 	}
-	reply, err := held.pull(ctx, &request)
+	reply, err := local.pull(ctx, &request)
 	if err != nil {
 		return err
 	}
@@ -132,11 +134,11 @@
 	if err := stream.DecodeRequest(&request); err != nil {
 		return err
 	}
-	held, err := m.leaderReplica(request.Shard)
+	local, err := m.requireReplica(request.Shard)
 	if err != nil {
 		return err
 	}
-	reply, err := held.complete(ctx, &request)
+	reply, err := local.complete(ctx, &request)
 	if err != nil {
 		return err
 	}
@@ -155,15 +157,15 @@
 	return stream.Send(reply)
 }
 
-// read answers from the applied state of a serving leader.
+// read returns data from the applied state of a serving leader.
 func (m *Module) read(ctx context.Context, request *wirev1.ReadRequest) (*wirev1.ReadReply, error) {
-	held, err := m.leaderReplica(request.Shard)
+	local, err := m.requireReplica(request.Shard)
 	if err != nil {
 		return nil, err
 	}
 	var reply *wirev1.ReadReply
-	err = held.askTable(ctx, func(*grants.Table, time.Time) error {
-		view := held.Store.View()
+	err = local.withTable(ctx, func(*grants.Table, time.Time) error {
+		view := local.Store.View()
 		var readErr error
 		reply, readErr = readState(view, request)
 		return readErr
--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -16,19 +16,19 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ClusterLayout is the member set of every shard. It is one value in the platform's
-// service, changed by compare-and-swap: on founding and when a disk joins or
-// is lost, never per job or request.
+// ClusterLayout holds the member sets of all shards. It is stored as one value in the
+// platform's store and changed by compare-and-swap. It changes when a region is
+// bootstrapped and when a disk joins or is lost, but not for jobs or requests.
 type ClusterLayout struct {
 	Shards []ShardLayout `json:"shards"`
-	// revision of the stored value, for the compare-and-swap.
+	// revision is the revision of the stored value, for the compare-and-swap.
 	revision int64
-	// text is the stored form, passed on to peers.
-	text []byte
+	// encoded is the stored value, which the node sends to other nodes.
+	encoded []byte
 }
 
-// ShardLayout is one shard's member set. All members stand in the shard's
-// region, so that regions that lose each other go on by themselves.
+// ShardLayout is the member set of one shard. All members are in the shard's region, so
+// that each region keeps working when regions are disconnected from each other.
 type ShardLayout struct {
 	replica.MemberSet
 	Region string `json:"region"`
@@ -47,30 +47,32 @@
 
 const (
 	layoutInterval = time.Second
-	// foundingWait is how long enough disks must be seen before the cluster is
-	// founded.
-	foundingWait = 2 * time.Second
-	// MaxReplicas per shard.
+	// bootstrapDelay is how long the region must have enough disks before its shards
+	// are created.
+	bootstrapDelay = 2 * time.Second
+	// maxReplicas is the maximum number of members of a shard.
 	maxReplicas = 5
 )
 
-// layoutLoop follows the layout by a watch; without one it founds the cluster.
+// layoutLoop watches the stored layout and applies it. If the layout has no shards of this
+// node's region, it bootstraps the region. While the platform's store is unavailable, it
+// gets the layout from other nodes.
 func (m *Module) layoutLoop(ctx context.Context) {
-	var stableSince time.Time
+	var enoughDisksSince time.Time
 	for ctx.Err() == nil {
 		values, revision, err := m.platform.List(ctx, m.layoutKey())
 		if err == nil {
 			for _, value := range values {
-				m.takeLayout(value)
+				m.applyLayout(value)
 			}
 			layout := m.layout.Load()
 			if layout == nil || !layout.hasRegion(m.settings.Node.Region) {
-				stableSince = m.found(ctx, stableSince, layout)
+				enoughDisksSince = m.bootstrapRegion(ctx, enoughDisksSince, layout)
 			} else {
 				m.watchLayout(ctx, revision)
 			}
 		} else {
-			m.askPeers(ctx)
+			m.fetchLayoutFromPeers(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -79,9 +81,9 @@
 	}
 }
 
-// askPeers gets the layout from other disk nodes, which is how a change or a
-// founding reaches a node while the platform's service does not answer.
-func (m *Module) askPeers(ctx context.Context) {
+// fetchLayoutFromPeers gets the layout from other nodes with a disk. A node uses it to
+// receive changes of the layout while the platform's store is unavailable.
+func (m *Module) fetchLayoutFromPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, layoutInterval)
 	defer cancel()
 	for _, disk := range m.views.View().DiskMembers() {
@@ -91,65 +93,68 @@
 		reply := &wirev1.ShardMapReply{}
 		err := m.pool.Call(ctx, disk.Address, rpc.ClassControl, wirev1.Method_METHOD_SHARD_MAP, &wirev1.ShardMapRequest{WantLayout: true}, reply)
 		if err == nil && len(reply.Layout) > 0 {
-			m.takeLayout(ports.Value{Value: reply.Layout, Revision: reply.LayoutRevision})
+			m.applyLayout(ports.Value{Value: reply.Layout, Revision: reply.LayoutRevision})
 		}
 	}
 }
 
 func (m *Module) watchLayout(ctx context.Context, revision int64) {
-	// Whatever ends the watch, the loop lists the layout again.
+	// After any error, layoutLoop lists the layout again.
 	_ = m.platform.Watch(ctx, m.layoutKey(), revision, func(event ports.WatchEvent) {
 		if !event.Deleted {
-			m.takeLayout(event.Value)
+			m.applyLayout(event.Value)
 		}
 	})
 }
 
-func (m *Module) takeLayout(value ports.Value) {
+// applyLayout applies a stored layout, unless the node already has this revision or a newer
+// one.
+func (m *Module) applyLayout(value ports.Value) {
 	var layout ClusterLayout
 	if err := json.Unmarshal(value.Value, &layout); err != nil {
-		klog.ErrorS(err, "stored layout is unreadable", "node", m.settings.Node.ID)
+		klog.ErrorS(err, "stored layout cannot be decoded", "node", m.settings.Node.ID)
 		return
 	}
-	layout.revision, layout.text = value.Revision, value.Value
-	if known := m.layout.Load(); known != nil && known.revision >= layout.revision {
+	layout.revision, layout.encoded = value.Revision, value.Value
+	if existing := m.layout.Load(); existing != nil && existing.revision >= layout.revision {
 		return
 	}
 	m.layout.Store(&layout)
-	for id, config := range layout.Shards {
-		m.applyConfig(uint32(id), config.MemberSet)
+	for id, shardLayout := range layout.Shards {
+		m.applyMemberSet(uint32(id), shardLayout.MemberSet)
 	}
 }
 
-// applyConfig gives a running replica its member set, or starts one.
-func (m *Module) applyConfig(id uint32, config replica.MemberSet) {
-	if held := m.replica(id); held != nil {
-		held.observe(config)
+// applyMemberSet passes the member set to this node's replica of a shard. It starts the
+// replica if the node has become a member.
+func (m *Module) applyMemberSet(id uint32, memberSet replica.MemberSet) {
+	if local := m.replica(id); local != nil {
+		local.observeMemberSet(memberSet)
 		return
 	}
-	if !config.Has(m.db.DiskID()) {
+	if !memberSet.Has(m.db.DiskID()) {
 		return
 	}
-	if err := m.host.Start(id, &config); err != nil {
-		klog.ErrorS(err, "shard cannot be started", "node", m.settings.Node.ID, "shard", id)
+	if err := m.host.Start(id, &memberSet); err != nil {
+		klog.ErrorS(err, "starting a replica failed", "node", m.settings.Node.ID, "shard", id)
 	}
 }
 
-// found adds the shards of this node's region once enough of its disks have
-// been there for a while. Every disk node may try; the compare-and-swap lets
-// one win.
-func (m *Module) found(ctx context.Context, stableSince time.Time, layout *ClusterLayout) time.Time {
+// bootstrapRegion adds the shards of this node's region to the layout once the region has
+// had enough disks for bootstrapDelay. Several nodes may try at the same time; the
+// compare-and-swap lets only one of them succeed.
+func (m *Module) bootstrapRegion(ctx context.Context, enoughDisksSince time.Time, layout *ClusterLayout) time.Time {
 	region := m.settings.Node.Region
 	disks := regionDisks(m.views.View(), region)
 	if len(disks) < replica.CopiesWanted {
 		return time.Time{}
 	}
 	now := time.Now()
-	if stableSince.IsZero() {
+	if enoughDisksSince.IsZero() {
 		return now
 	}
-	if now.Sub(stableSince) < foundingWait {
-		return stableSince
+	if now.Sub(enoughDisksSince) < bootstrapDelay {
+		return enoughDisksSince
 	}
 	next := ClusterLayout{}
 	if layout != nil {
@@ -158,14 +163,14 @@
 	}
 	for range m.settings.Data.Shards {
 		id := uint32(len(next.Shards))
-		config := replica.MemberSet{Generation: 1, Members: place(id, disks, nil)}
-		next.Shards = append(next.Shards, ShardLayout{MemberSet: config, Region: region})
+		memberSet := replica.MemberSet{Generation: 1, Members: chooseDisks(id, disks, nil)}
+		next.Shards = append(next.Shards, ShardLayout{MemberSet: memberSet, Region: region})
 	}
 	committed, err := m.commitLayout(ctx, &next)
 	if err == nil && committed {
-		klog.InfoS("region founded", "node", m.settings.Node.ID, "region", region, "shards", m.settings.Data.Shards, "disks", len(disks))
+		klog.InfoS("shards of the region created", "node", m.settings.Node.ID, "region", region, "shards", m.settings.Data.Shards, "disks", len(disks))
 	}
-	return stableSince
+	return enoughDisksSince
 }
 
 func regionDisks(view *fleet.View, region string) []*wirev1.MemberRecord {
@@ -178,19 +183,20 @@
 	return disks
 }
 
-// commitLayout stores a layout if the stored one is still of its revision.
+// commitLayout stores a layout if the revision of the stored value is still next.revision.
 func (m *Module) commitLayout(ctx context.Context, next *ClusterLayout) (bool, error) {
-	text, err := json.Marshal(next)
+	encoded, err := json.Marshal(next)
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
 	conditions := []ports.Condition{{Key: m.layoutKey(), Revision: next.revision}}
-	return m.platform.Commit(ctx, conditions, []ports.Put{{Key: m.layoutKey(), Value: text}})
+	return m.platform.Commit(ctx, conditions, []ports.Put{{Key: m.layoutKey(), Value: encoded}})
 }
 
-// place picks a shard's disks: those kept, then each time one from a zone that has the
-// fewest of them. A disk whose node is leaving is not taken anew.
-func place(shard uint32, disks []*wirev1.MemberRecord, keep []string) []string {
+// chooseDisks returns the disks of a shard: the disks to keep, and further disks up to
+// maxReplicas, each from a zone with the fewest members. It adds no disk whose node is
+// leaving.
+func chooseDisks(shard uint32, disks []*wirev1.MemberRecord, keep []string) []string {
 	var candidates []placement.Disk
 	zones := map[string]string{}
 	for _, disk := range disks {
@@ -207,15 +213,15 @@
 	return rule.Choose(shard, candidates, keep, zoneOf)
 }
 
-// swapConfig replaces one shard's member set if nothing changed it since the
-// layout was read. It reports whether the change is known to be stored.
-func (m *Module) swapConfig(ctx context.Context, id uint32, before, after replica.MemberSet) (bool, error) {
+// swapMemberSet replaces the member set of a shard in the stored layout if it has not
+// changed since the layout was read. It reports whether the change is known to be stored.
+func (m *Module) swapMemberSet(ctx context.Context, id uint32, before, after replica.MemberSet) (bool, error) {
 	layout := m.layout.Load()
 	if layout == nil || int(id) >= len(layout.Shards) {
-		return false, trace.NotFound("no layout")
+		return false, trace.NotFound("the layout does not contain the shard")
 	}
-	held := layout.Shards[id]
-	if held.Generation != before.Generation || held.Attempt != before.Attempt {
+	current := layout.Shards[id]
+	if current.Generation != before.Generation || current.Attempt != before.Attempt {
 		return false, nil
 	}
 	next := ClusterLayout{Shards: append([]ShardLayout(nil), layout.Shards...), revision: layout.revision}
@@ -225,19 +231,19 @@
 		return false, trace.Wrap(err)
 	}
 	if !committed {
-		m.rereadLayout(ctx)
+		m.reloadLayout(ctx)
 	}
 	return committed, nil
 }
 
-func (m *Module) rereadLayout(ctx context.Context) {
+func (m *Module) reloadLayout(ctx context.Context) {
 	if value, found, err := m.platform.Get(ctx, m.layoutKey()); err == nil && found {
-		m.takeLayout(value)
+		m.applyLayout(value)
 	}
 }
 
-// diskAddress finds the node that has a disk.
-func diskAddress(view *fleet.View, disk string) (*wirev1.MemberRecord, bool) {
+// memberWithDisk returns the node that has a disk, unless the node is dead.
+func memberWithDisk(view *fleet.View, disk string) (*wirev1.MemberRecord, bool) {
 	for _, record := range view.Members {
 		if record.DiskId == disk && record.State != wirev1.MemberState_MEMBER_STATE_DEAD {
 			return record, true
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -13,16 +13,17 @@
 	"cobaltramp.example/cobaltramp/internal/batch/shard"
 )
 
-// The part of a replica that only a serving leader uses: the table of grants.
+// This file contains the work of a serving leader, which manages the table of grants.
 
-// FollowLeadership implements shardhost.LeaderWork: it makes the table when this replica comes to serve and drops
-// it when it no longer does.
+// FollowLeadership implements shardhost.LeaderWork. It creates the table of grants when
+// this replica starts to serve as leader, and drops the table when the replica is no longer
+// leader.
 func (s *shardReplica) FollowLeadership() {
 	serving := s.Replica.Serving() && s.AppliedIndex() >= s.Replica.Commit()
 	if !serving {
 		if s.table != nil && s.Replica.Role().String() != "leader" {
 			s.table = nil
-			s.module.metrics.leading.Dec()
+			s.module.metrics.ledShards.Dec()
 		}
 		return
 	}
@@ -30,14 +31,14 @@
 		return
 	}
 	if s.table == nil {
-		s.module.metrics.leading.Inc()
+		s.module.metrics.ledShards.Inc()
 	}
 	s.module.metrics.elections.Inc()
 	s.tableEpoch = s.Replica.Epoch()
 	s.table = grants.New(grants.DefaultTiming(), time.Now())
-	klog.V(1).InfoS("shard led", "node", s.module.settings.Node.ID, "shard", s.ID, "epoch", s.tableEpoch)
+	klog.V(1).InfoS("node became leader of a shard", "node", s.module.settings.Node.ID, "shard", s.ID, "epoch", s.tableEpoch)
 	err := shard.Jobs(s.Store.View(), func(job *wirev1.JobRecord) bool {
-		if unfinished(job.Status) {
+		if isUnfinished(job.Status) {
 			s.table.AddJob(job)
 		}
 		return true
@@ -47,22 +48,22 @@
 	}
 }
 
-func unfinished(status wirev1.JobStatus) bool {
+func isUnfinished(status wirev1.JobStatus) bool {
 	return status == wirev1.JobStatus_JOB_STATUS_IN_PROGRESS || status == wirev1.JobStatus_JOB_STATUS_CANCELLING
 }
 
-// noteApplied keeps the table in line with what was applied.
-func (s *shardReplica) noteApplied(command *wirev1.Command, answer *wirev1.CommandResult) {
-	if s.table == nil || answer == nil {
+// updateTable applies the effects of a command to the table of grants.
+func (s *shardReplica) updateTable(command *wirev1.Command, commandResult *wirev1.CommandResult) {
+	if s.table == nil || commandResult == nil {
 		return
 	}
 	switch kind := command.Kind.(type) {
 	case *wirev1.Command_CreateJob:
-		if answer.Job != nil && answer.Duplicates == 0 && unfinished(answer.Job.Status) {
-			s.table.AddJob(answer.Job)
+		if commandResult.Job != nil && commandResult.Duplicates == 0 && isUnfinished(commandResult.Job.Status) {
+			s.table.AddJob(commandResult.Job)
 		}
 	case *wirev1.Command_CancelJob:
-		if answer.Job != nil {
+		if commandResult.Job != nil {
 			s.table.Stop(kind.CancelJob.JobId, true)
 		}
 	case *wirev1.Command_ExpireJob:
@@ -70,11 +71,11 @@
 	case *wirev1.Command_FinishCancel:
 		s.table.RemoveJob(kind.FinishCancel.JobId)
 	case *wirev1.Command_CompleteItems:
-		s.noteCompleted(kind.CompleteItems, answer)
+		s.recordCompleted(kind.CompleteItems, commandResult)
 	}
 }
 
-func (s *shardReplica) noteCompleted(command *wirev1.CompleteItems, answer *wirev1.CommandResult) {
+func (s *shardReplica) recordCompleted(command *wirev1.CompleteItems, commandResult *wirev1.CommandResult) {
 	keys := make([]grants.Key, len(command.Results))
 	jobs := map[string]bool{}
 	for i, item := range command.Results {
@@ -82,16 +83,17 @@
 		jobs[item.Item.JobId] = true
 	}
 	s.table.Completed(keys)
-	s.module.metrics.completed.WithLabelValues("accepted").Add(float64(answer.Accepted))
-	s.module.metrics.completed.WithLabelValues("duplicate").Add(float64(answer.Duplicates))
+	s.module.metrics.completed.WithLabelValues("accepted").Add(float64(commandResult.Accepted))
+	s.module.metrics.completed.WithLabelValues("duplicate").Add(float64(commandResult.Duplicates))
 	for id := range jobs {
-		if job, err := shard.Job(s.Store.View(), id); err == nil && job != nil && !unfinished(job.Status) {
+		if job, err := shard.Job(s.Store.View(), id); err == nil && job != nil && !isUnfinished(job.Status) {
 			s.table.RemoveJob(id)
 		}
 	}
 }
 
-// tickGrants proposes what time has decided.
+// tickGrants proposes the commands that are due: it ends lost items of class once, expired
+// jobs and cancelled jobs.
 func (s *shardReplica) tickGrants(now time.Time) {
 	if s.table == nil {
 		return
@@ -99,7 +101,7 @@
 	due := s.table.Tick(now)
 	at := now.UnixMilli()
 	if len(due.Unknown) > 0 {
-		s.Propose(&wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: unknownItems(due.Unknown, at)}})
+		s.Propose(&wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: completeAsUnknown(due.Unknown, at)}})
 	}
 	for _, id := range due.Expired {
 		s.Propose(&wirev1.Command{Kind: &wirev1.Command_ExpireJob{ExpireJob: &wirev1.ExpireJob{JobId: id, AtUnixMs: at}}})
@@ -110,32 +112,32 @@
 }
 
 const (
-	retainInterval = 10 * time.Second
-	retainLimit    = 64
+	retentionInterval = 10 * time.Second
+	retentionLimit    = 64
 )
 
-// tickRetention proposes to drop what is past its retention, a bounded number
-// of records at a time.
+// tickRetention proposes to delete records whose retention has ended, at most
+// retentionLimit of each kind at a time.
 func (s *shardReplica) tickRetention(now time.Time) {
 	snapshot := s.module.snapshots.Snapshot()
-	if s.table == nil || snapshot == nil || now.Sub(s.retained) < retainInterval {
+	if s.table == nil || snapshot == nil || now.Sub(s.lastRetention) < retentionInterval {
 		return
 	}
-	s.retained = now
+	s.lastRetention = now
 	before := now.Add(-snapshot.Policy.Batch.Retention.Std()).UnixMilli()
-	ended, err := shard.HasRecordsPastRetention(s.Store.View(), before)
+	found, err := shard.HasRecordsPastRetention(s.Store.View(), before)
 	if err != nil {
 		s.Fail(err)
 		return
 	}
-	if ended {
-		retain := &wirev1.Retain{FinishedBeforeUnixMs: before, Limit: retainLimit}
+	if found {
+		retain := &wirev1.Retain{FinishedBeforeUnixMs: before, Limit: retentionLimit}
 		s.Propose(&wirev1.Command{Kind: &wirev1.Command_Retain{Retain: retain}})
 	}
 }
 
-// unknownItems ends items of class once whose holder was lost.
-func unknownItems(keys []grants.Key, at int64) *wirev1.CompleteItems {
+// completeAsUnknown returns a command that ends items of class once whose holder was lost.
+func completeAsUnknown(keys []grants.Key, at int64) *wirev1.CompleteItems {
 	command := &wirev1.CompleteItems{AtUnixMs: at}
 	for _, key := range keys {
 		command.Results = append(command.Results, &wirev1.ItemResult{
@@ -145,38 +147,38 @@
 	return command
 }
 
-// loader reads the shard's state for the table.
-type loader struct{ view *logstore.StateView }
+// stateLoader reads the applied state of a shard for the table of grants.
+type stateLoader struct{ view *logstore.StateView }
 
 // Segment implements grants.Loader.
-func (l loader) Segment(file string, segment uint32) ([]*wirev1.Item, error) {
+func (l stateLoader) Segment(file string, segment uint32) ([]*wirev1.Item, error) {
 	return shard.Segment(l.view, file, segment)
 }
 
 // Progress implements grants.Loader.
-func (l loader) Progress(job string, segment uint32) (*wirev1.SegmentProgress, error) {
+func (l stateLoader) Progress(job string, segment uint32) (*wirev1.SegmentProgress, error) {
 	return shard.Progress(l.view, job, segment)
 }
 
-func (s *shardReplica) notServing() error {
+func (s *shardReplica) notLeaderError() error {
 	return result.New(result.NotLeader, "shard %d is not led here", s.ID)
 }
 
-// pull hands items to a node. Items of class once go out only after their
-// start is in the log.
+// pull grants items to a node. It returns an item of class once only after the start of the
+// item is committed.
 func (s *shardReplica) pull(ctx context.Context, request *wirev1.PullRequest) (*wirev1.PullReply, error) {
 	session := grants.Session{Node: request.NodeId, ID: request.Session}
 	var offers []grants.Offer
 	var stopped []string
 	var pending bool
-	err := s.askTable(ctx, func(table *grants.Table, now time.Time) error {
-		s.holdAll(table, now, session, request.Held)
+	err := s.withTable(ctx, func(table *grants.Table, now time.Time) error {
+		s.adoptHeldItems(table, now, session, request.Held)
 		if len(request.Returned) > 0 {
-			table.Return(now, session, keysOf(request.Returned))
+			table.Return(now, session, keysFromProto(request.Returned))
 			s.module.metrics.requeued.WithLabelValues("returned").Add(float64(len(request.Returned)))
 		}
 		var err error
-		offers, err = table.Pull(now, session, roomOf(request.Room), loader{s.Store.View()})
+		offers, err = table.Pull(now, session, freeSlotsFromProto(request.Room), stateLoader{s.Store.View()})
 		stopped = table.StoppedJobs(session)
 		pending = table.HasPending()
 		return err
@@ -184,13 +186,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if offers, err = s.startOnce(ctx, session, offers); err != nil {
+	if offers, err = s.recordStarts(ctx, session, offers); err != nil {
 		return nil, err
 	}
 	s.module.metrics.grants.Add(float64(len(offers)))
 	reply := &wirev1.PullReply{CancelledJobs: stopped, LeaseMs: uint32(grants.DefaultTiming().Lease.Milliseconds())}
 	for _, offer := range offers {
-		reply.Grants = append(reply.Grants, grantOf(offer))
+		reply.Grants = append(reply.Grants, grantToProto(offer))
 	}
 	if pending {
 		reply.Pending = request.Room
@@ -198,7 +200,7 @@
 	return reply, nil
 }
 
-func (s *shardReplica) holdAll(table *grants.Table, now time.Time, session grants.Session, held []*wirev1.ItemKey) {
+func (s *shardReplica) adoptHeldItems(table *grants.Table, now time.Time, session grants.Session, held []*wirev1.ItemKey) {
 	view := s.Store.View()
 	for _, key := range held {
 		job, err := shard.Job(view, key.JobId)
@@ -213,24 +215,26 @@
 	}
 }
 
-// askTable runs a function on the table if this replica serves.
-func (s *shardReplica) askTable(ctx context.Context, use func(*grants.Table, time.Time) error) error {
-	var useErr error
+// withTable calls a function with the table of grants on the shard's goroutine. It returns
+// a NotLeader error if this replica does not serve as leader.
+func (s *shardReplica) withTable(ctx context.Context, callback func(*grants.Table, time.Time) error) error {
+	var callbackErr error
 	err := s.RunInLoop(ctx, func() {
 		if s.table == nil {
-			useErr = s.notServing()
+			callbackErr = s.notLeaderError()
 			return
 		}
-		useErr = use(s.table, time.Now())
+		callbackErr = callback(s.table, time.Now())
 	})
 	if err != nil {
 		return err
 	}
-	return useErr
+	return callbackErr
 }
 
-// startOnce records the start of items that must not run twice.
-func (s *shardReplica) startOnce(ctx context.Context, session grants.Session, offers []grants.Offer) ([]grants.Offer, error) {
+// recordStarts records the start of the offered items of class once, and returns the offers
+// that may be sent to the node.
+func (s *shardReplica) recordStarts(ctx context.Context, session grants.Session, offers []grants.Offer) ([]grants.Offer, error) {
 	var starting []*wirev1.ItemKey
 	for _, offer := range offers {
 		if offer.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE && !offer.Restarted {
@@ -240,20 +244,21 @@
 	if len(starting) == 0 {
 		return offers, nil
 	}
-	answer, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starting, Holder: session.Node}}})
+	commandResult, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starting, Holder: session.Node}}})
 	if err != nil {
-		// Their start may be recorded: they are not handed out, and end as
-		// unknown unless a later leader finds them unstarted.
-		answer = &wirev1.CommandResult{}
+		// The start may be recorded all the same, so the items are not sent to the
+		// node. They end as unknown, unless a later leader finds that they did not
+		// start.
+		commandResult = &wirev1.CommandResult{}
 	}
-	askErr := s.askTable(ctx, func(table *grants.Table, _ time.Time) error {
-		offers = table.Confirm(offers, answer.Started)
+	tableErr := s.withTable(ctx, func(table *grants.Table, _ time.Time) error {
+		offers = table.Confirm(offers, commandResult.Started)
 		return nil
 	})
-	return offers, askErr
+	return offers, tableErr
 }
 
-func keysOf(wire []*wirev1.ItemKey) []grants.Key {
+func keysFromProto(wire []*wirev1.ItemKey) []grants.Key {
 	keys := make([]grants.Key, len(wire))
 	for i, key := range wire {
 		keys[i] = grants.KeyFromProto(key)
@@ -261,29 +266,29 @@
 	return keys
 }
 
-func roomOf(wire []*wirev1.ModelRoom) []grants.FreeSlots {
-	room := make([]grants.FreeSlots, len(wire))
+func freeSlotsFromProto(wire []*wirev1.ModelRoom) []grants.FreeSlots {
+	slots := make([]grants.FreeSlots, len(wire))
 	for i, item := range wire {
-		room[i] = grants.FreeSlots{Model: item.Model, Items: int(item.Items)}
+		slots[i] = grants.FreeSlots{Model: item.Model, Items: int(item.Items)}
 	}
-	return room
+	return slots
 }
 
-func grantOf(offer grants.Offer) *wirev1.Grant {
+func grantToProto(offer grants.Offer) *wirev1.Grant {
 	return &wirev1.Grant{
 		Key: offer.Key.Proto(), Item: offer.Item, Attempt: offer.Attempt, Tenant: offer.Tenant,
 		CustomId: offer.Item.CustomId, DeadlineUnixMs: offer.Deadline.UnixMilli(),
 	}
 }
 
-// complete commits results. Failed attempts of repeatable items are tried
-// again while the bundle allows.
+// complete commits results. It requeues failed repeatable items until they reach the
+// maximum number of attempts that the bundle allows.
 func (s *shardReplica) complete(ctx context.Context, request *wirev1.CompleteRequest) (*wirev1.CompleteReply, error) {
 	session := grants.Session{Node: request.NodeId, ID: request.Session}
 	final := make([]*wirev1.ItemResult, 0, len(request.Results))
-	err := s.askTable(ctx, func(table *grants.Table, _ time.Time) error {
+	err := s.withTable(ctx, func(table *grants.Table, _ time.Time) error {
 		for _, item := range request.Results {
-			if s.retried(table, session, item) {
+			if s.retryOrFinalize(table, session, item) {
 				s.module.metrics.requeued.WithLabelValues("failed").Inc()
 				continue
 			}
@@ -297,23 +302,24 @@
 	if len(final) == 0 {
 		return &wirev1.CompleteReply{}, nil
 	}
-	answer, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: &wirev1.CompleteItems{Results: final, AtUnixMs: time.Now().UnixMilli()}}})
+	commandResult, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: &wirev1.CompleteItems{Results: final, AtUnixMs: time.Now().UnixMilli()}}})
 	if err != nil {
 		return nil, err
 	}
-	return &wirev1.CompleteReply{Accepted: answer.Accepted, Duplicates: answer.Duplicates}, nil
+	return &wirev1.CompleteReply{Accepted: commandResult.Accepted, Duplicates: commandResult.Duplicates}, nil
 }
 
-// retried puts a failed attempt back in line if another is allowed. Results
-// that are final are left to be committed.
-func (s *shardReplica) retried(table *grants.Table, session grants.Session, item *wirev1.ItemResult) bool {
-	if !retryable(result.Code(item.Code)) {
+// retryOrFinalize requeues the item of a failed attempt if another attempt is allowed. It
+// returns false if the result is final and has to be committed; if no attempt is left, it
+// changes the result's code to AttemptsSpent.
+func (s *shardReplica) retryOrFinalize(table *grants.Table, session grants.Session, item *wirev1.ItemResult) bool {
+	if !isRetryable(result.Code(item.Code)) {
 		return false
 	}
 	key := grants.KeyFromProto(item.Item)
 	attempt := table.Attempt(session, key)
 	if attempt == 0 {
-		return true // not this session's any more: whoever holds it decides
+		return true // another session holds the item now; the result is dropped
 	}
 	if int(attempt) < s.maxAttempts() {
 		table.Retry(session, key)
@@ -324,9 +330,9 @@
 	return false
 }
 
-// retryable lists failures of repeatable items another attempt may mend. The
-// worker reports failures of once items under other codes.
-func retryable(code result.Code) bool {
+// isRetryable reports whether another attempt may succeed after this failure. Workers
+// report failures of items of class once with other codes, so these are not retried.
+func isRetryable(code result.Code) bool {
 	switch code {
 	case result.EngineFailed, result.RunnerLost:
 		return true
@@ -335,11 +341,12 @@
 	}
 }
 
-const defaultAttempts = 5
+// defaultMaxAttempts applies while the node has no bundle.
+const defaultMaxAttempts = 5
 
 func (s *shardReplica) maxAttempts() int {
 	if snapshot := s.module.snapshots.Snapshot(); snapshot != nil {
 		return snapshot.Policy.Batch.MaxAttempts
 	}
-	return defaultAttempts
+	return defaultMaxAttempts
 }
--- a/modules/batch/store/members.go
+++ b/modules/batch/store/members.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	// lostDiskTime is how long a member's disk must be unseen before it is
-	// replaced; a restart is shorter.
-	lostDiskTime     = 8 * time.Second
+	// lostDiskTimeout is how long a disk must be missing from the fleet before its
+	// replica is replaced. It is longer than the restart of a node.
+	lostDiskTimeout  = 8 * time.Second
 	handOverInterval = time.Second
 	handOverTimeout  = 60 * time.Second
-	frozenTimeout    = 5 * time.Second
+	freezeTimeout    = 5 * time.Second
 	swapTimeout      = 5 * time.Second
 )
 
-var handOverTimes = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: frozenTimeout, SwapTimeout: swapTimeout}
+var handOverTiming = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: freezeTimeout, SwapTimeout: swapTimeout}
 
-// NextMembers implements shardhost.MemberPolicy: members whose disk is gone for long
-// are replaced, and spare disks are added up to the wanted number.
-func (s *shardReplica) NextMembers(now time.Time, config replica.MemberSet) []string {
+// NextMembers implements shardhost.MemberPolicy. It replaces members whose disk has been
+// missing for lostDiskTimeout, and adds further disks up to maxReplicas.
+func (s *shardReplica) NextMembers(now time.Time, memberSet replica.MemberSet) []string {
 	if s.module.layout.Load() == nil || s.module.draining.Load() {
-		return config.Members
+		return memberSet.Members
 	}
 	disks := regionDisks(s.module.views.View(), s.module.settings.Node.Region)
 	var keep []string
-	for _, member := range config.Members {
+	for _, member := range memberSet.Members {
 		if s.diskPresent(now, disks, member) {
 			keep = append(keep, member)
 		}
 	}
-	next := place(s.ID, disks, keep)
+	next := chooseDisks(s.ID, disks, keep)
 	if len(next) < len(keep) {
-		return config.Members
+		return memberSet.Members
 	}
 	if len(next) == len(keep) && len(next) < replica.CopiesWanted {
-		return config.Members // nothing to gain: a shard is not shrunk below the copies promised
+		return memberSet.Members // without a replacement, a shard does not shrink below CopiesWanted
 	}
 	return next
 }
 
-// diskPresent reports whether a member's disk is in the fleet, or was lately.
+// diskPresent reports whether a member's disk is in the fleet, or was in the fleet during
+// the last lostDiskTimeout.
 func (s *shardReplica) diskPresent(now time.Time, disks []*wirev1.MemberRecord, member string) bool {
 	if member == s.Disk {
 		return true
@@ -55,10 +56,11 @@
 			return true
 		}
 	}
-	return s.Replica.UnseenFor(member, now) < lostDiskTime
+	return s.Replica.UnseenFor(member, now) < lostDiskTimeout
 }
 
-// MaySeal implements shardhost.MemberPolicy: all members of the next set have caught up.
+// MaySeal implements shardhost.MemberPolicy. It returns true if all members of the next set
+// have caught up.
 func (s *shardReplica) MaySeal(_ time.Time, next replica.MemberSet) bool {
 	for _, member := range next.Members {
 		if !s.Replica.CaughtUp(member) {
@@ -68,18 +70,18 @@
 	return true
 }
 
-// Swap implements shardhost.MemberPolicy. After an error the layout is read again:
-// the change may be stored all the same.
+// Swap implements shardhost.MemberPolicy. After an error it reads the layout again, because
+// the change may have been stored.
 func (s *shardReplica) Swap(ctx context.Context, before, after replica.MemberSet) (bool, error) {
-	committed, err := s.module.swapConfig(ctx, s.ID, before, after)
+	committed, err := s.module.swapMemberSet(ctx, s.ID, before, after)
 	if err != nil {
-		s.module.rereadLayout(ctx)
+		s.module.reloadLayout(ctx)
 	}
 	return committed, err
 }
 
 // Fence implements shardhost.MemberPolicy.
 func (s *shardReplica) Fence(ctx context.Context, before, after replica.MemberSet) (bool, error) {
-	s.module.rereadLayout(ctx)
-	return s.module.swapConfig(ctx, s.ID, before, after)
+	s.module.reloadLayout(ctx)
+	return s.module.swapMemberSet(ctx, s.ID, before, after)
 }
--- a/modules/batch/store/replica.go
+++ b/modules/batch/store/replica.go
@@ -14,47 +14,47 @@
 	"cobaltramp.example/cobaltramp/internal/batch/shardhost"
 )
 
-// hosted is a replica of a shard as the host of shards runs it.
-type hosted = shardhost.Shard[*wirev1.Command, *wirev1.CommandResult]
+// hostedShard is a shard as package shardhost runs it.
+type hostedShard = shardhost.Shard[*wirev1.Command, *wirev1.CommandResult]
 
-// shardReplica is a shard on this node: the state machine of its files and jobs, and
-// the items that its leader hands out. Unless they say otherwise its methods are for
-// the shard's goroutine.
+// shardReplica is this node's replica of a shard. It applies commands to the files and jobs
+// and, as leader, grants items to nodes. Its methods run on the shard's goroutine unless
+// their comment says otherwise.
 type shardReplica struct {
-	*hosted
+	*hostedShard
 	shardhost.NoEvents
 	module *Module
 
-	table      *grants.Table // on a serving leader only
-	tableEpoch uint64
-	retained   time.Time
-	logSize    uint64 // bytes of commands proposed here since the log was last truncated
+	table         *grants.Table // nil unless this replica serves as leader
+	tableEpoch    uint64
+	lastRetention time.Time
+	loggedBytes   uint64 // bytes of commands proposed here since the log was last truncated
 }
 
 var _ shardhost.Application[*wirev1.Command, *wirev1.CommandResult] = (*shardReplica)(nil)
 
 const (
-	tickTime        = 50 * time.Millisecond
+	tickInterval    = 50 * time.Millisecond
 	snapshotTimeout = 10 * time.Minute
-	// keepEntries of the log stay for followers that lag; a follower further
-	// behind gets a snapshot.
-	keepEntries = 20000
-	// keepLogBytes is from how many bytes of commands on fewer entries are kept, by
-	// longLogDivisor.
-	keepLogBytes     = 64 << 20
+	// keptLogEntries is the number of applied log entries that are kept for followers
+	// that lag. A follower that is further behind gets a snapshot.
+	keptLogEntries = 20000
+	// If more than longLogBytes of commands were proposed since the last truncation,
+	// the number of kept entries is divided by longLogDivisor.
+	longLogBytes     = 64 << 20
 	longLogDivisor   = 20
 	truncateInterval = 5 * time.Second
 )
 
-// newHost returns the host of this node's shards; it ends with the context.
+// newHost returns the host of this node's shards, which runs until the context ends.
 func (m *Module) newHost(ctx context.Context) *shardhost.Host[*wirev1.Command, *wirev1.CommandResult] {
 	options := shardhost.HostOptions{
 		DB: m.db, Pool: m.pool, Timing: replica.DefaultTiming(), Peer: m.peer, Send: m.sendReplica,
-		SnapshotTimeout: snapshotTimeout, TruncateInterval: truncateInterval, HandOver: handOverTimes,
+		SnapshotTimeout: snapshotTimeout, TruncateInterval: truncateInterval, HandOver: handOverTiming,
 		PlanWhileServing: true, LogKeys: []any{"node", m.settings.Node.ID},
 	}
-	return shardhost.New(ctx, options, func(s *hosted) shardhost.Application[*wirev1.Command, *wirev1.CommandResult] {
-		return &shardReplica{hosted: s, module: m}
+	return shardhost.New(ctx, options, func(s *hostedShard) shardhost.Application[*wirev1.Command, *wirev1.CommandResult] {
+		return &shardReplica{hostedShard: s, module: m}
 	})
 }
 
@@ -67,17 +67,17 @@
 }
 
 // Applied implements shardhost.StateMachine.
-func (s *shardReplica) Applied(command *wirev1.Command, answer *wirev1.CommandResult) {
+func (s *shardReplica) Applied(command *wirev1.Command, commandResult *wirev1.CommandResult) {
 	s.module.metrics.applied.Inc()
-	s.noteApplied(command, answer)
+	s.updateTable(command, commandResult)
 }
 
-// DropLeadership implements shardhost.LeaderWork. The table goes when the replica
-// follows another leader; until then it answers that this one does not serve.
+// DropLeadership implements shardhost.LeaderWork. It does nothing: FollowLeadership drops
+// the table of grants when the replica is no longer leader.
 func (s *shardReplica) DropLeadership(string) {}
 
 // BeforeTick implements shardhost.LeaderWork.
-func (s *shardReplica) BeforeTick(now time.Time) { s.noticeLostLeader(now) }
+func (s *shardReplica) BeforeTick(now time.Time) { s.reportLostLeader(now) }
 
 // Tick implements shardhost.LeaderWork.
 func (s *shardReplica) Tick(now time.Time) {
@@ -86,7 +86,7 @@
 }
 
 // TickInterval implements shardhost.LeaderWork.
-func (s *shardReplica) TickInterval() time.Duration { return tickTime }
+func (s *shardReplica) TickInterval() time.Duration { return tickInterval }
 
 // Proposed implements shardhost.LogPolicy.
 func (s *shardReplica) Proposed(commands [][]byte, accepted bool) {
@@ -94,24 +94,24 @@
 		return
 	}
 	for _, command := range commands {
-		s.logSize += uint64(len(command))
+		s.loggedBytes += uint64(len(command))
 	}
 }
 
 // Persisted implements shardhost.LogPolicy.
 func (s *shardReplica) Persisted(ready *replica.Ready, took time.Duration) {
-	s.module.metrics.persists.Observe(took.Seconds())
+	s.module.metrics.persistSeconds.Observe(took.Seconds())
 	for _, entry := range ready.Entries {
 		s.module.metrics.logBytes.Add(float64(len(entry.Command)))
 	}
 }
 
-// TruncationPoint implements shardhost.LogPolicy: the log is dropped when it is twice
-// as long as what is kept.
+// TruncationPoint implements shardhost.LogPolicy. It truncates the log when the log has at
+// least twice as many entries as are kept.
 func (s *shardReplica) TruncationPoint(_ time.Time, base, settled uint64) uint64 {
-	kept := uint64(keepEntries)
-	if s.logSize > keepLogBytes {
-		kept = keepEntries / longLogDivisor
+	kept := uint64(keptLogEntries)
+	if s.loggedBytes > longLogBytes {
+		kept = keptLogEntries / longLogDivisor
 	}
 	if settled < base+2*kept {
 		return 0
@@ -120,7 +120,7 @@
 }
 
 // Truncated implements shardhost.LogPolicy.
-func (s *shardReplica) Truncated(uint64) { s.logSize = 0 }
+func (s *shardReplica) Truncated(uint64) { s.loggedBytes = 0 }
 
 // Failed implements shardhost.Events.
 func (s *shardReplica) Failed(err error) {
@@ -130,10 +130,10 @@
 // Dropped implements shardhost.Events.
 func (s *shardReplica) Dropped(err error) {
 	if err != nil {
-		klog.ErrorS(err, "replaced replica cannot be dropped", "node", s.module.settings.Node.ID, "shard", s.ID)
+		klog.ErrorS(err, "replaced replica could not be deleted from the disk", "node", s.module.settings.Node.ID, "shard", s.ID)
 		return
 	}
-	klog.InfoS("replaced replica dropped", "node", s.module.settings.Node.ID, "shard", s.ID)
+	klog.InfoS("replaced replica was deleted from the disk", "node", s.module.settings.Node.ID, "shard", s.ID)
 }
 
 // SnapshotSent implements shardhost.Events.
@@ -142,7 +142,7 @@
 // SnapshotReceived implements shardhost.Events.
 func (s *shardReplica) SnapshotReceived(_ uint64, err error) {
 	if err != nil {
-		klog.V(1).InfoS("snapshot not received", "node", s.module.settings.Node.ID, "shard", s.ID, "err", err)
+		klog.V(1).InfoS("receiving a snapshot failed", "node", s.module.settings.Node.ID, "shard", s.ID, "err", err)
 	}
 }
 
@@ -157,25 +157,26 @@
 	s.module.metrics.handOvers.WithLabelValues(outcome).Inc()
 }
 
-// observe gives a replica its member set. It is for any other goroutine.
-func (s *shardReplica) observe(config replica.MemberSet) {
-	_ = s.RunInLoop(context.Background(), func() { s.Replica.Observe(time.Now(), config) }) // fails only when it has stopped
+// observeMemberSet passes the stored member set to the replica. It must not be called on
+// the shard's goroutine.
+func (s *shardReplica) observeMemberSet(memberSet replica.MemberSet) {
+	_ = s.RunInLoop(context.Background(), func() { s.Replica.Observe(time.Now(), memberSet) }) // fails only if the shard has stopped
 }
 
-// statusTimeout bounds the wait for a busy shard's status.
+// statusTimeout is the longest wait for the status of a busy shard.
 const statusTimeout = time.Second
 
-// status returns what operators see of a replica, nil while it is busy or stopped. It
-// is for any other goroutine.
+// status returns the replica's state for operators, nil if the shard is busy or stopped. It
+// must not be called on the shard's goroutine.
 func (s *shardReplica) status() *wirev1.ShardStatus {
 	var status *wirev1.ShardStatus
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	err := s.RunInLoop(ctx, func() {
-		config := s.Replica.MemberSet()
+		memberSet := s.Replica.MemberSet()
 		status = &wirev1.ShardStatus{
 			Shard: s.ID, Leader: s.Replica.Leader(), Epoch: s.Replica.Epoch(), Commit: s.Replica.Commit(),
-			Applied: s.AppliedIndex(), Generation: config.Generation, Members: config.Members,
+			Applied: s.AppliedIndex(), Generation: memberSet.Generation, Members: memberSet.Members,
 		}
 	})
 	if err != nil {
--- a/modules/batch/store/replicas.go
+++ b/modules/batch/store/replicas.go
@@ -9,10 +9,10 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// sendReplica sends one message between replicas. Elections and heartbeats go
-// by the control link, entries by the bulk link; any may be lost.
+// sendReplica sends a message to another replica: messages with log entries on the bulk
+// link, all others on the control link. A message may be lost.
 func (m *Module) sendReplica(message *wirev1.ReplicaMessage) {
-	record, known := diskAddress(m.views.View(), message.To)
+	record, known := memberWithDisk(m.views.View(), message.To)
 	if !known {
 		return
 	}
@@ -24,31 +24,33 @@
 	m.pool.Notify(record.Address, class, wirev1.Method_METHOD_REPLICA, batch)
 }
 
-// peer returns the node that has a disk.
+// peer returns the name and address of the node that has a disk.
 func (m *Module) peer(disk string) (shardhost.Peer, bool) {
-	record, known := diskAddress(m.views.View(), disk)
+	record, known := memberWithDisk(m.views.View(), disk)
 	if !known {
 		return shardhost.Peer{}, false
 	}
 	return shardhost.Peer{Node: record.Id, Address: record.Address}, true
 }
 
-// noticeLostLeader takes the membership's report that the leader's node is gone.
-func (s *shardReplica) noticeLostLeader(now time.Time) {
+// reportLostLeader notifies the replica if its leader's node is dead, missing or leaving.
+// The replica then starts an election without waiting for the election timeout.
+func (s *shardReplica) reportLostLeader(now time.Time) {
 	leader := s.Replica.Leader()
 	if leader == "" || leader == s.Disk {
 		return
 	}
-	record, known := diskAddress(s.module.views.View(), leader)
+	record, known := memberWithDisk(s.module.views.View(), leader)
 	if !known || record.State == wirev1.MemberState_MEMBER_STATE_LEAVING {
 		s.Replica.LeaderLost(now)
 	}
 }
 
-// aliveDisks returns whether the node that has a disk is alive and not leaving.
-func aliveDisks(view *fleet.View) func(disk string) bool {
+// aliveDiskFilter returns a function that reports whether the node with a disk is alive and
+// not leaving.
+func aliveDiskFilter(view *fleet.View) func(disk string) bool {
 	return func(disk string) bool {
-		record, live := diskAddress(view, disk)
+		record, live := memberWithDisk(view, disk)
 		return live && record.State == wirev1.MemberState_MEMBER_STATE_ALIVE
 	}
 }
--- a/modules/batch/store/store.go
+++ b/modules/batch/store/store.go
@@ -1,8 +1,10 @@
-// Package store holds the files and jobs of the OpenAI-style batch interface: shards,
-// replicated over the plain nodes with a data folder. It owns their member sets, and on
-// a leader the table of items handed out. It relies on shardhost for the replicas, on
-// package shard for what commands mean, and on the platform's service for the layout.
-// Other nodes reach shards through package directory.
+// Package store stores the files and jobs of the OpenAI-style batch interface in shards,
+// which are replicated over the plain nodes that have a data folder.
+//
+// The package manages the member sets of the shards and, on the leader of a shard, the
+// table of granted items. Package shardhost runs the replicas, package shard implements the
+// commands, and the platform's store holds the layout. Other nodes reach the shards through
+// package directory.
 package store
 
 import (
@@ -39,13 +41,14 @@
 	})
 }
 
-// Views gives the view of the fleet.
+// Views provides the current view of the fleet.
 type Views interface{ View() *fleet.View }
 
-// Snapshots gives the bundle in force.
+// Snapshots provides the active bundle.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
-// Module runs this node's replicas.
+// Module runs the replicas on this node's disk. It does nothing on a node without a data
+// folder.
 type Module struct {
 	settings  *settings.Settings
 	db        *logstore.DB
@@ -76,7 +79,7 @@
 	if m.settings, err = kernel.Find[*settings.Settings](ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	m.db, _ = kernel.Find[*logstore.DB](ctx) // none on a node without a data folder
+	m.db, _ = kernel.Find[*logstore.DB](ctx) // nil on a node without a data folder
 	if m.db == nil {
 		return nil
 	}
@@ -101,19 +104,19 @@
 		return trace.Wrap(err)
 	}
 	m.metrics = newMetrics(registry, m.db)
-	m.prepare()
-	m.handle(server)
+	m.createHost()
+	m.registerHandlers(server)
 	ctx.Provide(m)
 	return nil
 }
 
-// prepare makes the host of the shards, without shards.
-func (m *Module) prepare() {
+// createHost creates the host of this node's shards. It starts no shard.
+func (m *Module) createHost() {
 	m.context, m.cancel = context.WithCancel(context.Background())
 	m.host = m.newHost(m.context)
 }
 
-func (m *Module) handle(server *rpc.Server) {
+func (m *Module) registerHandlers(server *rpc.Server) {
 	m.host.Handle(server)
 	server.Handle(wirev1.Method_METHOD_SHARD_MAP, m.serveShardMap)
 	server.Handle(wirev1.Method_METHOD_SHARD_PROPOSE, m.servePropose)
@@ -123,34 +126,34 @@
 }
 
 type metrics struct {
-	leading   prometheus.Gauge
-	proposals *prometheus.CounterVec
-	applied   prometheus.Counter
-	logBytes  prometheus.Counter
-	persists  prometheus.Histogram
-	grants    prometheus.Counter
-	completed *prometheus.CounterVec
-	requeued  *prometheus.CounterVec
-	handOvers *prometheus.CounterVec
-	snapshots *prometheus.CounterVec
-	elections prometheus.Counter
+	ledShards      prometheus.Gauge
+	proposals      *prometheus.CounterVec
+	applied        prometheus.Counter
+	logBytes       prometheus.Counter
+	persistSeconds prometheus.Histogram
+	grants         prometheus.Counter
+	completed      *prometheus.CounterVec
+	requeued       *prometheus.CounterVec
+	handOvers      *prometheus.CounterVec
+	snapshots      *prometheus.CounterVec
+	elections      prometheus.Counter
 }
 
 func newMetrics(registry prometheus.Registerer, db *logstore.DB) *metrics {
 	m := &metrics{
-		leading:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_shards_leading", Help: "Shards this node leads."}),
-		proposals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_proposals_total", Help: "Commands proposed here by outcome."}, []string{"outcome"}),
-		applied:   prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_applied_total", Help: "Log entries applied."}),
-		logBytes:  prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_log_bytes_total", Help: "Bytes of commands written to logs."}),
-		persists:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_shard_persist_seconds", Help: "Time of one durable write.", Buckets: prometheus.ExponentialBuckets(0.0001, 2, 14)}),
-		grants:    prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_items_granted_total", Help: "Items handed to nodes."}),
-		completed: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_items_completed_total", Help: "Item completions by fate (accepted, duplicate)."}, []string{"fate"}),
-		requeued:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_items_requeued_total", Help: "Items handed out again by reason."}, []string{"reason"}),
-		handOvers: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_handovers_total", Help: "Member set changes driven here by outcome."}, []string{"outcome"}),
-		snapshots: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_snapshots_total", Help: "Snapshots by direction."}, []string{"direction"}),
-		elections: prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_elections_won_total", Help: "Elections won by replicas here."}),
-	}
-	registry.MustRegister(m.leading, m.proposals, m.applied, m.logBytes, m.persists, m.grants, m.completed, m.requeued, m.handOvers, m.snapshots, m.elections)
+		ledShards:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_shards_leading", Help: "Shards this node leads."}),
+		proposals:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_proposals_total", Help: "Commands proposed here by outcome."}, []string{"outcome"}),
+		applied:        prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_applied_total", Help: "Log entries applied."}),
+		logBytes:       prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_log_bytes_total", Help: "Bytes of commands written to logs."}),
+		persistSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_shard_persist_seconds", Help: "Time of one durable write.", Buckets: prometheus.ExponentialBuckets(0.0001, 2, 14)}),
+		grants:         prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_items_granted_total", Help: "Items handed to nodes."}),
+		completed:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_items_completed_total", Help: "Item completions by fate (accepted, duplicate)."}, []string{"fate"}),
+		requeued:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_items_requeued_total", Help: "Items handed out again by reason."}, []string{"reason"}),
+		handOvers:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_handovers_total", Help: "Member set changes driven here by outcome."}, []string{"outcome"}),
+		snapshots:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_shard_snapshots_total", Help: "Snapshots by direction."}, []string{"direction"}),
+		elections:      prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_shard_elections_won_total", Help: "Elections won by replicas here."}),
+	}
+	registry.MustRegister(m.ledShards, m.proposals, m.applied, m.logBytes, m.persistSeconds, m.grants, m.completed, m.requeued, m.handOvers, m.snapshots, m.elections)
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cobaltramp_disk_has_room", Help: "1 while new jobs may be kept on this disk."}, func() float64 {
 		if db.HasFreeSpace() {
 			return 1
@@ -170,7 +173,7 @@
 	return trace.Wrap(m.host.Restore())
 }
 
-// replica returns a shard that has a replica here, nil if it has none.
+// replica returns this node's replica of a shard, nil if the node has none.
 func (m *Module) replica(id uint32) *shardReplica {
 	s := m.host.Shard(id)
 	if s == nil {
@@ -187,14 +190,15 @@
 	return list
 }
 
-// Drain implements kernel.Drainer: leadership is handed on.
+// Drain implements kernel.Drainer. It transfers the leadership of shards to replicas on
+// other nodes.
 func (m *Module) Drain(ctx context.Context) {
 	if m.host == nil {
 		return
 	}
 	m.draining.Store(true)
-	for _, held := range m.allReplicas() {
-		held.HandOnLeadership(ctx, aliveDisks(m.views.View()))
+	for _, local := range m.allReplicas() {
+		local.HandOnLeadership(ctx, aliveDiskFilter(m.views.View()))
 	}
 }
 
@@ -208,14 +212,15 @@
 	m.tasks.Wait()
 }
 
-// Status lists this node's replicas for operators.
+// Status returns the state of this node's replicas for operators. It leaves out replicas
+// that are busy or stopped.
 func (m *Module) Status() []*wirev1.ShardStatus {
 	if m.host == nil {
 		return nil
 	}
 	var list []*wirev1.ShardStatus
-	for _, held := range m.allReplicas() {
-		if status := held.status(); status != nil {
+	for _, local := range m.allReplicas() {
+		if status := local.status(); status != nil {
 			list = append(list, status)
 		}
 	}
--- a/modules/batch/store/stored_test.go
+++ b/modules/batch/store/stored_test.go
@@ -24,17 +24,17 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// The disk in testdata/plain-disk.zip was written by a plain node of an earlier
-// version: a truncated log of shard 3 with a completed, an unfinished and a
-// cancelled job and a claim, and shard 7 as a frozen member holds it that installed
-// a snapshot. It must not be written anew: it stands for the disks in use.
+// testdata/plain-disk.zip is a disk that a plain node of an earlier version wrote. Shard 3
+// has a truncated log, a completed, an unfinished and a cancelled job, and a claim. Shard 7
+// is frozen and has installed a snapshot. The file must not be generated again, because the
+// tests check that disks in use can still be read.
 const (
 	storedDisk   = "testdata/plain-disk.zip"
 	storedDiskID = "disk-07827689b01946dd"
 	storedTenant = "tenant"
 )
 
-func TestStoredDiskIsRead(t *testing.T) {
+func TestDiskOfEarlierVersionIsRead(t *testing.T) {
 	is := is.New(t)
 	db, err := logstore.Open(logstoretest.Unpack(t, storedDisk), logstore.DiskLimits{})
 	is.NoErr(err)
@@ -134,45 +134,45 @@
 	is.Equal(outcomes("half", 1, false), []string(nil))
 }
 
-type viewOfOne struct{ view *fleet.View }
+type fixedView struct{ view *fleet.View }
 
-func (v viewOfOne) View() *fleet.View { return v.view }
+func (v fixedView) View() *fleet.View { return v.view }
 
-type noBundle struct{}
+type noSnapshots struct{}
 
-func (noBundle) Snapshot() *bundle.Snapshot { return nil }
+func (noSnapshots) Snapshot() *bundle.Snapshot { return nil }
 
-// downStore is a platform's service that answers nobody.
-type downStore struct{}
+// unavailableStore is a platform's store whose calls all fail.
+type unavailableStore struct{}
 
-func (downStore) Get(context.Context, string) (ports.Value, bool, error) {
+func (unavailableStore) Get(context.Context, string) (ports.Value, bool, error) {
 	return ports.Value{}, false, ports.ErrUnavailable
 }
 
-func (downStore) List(context.Context, string) ([]ports.Value, int64, error) {
+func (unavailableStore) List(context.Context, string) ([]ports.Value, int64, error) {
 	return nil, 0, ports.ErrUnavailable
 }
 
-func (downStore) Watch(context.Context, string, int64, func(ports.WatchEvent)) error {
+func (unavailableStore) Watch(context.Context, string, int64, func(ports.WatchEvent)) error {
 	return ports.ErrUnavailable
 }
 
-func (downStore) Commit(context.Context, []ports.Condition, []ports.Put) (bool, error) {
+func (unavailableStore) Commit(context.Context, []ports.Condition, []ports.Put) (bool, error) {
 	return false, ports.ErrUnavailable
 }
 
-// A node that starts on the stored disk leads its shard, answers reads of what was
-// finished and takes the results that were still missing.
-func TestNodeStartsOnStoredDisk(t *testing.T) {
+// Checks that a node started with the stored disk becomes the leader of its shard, returns
+// finished results and accepts the missing results.
+func TestNodeStartsOnDiskOfEarlierVersion(t *testing.T) {
 	is := is.New(t)
 	db, err := logstore.Open(logstoretest.Unpack(t, storedDisk), logstore.DiskLimits{})
 	is.NoErr(err)
 	defer func() { is.NoErr(db.Close()) }()
-	m := startedAlone(t, db)
+	m := startSingleNode(t, db)
 	defer m.Cleanup()
 
 	ctx := t.Context()
-	reply := readStored(t, m, wirev1.ReadKind_READ_KIND_JOB, "job-half")
+	reply := readWhenLed(t, m, wirev1.ReadKind_READ_KIND_JOB, "job-half")
 	is.Equal(reply.Job.Status, wirev1.JobStatus_JOB_STATUS_IN_PROGRESS)
 	is.Equal(reply.Job.Completed, uint64(1))
 	missing := &wirev1.CompleteItems{AtUnixMs: 5000}
@@ -181,20 +181,20 @@
 		missing.Results = append(missing.Results, &wirev1.ItemResult{Item: key, Body: fmt.Appendf(nil, "answer half %d", number)})
 	}
 	command := &wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: missing}}
-	answer, err := m.Propose(ctx, 3, command)
+	commandResult, err := m.Propose(ctx, 3, command)
 	is.NoErr(err)
-	is.Equal(answer.Accepted, uint32(3))
-	answer, err = m.Propose(ctx, 3, command)
+	is.Equal(commandResult.Accepted, uint32(3))
+	commandResult, err = m.Propose(ctx, 3, command)
 	is.NoErr(err)
-	is.Equal(answer.Accepted, uint32(0)) // each result is taken once
-	reply = readStored(t, m, wirev1.ReadKind_READ_KIND_JOB, "job-half")
+	is.Equal(commandResult.Accepted, uint32(0)) // each result is accepted once
+	reply = readWhenLed(t, m, wirev1.ReadKind_READ_KIND_JOB, "job-half")
 	is.Equal(reply.Job.Status, wirev1.JobStatus_JOB_STATUS_COMPLETED)
-	reply = readStored(t, m, wirev1.ReadKind_READ_KIND_RESULTS, "job-done")
+	reply = readWhenLed(t, m, wirev1.ReadKind_READ_KIND_RESULTS, "job-done")
 	is.Equal(len(reply.Outcomes), 2)
 }
 
-// startedAlone starts the replicas of a disk on a node that is alone in its fleet.
-func startedAlone(t *testing.T, db *logstore.DB) *Module {
+// startSingleNode starts the replicas of a disk on the only node of a fleet.
+func startSingleNode(t *testing.T, db *logstore.DB) *Module {
 	t.Helper()
 	is := is.New(t)
 	self := &wirev1.MemberRecord{Id: "a", Address: "127.0.0.1:1", Region: "r", Zone: "z", DiskId: db.DiskID()}
@@ -202,20 +202,20 @@
 	t.Cleanup(pool.Close)
 	m := &Module{
 		settings: &settings.Settings{Cluster: "c", Node: settings.NodeSettings{ID: "a", Region: "r"}}, db: db,
-		views: viewOfOne{fleet.NewView(self, []*wirev1.MemberRecord{self})}, snapshots: noBundle{}, platform: downStore{},
+		views: fixedView{fleet.NewView(self, []*wirev1.MemberRecord{self})}, snapshots: noSnapshots{}, platform: unavailableStore{},
 		pool: pool, metrics: newMetrics(prometheus.NewRegistry(), db),
 	}
-	m.prepare()
+	m.createHost()
 	is.NoErr(m.host.Restore())
 	return m
 }
 
-// readStored reads from shard 3 as soon as it is led.
-func readStored(t *testing.T, m *Module, kind wirev1.ReadKind, id string) *wirev1.ReadReply {
+// readWhenLed reads from shard 3 as soon as it has a leader.
+func readWhenLed(t *testing.T, m *Module, kind wirev1.ReadKind, id string) *wirev1.ReadReply {
 	t.Helper()
 	var reply *wirev1.ReadReply
 	var err error
-	eventually.Require(t, "shard 3 is led", func() bool {
+	eventually.Require(t, "shard 3 has a leader", func() bool {
 		reply, err = m.read(t.Context(), &wirev1.ReadRequest{Shard: 3, Kind: kind, Id: id, Tenant: storedTenant})
 		return !result.Is(err, result.NotLeader)
 	}, func() any { return err })
@@ -225,48 +225,48 @@
 	return reply
 }
 
-// pausedStore answers a listing of the layout, and a change of it, only when it is
-// released, whatever becomes of the caller's context.
-type pausedStore struct {
-	downStore
-	asked   chan struct{}
-	release chan struct{}
-	layout  []byte
+// blockingStore blocks listings of the layout until release is closed, even if the caller's
+// context ends.
+type blockingStore struct {
+	unavailableStore
+	listCalled chan struct{}
+	release    chan struct{}
+	layout     []byte
 }
 
-func (s *pausedStore) List(context.Context, string) ([]ports.Value, int64, error) {
-	close(s.asked)
+func (s *blockingStore) List(context.Context, string) ([]ports.Value, int64, error) {
+	close(s.listCalled)
 	<-s.release
 	return []ports.Value{{Key: "layout", Value: s.layout, Revision: 1}}, 1, nil
 }
 
-// A node that is stopped while a layout is on its way waits until it has been dealt
-// with: the disk is closed next, and a shard that the layout starts writes to it.
-func TestCleanupWaitsForTheLayout(t *testing.T) {
+// Checks that Cleanup waits until a layout that is being read has been applied. The disk is
+// closed after Cleanup, and a shard that the layout starts writes to the disk.
+func TestCleanupWaitsForLayoutUpdate(t *testing.T) {
 	is := is.New(t)
 	db, err := logstore.Open(logstoretest.Unpack(t, storedDisk), logstore.DiskLimits{})
 	is.NoErr(err)
-	m := startedAlone(t, db)
-	store := &pausedStore{
-		asked: make(chan struct{}), release: make(chan struct{}),
+	m := startSingleNode(t, db)
+	store := &blockingStore{
+		listCalled: make(chan struct{}), release: make(chan struct{}),
 		layout: fmt.Appendf(nil, `{"shards":[{"generation":1,"members":[%q],"region":"r"}]}`, storedDiskID),
 	}
 	m.platform = store
-	ctx, kill := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	is.NoErr(m.Start(ctx))
-	<-store.asked
-	kill()
-	cleaned := make(chan struct{})
+	<-store.listCalled
+	cancel()
+	cleanupDone := make(chan struct{})
 	go func() {
 		m.Cleanup()
-		close(cleaned)
+		close(cleanupDone)
 	}()
 	select {
-	case <-cleaned:
-		t.Fatal("cleaned up while the layout was read")
+	case <-cleanupDone:
+		t.Fatal("Cleanup returned while the layout was being read")
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(store.release)
-	<-cleaned
+	<-cleanupDone
 	is.NoErr(db.Close())
 }
