--- a/modules/batch/directory/directory.go
+++ b/modules/batch/directory/directory.go
@@ -1,11 +1,10 @@
-// Package directory reaches batch shards from any node: it knows which node leads
-// which shard, and carries commands and reads there, again if leadership moved. Every
-// command is idempotent by the ids in it, so sending one again after a lost answer
-// changes nothing.
+// Package directory sends commands and reads to the leaders of batch shards from any node.
+// It retries a call if the leader has changed or cannot be reached. Commands are idempotent
+// because of the ids that they contain, so a command that is sent again after a lost
+// response has no further effect.
 //
-// It owns the map of shards to leaders, in memory, which it reads from the nodes with
-// a disk; it relies on the view of the fleet for these and on the links. The plain
-// node runs it.
+// The package keeps the map of shards to leaders in memory and refreshes it from the nodes
+// with a disk, which it finds in the view of the fleet. The plain node runs it.
 package directory
 
 import (
@@ -39,25 +38,25 @@
 	})
 }
 
-// Views gives the view of the fleet.
+// Views provides the current view of the fleet.
 type Views interface{ View() *fleet.View }
 
-// Map is a snapshot of who leads what.
-type Map struct {
-	// Regions holds the home region of each shard, by shard number.
+// ShardMap is a snapshot of the known shards and their leaders.
+type ShardMap struct {
+	// Regions lists the home region of each shard, in the order of shard numbers.
 	Regions []string
-	Leaders map[uint32]string // shard → internal address
-	Pending []uint32
+	Leaders map[uint32]string // address of the node that leads a shard
+	Pending []uint32          // shards that have items to grant
 }
 
-// Module provides access to shards.
+// Module sends calls to the leaders of shards.
 type Module struct {
 	views Views
 	pool  *rpc.Pool
 
-	current    atomic.Pointer[Map]
-	refreshing sync.Mutex
-	refreshed  time.Time
+	current      atomic.Pointer[ShardMap]
+	refreshMutex sync.Mutex
+	lastRefresh  time.Time
 
 	background tasks.Group
 }
@@ -75,25 +74,28 @@
 	); err != nil {
 		return trace.Wrap(err)
 	}
-	m.current.Store(&Map{Leaders: map[uint32]string{}})
+	m.current.Store(&ShardMap{Leaders: map[uint32]string{}})
 	ctx.Provide(m)
 	return nil
 }
 
 const (
-	// refreshInterval is the time between two looks at the map; it grows with
-	// the disk nodes to ask, so that the traffic does not.
-	refreshInterval = 500 * time.Millisecond
-	perDiskInterval = 100 * time.Millisecond
-	// refreshTimeout bounds one look, at all disk nodes at once.
+	// The map is refreshed in the background every refreshInterval. If it is longer, the
+	// interval is refreshIntervalPerDisk times the number of nodes with a disk, so that
+	// the rate of calls stays bounded.
+	refreshInterval        = 500 * time.Millisecond
+	refreshIntervalPerDisk = 100 * time.Millisecond
+	// refreshTimeout is the timeout of one refresh, which asks all nodes with a disk at
+	// the same time.
 	refreshTimeout = time.Second
-	// firstLooks bounds the looks of a node that knows no shards yet.
-	firstLooks = 10
-	// retryPause is the shortest wait between two attempts of a call; a random time
-	// of up to as much is added.
-	retryPause = 50 * time.Millisecond
-	// attemptTimeout bounds one attempt, so that a leader that was paused does not
-	// hold a caller until its deadline.
+	// maxInitialRefreshes is the maximum number of refreshes that HomeShards makes while
+	// the node knows no shards.
+	maxInitialRefreshes = 10
+	// minRetryDelay is the shortest delay between two attempts of a call. A random time
+	// of up to minRetryDelay is added.
+	minRetryDelay = 50 * time.Millisecond
+	// attemptTimeout is the timeout of one attempt. It keeps a caller from waiting until
+	// its own deadline for a leader whose process is suspended.
 	attemptTimeout = 3 * time.Second
 )
 
@@ -103,12 +105,13 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. The loop ends with the context of Start.
+// Cleanup implements kernel.Cleaner. It waits for the refresh loop, which ends with the
+// context of Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
 func (m *Module) refreshLoop(ctx context.Context) {
 	for {
-		interval := max(refreshInterval, time.Duration(len(m.views.View().DiskMembers()))*perDiskInterval)
+		interval := max(refreshInterval, time.Duration(len(m.views.View().DiskMembers()))*refreshIntervalPerDisk)
 		select {
 		case <-ctx.Done():
 			return
@@ -118,14 +121,15 @@
 	}
 }
 
-// Map returns the map last read; it may be stale.
-func (m *Module) Map() *Map { return m.current.Load() }
+// ShardMap returns the map of the last refresh, which may be stale.
+func (m *Module) ShardMap() *ShardMap { return m.current.Load() }
 
-// refresh asks every disk node what it leads. Disk nodes are few.
+// refresh asks each node with a disk which shards it leads. It does nothing if the last
+// refresh ended less than a fifth of refreshInterval ago.
 func (m *Module) refresh(ctx context.Context) {
-	m.refreshing.Lock()
-	defer m.refreshing.Unlock()
-	if time.Since(m.refreshed) < refreshInterval/5 {
+	m.refreshMutex.Lock()
+	defer m.refreshMutex.Unlock()
+	if time.Since(m.lastRefresh) < refreshInterval/5 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
@@ -133,22 +137,22 @@
 	disks := m.views.View().DiskMembers()
 	replies := make([]*wirev1.ShardMapReply, len(disks))
 	request := &wirev1.ShardMapRequest{KnownShards: m.Shards()}
-	var asking tasks.Group
+	var calls tasks.Group
 	for i, disk := range disks {
-		asking.Go(func() {
+		calls.Go(func() {
 			reply := &wirev1.ShardMapReply{}
 			if m.pool.Call(ctx, disk.Address, rpc.ClassControl, wirev1.Method_METHOD_SHARD_MAP, request, reply) == nil {
 				replies[i] = reply
 			}
 		})
 	}
-	asking.Wait()
-	m.current.Store(merge(m.current.Load(), disks, replies))
-	m.refreshed = time.Now()
+	calls.Wait()
+	m.current.Store(mergeReplies(m.current.Load(), disks, replies))
+	m.lastRefresh = time.Now()
 }
 
-func merge(before *Map, disks []*wirev1.MemberRecord, replies []*wirev1.ShardMapReply) *Map {
-	next := &Map{Regions: before.Regions, Leaders: map[uint32]string{}}
+func mergeReplies(previous *ShardMap, disks []*wirev1.MemberRecord, replies []*wirev1.ShardMapReply) *ShardMap {
+	next := &ShardMap{Regions: previous.Regions, Leaders: map[uint32]string{}}
 	for i, reply := range replies {
 		if reply == nil {
 			continue
@@ -165,19 +169,19 @@
 }
 
 // Shards returns the number of shards, 0 while none are known.
-func (m *Module) Shards() uint32 { return uint32(len(m.Map().Regions)) }
+func (m *Module) Shards() uint32 { return uint32(len(m.ShardMap().Regions)) }
 
-// HomeShards lists the shards of a tenant's home region. Without one, the home
-// is the first region in alphabetical order, the same seen from everywhere. A
-// node that has just started and knows no shards asks for them first.
+// HomeShards lists the shards of a tenant's home region. For a tenant without a home region
+// it uses the first region in alphabetical order, so that all nodes choose the same region.
+// While the node knows no shards, it refreshes the map first.
 func (m *Module) HomeShards(region string) []uint32 {
-	for try := 0; m.Shards() == 0 && try < firstLooks; try++ {
+	for attempt := 0; m.Shards() == 0 && attempt < maxInitialRefreshes; attempt++ {
 		m.refresh(context.Background())
 		if m.Shards() == 0 {
 			time.Sleep(refreshInterval / 5)
 		}
 	}
-	regions := m.Map().Regions
+	regions := m.ShardMap().Regions
 	if region == "" && len(regions) > 0 {
 		region = slices.Min(regions)
 	}
@@ -190,97 +194,98 @@
 	return shards
 }
 
-// call carries a request to a shard's leader until it is answered or the
-// context ends. delivered says whether any attempt may have arrived.
+// call sends a request to a shard's leader. It retries until the leader responds, an error
+// occurs that a retry cannot resolve, or the context ends.
 func (m *Module) call(ctx context.Context, shard uint32, class rpc.Class, method wirev1.Method, request, reply proto.Message) error {
-	delivered := false
-	var last error
+	maybeDelivered := false
+	var lastErr error
 	for {
 		err := m.callOnce(ctx, shard, class, method, request, reply)
 		if err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 		switch {
 		case errors.Is(err, rpc.ErrLinkLost), errors.Is(err, context.DeadlineExceeded), result.Is(err, result.CommitUnknown):
-			delivered = true
+			maybeDelivered = true
 		case result.Is(err, result.NotLeader), result.Is(err, result.PeerUnreachable):
 		case result.Is(err, result.Internal) && ctx.Err() != nil:
-			delivered = true
+			maybeDelivered = true
 		default:
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return m.giveUp(shard, delivered, last)
-		case <-time.After(retryPause + time.Duration(rand.Int64N(int64(retryPause)))):
+			return m.noReplyError(shard, maybeDelivered, lastErr)
+		case <-time.After(minRetryDelay + time.Duration(rand.Int64N(int64(minRetryDelay)))):
 			m.refresh(ctx)
 		}
 	}
 }
 
 func (m *Module) callOnce(ctx context.Context, shard uint32, class rpc.Class, method wirev1.Method, request, reply proto.Message) error {
-	leader, known := m.Map().Leaders[shard]
+	leader, known := m.ShardMap().Leaders[shard]
 	if !known {
 		return result.New(result.NotLeader, "no leader of shard %d is known", shard)
 	}
-	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return m.pool.Call(attempt, leader, class, method, request, reply)
+	return m.pool.Call(attemptCtx, leader, class, method, request, reply)
 }
 
-func (m *Module) giveUp(shard uint32, delivered bool, last error) error {
-	if delivered {
+// noReplyError returns the error of a call whose context has ended. maybeDelivered means that
+// the leader may have received one of the attempts.
+func (m *Module) noReplyError(shard uint32, maybeDelivered bool, lastErr error) error {
+	if maybeDelivered {
 		return result.New(result.CommitUnknown, "shard %d did not confirm in time", shard).WithRetryAfter(time.Second)
 	}
 	code := result.StoreUnavailable
-	if regions := m.Map().Regions; int(shard) < len(regions) && regions[shard] != m.views.View().Self.Region {
+	if regions := m.ShardMap().Regions; int(shard) < len(regions) && regions[shard] != m.views.View().Self.Region {
 		code = result.HomeUnreachable
 	}
-	return result.New(code, "no leader of shard %d could be reached: %s", shard, result.FromError(last).Message).WithRetryAfter(time.Second)
+	return result.New(code, "no leader of shard %d could be reached: %s", shard, result.FromError(lastErr).Message).WithRetryAfter(time.Second)
 }
 
-// Propose carries a command to its shard. Errors are result codes: that of the
-// command's answer; CommitUnknown if it may have been applied;
-// StoreUnavailable or HomeUnreachable if no leader was reached until ctx ended.
+// Propose sends a command to the leader of its shard. Its errors have result codes: the code
+// of the command's result, CommitUnknown if the command may have been applied, or
+// StoreUnavailable or HomeUnreachable if no leader could be reached before ctx ended.
 func (m *Module) Propose(ctx context.Context, shard uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	return m.propose(ctx, shard, rpc.ClassBulk, command)
 }
 
-// Claim carries a claim of an idempotency key, which an online caller waits
-// for, by the online links. Its errors are those of Propose.
+// Claim sends a command about the claim of an idempotency key on the online links, because
+// an online caller waits for it. It returns the same errors as Propose.
 func (m *Module) Claim(ctx context.Context, shard uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	return m.propose(ctx, shard, rpc.ClassOnline, command)
 }
 
 func (m *Module) propose(ctx context.Context, shard uint32, class rpc.Class, command *wirev1.Command) (*wirev1.CommandResult, error) {
-	answer := &wirev1.CommandResult{}
-	err := m.call(ctx, shard, class, wirev1.Method_METHOD_SHARD_PROPOSE, &wirev1.ProposeRequest{Shard: shard, Command: command}, answer)
+	commandResult := &wirev1.CommandResult{}
+	err := m.call(ctx, shard, class, wirev1.Method_METHOD_SHARD_PROPOSE, &wirev1.ProposeRequest{Shard: shard, Command: command}, commandResult)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Code != 0 {
-		return nil, result.New(result.Code(answer.Code), "%s", answer.Message)
+	if commandResult.Code != 0 {
+		return nil, result.New(result.Code(commandResult.Code), "%s", commandResult.Message)
 	}
-	return answer, nil
+	return commandResult, nil
 }
 
-// Read asks a shard's leader, again until it is answered or ctx ends. Its errors are
-// those of Propose.
+// Read reads from a shard's leader. It retries like Propose and returns the same errors.
 func (m *Module) Read(ctx context.Context, request *wirev1.ReadRequest) (*wirev1.ReadReply, error) {
 	reply := &wirev1.ReadReply{}
 	return reply, m.call(ctx, request.Shard, rpc.ClassBulk, wirev1.Method_METHOD_SHARD_READ, request, reply)
 }
 
-// Pull asks a shard's leader for items, once: the caller pulls again anyway. It
-// returns NotLeader if no leader is known, or the error of the call.
+// Pull requests items from a shard's leader. It makes one attempt, because the caller pulls
+// regularly. It returns NotLeader if no leader is known, or the error of the call.
 func (m *Module) Pull(ctx context.Context, request *wirev1.PullRequest) (*wirev1.PullReply, error) {
 	reply := &wirev1.PullReply{}
 	return reply, m.callOnce(ctx, request.Shard, rpc.ClassBulk, wirev1.Method_METHOD_PULL, request, reply)
 }
 
-// Complete delivers results to a shard's leader, again until it is answered or ctx
-// ends. Its errors are those of Propose.
+// Complete delivers results to a shard's leader. It retries like Propose and returns the
+// same errors.
 func (m *Module) Complete(ctx context.Context, request *wirev1.CompleteRequest) (*wirev1.CompleteReply, error) {
 	reply := &wirev1.CompleteReply{}
 	return reply, m.call(ctx, request.Shard, rpc.ClassBulk, wirev1.Method_METHOD_COMPLETE, request, reply)
--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -12,9 +12,9 @@
 	"cobaltramp.example/cobaltramp/modules/serving/owner"
 )
 
-// begin runs a granted item in the background.
-func (m *Module) begin(shard uint32, granted *wirev1.Grant) {
-	key := grants.KeyFromProto(granted.Key)
+// startItem runs a granted item in the background, unless the node already holds the item.
+func (m *Module) startItem(shard uint32, grant *wirev1.Grant) {
+	key := grants.KeyFromProto(grant.Key)
 	ctx, cancel := context.WithCancel(m.context)
 	m.mutex.Lock()
 	if m.held[key] != nil {
@@ -23,34 +23,34 @@
 		return
 	}
 	m.held[key] = &heldItem{shard: shard, cancel: cancel}
-	m.starting[granted.Item.Model]++
+	m.starting[grant.Item.Model]++
 	m.metrics.running.Set(float64(len(m.held)))
 	m.mutex.Unlock()
 	m.tasks.Go(func() {
 		defer cancel()
-		m.run(ctx, shard, key, granted)
+		m.runItem(ctx, shard, key, grant)
 	})
 }
 
-func (m *Module) run(ctx context.Context, shard uint32, key grants.Key, granted *wirev1.Grant) {
+func (m *Module) runItem(ctx context.Context, shard uint32, key grants.Key, grant *wirev1.Grant) {
 	request := &owner.BatchRequest{
-		ID:    fmt.Sprintf("item-%s-%d-%d-%d-%08x", key.Job, key.Segment, key.Offset, granted.Attempt, uint32(m.session)^uint32(time.Now().UnixNano())),
-		Model: granted.Item.Model, Surface: surfaceOf(granted.Item.Url), Body: granted.Item.Body,
-		Once: granted.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE,
+		ID:    fmt.Sprintf("item-%s-%d-%d-%d-%08x", key.Job, key.Segment, key.Offset, grant.Attempt, uint32(m.session)^uint32(time.Now().UnixNano())),
+		Model: grant.Item.Model, Surface: surfaceOf(grant.Item.Url), Body: grant.Item.Body,
+		Once: grant.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE,
 		Started: func() {
 			m.mutex.Lock()
-			m.starting[granted.Item.Model]--
+			m.starting[grant.Item.Model]--
 			m.mutex.Unlock()
 		},
 	}
-	answer, err := m.owner.RunBatch(ctx, request)
+	response, err := m.owner.RunBatch(ctx, request)
 	code := result.CodeOf(err)
-	m.metrics.ended.WithLabelValues(code.String()).Inc()
-	if isHandedBack(code, request.Once) {
-		m.handBack(shard, key, granted)
+	m.metrics.runs.WithLabelValues(code.String()).Inc()
+	if mustReturn(code, request.Once) {
+		m.returnItem(shard, key, grant)
 		return
 	}
-	m.queueResult(shard, itemResult(granted, request, answer, err))
+	m.queueResult(shard, newItemResult(grant, request, response, err))
 }
 
 func surfaceOf(url string) wirev1.Surface {
@@ -60,10 +60,10 @@
 	return wirev1.Surface_SURFACE_COMPLETION
 }
 
-// isHandedBack reports whether, after this outcome, an item is handed out again
-// without counting as an attempt. An item of class once is handed back only if
-// it provably never ran.
-func isHandedBack(code result.Code, once bool) bool {
+// mustReturn reports whether an item with this outcome is returned to its shard, which
+// grants it again without counting an attempt. An item of class once is returned only if it
+// is certain that the item did not run.
+func mustReturn(code result.Code, once bool) bool {
 	switch code {
 	case result.Saturated, result.NoRunner, result.EngineRefused, result.UnknownModel:
 		return true
@@ -74,30 +74,31 @@
 	}
 }
 
-func (m *Module) handBack(shard uint32, key grants.Key, granted *wirev1.Grant) {
+func (m *Module) returnItem(shard uint32, key grants.Key, grant *wirev1.Grant) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	delete(m.held, key)
 	m.metrics.running.Set(float64(len(m.held)))
-	m.returned[shard] = append(m.returned[shard], granted.Key)
+	m.returned[shard] = append(m.returned[shard], grant.Key)
 }
 
-// itemResult is what is stored of an ended run.
-func itemResult(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchResponse, err error) *wirev1.ItemResult {
-	ended := &wirev1.ItemResult{Item: granted.Key, Attempt: granted.Attempt, RequestId: request.ID}
+// newItemResult returns the result of a run for the shard to store.
+func newItemResult(grant *wirev1.Grant, request *owner.BatchRequest, response *owner.BatchResponse, err error) *wirev1.ItemResult {
+	itemResult := &wirev1.ItemResult{Item: grant.Key, Attempt: grant.Attempt, RequestId: request.ID}
 	if err == nil {
-		ended.HttpStatus = 200
-		ended.Body = encodeAnswer(granted, request, answer)
-		return ended
+		itemResult.HttpStatus = 200
+		itemResult.Body = encodeResponse(grant, request, response)
+		return itemResult
 	}
 	failure := result.FromError(err)
-	ended.Code, ended.Message = uint32(finalCode(failure.Code, request.Once)), failure.Message
-	ended.HttpStatus = uint32(result.Code(ended.Code).Entry().HTTPStatus)
-	return ended
+	itemResult.Code, itemResult.Message = uint32(finalCode(failure.Code, request.Once)), failure.Message
+	itemResult.HttpStatus = uint32(result.Code(itemResult.Code).Entry().HTTPStatus)
+	return itemResult
 }
 
-// finalCode turns failures into what the shard's leader acts on: it retries
-// RunnerLost and EngineFailed of repeatable items.
+// finalCode maps the code of a failure to a code that tells the shard's leader whether to
+// retry the item: the leader retries RunnerLost and EngineFailed, which only repeatable
+// items can have.
 func finalCode(code result.Code, once bool) result.Code {
 	if code == result.EngineRejected || code == result.InvalidRequest {
 		return code
@@ -111,84 +112,84 @@
 	return result.RunnerLost
 }
 
-type answerBody struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Created int64          `json:"created"`
-	Model   string         `json:"model"`
-	Choices []answerChoice `json:"choices"`
-	Usage   answerUsage    `json:"usage"`
+type responseBody struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []responseChoice `json:"choices"`
+	Usage   responseUsage    `json:"usage"`
 }
 
-type answerChoice struct {
-	Index        int            `json:"index"`
-	Message      *answerMessage `json:"message,omitempty"`
-	Text         *string        `json:"text,omitempty"`
-	FinishReason string         `json:"finish_reason"`
+type responseChoice struct {
+	Index        int              `json:"index"`
+	Message      *responseMessage `json:"message,omitempty"`
+	Text         *string          `json:"text,omitempty"`
+	FinishReason string           `json:"finish_reason"`
 }
 
-type answerMessage struct {
+type responseMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type answerUsage struct {
+type responseUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func encodeAnswer(granted *wirev1.Grant, request *owner.BatchRequest, answer *owner.BatchResponse) []byte {
-	body := answerBody{
-		ID: request.ID, Object: "text_completion", Created: time.Now().Unix(), Model: granted.Item.Model,
-		Usage: answerUsage{answer.PromptTokens, answer.CompletionTokens, answer.PromptTokens + answer.CompletionTokens},
+func encodeResponse(grant *wirev1.Grant, request *owner.BatchRequest, response *owner.BatchResponse) []byte {
+	body := responseBody{
+		ID: request.ID, Object: "text_completion", Created: time.Now().Unix(), Model: grant.Item.Model,
+		Usage: responseUsage{response.PromptTokens, response.CompletionTokens, response.PromptTokens + response.CompletionTokens},
 	}
-	only := answerChoice{FinishReason: answer.FinishReason}
+	choice := responseChoice{FinishReason: response.FinishReason}
 	if request.Surface == wirev1.Surface_SURFACE_CHAT {
 		body.Object = "chat.completion"
-		only.Message = &answerMessage{Role: "assistant", Content: answer.Text}
+		choice.Message = &responseMessage{Role: "assistant", Content: response.Text}
 	} else {
-		only.Text = &answer.Text
+		choice.Text = &response.Text
 	}
-	body.Choices = []answerChoice{only}
+	body.Choices = []responseChoice{choice}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return nil // plain fields only: cannot happen
+		return nil // cannot happen: all fields can be encoded
 	}
 	return encoded
 }
 
 const (
-	// outboxLength is how many results may wait for one shard before runs that end
-	// wait too.
-	outboxLength = 4096
-	// resultBatchDelay is how long a first result waits for others.
+	// outboxCapacity is the number of results that may wait for one shard. Runs that end
+	// while the outbox is full wait until it has space.
+	outboxCapacity = 4096
+	// resultBatchDelay is how long the first result of a batch waits for further results.
 	resultBatchDelay = 15 * time.Millisecond
-	// maxResults bounds the results of one Complete call.
-	maxResults = 256
-	// completeTimeout bounds one Complete call.
+	// maxBatchResults is the maximum number of results in one Complete call.
+	maxBatchResults = 256
+	// completeTimeout is the timeout of one Complete call.
 	completeTimeout = 10 * time.Second
 )
 
-// queueResult queues a result for its shard. Until the shard has confirmed it,
-// the item counts as held and the result is kept here.
-func (m *Module) queueResult(shard uint32, ended *wirev1.ItemResult) {
+// queueResult queues a result for delivery to its shard. The item stays held until the
+// shard has confirmed the result.
+func (m *Module) queueResult(shard uint32, itemResult *wirev1.ItemResult) {
 	m.mutex.Lock()
 	outbox := m.outboxes[shard]
 	if outbox == nil {
-		outbox = make(chan *wirev1.ItemResult, outboxLength)
+		outbox = make(chan *wirev1.ItemResult, outboxCapacity)
 		m.outboxes[shard] = outbox
 		m.tasks.Go(func() { m.deliverLoop(shard, outbox) })
 	}
 	m.mutex.Unlock()
 	select {
-	case outbox <- ended:
+	case outbox <- itemResult:
 	case <-m.context.Done():
 	}
 }
 
-// deliverLoop batches results for resultBatchDelay, so that one log entry carries
-// many, and sends them until they are confirmed.
+// deliverLoop collects results for resultBatchDelay, so that one log entry holds many
+// results, and delivers them.
 func (m *Module) deliverLoop(shard uint32, outbox chan *wirev1.ItemResult) {
 	for {
 		var batch []*wirev1.ItemResult
@@ -199,13 +200,14 @@
 			batch = append(batch, first)
 		}
 		time.Sleep(resultBatchDelay)
-		batch = drain(outbox, batch)
+		batch = collectQueued(outbox, batch)
 		m.deliver(shard, batch)
 	}
 }
 
-func drain(outbox chan *wirev1.ItemResult, batch []*wirev1.ItemResult) []*wirev1.ItemResult {
-	for len(batch) < maxResults {
+// collectQueued adds the results that are queued to the batch, up to maxBatchResults.
+func collectQueued(outbox chan *wirev1.ItemResult, batch []*wirev1.ItemResult) []*wirev1.ItemResult {
+	for len(batch) < maxBatchResults {
 		select {
 		case next := <-outbox:
 			batch = append(batch, next)
@@ -216,6 +218,7 @@
 	return batch
 }
 
+// deliver sends a batch of results until the shard confirms it or the node stops.
 func (m *Module) deliver(shard uint32, batch []*wirev1.ItemResult) {
 	request := &wirev1.CompleteRequest{Shard: shard, NodeId: m.settings.Node.ID, Session: m.session, Results: batch}
 	for m.context.Err() == nil {
@@ -228,8 +231,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, ended := range batch {
-		delete(m.held, grants.KeyFromProto(ended.Item))
+	for _, itemResult := range batch {
+		delete(m.held, grants.KeyFromProto(itemResult.Item))
 	}
 	m.metrics.running.Set(float64(len(m.held)))
 }
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -1,11 +1,10 @@
-// Package worker runs batch items in the idle capacity of this node's runners: it
-// pulls items from shard leaders, runs them under the arbiters' limits, hands back
-// what was preempted, and delivers results.
+// Package worker runs batch items in the idle capacity of this node's runners. It pulls
+// items from shard leaders, runs them within the arbiters' limits, returns preempted items
+// to their leaders, and delivers results.
 //
-// It owns, in memory, the items held and the results not yet confirmed; if they are
-// lost, the leaders' leases on them expire. It relies on module serving.owner for free
-// slots and runs, and on module batch.directory to reach shards. The plain node runs
-// it.
+// It keeps the held items and the unconfirmed results in memory. If they are lost, the
+// leases of the items expire on the leaders. Module serving.owner provides free slots and
+// runs the items, and module batch.directory calls the shards. The plain node runs it.
 package worker
 
 import (
@@ -36,7 +35,7 @@
 	})
 }
 
-// Owner is the part of the owner module used here.
+// Owner is the part of module serving.owner that this package uses.
 type Owner interface {
 	FreeBatchSlots() map[string]int
 	RunBatch(context.Context, *owner.BatchRequest) (*owner.BatchResponse, error)
@@ -44,14 +43,14 @@
 	Freed() <-chan struct{}
 }
 
-// Shards is the part of the directory used here.
+// Shards is the part of module batch.directory that this package uses.
 type Shards interface {
-	Map() *directory.Map
+	ShardMap() *directory.ShardMap
 	Pull(context.Context, *wirev1.PullRequest) (*wirev1.PullReply, error)
 	Complete(context.Context, *wirev1.CompleteRequest) (*wirev1.CompleteReply, error)
 }
 
-// Module runs items.
+// Module pulls and runs items. Its mutex guards the maps and draining.
 type Module struct {
 	settings *settings.Settings
 	owner    Owner
@@ -59,23 +58,23 @@
 	metrics  *metrics
 	session  uint64
 
-	// tasks are the loops and the runs of items; cancel ends them by context, and
-	// Cleanup waits for them.
+	// tasks are the loops and the running items. They end with the context, and Cleanup
+	// waits for them.
 	context context.Context
 	cancel  context.CancelFunc
 	tasks   tasks.Group
 
-	mutex      sync.Mutex
-	held       map[grants.Key]*heldItem
-	returned   map[uint32][]*wirev1.ItemKey
-	starting   map[string]int // granted, not yet counted by an arbiter
-	leaders    map[uint32]string
-	heartbeats map[uint32]time.Time
-	outboxes   map[uint32]chan *wirev1.ItemResult
-	stopping   bool
+	mutex     sync.Mutex
+	held      map[grants.Key]*heldItem
+	returned  map[uint32][]*wirev1.ItemKey // by shard; sent to it with the next pull
+	starting  map[string]int               // by model; granted, not yet counted by an arbiter
+	leaders   map[uint32]string            // by shard; its leader at the last pull
+	lastPulls map[uint32]time.Time
+	outboxes  map[uint32]chan *wirev1.ItemResult
+	draining  bool
 }
 
-// heldItem is an item this node was granted and whose end its shard has not
+// heldItem is a granted item that has not been returned and whose result its shard has not
 // confirmed.
 type heldItem struct {
 	shard  uint32
@@ -84,7 +83,7 @@
 
 type metrics struct {
 	running prometheus.Gauge
-	ended   *prometheus.CounterVec
+	runs    *prometheus.CounterVec
 }
 
 var (
@@ -105,15 +104,15 @@
 	}
 	m.metrics = &metrics{
 		running: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_worker_items", Help: "Items held by this node."}),
-		ended:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
+		runs:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
 	}
-	registry.MustRegister(m.metrics.running, m.metrics.ended)
+	registry.MustRegister(m.metrics.running, m.metrics.runs)
 	m.session = rand.Uint64()
 	m.held = map[grants.Key]*heldItem{}
 	m.returned = map[uint32][]*wirev1.ItemKey{}
 	m.starting = map[string]int{}
 	m.leaders = map[uint32]string{}
-	m.heartbeats = map[uint32]time.Time{}
+	m.lastPulls = map[uint32]time.Time{}
 	m.outboxes = map[uint32]chan *wirev1.ItemResult{}
 	return nil
 }
@@ -126,18 +125,18 @@
 }
 
 const (
-	// pullInterval is the longest time between two rounds of pulls.
+	// pullInterval is the longest wait between two rounds of pulls.
 	pullInterval = 100 * time.Millisecond
-	// heartbeatInterval is the time after the last pull at which a shard is pulled
-	// from only to renew what this node holds.
+	// heartbeatInterval is the time after the last pull from a shard when the node
+	// sends it a pull without free slots, to renew the leases of held items.
 	heartbeatInterval = time.Second
-	// pullTimeout bounds one Pull call.
+	// pullTimeout is the timeout of one Pull call.
 	pullTimeout = 2 * time.Second
-	// maxPull bounds the items of one pull.
-	maxPull = 256
+	// maxPullItems is the maximum number of items of one model that a pull requests.
+	maxPullItems = 256
 )
 
-// pullLoop asks for items when there are free slots and renews what is held.
+// pullLoop pulls items while there are free slots and renews the leases of held items.
 func (m *Module) pullLoop() {
 	ticker := time.NewTicker(pullInterval)
 	defer ticker.Stop()
@@ -152,10 +151,11 @@
 	}
 }
 
-// pullRound asks pending shards, in random order so that nodes do not all pull
-// from the same one, until the free slots are filled; then renews the others.
+// pullRound pulls from the shards with pending items until no slot is free, in random order
+// so that nodes do not all pull from the same shard first. It then sends the heartbeats
+// that are due.
 func (m *Module) pullRound() {
-	leaders := m.shards.Map()
+	leaders := m.shards.ShardMap()
 	pending := append([]uint32(nil), leaders.Pending...)
 	rand.Shuffle(len(pending), func(i, j int) { pending[i], pending[j] = pending[j], pending[i] })
 	for _, shard := range pending {
@@ -170,30 +170,31 @@
 	}
 }
 
-// freeSlots is what the arbiters allow, less what was granted and not yet started.
+// freeSlots returns the number of items to pull, by model: the arbiters' free slots minus
+// the granted items that have not started. It returns nil while the node drains.
 func (m *Module) freeSlots() []*wirev1.ModelRoom {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.stopping {
+	if m.draining {
 		return nil
 	}
 	var free []*wirev1.ModelRoom
 	for model, items := range m.owner.FreeBatchSlots() {
-		if count := min(maxPull, items-m.starting[model]); count > 0 {
+		if count := min(maxPullItems, items-m.starting[model]); count > 0 {
 			free = append(free, &wirev1.ModelRoom{Model: model, Items: uint32(count)})
 		}
 	}
 	return free
 }
 
-// dueHeartbeats lists shards whose leader got no pull from this node for a while
-// though it holds items of theirs, or has items to give back.
+// dueHeartbeats lists the shards that need a pull: the node holds items of the shard and
+// has not pulled from it for heartbeatInterval, or has items to return to it.
 func (m *Module) dueHeartbeats(now time.Time) []uint32 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	due := map[uint32]bool{}
 	for _, item := range m.held {
-		if now.Sub(m.heartbeats[item.shard]) >= heartbeatInterval {
+		if now.Sub(m.lastPulls[item.shard]) >= heartbeatInterval {
 			due[item.shard] = true
 		}
 	}
@@ -207,27 +208,27 @@
 	return list
 }
 
-func (m *Module) pull(shard uint32, free []*wirev1.ModelRoom, leaders *directory.Map) {
+func (m *Module) pull(shard uint32, free []*wirev1.ModelRoom, leaders *directory.ShardMap) {
 	request := m.pullRequest(shard, free, leaders.Leaders[shard])
 	ctx, cancel := context.WithTimeout(m.context, pullTimeout)
 	defer cancel()
 	reply, err := m.shards.Pull(ctx, request)
 	if err != nil {
-		m.undoReturn(shard, request.Returned)
+		m.requeueReturned(shard, request.Returned)
 		return
 	}
 	m.mutex.Lock()
-	m.heartbeats[shard] = time.Now()
+	m.lastPulls[shard] = time.Now()
 	m.leaders[shard] = leaders.Leaders[shard]
 	m.mutex.Unlock()
 	m.cancelJobs(reply.CancelledJobs)
-	for _, granted := range reply.Grants {
-		m.begin(shard, granted)
+	for _, grant := range reply.Grants {
+		m.startItem(shard, grant)
 	}
 }
 
-// pullRequest takes along the items handed back. To a leader that this node has
-// not pulled from before it reports what this node holds.
+// pullRequest returns a request with the items to return. If the leader has changed since
+// the last pull, the request also lists the items of the shard that this node holds.
 func (m *Module) pullRequest(shard uint32, free []*wirev1.ModelRoom, leader string) *wirev1.PullRequest {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -246,7 +247,7 @@
 	return request
 }
 
-func (m *Module) undoReturn(shard uint32, keys []*wirev1.ItemKey) {
+func (m *Module) requeueReturned(shard uint32, keys []*wirev1.ItemKey) {
 	if len(keys) == 0 {
 		return
 	}
@@ -272,10 +273,11 @@
 	}
 }
 
-// Drain implements kernel.Drainer: running items are given back.
+// Drain implements kernel.Drainer. It stops pulling, preempts items that may run again and
+// waits until the node holds no items and has returned the preempted ones.
 func (m *Module) Drain(ctx context.Context) {
 	m.mutex.Lock()
-	m.stopping = true
+	m.draining = true
 	m.mutex.Unlock()
 	m.owner.StopBatch()
 	for ctx.Err() == nil {
