--- a/modules/batch/disk/disk.go
+++ b/modules/batch/disk/disk.go
@@ -1,6 +1,5 @@
-// Package disk opens the data folder of the few plain nodes that have one, and owns the
-// database in it. It runs in the plain node only; a storage node opens its disk in
-// modules/batch/queues.
+// Package disk opens and closes the database in the data folder of a plain node. Only few
+// plain nodes have a data folder. A storage node opens its database in modules/batch/queues.
 package disk
 
 import (
@@ -19,8 +18,7 @@
 	kernel.Register(kernel.Info{Name: ModuleName, New: func() kernel.Module { return &Module{} }})
 }
 
-// Module provides *logstore.DB when the settings name a data folder, and
-// nothing otherwise.
+// Module provides a *logstore.DB if the settings name a data folder, otherwise nothing.
 type Module struct{ db *logstore.DB }
 
 var (
@@ -48,7 +46,7 @@
 func (m *Module) Cleanup() {
 	if m.db != nil {
 		if err := m.db.Close(); err != nil {
-			klog.ErrorS(err, "database is not closed cleanly")
+			klog.ErrorS(err, "closing the database failed")
 		}
 	}
 }
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -1,6 +1,6 @@
-// Package queues wires the queue shards of a storage node: it opens the disk, and joins
-// queuestore to the platform's store, the peers and the executor of items. It owns the
-// database and the node's part in the shards.
+// Package queues runs the queue shards of a storage node. It opens and closes the database
+// in the data folder, and connects package queuestore with the platform's store, the peers
+// and the executor of items.
 package queues
 
 import (
@@ -37,7 +37,7 @@
 	})
 }
 
-// Module runs the replicas on this node's disk.
+// Module runs the replicas of the queue shards on this node's disk.
 type Module struct {
 	settings *settings.Role
 	db       *logstore.DB
@@ -52,8 +52,8 @@
 	_ kernel.Cleaner = (*Module)(nil)
 )
 
-// retentionFactor is how many times the time that results are promised for a
-// job is kept: its client counts from its own first try.
+// retentionFactor is the ratio of the time a job is kept to the time that the deployment
+// promises. It exceeds 1 because clients measure the time from their own first attempt.
 const retentionFactor = 2
 
 // Provision implements kernel.Module.
@@ -64,11 +64,11 @@
 	var runners *runnerset.Set
 	var client exchange.CallSender
 	var store ports.KeyValueStore
-	var follower *informer.Informer
-	var guard *quarantine.Coordinator
+	var platformInformer *informer.Informer
+	var coordinator *quarantine.Coordinator
 	err := ctx.Resolve(
 		kernel.Dependency(&m.settings), kernel.Dependency(&server), kernel.Dependency(&catalogs), kernel.Dependency(&runners), kernel.Dependency(&client),
-		kernel.Dependency(&store), kernel.Dependency(&follower), kernel.Dependency(&guard), kernel.Dependency(&options.Directory), kernel.Dependency(&options.Layouts), kernel.Dependency(&options.Pool),
+		kernel.Dependency(&store), kernel.Dependency(&platformInformer), kernel.Dependency(&coordinator), kernel.Dependency(&options.Directory), kernel.Dependency(&options.Layouts), kernel.Dependency(&options.Pool),
 		kernel.Dependency(&options.Contact), kernel.Dependency(&options.Retirement), kernel.Dependency(&options.Registry),
 	)
 	if err != nil {
@@ -82,18 +82,18 @@
 	}
 	klog.InfoS("disk opened", "folder", m.settings.DataFolder, "disk", m.db.DiskID())
 	options.Directory.SetDisk(m.db.DiskID())
-	follower.DiskCache = m.db
+	platformInformer.DiskCache = m.db
 	options.Node, options.Region = m.settings.Node, m.settings.Region
 	options.DiskLosses, options.Retention = m.settings.DiskLosses, retentionFactor*m.settings.ResultsKept()
 	options.DB, options.Store = m.db, store
-	options.LogBytes = logBytes(m.settings.Machine)
+	options.LogBytes = keptLogBytes(m.settings.Machine)
 	options.TenantLimit, options.Tolerance = admission.LimitOf(catalogs), m.settings.QuotaTolerance()
 	m.executor = queuerun.New(m.settings.Zone, catalogs, runners, client)
 	m.executor.Home = func(runner *runnerset.Record) bool {
 		return m.node.IsHomeOf(runner.ID, subset.ServiceZone{Service: runner.Service, Zone: runner.Zone})
 	}
 	options.Totals = runners.Totals
-	m.executor.Quarantine = guard
+	m.executor.Quarantine = coordinator
 	options.Executor = m.executor
 	m.node = queuestore.New(options)
 	m.node.Handle(server)
@@ -101,32 +101,34 @@
 }
 
 const (
-	// logPart of a disk holds applied log entries for replicas that lag.
-	logPart     = 0.06
-	maxLogBytes = 48 << 20
-	mebibyte    = 1 << 20
+	// logDiskFraction is the fraction of the disk that may hold applied log entries for
+	// lagging replicas; maxLogBytes is an upper limit.
+	logDiskFraction = 0.06
+	maxLogBytes     = 48 << 20
+	mebibyte        = 1 << 20
 )
 
-// logBytes works out how much of the applied log is kept.
-func logBytes(machine settings.RoleMachine) uint64 {
-	return uint64(min(logPart*float64(machine.DiskMegabytes)*mebibyte, maxLogBytes))
+// keptLogBytes returns the size of the applied log entries to keep for lagging replicas.
+func keptLogBytes(machine settings.RoleMachine) uint64 {
+	return uint64(min(logDiskFraction*float64(machine.DiskMegabytes)*mebibyte, maxLogBytes))
 }
 
 // Start implements kernel.Starter.
 func (m *Module) Start(context.Context) error { return m.node.Start() }
 
-// Drain implements kernel.Drainer: leaderships are handed on.
+// Drain implements kernel.Drainer. It transfers the leadership of shards to replicas on
+// other nodes.
 func (m *Module) Drain(ctx context.Context) { m.node.Drain(ctx) }
 
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() {
 	if m.node != nil {
-		m.node.Stop() // which ends the runs
+		m.node.Stop() // cancels the runs of items, for which Wait waits
 		m.executor.Wait()
 	}
 	if m.db != nil {
 		if err := m.db.Close(); err != nil {
-			klog.ErrorS(err, "database is not closed cleanly")
+			klog.ErrorS(err, "closing the database failed")
 		}
 	}
 }
