--- a/internal/batch/jsonl/jsonl.go
+++ b/internal/batch/jsonl/jsonl.go
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// addItem counts the item and checks that its custom id is unique. It compares 64-bit
-// hashes: the probability that two different ids among MaxItems have the same hash is
-// below 10^-8.
+// addItem counts an item and checks that its custom id is unique. It compares 64-bit
+// hashes of the ids. The probability that a file with MaxItems different ids is rejected
+// because of a hash collision is below 10^-8.
 func (r *Reader) addItem(item *wirev1.Item) error {
 	hash := xxhash.Sum64String(item.CustomId)
 	if _, duplicate := r.customIDHashes[hash]; duplicate {
--- a/internal/batch/shard/apply.go
+++ b/internal/batch/shard/apply.go
@@ -126,9 +126,9 @@
 	return trace.Wrap(store.Delete(fileKey(id)))
 }
 
-// applyCreateJob creates a job. If the tenant has already created a job with the same
-// idempotency key, it returns that job; without a key, it returns the job that was created
-// for the same content and endpoint.
+// applyCreateJob creates a job. It returns an existing job instead if the tenant has already
+// created one with the same idempotency key or, if the command has no key, with the same
+// content and endpoint. It also returns an existing job with the same job id.
 func applyCreateJob(store KeyStore, command *wirev1.CreateJob) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.InputFileId)
 	if err != nil {
@@ -150,7 +150,8 @@
 	return createJob(store, command, file, dedupKey)
 }
 
-// deduplicationKey returns the key in the store that detects a job sent again.
+// deduplicationKey returns the key under which the store keeps the id of the job that a
+// command creates, so that the job is found if the command is sent again.
 func deduplicationKey(command *wirev1.CreateJob, file *wirev1.FileRecord) []byte {
 	if command.IdempotencyKey != "" {
 		return composeKey(prefixIdempotencyKey, command.Tenant, command.IdempotencyKey)
@@ -223,7 +224,7 @@
 
 // endJob moves a job from one status to a final status. A job with any other status does
 // not change.
-func endJob(store KeyStore, id string, from, to wirev1.JobStatus, at int64) (*wirev1.CommandResult, error) {
+func endJob(store KeyStore, id string, from, to wirev1.JobStatus, atUnixMs int64) (*wirev1.CommandResult, error) {
 	job, err := Job(store, id)
 	if err != nil {
 		return nil, err
@@ -235,7 +236,7 @@
 		return &wirev1.CommandResult{Job: job}, nil
 	}
 	job.Status = to
-	job.FinishedUnixMs = at
+	job.FinishedUnixMs = atUnixMs
 	return &wirev1.CommandResult{Job: job}, save(store, jobKey(id), job)
 }
 
@@ -273,7 +274,7 @@
 // and discarded.
 func applyCompleteItems(store KeyStore, command *wirev1.CompleteItems) (*wirev1.CommandResult, error) {
 	commandResult := &wirev1.CommandResult{}
-	batch := &completionBatch{store: store, jobs: map[string]*wirev1.JobRecord{}, progress: map[string]*wirev1.SegmentProgress{}, at: command.AtUnixMs}
+	batch := &completionBatch{store: store, jobs: map[string]*wirev1.JobRecord{}, progress: map[string]*wirev1.SegmentProgress{}, atUnixMs: command.AtUnixMs}
 	for _, item := range command.Results {
 		accepted, err := batch.accept(item)
 		if err != nil {
@@ -296,7 +297,7 @@
 	progress      map[string]*wirev1.SegmentProgress
 	progressOrder [][]byte // keys of progress in order of first use
 	jobOrder      []string
-	at            int64
+	atUnixMs      int64
 }
 
 func (c *completionBatch) job(id string) (*wirev1.JobRecord, error) {
@@ -344,7 +345,7 @@
 	}
 	if job.Completed+job.Failed >= job.Total {
 		job.Status = wirev1.JobStatus_JOB_STATUS_COMPLETED
-		job.FinishedUnixMs = c.at
+		job.FinishedUnixMs = c.atUnixMs
 	}
 	return true, save(c.store, resultKey(item.Item.JobId, item.Item.Segment, item.Item.Offset), item)
 }
--- a/internal/batch/shard/claim.go
+++ b/internal/batch/shard/claim.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// applyRetain deletes records whose retention has ended. The command limits the number of
-// jobs, files and claims, each separately, so that applying it takes a bounded time.
+// applyRetain deletes records whose retention has ended. One command deletes at most Limit
+// jobs, Limit files and Limit claims, so that applying the command takes a bounded time.
 func applyRetain(store KeyStore, command *wirev1.Retain) (*wirev1.CommandResult, error) {
 	commandResult := &wirev1.CommandResult{}
 	jobs, err := jobsPastRetention(store, command)
@@ -125,8 +125,8 @@
 
 // HasRecordsPastRetention reports whether a Retain command with the given time would delete
 // anything.
-func HasRecordsPastRetention(reader KeyReader, before int64) (bool, error) {
-	probe := &wirev1.Retain{FinishedBeforeUnixMs: before, Limit: 1}
+func HasRecordsPastRetention(reader KeyReader, beforeUnixMs int64) (bool, error) {
+	probe := &wirev1.Retain{FinishedBeforeUnixMs: beforeUnixMs, Limit: 1}
 	jobs, err := jobsPastRetention(reader, probe)
 	if err != nil || len(jobs) > 0 {
 		return len(jobs) > 0, err
--- a/internal/batch/shard/keys.go
+++ b/internal/batch/shard/keys.go
@@ -1,8 +1,8 @@
 // Package shard implements the replicated state machine of a batch shard, which holds
 // files, jobs, item results and idempotency claims. Commands come from the shard's
 // replicated log. Replicas that apply the same commands in the same order have the same
-// state and return the same results; therefore the package takes all times from the
-// commands and reads no clock. Plain nodes run it (modules/batch/store).
+// state and return the same results. The package reads no clock; all times are part of the
+// commands. Plain nodes run it (modules/batch/store).
 package shard
 
 import (
@@ -173,8 +173,8 @@
 	return bitSet(progress.Done, offset)
 }
 
-// IsStarted reports whether an item of class once was marked as started, so that it may
-// have been dispatched.
+// IsStarted reports whether an item of class once was marked as started, which means that
+// the item may have been dispatched.
 func IsStarted(progress *wirev1.SegmentProgress, offset uint32) bool {
 	return bitSet(progress.Started, offset)
 }
--- a/internal/batch/shard/shard_test.go
+++ b/internal/batch/shard/shard_test.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func apply(t failer, store *memoryStore, command *wirev1.Command) *wirev1.CommandResult {
+func apply(t fatalReporter, store *memoryStore, command *wirev1.Command) *wirev1.CommandResult {
 	commandResult, err := Apply(store, command)
 	if err != nil {
 		t.Fatalf("applying: %v", err)
@@ -63,7 +63,7 @@
 	return commandResult
 }
 
-type failer interface {
+type fatalReporter interface {
 	Fatalf(string, ...any)
 }
 
@@ -74,7 +74,7 @@
 
 // makeJob uploads a file with the given numbers of segments and items per segment, and
 // creates a job for it.
-func makeJob(t failer, store *memoryStore, id string, segments, items int, class wirev1.WorkClass) {
+func makeJob(t fatalReporter, store *memoryStore, id string, segments, items int, class wirev1.WorkClass) {
 	file := "file-" + id
 	apply(t, store, &wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{FileId: file, Tenant: tenant}}})
 	for segment := range segments {
@@ -251,7 +251,8 @@
 	store    *memoryStore
 	now      int64
 	requests int
-	// granted holds the requests that have the key and have not resolved their claim.
+	// granted holds the requests that were granted the key and have not resolved their
+	// claim.
 	granted map[string]bool
 	// dispatched is the request that was sent to an engine, empty if there is none.
 	dispatched      string
@@ -284,7 +285,7 @@
 	return &wirev1.Command{Kind: &wirev1.Command_Claim{Claim: &wirev1.Claim{Tenant: tenant, Key: "k", Fingerprint: []byte("f"), RequestId: id, AtUnixMs: now, ExpiresUnixMs: now + 10}}}
 }
 
-// Dispatch sends a granted request to an engine, which may run it from then on.
+// Dispatch sends a granted request to an engine. From then on the request may have run.
 func (m *claimModel) Dispatch(t *rapid.T) {
 	for id := range m.granted {
 		if m.dispatched != "" && m.dispatched != id {
