--- a/modules/batch/directory/directory.go
+++ b/modules/batch/directory/directory.go
@@ -80,8 +80,8 @@
 }
 
 const (
-	// The map is refreshed in the background every refreshInterval. If it is longer, the
-	// interval is refreshIntervalPerDisk times the number of nodes with a disk, so that
+	// The map is refreshed in the background every refreshInterval, or, if that is
+	// longer, every refreshIntervalPerDisk times the number of nodes with a disk, so that
 	// the rate of calls stays bounded.
 	refreshInterval        = 500 * time.Millisecond
 	refreshIntervalPerDisk = 100 * time.Millisecond
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -52,8 +52,8 @@
 	_ kernel.Cleaner = (*Module)(nil)
 )
 
-// retentionFactor is the ratio of the time a job is kept to the time that the deployment
-// promises. It exceeds 1 because clients measure the time from their own first attempt.
+// retentionFactor is how long a job is kept, as a multiple of the time that the deployment
+// promises. It is greater than 1 because clients measure the time from their first attempt.
 const retentionFactor = 2
 
 // Provision implements kernel.Module.
--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -18,7 +18,7 @@
 
 // ClusterLayout holds the member sets of all shards. It is stored as one value in the
 // platform's store and changed by compare-and-swap. It changes when a region is
-// bootstrapped and when a disk joins or is lost, but not for jobs or requests.
+// bootstrapped and when a disk joins or is lost; jobs and requests do not change it.
 type ClusterLayout struct {
 	Shards []ShardLayout `json:"shards"`
 	// revision is the revision of the stored value, for the compare-and-swap.
@@ -99,7 +99,7 @@
 }
 
 func (m *Module) watchLayout(ctx context.Context, revision int64) {
-	// After any error, layoutLoop lists the layout again.
+	// When the watch ends, for whatever reason, layoutLoop lists the layout again.
 	_ = m.platform.Watch(ctx, m.layoutKey(), revision, func(event ports.WatchEvent) {
 		if !event.Deleted {
 			m.applyLayout(event.Value)
@@ -193,9 +193,9 @@
 	return m.platform.Commit(ctx, conditions, []ports.Put{{Key: m.layoutKey(), Value: encoded}})
 }
 
-// chooseDisks returns the disks of a shard: the disks to keep, and further disks up to
-// maxReplicas, each from a zone with the fewest members. It adds no disk whose node is
-// leaving.
+// chooseDisks returns the disks of a shard. It keeps the disks in keep and adds disks until
+// there are maxReplicas, each time from a zone that has the fewest disks of the shard. It
+// adds no disk whose node is leaving.
 func chooseDisks(shard uint32, disks []*wirev1.MemberRecord, keep []string) []string {
 	var candidates []placement.Disk
 	zones := map[string]string{}
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -92,22 +92,22 @@
 	}
 }
 
-// tickGrants proposes the commands that are due: it ends lost items of class once, expired
-// jobs and cancelled jobs.
+// tickGrants proposes the commands that have become due: to end items of class once whose
+// holder was lost, jobs whose deadline has passed, and cancelled jobs.
 func (s *shardReplica) tickGrants(now time.Time) {
 	if s.table == nil {
 		return
 	}
 	due := s.table.Tick(now)
-	at := now.UnixMilli()
+	atUnixMs := now.UnixMilli()
 	if len(due.Unknown) > 0 {
-		s.Propose(&wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: completeAsUnknown(due.Unknown, at)}})
+		s.Propose(&wirev1.Command{Kind: &wirev1.Command_CompleteItems{CompleteItems: completeAsUnknown(due.Unknown, atUnixMs)}})
 	}
 	for _, id := range due.Expired {
-		s.Propose(&wirev1.Command{Kind: &wirev1.Command_ExpireJob{ExpireJob: &wirev1.ExpireJob{JobId: id, AtUnixMs: at}}})
+		s.Propose(&wirev1.Command{Kind: &wirev1.Command_ExpireJob{ExpireJob: &wirev1.ExpireJob{JobId: id, AtUnixMs: atUnixMs}}})
 	}
 	for _, id := range due.Cancelled {
-		s.Propose(&wirev1.Command{Kind: &wirev1.Command_FinishCancel{FinishCancel: &wirev1.FinishCancel{JobId: id, AtUnixMs: at}}})
+		s.Propose(&wirev1.Command{Kind: &wirev1.Command_FinishCancel{FinishCancel: &wirev1.FinishCancel{JobId: id, AtUnixMs: atUnixMs}}})
 	}
 }
 
@@ -124,21 +124,21 @@
 		return
 	}
 	s.lastRetention = now
-	before := now.Add(-snapshot.Policy.Batch.Retention.Std()).UnixMilli()
-	found, err := shard.HasRecordsPastRetention(s.Store.View(), before)
+	beforeUnixMs := now.Add(-snapshot.Policy.Batch.Retention.Std()).UnixMilli()
+	found, err := shard.HasRecordsPastRetention(s.Store.View(), beforeUnixMs)
 	if err != nil {
 		s.Fail(err)
 		return
 	}
 	if found {
-		retain := &wirev1.Retain{FinishedBeforeUnixMs: before, Limit: retentionLimit}
+		retain := &wirev1.Retain{FinishedBeforeUnixMs: beforeUnixMs, Limit: retentionLimit}
 		s.Propose(&wirev1.Command{Kind: &wirev1.Command_Retain{Retain: retain}})
 	}
 }
 
 // completeAsUnknown returns a command that ends items of class once whose holder was lost.
-func completeAsUnknown(keys []grants.Key, at int64) *wirev1.CompleteItems {
-	command := &wirev1.CompleteItems{AtUnixMs: at}
+func completeAsUnknown(keys []grants.Key, atUnixMs int64) *wirev1.CompleteItems {
+	command := &wirev1.CompleteItems{AtUnixMs: atUnixMs}
 	for _, key := range keys {
 		command.Results = append(command.Results, &wirev1.ItemResult{
 			Item: key.Proto(), Code: uint32(result.OutcomeUnknown), Message: "the node that ran the item was lost; it may or may not have run",
@@ -235,16 +235,16 @@
 // recordStarts records the start of the offered items of class once, and returns the offers
 // that may be sent to the node.
 func (s *shardReplica) recordStarts(ctx context.Context, session grants.Session, offers []grants.Offer) ([]grants.Offer, error) {
-	var starting []*wirev1.ItemKey
+	var starts []*wirev1.ItemKey
 	for _, offer := range offers {
 		if offer.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE && !offer.Restarted {
-			starting = append(starting, offer.Key.Proto())
+			starts = append(starts, offer.Key.Proto())
 		}
 	}
-	if len(starting) == 0 {
+	if len(starts) == 0 {
 		return offers, nil
 	}
-	commandResult, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starting, Holder: session.Node}}})
+	commandResult, err := s.ProposeAndWait(ctx, &wirev1.Command{Kind: &wirev1.Command_StartItems{StartItems: &wirev1.StartItems{Items: starts, Holder: session.Node}}})
 	if err != nil {
 		// The start may be recorded all the same, so the items are not sent to the
 		// node. They end as unknown, unless a later leader finds that they did not
--- a/modules/batch/store/members.go
+++ b/modules/batch/store/members.go
@@ -80,7 +80,8 @@
 	return committed, err
 }
 
-// Fence implements shardhost.MemberPolicy.
+// Fence implements shardhost.MemberPolicy. It reads the layout first, because the known
+// layout may be outdated.
 func (s *shardReplica) Fence(ctx context.Context, before, after replica.MemberSet) (bool, error) {
 	s.module.reloadLayout(ctx)
 	return s.module.swapMemberSet(ctx, s.ID, before, after)
--- a/modules/batch/store/replica.go
+++ b/modules/batch/store/replica.go
@@ -18,8 +18,11 @@
 type hostedShard = shardhost.Shard[*wirev1.Command, *wirev1.CommandResult]
 
 // shardReplica is this node's replica of a shard. It applies commands to the files and jobs
-// and, as leader, grants items to nodes. Its methods run on the shard's goroutine unless
-// their comment says otherwise.
+// and, as leader, grants items to nodes.
+//
+// Its methods run on the shard's goroutine. The exceptions are Swap, Fence, SnapshotSent and
+// the methods that wait for that goroutine, because they call RunInLoop, ProposeAndWait or
+// withTable.
 type shardReplica struct {
 	*hostedShard
 	shardhost.NoEvents
@@ -157,8 +160,7 @@
 	s.module.metrics.handOvers.WithLabelValues(outcome).Inc()
 }
 
-// observeMemberSet passes the stored member set to the replica. It must not be called on
-// the shard's goroutine.
+// observeMemberSet passes the stored member set to the replica.
 func (s *shardReplica) observeMemberSet(memberSet replica.MemberSet) {
 	_ = s.RunInLoop(context.Background(), func() { s.Replica.Observe(time.Now(), memberSet) }) // fails only if the shard has stopped
 }
@@ -166,8 +168,7 @@
 // statusTimeout is the longest wait for the status of a busy shard.
 const statusTimeout = time.Second
 
-// status returns the replica's state for operators, nil if the shard is busy or stopped. It
-// must not be called on the shard's goroutine.
+// status returns the replica's state for operators, nil if the shard is busy or stopped.
 func (s *shardReplica) status() *wirev1.ShardStatus {
 	var status *wirev1.ShardStatus
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -1,6 +1,6 @@
 // Package worker runs batch items in the idle capacity of this node's runners. It pulls
 // items from shard leaders, runs them within the arbiters' limits, returns preempted items
-// to their leaders, and delivers results.
+// to the leaders, and delivers results.
 //
 // It keeps the held items and the unconfirmed results in memory. If they are lost, the
 // leases of the items expire on the leaders. Module serving.owner provides free slots and
@@ -56,7 +56,7 @@
 	owner    Owner
 	shards   Shards
 	metrics  *metrics
-	session  uint64
+	session  uint64 // random; identifies this process to the leaders
 
 	// tasks are the loops and the running items. They end with the context, and Cleanup
 	// waits for them.
@@ -66,7 +66,7 @@
 
 	mutex     sync.Mutex
 	held      map[grants.Key]*heldItem
-	returned  map[uint32][]*wirev1.ItemKey // by shard; sent to it with the next pull
+	returned  map[uint32][]*wirev1.ItemKey // by shard; sent with the next pull
 	starting  map[string]int               // by model; granted, not yet counted by an arbiter
 	leaders   map[uint32]string            // by shard; its leader at the last pull
 	lastPulls map[uint32]time.Time
@@ -127,8 +127,8 @@
 const (
 	// pullInterval is the longest wait between two rounds of pulls.
 	pullInterval = 100 * time.Millisecond
-	// heartbeatInterval is the time after the last pull from a shard when the node
-	// sends it a pull without free slots, to renew the leases of held items.
+	// While the node holds items of a shard, it pulls from the shard every
+	// heartbeatInterval, even without free slots, to renew the leases of the items.
 	heartbeatInterval = time.Second
 	// pullTimeout is the timeout of one Pull call.
 	pullTimeout = 2 * time.Second
