--- a/modules/batch/disk/disk.go
+++ b/modules/batch/disk/disk.go
@@ -1,4 +1,4 @@
-// Package disk opens and closes the database in the data folder of a plain node. Only few
+// Package disk opens and closes the database in the data folder of a plain node. Only a few
 // plain nodes have a data folder. A storage node opens its database in modules/batch/queues.
 package disk
 
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -123,7 +123,7 @@
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() {
 	if m.node != nil {
-		m.node.Stop() // cancels the runs of items, for which Wait waits
+		m.node.Stop() // cancels the running items; Wait waits until they have ended
 		m.executor.Wait()
 	}
 	if m.db != nil {
--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -67,8 +67,8 @@
 }
 
 // Propose proposes a command to a shard that this node leads. It accepts commands that add
-// work only while replica.CopiesWanted members of the shard are alive and this node's disk
-// has free space.
+// work only while at least replica.CopiesWanted members of the shard are alive and this
+// node's disk has free space.
 func (m *Module) Propose(ctx context.Context, id uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	local, err := m.requireReplica(id)
 	if err != nil {
--- a/modules/batch/store/replica.go
+++ b/modules/batch/store/replica.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/batch/shardhost"
 )
 
-// hostedShard is a shard as package shardhost runs it.
+// hostedShard is a shard of package shardhost with the commands and results of this package.
 type hostedShard = shardhost.Shard[*wirev1.Command, *wirev1.CommandResult]
 
 // shardReplica is this node's replica of a shard. It applies commands to the files and jobs
