--- a/internal/app/role/role.go
+++ b/internal/app/role/role.go
@@ -95,9 +95,9 @@
 }
 
 func stop(k *kernel.Kernel, loaded *settings.Role) {
-	klog.InfoS("stopping", "node", loaded.Node, "within", loaded.StopTime())
+	klog.InfoS("stopping", "node", loaded.Node, "within", loaded.StopTimeout())
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), loaded.StopTime()-stopSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), loaded.StopTimeout()-stopSlack)
 	defer cancel()
 	k.Drain(ctx)
 	k.Kill()
--- a/internal/cluster/informer/operator.go
+++ b/internal/cluster/informer/operator.go
@@ -66,6 +66,6 @@
 		return
 	}
 	if i.Catalogs.UpdateIfNewer(next, document, revision, time.Now()) {
-		klog.InfoS("configuration in force", "version", next.Version, "revision", revision, "routes", next.Routes(), "source", source)
+		klog.InfoS("configuration in force", "version", next.Version, "revision", revision, "routes", next.RouteCount(), "source", source)
 	}
 }
--- a/internal/configuration/bundle/bucketmap.go
+++ b/internal/configuration/bundle/bucketmap.go
@@ -1,11 +1,12 @@
 package bundle
 
-// bucketCount splits a bundle's documents and keys, so that a change copies and
-// hashes one bucket of 17,000 tenants and not all of them.
+// bucketCount is the number of buckets of a bundle's documents and keys. A change
+// copies and hashes only the buckets that it touches, which keeps changes of a
+// bundle with many tenants cheap.
 const bucketCount = 256
 
-// bucketMap is an immutable map in buckets: a changed map shares the buckets
-// that did not change.
+// bucketMap is an immutable map that is split into buckets. An edited copy shares the
+// unchanged buckets with the original.
 type bucketMap[K comparable, V any] struct {
 	bucketOf func(K) uint8
 	buckets  [bucketCount]map[K]V
@@ -21,7 +22,7 @@
 	return value, found
 }
 
-func (m *bucketMap[K, V]) each(visit func(K, V)) {
+func (m *bucketMap[K, V]) forEach(visit func(K, V)) {
 	for _, bucket := range m.buckets {
 		for key, value := range bucket {
 			visit(key, value)
@@ -29,33 +30,34 @@
 	}
 }
 
-// edit returns a changed copy to which edits may be made until it is shared.
+// edit returns an editor of a copy of the map.
 func (m *bucketMap[K, V]) edit() *bucketEditor[K, V] {
 	copied := *m
 	return &bucketEditor[K, V]{result: &copied}
 }
 
-// bucketEditor makes edits to a copy; each touched bucket is copied once.
+// bucketEditor edits a copy of a bucketMap. It copies each bucket when it is first
+// changed. No edits may be made after result is in use.
 type bucketEditor[K comparable, V any] struct {
-	result *bucketMap[K, V]
-	owned  [bucketCount]bool
+	result   *bucketMap[K, V]
+	writable [bucketCount]bool
 }
 
-func (e *bucketEditor[K, V]) own(key K) map[K]V {
+func (e *bucketEditor[K, V]) writableBucket(key K) map[K]V {
 	at := e.result.bucketOf(key)
-	if !e.owned[at] {
+	if !e.writable[at] {
 		copied := make(map[K]V, len(e.result.buckets[at])+1)
 		for known, value := range e.result.buckets[at] {
 			copied[known] = value
 		}
 		e.result.buckets[at] = copied
-		e.owned[at] = true
+		e.writable[at] = true
 	}
 	return e.result.buckets[at]
 }
 
 func (e *bucketEditor[K, V]) set(key K, value V) {
-	bucket := e.own(key)
+	bucket := e.writableBucket(key)
 	if _, had := bucket[key]; !had {
 		e.result.size++
 	}
@@ -63,7 +65,7 @@
 }
 
 func (e *bucketEditor[K, V]) remove(key K) {
-	bucket := e.own(key)
+	bucket := e.writableBucket(key)
 	if _, had := bucket[key]; had {
 		e.result.size--
 	}
--- a/internal/configuration/bundle/bundle_test.go
+++ b/internal/configuration/bundle/bundle_test.go
@@ -26,7 +26,7 @@
 	return base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey))
 }
 
-// testBundle is a bundle whose content depends on a number.
+// testBundle returns a valid bundle; different numbers give different content.
 func testBundle(number int, threshold int) string {
 	return fmt.Sprintf(`
 kind: Policy
@@ -68,7 +68,7 @@
 	return s
 }
 
-func TestValidationNamesTheField(t *testing.T) {
+func TestValidationErrorsNameField(t *testing.T) {
 	good := testBundle(1, 1)
 	cases := []struct{ name, text, want string }{
 		{"bad number", strings.Replace(good, "request_timeout: 2s", "retry_budget: 7", 1), `Policy "fleet", retry_budget: found "7", allowed: 0 to 1`},
@@ -95,14 +95,14 @@
 	}
 }
 
-func TestSignOffs(t *testing.T) {
-	judge, err := Compile(1, parse(t, testBundle(1, 2)))
+func TestSubmissionsNeedEnoughValidSignOffs(t *testing.T) {
+	authority, err := Compile(1, parse(t, testBundle(1, 2)))
 	is.New(t).NoErr(err)
-	head := &Head{Revision: 1, Generation: 1, Digest: judge.Digest, Rolled: 1}
+	head := &Head{Revision: 1, Generation: 1, Digest: authority.Digest, Rolled: 1}
 	foreign := submission(t, 2, 2, 0, 1)
-	foreign.SignOffs[1].Operator = "ann" // bob's signature under ann's name
+	foreign.SignOffs[1].Operator = "ann" // the signature is bob's
 	old := submission(t, 1, 2, 0, 1)
-	old.Generation = 2 // signatures of another generation
+	old.Generation = 2 // the signatures are for generation 1
 	cases := []struct {
 		name       string
 		submission *Submission
@@ -117,25 +117,24 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, err := Accept(head, judge, cluster, c.submission, time.Unix(0, 0))
+			_, _, err := Accept(head, authority, cluster, c.submission, time.Unix(0, 0))
 			is.New(t).Equal(result.CodeOf(err), c.code)
 		})
 	}
 }
 
-// Operators race by compare-and-swap, in any order, with rolls and halts
-// between. In every zone the generation in force never falls, and two heads of
-// one generation never differ in content.
-func TestGenerationInForceNeverFalls(t *testing.T) {
+// Guards against a zone that returns to an older generation, and against two
+// contents of one generation, when operators submit, roll and halt concurrently.
+func TestActiveGenerationNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var head *Head
 		snapshots := map[uint64]*Snapshot{}
 		digests := map[uint64]string{}
 		inForce := map[string]uint64{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			read := head // two operators read the same head; the first to commit wins
+			read := head // both operators change this head; the first change wins
 			for range rapid.IntRange(1, 2).Draw(t, "operators") {
-				next := change(t, read, snapshots, step)
+				next := applyRandomChange(t, read, snapshots, step)
 				if next != nil && head == read {
 					head = next
 				}
@@ -158,15 +157,15 @@
 	})
 }
 
-func change(t *rapid.T, head *Head, snapshots map[uint64]*Snapshot, step int) *Head {
+func applyRandomChange(t *rapid.T, head *Head, snapshots map[uint64]*Snapshot, step int) *Head {
 	if head == nil || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 		generation := uint64(1)
-		var judge *Snapshot
+		var authority *Snapshot
 		if head != nil {
 			generation = head.Generation + 1
-			judge = snapshots[head.Generation]
+			authority = snapshots[head.Generation]
 		}
-		next, snapshot, err := Accept(head, judge, cluster, submission(t, generation, step, 0), time.Unix(0, 0))
+		next, snapshot, err := Accept(head, authority, cluster, submission(t, generation, step, 0), time.Unix(0, 0))
 		if err != nil {
 			t.Fatalf("refused: %v", err)
 		}
@@ -181,7 +180,7 @@
 	return next
 }
 
-func TestSubmittedIsNotInForceBeforeItIsRolled(t *testing.T) {
+func TestGenerationIsActiveOnlyAfterRoll(t *testing.T) {
 	is := is.New(t)
 	head, _, err := Accept(nil, nil, cluster, submission(t, 1, 1, 0), time.Unix(0, 0))
 	is.NoErr(err)
@@ -191,12 +190,12 @@
 	is.NoErr(err)
 	first, _ := head.GenerationFor("z1")
 	second, _ := head.GenerationFor("z2")
-	is.Equal(first, uint64(1)) // the first stage has it
+	is.Equal(first, uint64(1)) // z1 is in the first stage
 	is.Equal(second, uint64(0))
 }
 
-// Any chain of deltas leads to the same snapshot as compiling it whole.
-func TestDeltasLeadToTheSameSnapshot(t *testing.T) {
+// A chain of deltas must give the same snapshot as compiling the last bundle.
+func TestDeltasReproduceCompiledSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var previous *Snapshot
 		for generation := range rapid.IntRange(1, 6).Draw(t, "generations") {
@@ -232,13 +231,13 @@
 		}
 		again, err := Compile(1, documents)
 		if err == nil && again.Digest != Digest(documents) {
-			t.Fatal("digest changes with compiling")
+			t.Fatal("digest differs before and after compiling")
 		}
 	})
 }
 
-// manyTenants is a bundle with the letter's number of tenants.
-func manyTenants(b *testing.B, count int) *Snapshot {
+// snapshotWithTenants compiles a bundle with a number of tenants.
+func snapshotWithTenants(b *testing.B, count int) *Snapshot {
 	documents := parse(b, testBundle(1, 1))
 	for i := range count {
 		content := fmt.Sprintf(`{"key_hashes":["%x"],"requests_per_second":10,"concurrent":8}`, HashKey(fmt.Sprint(i)))
@@ -255,9 +254,10 @@
 	return snapshot
 }
 
-// BenchmarkApplyChange is what one changed tenant among 17,000 costs a node.
+// BenchmarkApplyChange measures a change of one tenant in a bundle with 17,000
+// tenants.
 func BenchmarkApplyChange(b *testing.B) {
-	snapshot := manyTenants(b, 17000)
+	snapshot := snapshotWithTenants(b, 17000)
 	changed, err := Canonical(KindTenant, "tenant-7", []byte(fmt.Sprintf(`{"key_hashes":["%x"],"requests_per_second":99}`, HashKey("7"))))
 	if err != nil {
 		b.Fatal(err)
@@ -274,7 +274,7 @@
 }
 
 func BenchmarkTenantByKey(b *testing.B) {
-	snapshot := manyTenants(b, 17000)
+	snapshot := snapshotWithTenants(b, 17000)
 	b.ReportAllocs()
 	for b.Loop() {
 		snapshot.TenantByKey("some-key")
@@ -284,14 +284,14 @@
 // BenchmarkSnapshotMemory reports the heap of a bundle with 17,000 tenants.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	for b.Loop() {
-		before := heap()
-		snapshot := manyTenants(b, 17000)
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MiB")
+		before := heapBytes()
+		snapshot := snapshotWithTenants(b, 17000)
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MiB")
 		snapshot.TenantByKey("kept until here")
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/configuration/bundle/compile.go
+++ b/internal/configuration/bundle/compile.go
@@ -6,26 +6,26 @@
 	"sort"
 )
 
-// Compile checks documents and builds a snapshot. A bad field is a *FieldError; other
-// errors say which rule of the whole bundle is broken.
+// Compile validates documents and builds a snapshot. An invalid field is reported as
+// a *FieldError, an inconsistency between documents as another error.
 func Compile(generation uint64, documents []Document) (*Snapshot, error) {
-	return emptySnapshot().Next(generation, documents, nil)
+	return newEmptySnapshot().Next(generation, documents, nil)
 }
 
-// Next builds the snapshot that follows this one when the given documents are
-// put and the given keys removed. Documents not named stay. Its errors are those of
-// Compile.
+// Next builds the snapshot of the next generation: it removes the documents with the
+// removed keys, adds or replaces the changed documents, and keeps all others. It
+// returns the same errors as Compile.
 func (s *Snapshot) Next(generation uint64, changed []Document, removed []Key) (*Snapshot, error) {
 	b := &builder{
-		documents: s.documents.edit(), keys: s.tenantByKey.edit(), touched: map[uint8]bool{},
+		documents: s.documents.edit(), keys: s.tenantByKey.edit(), changedBuckets: map[uint8]bool{},
 		next: &Snapshot{Generation: generation, Policy: s.Policy, policies: s.policies, digests: s.digests, Models: s.Models, Operators: s.Operators},
 	}
 	for _, key := range removed {
 		b.remove(key)
 	}
-	added := make([]entry, 0, len(changed))
+	added := make([]compiledDocument, 0, len(changed))
 	for _, document := range changed {
-		compiled, err := compileEntry(document)
+		compiled, err := compileDocument(document)
 		if err != nil {
 			return nil, err
 		}
@@ -40,15 +40,15 @@
 	return b.finish()
 }
 
-func compileEntry(document Document) (entry, error) {
+func compileDocument(document Document) (compiledDocument, error) {
 	if !namePattern.MatchString(document.Name) {
-		return entry{}, &FieldError{document.Kind, document.Name, "name", fmt.Sprintf("%q", document.Name), nameAllowed}
+		return compiledDocument{}, &FieldError{document.Kind, document.Name, "name", fmt.Sprintf("%q", document.Name), nameAllowed}
 	}
 	value, err := decodeSpec(document.Kind, document.Name, document.Content)
 	if err != nil {
-		return entry{}, err
+		return compiledDocument{}, err
 	}
-	return entry{document: document, hash: document.Hash(), value: compileValue(document.Name, value)}, nil
+	return compiledDocument{document: document, hash: document.Hash(), value: compileValue(document.Name, value)}, nil
 }
 
 func compileValue(name string, value any) any {
@@ -66,16 +66,17 @@
 	}
 }
 
-// builder makes one snapshot from the one before.
+// builder builds a snapshot from the previous one.
 type builder struct {
-	next      *Snapshot
-	documents *bucketEditor[Key, entry]
-	keys      *bucketEditor[Hash, *CompiledTenant]
-	touched   map[uint8]bool
-	// fresh are tenants whose references must be checked; relink says that
-	// models or operators changed, so that everything must be.
-	fresh  []*CompiledTenant
-	relink bool
+	next           *Snapshot
+	documents      *bucketEditor[Key, compiledDocument]
+	keys           *bucketEditor[Hash, *CompiledTenant]
+	changedBuckets map[uint8]bool
+	// uncheckedTenants lists the changed tenants, whose references to models have to
+	// be checked. reindex is set when a model or an operator has changed; then the
+	// references of all tenants are checked.
+	uncheckedTenants []*CompiledTenant
+	reindex          bool
 }
 
 func (b *builder) remove(key Key) {
@@ -84,7 +85,7 @@
 		return
 	}
 	b.documents.remove(key)
-	b.touched[bucketOfKey(key)] = true
+	b.changedBuckets[bucketOfKey(key)] = true
 	switch value := known.value.(type) {
 	case *CompiledTenant:
 		for _, hash := range keyHashes(value) {
@@ -93,23 +94,23 @@
 	case *Policy:
 		b.next.policies--
 	default:
-		b.relink = true
+		b.reindex = true
 	}
 }
 
-func (b *builder) put(added entry) error {
+func (b *builder) put(added compiledDocument) error {
 	key := added.document.Key()
 	b.documents.set(key, added)
-	b.touched[bucketOfKey(key)] = true
+	b.changedBuckets[bucketOfKey(key)] = true
 	switch value := added.value.(type) {
 	case *CompiledTenant:
-		b.fresh = append(b.fresh, value)
+		b.uncheckedTenants = append(b.uncheckedTenants, value)
 		return b.putKeys(value)
 	case *Policy:
 		b.next.policies++
 		b.next.Policy = *value
 	default:
-		b.relink = true
+		b.reindex = true
 	}
 	return nil
 }
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// keyHashes decodes a tenant's key hashes, which its check has accepted.
+// keyHashes returns a tenant's decoded key hashes.
 func keyHashes(tenant *CompiledTenant) []Hash {
 	hashes := make([]Hash, 0, len(tenant.KeyHashes))
 	for _, text := range tenant.KeyHashes {
@@ -141,33 +142,34 @@
 	if s.policies != 1 {
 		return nil, fmt.Errorf("found %d Policy documents, allowed: exactly one", s.policies)
 	}
-	if b.relink || s.Models == nil {
-		if err := s.link(); err != nil {
+	if b.reindex || s.Models == nil {
+		if err := s.indexModels(); err != nil {
 			return nil, err
 		}
-		b.fresh = s.allTenants()
+		b.uncheckedTenants = s.allTenants()
 	}
 	if len(s.Operators) < s.Policy.SignOffThreshold {
 		return nil, fmt.Errorf("Policy sign_off_threshold is %d but %d operators are named", s.Policy.SignOffThreshold, len(s.Operators))
 	}
-	for _, tenant := range b.fresh {
+	for _, tenant := range b.uncheckedTenants {
 		if err := s.checkTenant(tenant); err != nil {
 			return nil, err
 		}
 	}
-	for bucket := range b.touched {
+	for bucket := range b.changedBuckets {
 		s.digests[bucket] = digestBucket(s.documents.buckets[bucket])
 	}
 	s.Digest = combineDigests(&s.digests)
 	return s, nil
 }
 
-// link indexes models, adapters and operators, which are few.
-func (s *Snapshot) link() error {
+// indexModels rebuilds the indexes of models, adapters and operators. It visits every
+// document, so it runs only when one of them has changed.
+func (s *Snapshot) indexModels() error {
 	s.Models = map[string]*CompiledModel{}
 	s.Operators = map[string]*Operator{}
 	var names []string
-	s.documents.each(func(key Key, known entry) {
+	s.documents.forEach(func(key Key, known compiledDocument) {
 		switch value := known.value.(type) {
 		case *CompiledModel:
 			s.Models[key.Name] = value
@@ -178,14 +180,14 @@
 	})
 	sort.Strings(names)
 	for _, name := range names {
-		if err := s.linkAdapters(s.Models[name]); err != nil {
+		if err := s.indexAdapters(s.Models[name]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Snapshot) linkAdapters(model *CompiledModel) error {
+func (s *Snapshot) indexAdapters(model *CompiledModel) error {
 	for _, adapter := range model.Adapters {
 		if _, taken := s.Models[adapter]; taken {
 			return &FieldError{KindModel, model.Name, "adapters", fmt.Sprintf("%q", adapter), "a name no other model or adapter has"}
@@ -197,7 +199,7 @@
 
 func (s *Snapshot) allTenants() []*CompiledTenant {
 	var tenants []*CompiledTenant
-	s.documents.each(func(_ Key, known entry) {
+	s.documents.forEach(func(_ Key, known compiledDocument) {
 		if tenant, ok := known.value.(*CompiledTenant); ok {
 			tenants = append(tenants, tenant)
 		}
--- a/internal/configuration/bundle/delta.go
+++ b/internal/configuration/bundle/delta.go
@@ -6,7 +6,8 @@
 	"sort"
 )
 
-// Delta is the stored difference between two generations.
+// Delta is the stored difference between two generations, or a complete generation
+// if Full is set.
 type Delta struct {
 	Generation uint64     `json:"generation"`
 	Digest     string     `json:"digest"`
@@ -15,7 +16,8 @@
 	Removed    []Key      `json:"removed,omitempty"`
 }
 
-// DeltaFrom returns what leads from an older snapshot (nil: nothing) to this.
+// DeltaFrom returns the difference from an older snapshot to this one. The delta is
+// full if older is nil.
 func (s *Snapshot) DeltaFrom(older *Snapshot) *Delta {
 	delta := &Delta{Generation: s.Generation, Digest: s.Digest, Full: older == nil}
 	if older == nil {
@@ -32,7 +34,7 @@
 	return delta
 }
 
-func (d *Delta) addBucket(now, before map[Key]entry) {
+func (d *Delta) addBucket(now, before map[Key]compiledDocument) {
 	for key, known := range now {
 		if old, had := before[key]; !had || old.hash != known.hash {
 			d.Changed = append(d.Changed, known.document)
@@ -45,12 +47,12 @@
 	}
 }
 
-// Apply builds the snapshot a delta leads to and checks its digest. It may be
-// called on nil if the delta is full.
+// Apply applies a delta to the snapshot and checks the digest of the result. The
+// receiver may be nil if the delta is full.
 func (s *Snapshot) Apply(delta *Delta) (*Snapshot, error) {
 	base := s
 	if delta.Full || base == nil {
-		base = emptySnapshot()
+		base = newEmptySnapshot()
 	}
 	next, err := base.Next(delta.Generation, delta.Changed, delta.Removed)
 	if err != nil {
--- a/internal/configuration/bundle/digest.go
+++ b/internal/configuration/bundle/digest.go
@@ -7,8 +7,9 @@
 	"sort"
 )
 
-// digestBucket is the SHA-256 over the sorted hashes of a bucket's documents.
-func digestBucket(bucket map[Key]entry) Hash {
+// digestBucket returns the SHA-256 hash of the sorted hashes of a bucket's
+// documents.
+func digestBucket(bucket map[Key]compiledDocument) Hash {
 	hashes := make([]Hash, 0, len(bucket))
 	for _, known := range bucket {
 		hashes = append(hashes, known.hash)
@@ -21,8 +22,8 @@
 	return Hash(digest.Sum(nil))
 }
 
-// combineDigests is the identity of a bundle's content: the SHA-256 over the
-// digests of its buckets, in hex. Operators sign it.
+// combineDigests returns the digest of a bundle's content, which operators sign: the
+// SHA-256 hash, in hex, of the digests of its buckets.
 func combineDigests(digests *[bucketCount]Hash) string {
 	digest := sha256.New()
 	for i := range digests {
@@ -31,12 +32,13 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Digest is the identity of a bundle's content before it is compiled.
+// Digest returns the digest of documents without compiling them. It equals the
+// Digest of their Snapshot.
 func Digest(documents []Document) string {
-	s := emptySnapshot()
+	s := newEmptySnapshot()
 	editor := s.documents.edit()
 	for _, document := range documents {
-		editor.set(document.Key(), entry{hash: document.Hash()})
+		editor.set(document.Key(), compiledDocument{hash: document.Hash()})
 	}
 	for bucket, content := range editor.result.buckets {
 		s.digests[bucket] = digestBucket(content)
--- a/internal/configuration/bundle/document.go
+++ b/internal/configuration/bundle/document.go
@@ -12,8 +12,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Document is one named part of a bundle in canonical form: JSON with fields
-// in schema order and defaults filled in.
+// Document is a named part of a bundle in canonical form: JSON with the fields in
+// schema order and with defaults filled in.
 type Document struct {
 	Kind    Kind            `json:"kind"`
 	Name    string          `json:"name"`
@@ -29,13 +29,13 @@
 // Key returns the document's key.
 func (d Document) Key() Key { return Key{d.Kind, d.Name} }
 
-// String writes the key as kind/name.
+// String formats the key as kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Hash is a document's SHA-256.
+// Hash is a SHA-256 hash of a document or of an API key.
 type Hash [sha256.Size]byte
 
-// Hash returns the SHA-256 of kind, name and content.
+// Hash returns the SHA-256 hash of the document's kind, name and content.
 func (d Document) Hash() Hash {
 	digest := sha256.New()
 	_, _ = fmt.Fprintf(digest, "%s\n%s\n", d.Kind, d.Name)
@@ -43,9 +43,9 @@
 	return Hash(digest.Sum(nil))
 }
 
-// Parse reads YAML documents separated by "---". Each has kind, name and the
-// fields of its kind. Unknown fields, bad values and names used twice are
-// errors that say where.
+// Parse decodes YAML documents separated by "---". Each document has a kind, a name
+// and the fields of its kind. Unknown fields, invalid values and duplicate names
+// are errors that name the document.
 func Parse(text []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	var documents []Document
@@ -76,7 +76,7 @@
 	return documents, nil
 }
 
-// Sort orders documents by kind and name.
+// Sort sorts documents by kind and name.
 func Sort(documents []Document) {
 	sort.Slice(documents, func(i, j int) bool {
 		if documents[i].Kind != documents[j].Kind {
@@ -101,8 +101,8 @@
 	return Canonical(Kind(kind), name, raw)
 }
 
-// Canonical decodes content strictly, fills in defaults, checks it and encodes
-// it again, so equal policy has equal bytes.
+// Canonical decodes content strictly, fills in defaults, validates it and encodes
+// it again, so that equal documents have equal bytes.
 func Canonical(kind Kind, name string, content []byte) (Document, error) {
 	value, err := decodeSpec(kind, name, content)
 	if err != nil {
--- a/internal/configuration/bundle/head.go
+++ b/internal/configuration/bundle/head.go
@@ -10,40 +10,41 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// SignOff is one operator's signature of a bundle.
+// SignOff is an operator's signature of a bundle.
 type SignOff struct {
 	Operator  string `json:"operator"`
 	Signature string `json:"signature"`
 }
 
-// Head is the one value operators race on: the newest accepted generation and
-// how far it is rolled. It is replaced by compare-and-swap only.
+// Head records the newest accepted generation and the zones that it is rolled out
+// to. It is replaced only by compare-and-swap, because several operators may change
+// it at the same time.
 //
-// Invariants relied on by every node: Revision grows by one with each change;
-// Generation never falls; a generation's digest never changes.
+// Invariants: each change increases Revision by one; Generation never decreases; the
+// digest of a generation never changes.
 type Head struct {
 	Revision   uint64 `json:"revision"`
 	Generation uint64 `json:"generation"`
 	Digest     string `json:"digest"`
-	// Stages are the lists of zones the generation is rolled by; Stage counts
-	// those it has reached.
+	// Stages lists the zones of each rollout stage of the generation. Stage is the
+	// number of stages that the rollout has reached.
 	Stages [][]string `json:"stages,omitempty"`
 	Stage  int        `json:"stage"`
 	Halted bool       `json:"halted,omitempty"`
-	// Zones hold what stages have put in force since the last roll to the whole
-	// fleet: a zone keeps it whatever is submitted next.
+	// Zones lists the zones that have a newer generation than the whole fleet. A
+	// zone keeps its generation when another one is submitted.
 	Zones []ZoneRoll `json:"zones,omitempty"`
-	// Rolled is the newest generation that reached the whole fleet.
+	// Rolled is the newest generation that was rolled out to the whole fleet.
 	Rolled       uint64    `json:"rolled"`
 	RolledDigest string    `json:"rolled_digest,omitempty"`
 	SignOffs     []SignOff `json:"sign_offs"`
-	// OperationID names the change that wrote this head, so that an operator
-	// whose answer was lost can read whether it took effect.
+	// OperationID identifies the change that wrote this head, so that an operator
+	// who got no response can find out whether the change took effect.
 	OperationID string    `json:"operation_id"`
 	ChangedAt   time.Time `json:"changed_at"`
 }
 
-// ZoneRoll is the generation a stage put in force in a zone.
+// ZoneRoll is the generation that a rollout stage activated in a zone.
 type ZoneRoll struct {
 	Zone       string `json:"zone"`
 	Generation uint64 `json:"generation"`
@@ -59,17 +60,17 @@
 	return &head, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the head.
 func (h *Head) Encode() []byte {
 	text, err := json.Marshal(h)
 	if err != nil {
-		panic("bundle: head cannot be encoded: " + err.Error()) // plain fields only
+		panic("bundle: head cannot be encoded: " + err.Error()) // impossible: all fields can be encoded
 	}
 	return text
 }
 
-// GenerationFor returns the generation that should be in force in the zone. It
-// never falls from one head to the next.
+// GenerationFor returns the generation that is to be active in the zone, and its
+// digest. The generation never decreases from one head to the next.
 func (h *Head) GenerationFor(zone string) (uint64, string) {
 	generation, digest := h.Rolled, h.RolledDigest
 	for _, rolled := range h.Zones {
@@ -80,8 +81,8 @@
 	return generation, digest
 }
 
-// rollZone puts the newest generation in force in a zone.
-func (h *Head) rollZone(zone string) {
+// setZone assigns the newest generation to a zone.
+func (h *Head) setZone(zone string) {
 	rolled := ZoneRoll{zone, h.Generation, h.Digest}
 	zones := make([]ZoneRoll, 0, len(h.Zones)+1)
 	for _, known := range h.Zones {
@@ -92,7 +93,7 @@
 	h.Zones = append(zones, rolled)
 }
 
-// Submission is a signed bundle offered as the next generation.
+// Submission is a signed bundle that is submitted as the next generation.
 type Submission struct {
 	Generation  uint64     `json:"generation"`
 	Documents   []Document `json:"documents"`
@@ -100,26 +101,27 @@
 	OperationID string     `json:"operation_id"`
 }
 
-// SigningMessage is what operators sign: cluster, generation and digest, so a
-// signature serves one place in one history.
+// SigningMessage returns the bytes that operators sign. They contain the cluster and
+// the generation, so that a signature is not valid for any other.
 func SigningMessage(cluster string, generation uint64, digest string) []byte {
 	return fmt.Appendf(nil, "cobaltramp bundle v1\n%s\n%d\n%s\n", cluster, generation, digest)
 }
 
-// Sign signs a bundle as the operator.
+// Sign returns the operator's signature of a bundle.
 func Sign(operator string, key ed25519.PrivateKey, cluster string, generation uint64, digest string) SignOff {
 	signature := ed25519.Sign(key, SigningMessage(cluster, generation, digest))
 	return SignOff{Operator: operator, Signature: base64.StdEncoding.EncodeToString(signature)}
 }
 
-// VerifySignOffs checks that enough operators of the judging snapshot signed.
-// The first generation is judged by its own operators. A failure is
-// SignatureInvalid.
-func VerifySignOffs(judge *Snapshot, cluster string, generation uint64, digest string, signOffs []SignOff) error {
+// VerifySignOffs checks that enough operators have signed a bundle. The operators
+// and the required number are those of the authority, which is the previous
+// generation, or the bundle itself for the first one. It returns SignatureInvalid
+// if the check fails.
+func VerifySignOffs(authority *Snapshot, cluster string, generation uint64, digest string, signOffs []SignOff) error {
 	message := SigningMessage(cluster, generation, digest)
 	valid := map[string]bool{}
 	for _, signOff := range signOffs {
-		operator, known := judge.Operators[signOff.Operator]
+		operator, known := authority.Operators[signOff.Operator]
 		if !known {
 			return result.New(result.SignatureInvalid, "operator %q is not named in the bundle that judges this one", signOff.Operator)
 		}
@@ -129,27 +131,28 @@
 		}
 		valid[signOff.Operator] = true
 	}
-	if len(valid) < judge.Policy.SignOffThreshold {
-		return result.New(result.SignatureInvalid, "%d of %d required sign-offs", len(valid), judge.Policy.SignOffThreshold)
+	if len(valid) < authority.Policy.SignOffThreshold {
+		return result.New(result.SignatureInvalid, "%d of %d required sign-offs", len(valid), authority.Policy.SignOffThreshold)
 	}
 	return nil
 }
 
-// Accept returns the head after a submission and its snapshot, or the error that
-// refuses it: BundleInvalid, GenerationConflict or SignatureInvalid.
-// current is nil for a cluster without a bundle; judge is its snapshot.
-func Accept(current *Head, judge *Snapshot, cluster string, submission *Submission, now time.Time) (*Head, *Snapshot, error) {
+// Accept validates a submission and returns the next head and the submission's
+// snapshot. It returns BundleInvalid, GenerationConflict or SignatureInvalid if the
+// submission is refused. authority is the snapshot of the current head; both are nil
+// in a cluster without a bundle.
+func Accept(current *Head, authority *Snapshot, cluster string, submission *Submission, now time.Time) (*Head, *Snapshot, error) {
 	proposed, err := Compile(submission.Generation, submission.Documents)
 	if err != nil {
 		return nil, nil, result.New(result.BundleInvalid, "%v", err)
 	}
-	if judge == nil {
-		judge = proposed
+	if authority == nil {
+		authority = proposed
 	}
 	if err := checkGeneration(current, submission.Generation); err != nil {
 		return nil, nil, err
 	}
-	if err := VerifySignOffs(judge, cluster, submission.Generation, proposed.Digest, submission.SignOffs); err != nil {
+	if err := VerifySignOffs(authority, cluster, submission.Generation, proposed.Digest, submission.SignOffs); err != nil {
 		return nil, nil, err
 	}
 	next := &Head{
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// RollAction is what an operator does to the newest generation.
+// RollAction is an operator's action on the rollout of the newest generation.
 type RollAction string
 
 // Roll actions.
@@ -186,7 +189,8 @@
 	RollHalt RollAction = "halt"
 )
 
-// Roll returns the head after one more stage, all stages, or a halt.
+// Roll returns the head after the next stage, after all stages, or after a halt of
+// the rollout.
 func Roll(current *Head, action RollAction, operationID string, now time.Time) (*Head, error) {
 	if current == nil {
 		return nil, result.New(result.NotFound, "no bundle was submitted yet")
@@ -207,13 +211,13 @@
 		return nil, result.New(result.InvalidRequest, "roll action %q, allowed: next, all or halt", action)
 	}
 	next.Halted = false
-	next.putInForce()
+	next.applyStages()
 	return &next, nil
 }
 
-// putInForce rolls the zones of the stages reached; after the last stage the
-// whole fleet has the generation, zones no stage names included.
-func (h *Head) putInForce() {
+// applyStages assigns the newest generation to the zones of the stages reached. After
+// the last stage the whole fleet has it, including zones that are in no stage.
+func (h *Head) applyStages() {
 	if h.Stage >= len(h.Stages) {
 		h.Rolled, h.RolledDigest = h.Generation, h.Digest
 		h.Zones = nil
@@ -221,13 +225,13 @@
 	}
 	for _, stage := range h.Stages[:h.Stage] {
 		for _, zone := range stage {
-			h.rollZone(zone)
+			h.setZone(zone)
 		}
 	}
 }
 
-// RollRequest asks for a roll action, signed by one operator of the newest
-// accepted bundle.
+// RollRequest requests a rollout action. An operator of the newest accepted bundle
+// signs it.
 type RollRequest struct {
 	Action      RollAction `json:"action"`
 	Generation  uint64     `json:"generation"`
@@ -239,15 +243,16 @@
 	return fmt.Appendf(nil, "cobaltramp roll v1\n%s\n%d\n%s\n%s\n", cluster, r.Generation, r.Action, r.OperationID)
 }
 
-// SignRoll signs a roll request as the operator.
+// SignRoll sets the request's signature to the operator's.
 func (r *RollRequest) SignRoll(operator string, key ed25519.PrivateKey, cluster string) {
 	signature := ed25519.Sign(key, r.message(cluster))
 	r.SignOff = SignOff{Operator: operator, Signature: base64.StdEncoding.EncodeToString(signature)}
 }
 
-// VerifyRoll checks the signature against the operators of a snapshot.
-func VerifyRoll(judge *Snapshot, cluster string, request *RollRequest) error {
-	operator, known := judge.Operators[request.SignOff.Operator]
+// VerifyRoll checks the signature of a roll request against the operators of the
+// authority. It returns SignatureInvalid if the check fails.
+func VerifyRoll(authority *Snapshot, cluster string, request *RollRequest) error {
+	operator, known := authority.Operators[request.SignOff.Operator]
 	if !known {
 		return result.New(result.SignatureInvalid, "operator %q is not named in the newest bundle", request.SignOff.Operator)
 	}
--- a/internal/configuration/bundle/schema.go
+++ b/internal/configuration/bundle/schema.go
@@ -1,8 +1,9 @@
-// Package bundle holds the versioned configuration operators sign and roll:
-// its schema, validation, canonical form, sign-offs, the head that says which
-// generation is accepted and rolled where, and the compiled snapshot that the
-// request path reads. It does no I/O and keeps nothing. The plain node runs it, and
-// the operators' verbs of the command line.
+// Package bundle defines the bundle: the versioned configuration that operators
+// sign and roll out. It contains the bundle's schema, validation and canonical
+// form, operators' signatures (sign-offs), the head that records the accepted
+// generation and the zones it is rolled out to, and the compiled snapshot that
+// the request path reads. The package does no I/O and has no state. Plain nodes
+// and the operators' commands use it.
 package bundle
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// Kind names a kind of document.
+// Kind is the kind of a document.
 type Kind string
 
 // Kinds of documents.
@@ -27,7 +28,7 @@
 	KindOperator Kind = "Operator"
 )
 
-// Duration is written like "1.5s" in YAML and JSON.
+// Duration is a duration that YAML and JSON write as, for example, "1.5s".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -47,104 +48,116 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Std returns the duration as a time.Duration.
+// Std converts the duration to a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Policy holds what applies to the whole fleet. A bundle has exactly one.
+// Policy holds the settings of the whole fleet. A bundle has exactly one.
 type Policy struct {
 	// SignOffThreshold is the number of operators who must sign the next
 	// generation (default 1).
 	SignOffThreshold int `json:"sign_off_threshold"`
-	// RequestTimeout bounds an online request that names no deadline (default 60s).
+	// RequestTimeout is the maximum duration of an online request, and the default
+	// for requests that set no timeout (default 60s).
 	RequestTimeout Duration `json:"request_timeout"`
-	// RetryBudget is the share of online traffic that may be retries, 0 to 1
-	// (default 0.1).
+	// RetryBudget is the maximum fraction of online traffic that may be retries,
+	// from 0 to 1 (default 0.1).
 	RetryBudget float64 `json:"retry_budget"`
-	// Stages are lists of zones rolled one after the other; empty rolls the
-	// whole fleet at once.
+	// Stages lists, for each rollout stage, the zones that get the generation.
+	// Without stages, a rollout reaches the whole fleet at once.
 	Stages [][]string `json:"stages,omitempty"`
-	// Batch steers batch work.
+	// Batch controls batch work.
 	Batch BatchPolicy `json:"batch"`
-	// DrainTimeout: a leaving runner's streams are moved after this (default 30s).
+	// DrainTimeout is how long streams may stay on a runner that leaves before they
+	// are moved (default 30s).
 	DrainTimeout Duration `json:"drain_timeout"`
 }
 
-// BatchPolicy steers batch work in idle capacity.
+// BatchPolicy controls batch work, which uses capacity that online requests leave
+// idle.
 type BatchPolicy struct {
-	// Mode is "managed" (default: preemption and a steered limit), "static"
-	// (batch has static_slots of each runner for itself), "priority_only" (batch
-	// fills every slot and relies on the engine's priorities) or "off". All but
-	// managed are baselines to compare with.
+	// Mode is "managed" (default: preemption and an adaptive concurrency limit),
+	// "static" (batch work has static_slots of each runner for itself),
+	// "priority_only" (batch work fills every slot and relies on the engine's
+	// priorities) or "off". The modes other than managed are baselines for
+	// comparison.
 	Mode string `json:"mode"`
-	// StaticSlots is batch's share of each runner in mode static.
+	// StaticSlots is the number of slots of each runner for batch work in mode
+	// static.
 	StaticSlots int `json:"static_slots,omitempty"`
-	// TailWeight says how strongly a late online token shrinks batch, 0 to 1:
-	// near 1 guards the tail, near 0 favours batch throughput (default 0.5).
+	// TailWeight, from 0 to 1, says how strongly a late online token reduces batch
+	// work: values near 1 protect online tail latency, values near 0 favour batch
+	// throughput (default 0.5).
 	TailWeight float64 `json:"tail_weight"`
-	// ReserveSlots are kept free of batch on each runner for bursts (default 1).
+	// ReserveSlots is the number of slots of each runner that batch work leaves
+	// free for bursts of online requests (default 1).
 	ReserveSlots int `json:"reserve_slots"`
-	// CompletionWindow is a job's deadline when it names none (default 24h).
+	// CompletionWindow is the maximum completion window of a job, and the default
+	// for jobs that set none (default 24h).
 	CompletionWindow Duration `json:"completion_window"`
-	// Retention is how long finished jobs, files and claims stay readable
+	// Retention is how long finished jobs, files and claims remain readable
 	// (default 72h).
 	Retention Duration `json:"retention"`
-	// MaxAttempts bounds runs of one repeatable item that keeps failing
+	// MaxAttempts is the maximum number of runs of a repeatable item that fails
 	// (default 5).
 	MaxAttempts int `json:"max_attempts"`
 }
 
 // Model is a served model.
 type Model struct {
-	// Version is the model version its runners load.
+	// Version is the version of the model that its runners load.
 	Version string `json:"version"`
-	// Adapters are loaded with the model and addressed as model names.
+	// Adapters lists adapters that are loaded with the model. Callers use their
+	// names like model names.
 	Adapters []string `json:"adapters,omitempty"`
-	// Service is the pool of runners that serve the model (the runner list's
-	// service label).
+	// Service is the pool of runners that serve the model: the service label in the
+	// runner list.
 	Service string `json:"service"`
-	// Slots is the number of sequences one runner runs at a time (default 16).
+	// Slots is the number of sequences that a runner processes at once (default 16).
 	Slots int `json:"slots"`
-	// FirstTokenTarget is the online time to first token to hold for 95 in 100
-	// (default 1.6s).
+	// FirstTokenTarget is the 95th-percentile target for the time to first token of
+	// online requests (default 1.6s).
 	FirstTokenTarget Duration `json:"first_token_target"`
-	// InterTokenTarget is the online time between tokens to hold for 95 in 100
-	// (default 36ms).
+	// InterTokenTarget is the 95th-percentile target for the time between tokens of
+	// online requests (default 36ms).
 	InterTokenTarget Duration `json:"inter_token_target"`
-	// MaxTokens bounds the tokens of one answer (default 1024).
+	// MaxTokens is the maximum number of tokens in a response (default 1024).
 	MaxTokens int `json:"max_tokens"`
 }
 
-// Tenant is a caller with its keys and limits.
+// Tenant is a customer with its API keys and limits.
 type Tenant struct {
-	// KeyHashes are SHA-256 hashes, in hex, of the tenant's API keys.
+	// KeyHashes lists the SHA-256 hashes, in hex, of the tenant's API keys.
 	KeyHashes []string `json:"key_hashes"`
-	// Models the tenant may call; empty allows all.
+	// Models lists the models that the tenant may call; empty allows all.
 	Models []string `json:"models,omitempty"`
-	// HomeRegion keeps the tenant's jobs and idempotency keys. Default: the
-	// first region with disks, in alphabetical order.
+	// HomeRegion is the region that stores the tenant's jobs and idempotency keys
+	// (default: the first region with disks in alphabetical order).
 	HomeRegion string `json:"home_region,omitempty"`
-	// RequestsPerSecond bounds online requests; 0 is no limit.
+	// RequestsPerSecond is the maximum rate of online requests; 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
-	// Burst is the number of requests above the rate taken at once (default:
-	// one second's worth).
+	// Burst is the number of requests accepted at once above the rate (default: the
+	// requests of one second).
 	Burst int `json:"burst,omitempty"`
-	// Concurrent bounds online requests in flight; 0 is no limit.
+	// Concurrent is the maximum number of online requests in flight; 0 means no
+	// limit.
 	Concurrent int `json:"concurrent,omitempty"`
-	// TokensPerMinute bounds generated tokens; 0 is no limit.
+	// TokensPerMinute is the maximum rate of generated tokens; 0 means no limit.
 	TokensPerMinute int `json:"tokens_per_minute,omitempty"`
-	// BatchPriority orders the tenant's jobs, 0 (last) to 9 (default 5).
+	// BatchPriority orders the jobs of different tenants, from 0 (lowest) to 9
+	// (default 5).
 	BatchPriority int `json:"batch_priority,omitempty"`
-	// DefaultClass is "repeatable" (default) or "once".
+	// DefaultClass is the work class of requests that name none: "repeatable"
+	// (default) or "once".
 	DefaultClass string `json:"default_class,omitempty"`
 }
 
-// Operator may sign off bundles.
+// Operator is a person who may sign bundles.
 type Operator struct {
 	// PublicKey is the operator's Ed25519 public key in base64.
 	PublicKey string `json:"public_key"`
 }
 
-// FieldError is a bad value in a document.
+// FieldError reports an invalid value in a document.
 type FieldError struct {
 	Kind    Kind
 	Name    string
@@ -158,7 +171,7 @@
 	return fmt.Sprintf("%s %q, %s: found %s, allowed: %s", e.Kind, e.Name, e.Field, e.Found, e.Allowed)
 }
 
-// Defaults, as documented on the fields.
+// Defaults of the fields.
 const (
 	defaultRequestTimeout   = Duration(60 * time.Second)
 	defaultRetryBudget      = 0.1
@@ -175,7 +188,7 @@
 	defaultDrainTimeout     = Duration(30 * time.Second)
 )
 
-// Batch modes as written in the policy.
+// Batch modes in BatchPolicy.
 const (
 	BatchManaged      = "managed"
 	BatchStatic       = "static"
@@ -183,7 +196,7 @@
 	BatchOff          = "off"
 )
 
-// Work classes as written in documents and headers.
+// Work classes in documents and request headers.
 const (
 	ClassRepeatable = "repeatable"
 	ClassOnce       = "once"
@@ -213,13 +226,13 @@
 	return Tenant{BatchPriority: defaultBatchPriority, DefaultClass: ClassRepeatable}
 }
 
-type checker struct {
+type fieldChecker struct {
 	kind Kind
 	name string
 	err  error
 }
 
-func (c *checker) require(ok bool, field string, found any, allowed string) {
+func (c *fieldChecker) require(ok bool, field string, found any, allowed string) {
 	if ok || c.err != nil {
 		return
 	}
@@ -231,7 +244,7 @@
 const nameAllowed = "1 to 63 lower-case letters, digits, dots, dashes or underscores"
 
 func (p *Policy) check(name string) error {
-	c := &checker{kind: KindPolicy, name: name}
+	c := &fieldChecker{kind: KindPolicy, name: name}
 	c.require(p.SignOffThreshold >= 1 && p.SignOffThreshold <= 16, "sign_off_threshold", p.SignOffThreshold, "1 to 16")
 	c.require(p.RequestTimeout > 0, "request_timeout", p.RequestTimeout.Std(), "more than 0s")
 	c.require(p.RetryBudget >= 0 && p.RetryBudget <= 1, "retry_budget", p.RetryBudget, "0 to 1")
@@ -251,7 +264,7 @@
 }
 
 func (m *Model) check(name string) error {
-	c := &checker{kind: KindModel, name: name}
+	c := &fieldChecker{kind: KindModel, name: name}
 	c.require(m.Version != "", "version", m.Version, "the version to load")
 	c.require(m.Service != "", "service", m.Service, "the service label of the model's runners")
 	c.require(m.Slots >= 1 && m.Slots <= 4096, "slots", m.Slots, "1 to 4096")
@@ -265,7 +278,7 @@
 }
 
 func (t *Tenant) check(name string) error {
-	c := &checker{kind: KindTenant, name: name}
+	c := &fieldChecker{kind: KindTenant, name: name}
 	c.require(len(t.KeyHashes) > 0, "key_hashes", "none", "one SHA-256 hash in hex or more")
 	for i, hash := range t.KeyHashes {
 		decoded, err := hex.DecodeString(hash)
@@ -281,13 +294,13 @@
 }
 
 func (o *Operator) check(name string) error {
-	c := &checker{kind: KindOperator, name: name}
+	c := &fieldChecker{kind: KindOperator, name: name}
 	decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(o.PublicKey))
 	c.require(err == nil && len(decoded) == ed25519.PublicKeySize, "public_key", o.PublicKey, "an Ed25519 public key of 32 bytes in base64")
 	return c.err
 }
 
-// Key decodes the operator's public key, which check has accepted.
+// Key returns the operator's decoded public key, or nil if it is invalid.
 func (o *Operator) Key() ed25519.PublicKey {
 	decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(o.PublicKey))
 	if err != nil {
--- a/internal/configuration/bundle/snapshot.go
+++ b/internal/configuration/bundle/snapshot.go
@@ -4,13 +4,14 @@
 	"crypto/sha256"
 )
 
-// CompiledModel is a model ready for the request path.
+// CompiledModel is a model with its name.
 type CompiledModel struct {
 	Name string
 	Model
 }
 
-// CompiledTenant is a tenant ready for the request path.
+// CompiledTenant is a tenant with its name and an index of the models that it may
+// call.
 type CompiledTenant struct {
 	Name string
 	Tenant
@@ -22,26 +23,26 @@
 	return len(t.allowed) == 0 || t.allowed[model]
 }
 
-// Snapshot is an immutable compiled bundle. Request handlers load it once per
-// request through an atomic pointer and never see two generations. A following
-// snapshot shares what did not change.
+// Snapshot is an immutable compiled bundle. A request handler loads it once per
+// request, so that a request never sees two generations. Successive snapshots
+// share the data that did not change.
 type Snapshot struct {
 	Generation uint64
 	Digest     string
 	Policy     Policy
-	// Models by name, adapters included under their own names.
+	// Models holds the models by name. An adapter's name refers to its model.
 	Models    map[string]*CompiledModel
 	Operators map[string]*Operator
 
 	policies    int
-	documents   *bucketMap[Key, entry]
+	documents   *bucketMap[Key, compiledDocument]
 	tenantByKey *bucketMap[Hash, *CompiledTenant]
 	digests     [bucketCount]Hash
 }
 
-// entry keeps a document with its compiled value, so that a new snapshot
-// decodes only what changed.
-type entry struct {
+// compiledDocument is a document with its hash and its compiled value. Snapshots
+// share it, so that a new snapshot decodes only changed documents.
+type compiledDocument struct {
 	document Document
 	hash     Hash
 	value    any
@@ -54,18 +55,19 @@
 
 func bucketOfHash(hash Hash) uint8 { return hash[0] }
 
-func emptySnapshot() *Snapshot {
-	s := &Snapshot{documents: newBucketMap[Key, entry](bucketOfKey), tenantByKey: newBucketMap[Hash, *CompiledTenant](bucketOfHash)}
+func newEmptySnapshot() *Snapshot {
+	s := &Snapshot{documents: newBucketMap[Key, compiledDocument](bucketOfKey), tenantByKey: newBucketMap[Hash, *CompiledTenant](bucketOfHash)}
 	for bucket := range s.digests {
 		s.digests[bucket] = digestBucket(nil)
 	}
 	return s
 }
 
-// HashKey returns the hash under which an API key is stored.
+// HashKey returns the hash of an API key, which the bundle contains in place of the
+// key.
 func HashKey(key string) Hash { return sha256.Sum256([]byte(key)) }
 
-// TenantByKey finds the tenant of an API key.
+// TenantByKey returns the tenant that has the API key, if there is one.
 func (s *Snapshot) TenantByKey(key string) (*CompiledTenant, bool) {
 	return s.tenantByKey.get(HashKey(key))
 }
@@ -73,10 +75,10 @@
 // Tenants returns the number of tenants.
 func (s *Snapshot) Tenants() int { return len(s.allTenants()) }
 
-// Documents returns all documents in order.
+// Documents returns all documents, sorted by kind and name.
 func (s *Snapshot) Documents() []Document {
 	documents := make([]Document, 0, s.documents.size)
-	s.documents.each(func(_ Key, known entry) { documents = append(documents, known.document) })
+	s.documents.forEach(func(_ Key, known compiledDocument) { documents = append(documents, known.document) })
 	Sort(documents)
 	return documents
 }
--- a/internal/configuration/catalog/catalog.go
+++ b/internal/configuration/catalog/catalog.go
@@ -1,11 +1,11 @@
-// Package catalog holds what the operators' configuration says about requests:
-// routes, the services behind them, tenants with their keys, and limits on what
-// callers may send. A Catalog is immutable; a Holder swaps the one in force and never
-// goes back to an older version.
+// Package catalog holds the operators' configuration of requests: routes, the
+// services behind them, tenants with their keys, and limits on callers' requests.
+// A Catalog is one immutable version of the configuration. A Holder keeps the
+// active version and never returns to an older one.
 //
-// It owns the version in force, in memory; what reads the configuration's document
-// lies outside. It relies on nothing else. The edge and the storage node run it; the
-// plain node has package bundle instead.
+// The package keeps the active version in memory and depends on nothing else;
+// other packages read and parse the configuration document. Edges and storage
+// nodes use it; a plain node uses package bundle instead.
 package catalog
 
 import (
@@ -17,16 +17,19 @@
 // Service is a pool of runners.
 type Service struct {
 	Name string
-	// Slots a runner works on at once; 0 if not stated.
+	// Slots is the number of requests that a runner processes at once; 0 means
+	// unknown.
 	Slots int
-	// MaxConnections a runner takes from all callers together; 0 if not stated.
+	// MaxConnections is the number of connections that a runner accepts from all
+	// nodes together; 0 means unknown.
 	MaxConnections int
-	// CacheTokens is a runner's memory for prompts.
+	// CacheTokens is the size of a runner's cache in tokens, which running
+	// requests and cached prompts share.
 	CacheTokens int
 	HealthPath  string
 }
 
-// RequestLimits bound what a caller may send.
+// RequestLimits bounds the size and duration of callers' requests.
 type RequestLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -39,24 +42,24 @@
 	Version  uint64
 	Services map[string]*Service
 	Limits   RequestLimits
-	// hosts holds each host's routes, longest prefix first.
-	hosts map[string][]*Route
-	count int
-	// tenants by name, and by the digests of their keys.
+	// hosts holds each host's routes, the longest prefix first.
+	hosts      map[string][]*Route
+	routeCount int
+	// tenants holds the tenants by name, keys by the digests of their keys.
 	tenants map[string]*Tenant
 	keys    map[KeyDigest]*Tenant
 }
 
-// New checks and indexes a version.
+// New validates and indexes a version without tenants; SetTenants adds them.
 func New(version uint64, routes []*Route, services []*Service, limits RequestLimits) (*Catalog, error) {
 	c := &Catalog{
-		Version: version, Services: map[string]*Service{}, Limits: limits, hosts: map[string][]*Route{}, count: len(routes),
+		Version: version, Services: map[string]*Service{}, Limits: limits, hosts: map[string][]*Route{}, routeCount: len(routes),
 	}
 	for _, service := range services {
 		c.Services[service.Name] = service
 	}
 	for _, route := range routes {
-		if err := check(route); err != nil {
+		if err := checkRoute(route); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(route.Host)
@@ -68,10 +71,11 @@
 	return c, nil
 }
 
-// Routes returns how many routes the version has.
-func (c *Catalog) Routes() int { return c.count }
+// RouteCount returns the number of routes in the version.
+func (c *Catalog) RouteCount() int { return c.routeCount }
 
-// Match finds the route of a host and path, nil if there is none.
+// Match returns the route with the longest prefix of the path on the host, or nil
+// if no route matches.
 func (c *Catalog) Match(host, path string) *Route {
 	for _, route := range c.hosts[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -81,7 +85,7 @@
 	return nil
 }
 
-// hostName drops a port and folds case.
+// hostName removes the port and converts the host to lower case.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
 		host = host[:colon]
--- a/internal/configuration/catalog/catalog_test.go
+++ b/internal/configuration/catalog/catalog_test.go
@@ -15,7 +15,7 @@
 	return &Route{Name: host + prefix, Host: host, PathPrefix: prefix, Services: append(parts, WeightedService{"s", 1})}
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchPicksLongestPrefixOfHost(t *testing.T) {
 	is := is.New(t)
 	c, err := New(1, []*Route{routeAt("a", "/x/"), routeAt("a", "/x/y/"), routeAt("b", "/")}, nil, RequestLimits{})
 	is.NoErr(err)
@@ -26,8 +26,9 @@
 	is.True(c.Match("c", "/x/") == nil)
 }
 
-// The version in force never falls, in whatever order versions are offered.
-func TestVersionNeverFalls(t *testing.T) {
+// Guards against an older version replacing a newer one when versions arrive out
+// of order.
+func TestActiveVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holder := NewHolder()
 		highest := uint64(0)
@@ -38,18 +39,19 @@
 			}
 			taken := holder.UpdateIfNewer(next, nil, 0, time.Now())
 			if taken != (version > highest) {
-				t.Fatalf("version %d after %d taken: %v", version, highest, taken)
+				t.Fatalf("version %d after %d activated: %v", version, highest, taken)
 			}
 			highest = max(highest, version)
 			if holder.Current().Version != highest {
-				t.Fatalf("version %d in force, want %d", holder.Current().Version, highest)
+				t.Fatalf("version %d is active, want %d", holder.Current().Version, highest)
 			}
 		}
 	})
 }
 
-// Each part of a split gets its share, and a request always the same part.
-func TestSplitFollowsWeights(t *testing.T) {
+// Each service must get requests in proportion to its weight, and the same
+// request must always go to the same service.
+func TestServicesGetRequestsByWeight(t *testing.T) {
 	is := is.New(t)
 	route := &Route{Name: "r", Services: []WeightedService{{"a", 70}, {"b", 30}, {"none", 0}}}
 	counts := map[string]int{}
@@ -63,7 +65,7 @@
 	is.True(counts["a"] > 13700 && counts["a"] < 14300)
 }
 
-func TestWhatMayRepeat(t *testing.T) {
+func TestMayRepeatByRouteKind(t *testing.T) {
 	is := is.New(t)
 	is.True((&Route{Kind: Repeatable}).MayRepeat())
 	is.True(!(&Route{Kind: Once}).MayRepeat())
@@ -71,7 +73,7 @@
 	is.True((&Route{Kind: Streaming, Resumable: true}).MayRepeat())
 }
 
-func TestUnservableRoutes(t *testing.T) {
+func TestInvalidRoutesAreRefused(t *testing.T) {
 	is := is.New(t)
 	for _, route := range []*Route{
 		{Name: "no prefix", Services: []WeightedService{{"s", 1}}},
--- a/internal/configuration/catalog/holder.go
+++ b/internal/configuration/catalog/holder.go
@@ -6,63 +6,65 @@
 	"time"
 )
 
-// Holder holds the version in force.
+// Holder holds the active version of the configuration.
 //
-// Invariant: the version never falls within the life of the process.
+// Invariant: the version number never decreases while the process runs.
 type Holder struct {
-	current atomic.Pointer[entry]
+	active  atomic.Pointer[activeVersion]
 	mutex   sync.Mutex
 	changed chan struct{}
 }
 
-type entry struct {
+type activeVersion struct {
 	catalog  *Catalog
 	document []byte
 	revision int64
 	since    time.Time
 }
 
-// NewHolder returns a holder without a version.
+// NewHolder returns a Holder without an active version.
 func NewHolder() *Holder { return &Holder{changed: make(chan struct{})} }
 
-// Current returns the version in force, nil before the first.
+// Current returns the active version, or nil if there is none yet.
 func (h *Holder) Current() *Catalog {
-	if held := h.current.Load(); held != nil {
+	if held := h.active.Load(); held != nil {
 		return held.catalog
 	}
 	return nil
 }
 
-// Age returns how long the version has been in force.
+// Age returns how long the version has been active.
 func (h *Holder) Age(now time.Time) time.Duration {
-	if held := h.current.Load(); held != nil {
+	if held := h.active.Load(); held != nil {
 		return now.Sub(held.since)
 	}
 	return 0
 }
 
-// Document returns the version's source and its revision, for peers.
+// Document returns the source text of the active version and its revision, so
+// that peers can fetch them.
 func (h *Holder) Document() ([]byte, int64) {
-	if held := h.current.Load(); held != nil {
+	if held := h.active.Load(); held != nil {
 		return held.document, held.revision
 	}
 	return nil, 0
 }
 
-// UpdateIfNewer puts a version in force if it is newer than the one in force.
+// UpdateIfNewer activates a version if it is newer than the active one, and
+// reports whether it did.
 func (h *Holder) UpdateIfNewer(next *Catalog, document []byte, revision int64, now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if held := h.current.Load(); held != nil && held.catalog.Version >= next.Version {
+	if held := h.active.Load(); held != nil && held.catalog.Version >= next.Version {
 		return false
 	}
-	h.current.Store(&entry{next, document, revision, now})
+	h.active.Store(&activeVersion{next, document, revision, now})
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true
 }
 
-// Changed returns a channel that closes when the next version is in force.
+// Changed returns a channel that is closed when the next version becomes active.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/configuration/catalog/route.go
+++ b/internal/configuration/catalog/route.go
@@ -7,64 +7,70 @@
 	"time"
 )
 
-// RouteKind says what a route's requests are and what may be repeated.
+// RouteKind says how a route's requests are answered and whether they may run more
+// than once.
 type RouteKind uint8
 
 // Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable RouteKind = iota
-	// Once requests run at most once for each try.
+	// Once requests run at most once each time the caller sends them.
 	Once
-	// Streaming requests are answered by events; they run at most once unless
-	// the route is resumable.
+	// Streaming requests are answered with a stream of events. They run at most
+	// once unless the route is resumable.
 	Streaming
-	// Batch routes take jobs of many items.
+	// Batch routes accept jobs, which consist of items.
 	Batch
 )
 
-// WeightedService is one service of a route and its share of the requests.
+// WeightedService is a service of a route with its weight in the distribution of
+// requests.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route is one rule of the configuration.
+// Route maps requests for a host and a path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the longest time a request is held; 0 is no limit.
+	// Timeout is the maximum duration of a request; 0 means no limit.
 	Timeout time.Duration
-	// Target is the time within which an answer earns its full credit.
+	// Target is the target response time: of a stream up to its first event, of a
+	// job up to its acceptance.
 	Target time.Duration
-	// GapTarget is the longest pause between events that is still in time.
+	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// Attempts is the greatest number of runners one try may run on.
+	// Attempts is the maximum number of runners to which a request is sent.
 	Attempts int
-	// Priority is the rank; 0 is the highest.
+	// Priority orders routes; 0 is the highest priority.
 	Priority int
-	// Resumable streams may go on at another runner after the last event.
+	// Resumable streams can continue on another runner after their last event.
 	Resumable bool
 	// Public requests need no key.
 	Public bool
-	// Services are the services; weights are positive.
+	// Services lists the services that share the route's requests.
 	Services []WeightedService
-	// ResultTarget, GiveUp, MaxWaitingTokens are of batch routes: when results
-	// are due, when an item may be given up, and how many tokens may wait (0 is
-	// no limit).
+	// The next three fields apply to batch routes. ResultTarget is the time from
+	// a job's submission until all its results are due, and MaxWait the time until
+	// its unfinished items may expire. MaxWaitingTokens is the maximum number of
+	// tokens that may wait on all nodes together; 0 means no limit.
 	ResultTarget     time.Duration
-	GiveUp           time.Duration
+	MaxWait          time.Duration
 	MaxWaitingTokens uint64
 }
 
-// MayRepeat reports whether a request may run again after an unknown outcome.
+// MayRepeat reports whether a request may run again after an attempt whose outcome
+// is unknown.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Batch || r.Kind == Streaming && r.Resumable
 }
 
-// ServiceFor picks the part of a request, the same for the same id.
+// ServiceFor selects the service of a request by weight. The same request ID always
+// gets the same service.
 func (r *Route) ServiceFor(id string) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -76,10 +82,10 @@
 	if total == 0 {
 		return ""
 	}
-	digest := fnv.New64a() // its writes never fail
+	digest := fnv.New64a() // its Write never returns an error
 	_, _ = digest.Write([]byte(r.Name))
 	_, _ = digest.Write([]byte(id))
-	at := int(mix(digest.Sum64()) % uint64(total))
+	at := int(mixBits(digest.Sum64()) % uint64(total))
 	for _, part := range r.Services {
 		if at < part.Weight {
 			return part.Service
@@ -89,15 +95,17 @@
 	return ""
 }
 
-// mix spreads the low bits of an FNV digest.
-func mix(value uint64) uint64 {
+// mixBits distributes the entropy of an FNV hash over all bits, because its low
+// bits alone are unevenly distributed.
+func mixBits(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
 	return value
 }
 
-// InvalidRouteError says why a version cannot be served.
+// InvalidRouteError reports an invalid field of a route, which makes the whole
+// version invalid.
 type InvalidRouteError struct {
 	Route, Field, Found, Allowed string
 }
@@ -107,7 +115,7 @@
 	return fmt.Sprintf("route %s: %s: found %q, allowed: %s", e.Route, e.Field, e.Found, e.Allowed)
 }
 
-func check(route *Route) error {
+func checkRoute(route *Route) error {
 	if !strings.HasPrefix(route.PathPrefix, "/") {
 		return &InvalidRouteError{route.Name, "path prefix", route.PathPrefix, "a text that begins with a slash"}
 	}
--- a/internal/configuration/catalog/tenants.go
+++ b/internal/configuration/catalog/tenants.go
@@ -7,34 +7,35 @@
 	"unicode"
 )
 
-// Tenant is a customer whose requests share limits.
+// Tenant is a customer whose requests share one rate limit.
 type Tenant struct {
 	Name string
-	// Priority is the rank of the tenant's requests, ahead of their route's; 0 is
-	// the highest.
+	// Priority orders the tenant's requests and takes precedence over their
+	// route's priority; 0 is the highest.
 	Priority int
-	// RatePerSecond is how many requests a second the tenant may send over all
-	// nodes together; 0 is no limit. Burst is how many more at once.
+	// RatePerSecond is the number of requests per second that the tenant may send
+	// to all nodes together; 0 means no limit. Burst is the number of requests
+	// that it may send at once beyond the rate.
 	RatePerSecond float64
 	Burst         float64
 }
 
-// TenantSpec is a tenant as a configuration states it, with its keys.
+// TenantSpec is a tenant with its keys, as written in the configuration.
 type TenantSpec struct {
 	Tenant
 	Keys []string
 }
 
-// KeyDigest stands for a caller's key: a key itself is kept nowhere but in the
-// configuration's own text.
+// KeyDigest is the SHA-256 digest of a caller's key. Keys themselves are kept only
+// in the configuration's source text.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key. Keys are found by it, so that the time
-// of a look-up reveals nothing of the keys there are.
+// DigestKey returns the digest of a key. Look-ups use the digest so that their
+// duration reveals nothing about existing keys.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// InvalidTenantError says which tenant of a version cannot be served. It never
-// holds a key.
+// InvalidTenantError reports an invalid field of a tenant, which makes the whole
+// version invalid. It never contains a key.
 type InvalidTenantError struct {
 	Tenant, Field, Found, Allowed string
 }
@@ -44,8 +45,8 @@
 	return fmt.Sprintf("tenant %q: %s: found %s, allowed: %s", e.Tenant, e.Field, e.Found, e.Allowed)
 }
 
-// SetTenants checks and indexes the tenants of a version that is not in force
-// yet. Without any, requests carry no keys.
+// SetTenants validates and indexes the tenants of a version that is not active yet.
+// In a version without tenants, requests need no keys.
 func (c *Catalog) SetTenants(specs []TenantSpec) error {
 	c.tenants = map[string]*Tenant{}
 	c.keys = map[KeyDigest]*Tenant{}
@@ -59,7 +60,7 @@
 
 func (c *Catalog) addTenant(spec *TenantSpec) error {
 	switch {
-	case !cleanName(spec.Name):
+	case !validTenantName(spec.Name):
 		return &InvalidTenantError{spec.Name, "name", "it", "1 to 128 printable characters without a slash, no blank at either end"}
 	case c.tenants[spec.Name] != nil:
 		return &InvalidTenantError{spec.Name, "name", "it twice", "a name of its own for each tenant"}
@@ -86,9 +87,9 @@
 
 const maxTenantNameBytes = 128
 
-// cleanName reports whether a tenant's name can stand in a header field and in
-// the ids of jobs.
-func cleanName(name string) bool {
+// validTenantName reports whether a name can be used in header fields and in the
+// IDs of jobs.
+func validTenantName(name string) bool {
 	if name == "" || len(name) > maxTenantNameBytes || strings.TrimSpace(name) != name {
 		return false
 	}
@@ -97,23 +98,23 @@
 	})
 }
 
-// RequiresKeys reports whether requests carry keys in this version.
+// RequiresKeys reports whether requests need keys in this version.
 func (c *Catalog) RequiresKeys() bool { return len(c.tenants) > 0 }
 
-// TenantOf returns the tenant that holds a key, nil if none does.
+// TenantOf returns the tenant that has the key, or nil if the key is unknown.
 func (c *Catalog) TenantOf(key string) *Tenant { return c.keys[DigestKey(key)] }
 
-// Tenant returns a tenant by name, nil if there is none.
+// Tenant returns the tenant with the name, or nil if there is none.
 func (c *Catalog) Tenant(name string) *Tenant { return c.tenants[name] }
 
-// Tenants returns how many tenants the version has.
-func (c *Catalog) Tenants() int { return len(c.tenants) }
+// TenantCount returns the number of tenants in the version.
+func (c *Catalog) TenantCount() int { return len(c.tenants) }
 
-// Limited reports whether the tenant's requests a second are limited.
-func (t *Tenant) Limited() bool { return t != nil && t.RatePerSecond > 0 }
+// HasRateLimit reports whether the tenant has a rate limit.
+func (t *Tenant) HasRateLimit() bool { return t != nil && t.RatePerSecond > 0 }
 
-// PublicJobs reports whether a host has a batch route that needs no key.
-func (c *Catalog) PublicJobs(host string) bool {
+// HasPublicBatchRoute reports whether the host has a batch route that needs no key.
+func (c *Catalog) HasPublicBatchRoute(host string) bool {
 	for _, route := range c.hosts[hostName(host)] {
 		if route.Kind == Batch && route.Public {
 			return true
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -1,5 +1,6 @@
-// Package configuration groups what operators decide: settings of a process
-// (settings, all programs), the signed bundle of the plain node (bundle) and the
-// routes, services and tenants that an edge or a storage node takes from the
-// platform's store (catalog). It holds no code itself.
+// Package configuration groups the packages for configuration that operators
+// write: the settings file of a process (settings, used by all programs), the
+// signed bundle of a plain node (bundle), and the routes, services and tenants
+// that an edge or a storage node reads from the platform's store (catalog). It
+// contains no code itself.
 package configuration
--- a/internal/configuration/settings/check.go
+++ b/internal/configuration/settings/check.go
@@ -12,13 +12,13 @@
 	"github.com/gravitational/trace"
 )
 
-// FieldError is a bad value of one field.
+// FieldError reports an invalid value of a field.
 type FieldError struct {
 	// Path is the field's path, for example "node.zone".
 	Path string
-	// Found is what the field holds.
+	// Found is the field's value.
 	Found string
-	// Allowed says what it may hold.
+	// Allowed describes the allowed values.
 	Allowed string
 }
 
@@ -31,7 +31,7 @@
 
 const nameAllowed = "1 to 63 letters, digits, dots, colons, dashes or underscores, starting with a letter or digit"
 
-// Validate returns the first bad field as a *FieldError.
+// Validate checks all fields and returns a *FieldError for the first invalid one.
 func (s *Settings) Validate() error {
 	checks := []func() error{s.checkNames, s.checkAddresses, s.checkPlatform, s.checkNumbers, s.checkTLS}
 	for _, check := range checks {
@@ -111,11 +111,11 @@
 }
 
 const (
-	// MaxShards bounds the number of batch shards.
+	// MaxShards is the maximum number of batch shards.
 	MaxShards = 4096
-	// minListInterval keeps a node from reading the platform's lists all the time.
+	// minListInterval limits the load that a node puts on the platform's lists.
 	minListInterval = 100 * time.Millisecond
-	// minBodyBytes holds the smallest useful request.
+	// minBodyBytes is large enough for a short request.
 	minBodyBytes = 1024
 )
 
@@ -135,8 +135,9 @@
 	return nil
 }
 
-// locate adds the line of the bad field, when the file has it.
-func locate(text []byte, err error) error {
+// addLineNumber adds the line of the invalid field to the error, or says that the
+// field is missing.
+func addLineNumber(text []byte, err error) error {
 	field, ok := err.(*FieldError)
 	if !ok {
 		return trace.Wrap(err)
--- a/internal/configuration/settings/role.go
+++ b/internal/configuration/settings/role.go
@@ -13,118 +13,122 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// Role is the settings file of an edge or a storage node: a node whose
-// configuration, runner list and member sets lie in the platform's store.
+// Role is the settings file of an edge or a storage node. Such a node reads the
+// configuration, the runner list and the member sets from the platform's store.
 //
-// Decoding is strict, so a key that nothing reads any more stays here: a file
-// that carries it must still load. The comment of such a field says that it is
-// accepted and without effect.
+// Some keys have no effect. They remain because decoding is strict and files
+// that contain them must load. The comments of their fields say so.
 type Role struct {
-	// Cluster names the deployment; nodes of different clusters refuse each other.
+	// Cluster is the name of the deployment. Nodes of different clusters refuse
+	// connections from each other.
 	Cluster string `yaml:"cluster"`
-	// Node is the machine's name, unique in the cluster.
+	// Node is the node's name, unique in the cluster.
 	Node string `yaml:"node"`
-	// Zone is the failure domain the node stands in; Region groups zones.
+	// Zone is the node's failure domain. Region is the group of zones to which it
+	// belongs.
 	Zone   string `yaml:"zone"`
 	Region string `yaml:"region"`
-	// Address is the IP number other nodes reach this one at.
+	// Address is the IP address on which the node serves other nodes.
 	Address string `yaml:"address"`
-	// Ports are the first and last port free for traffic between nodes. The
-	// first one is used.
+	// Ports holds the first and the last port available for traffic between
+	// nodes. Only the first port is used.
 	Ports []int `yaml:"ports"`
-	// Listen says where the node serves others.
+	// Listen gives the node's other listening addresses.
 	Listen RoleListen `yaml:"listen"`
-	// DataFolder is the folder on a storage node's disk.
+	// DataFolder is the data folder of a storage node.
 	DataFolder string `yaml:"data_folder"`
-	// Seeds are peer addresses (IP:port) that may be stale or down.
+	// Seeds lists addresses (IP:port) of nodes to contact first. Some of them may
+	// be stale or down.
 	Seeds []string `yaml:"seeds"`
-	// FirstStart is true when the whole deployment starts on empty disks.
+	// FirstStart is true when the whole deployment starts with empty disks.
 	FirstStart bool `yaml:"first_start"`
-	// DiskLosses is how many disks may be lost at once without losing what was
-	// acknowledged.
+	// DiskLosses is the number of disks that may be lost at once without losing
+	// acknowledged data.
 	DiskLosses int `yaml:"disk_losses"`
-	// Store is the platform's store.
+	// Store describes the platform's store.
 	Store RoleStore `yaml:"store"`
-	// Machine is what the node may use.
+	// Machine gives the resources that the node may use.
 	Machine RoleMachine `yaml:"machine"`
-	// Bounds are what the deployment promises its callers and operators.
+	// Bounds holds the time limits and tolerances that the deployment guarantees
+	// to callers and operators.
 	Bounds RoleBounds `yaml:"bounds"`
 }
 
-// RoleListen says where a node serves others; addresses are IP:port.
+// RoleListen gives a node's listening addresses, each as IP:port.
 type RoleListen struct {
-	// Callers is the address of the callers' interface, on edges.
+	// Callers is the address of an edge's API for callers.
 	Callers string `yaml:"callers"`
-	// Readiness is the address that answers whether the node takes connections.
+	// Readiness is the address of the readiness probe, which reports whether the
+	// node accepts connections.
 	Readiness string `yaml:"readiness"`
-	// Peers is the address that seeds name, on nodes that can be a seed.
+	// Peers is the address under which other nodes list this node as a seed.
 	Peers string `yaml:"peers"`
-	// MetricsPort serves the node's counters; 0 serves none.
+	// MetricsPort is the port of the node's metrics; 0 disables them.
 	MetricsPort int `yaml:"metrics_port"`
 }
 
-// RoleStore is the platform's store.
+// RoleStore describes the platform's store.
 type RoleStore struct {
-	// Address is IP:port.
+	// Address is the store's IP:port.
 	Address string `yaml:"address"`
-	// WritesPerSecond and ReadsPerSecond are what the store takes of all nodes
-	// together. Accepted and without effect.
+	// WritesPerSecond and ReadsPerSecond are the store's rate limits for all
+	// nodes together. Both are accepted but have no effect.
 	WritesPerSecond float64 `yaml:"writes_per_second"`
 	ReadsPerSecond  float64 `yaml:"reads_per_second"`
-	// ValueBytes bounds one value.
+	// ValueBytes is the maximum size of a value.
 	ValueBytes int `yaml:"value_bytes"`
-	// HistorySeconds is how long the store keeps the history of its changes for
-	// watches; 0 if not known.
+	// HistorySeconds is how long the store keeps past changes for watches; 0
+	// means unknown.
 	HistorySeconds float64 `yaml:"history_seconds"`
 }
 
-// History is how long the store keeps the history of its changes for watches;
-// 0 if not known.
-func (s *RoleStore) History() time.Duration {
+// HistoryRetention returns how long the store keeps past changes for watches; 0
+// means unknown.
+func (s *RoleStore) HistoryRetention() time.Duration {
 	return time.Duration(s.HistorySeconds * float64(time.Second))
 }
 
-// RoleMachine is what a node may use of its machine.
+// RoleMachine gives the resources that a node may use.
 type RoleMachine struct {
 	// MemoryMegabytes is the memory that the process may use.
 	MemoryMegabytes int `yaml:"memory_megabytes"`
-	// Descriptors is how many files the process may have open. Accepted and
-	// without effect.
+	// Descriptors is the number of files that the process may have open. It is
+	// accepted but has no effect.
 	Descriptors int `yaml:"descriptors"`
 	// DiskMegabytes is the size of a storage node's disk.
 	DiskMegabytes int `yaml:"disk_megabytes"`
 }
 
-// RoleBounds are what the deployment promises its callers and operators: times in
-// the unit of the field's name, and tolerances.
+// RoleBounds holds the time limits and tolerances that a deployment guarantees
+// to callers and operators.
 type RoleBounds struct {
-	// DrainMilliseconds is how long a leaving runner still takes requests.
+	// DrainMilliseconds is how long a runner that leaves still accepts requests.
 	DrainMilliseconds int `yaml:"drain_milliseconds"`
-	// StopSeconds is the time from the request to stop until the process is killed.
+	// StopSeconds is the time from the stop signal until the process is killed.
 	StopSeconds float64 `yaml:"stop_seconds"`
-	// CancelMilliseconds is how long after a job's end an item may still be
-	// sent. Accepted and without effect.
+	// CancelMilliseconds is how long items of a cancelled job may still be
+	// dispatched. It is accepted but has no effect.
 	CancelMilliseconds int `yaml:"cancel_milliseconds"`
-	// SettleMilliseconds is how long after an acknowledgement a read may miss it.
-	// Accepted and without effect.
+	// SettleMilliseconds is how long a read may miss an acknowledged write. It is
+	// accepted but has no effect.
 	SettleMilliseconds int `yaml:"settle_milliseconds"`
-	// CatchUpSeconds is how long a returned disk may take to hold everything.
+	// CatchUpSeconds is how long a disk that returns may take to catch up.
 	CatchUpSeconds float64 `yaml:"catch_up_seconds"`
-	// ResultsKeptSeconds is how long after its submission a job stays readable.
+	// ResultsKeptSeconds is how long a job remains readable after its submission.
 	ResultsKeptSeconds float64 `yaml:"results_kept_seconds"`
-	// QuotaWindowSeconds is over how long a tenant's requests are counted. A window
-	// may exceed the limit by QuotaOverrun, a fraction of it, and by QuotaSlack
-	// requests beside.
+	// QuotaWindowSeconds is the length of the window in which a tenant's requests
+	// are counted. The count of a window may exceed the tenant's limit by
+	// QuotaOverrun, a fraction of the limit, plus QuotaSlack requests.
 	QuotaWindowSeconds float64 `yaml:"quota_window_seconds"`
 	QuotaOverrun       float64 `yaml:"quota_overrun"`
 	QuotaSlack         int     `yaml:"quota_slack"`
-	// RevokeFailClosed: a node that has had no report of the configuration for
-	// RevokeMilliseconds refuses requests that need a key.
+	// RevokeFailClosed makes a node refuse requests that need a key when the
+	// configuration has not been confirmed for RevokeMilliseconds.
 	RevokeFailClosed   bool `yaml:"revoke_fail_closed"`
 	RevokeMilliseconds int  `yaml:"revoke_milliseconds"`
 }
 
-// Defaults of a role's settings, for fields a deployment does not give.
+// Defaults of the fields of Role.
 const (
 	defaultStopSeconds         = 8
 	defaultResultsKeptSeconds  = 120
@@ -137,7 +141,8 @@
 	defaultRevokeMilliseconds  = 5000
 )
 
-// LoadRole reads, decodes, completes and checks a role's settings file.
+// LoadRole reads the settings file of an edge or a storage node, fills in
+// defaults and validates it.
 func LoadRole(path string) (*Role, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -147,32 +152,33 @@
 	return loaded, trace.Wrap(err, "settings file %s", path)
 }
 
-// ParseRole decodes, completes and checks a role's settings.
+// ParseRole decodes the settings of an edge or a storage node, fills in defaults
+// and validates them.
 func ParseRole(text []byte) (*Role, error) {
 	var parsed Role
 	if err := yaml.UnmarshalWithOptions(text, &parsed, yaml.Strict()); err != nil {
 		return nil, trace.BadParameter("%s", strings.ReplaceAll(yaml.FormatError(err, false, false), "\n", " "))
 	}
-	parsed.complete()
-	if err := parsed.check(); err != nil {
-		return nil, locate(text, err)
+	parsed.setDefaults()
+	if err := parsed.validate(); err != nil {
+		return nil, addLineNumber(text, err)
 	}
 	return &parsed, nil
 }
 
-func (r *Role) complete() {
-	orDefault(&r.Bounds.StopSeconds, defaultStopSeconds)
-	orDefault(&r.Bounds.ResultsKeptSeconds, defaultResultsKeptSeconds)
-	orDefault(&r.Bounds.CatchUpSeconds, defaultCatchUpSeconds)
-	orDefault(&r.Bounds.DrainMilliseconds, defaultDrainMilliseconds)
-	orDefault(&r.Bounds.QuotaWindowSeconds, defaultQuotaWindowSeconds)
-	orDefault(&r.Bounds.RevokeMilliseconds, defaultRevokeMilliseconds)
-	orDefault(&r.Store.ValueBytes, defaultStoreValueBytes)
-	orDefault(&r.Machine.MemoryMegabytes, defaultRoleMemoryMegabytes)
-	orDefault(&r.Machine.DiskMegabytes, defaultRoleDiskMegabytes)
+func (r *Role) setDefaults() {
+	setDefault(&r.Bounds.StopSeconds, defaultStopSeconds)
+	setDefault(&r.Bounds.ResultsKeptSeconds, defaultResultsKeptSeconds)
+	setDefault(&r.Bounds.CatchUpSeconds, defaultCatchUpSeconds)
+	setDefault(&r.Bounds.DrainMilliseconds, defaultDrainMilliseconds)
+	setDefault(&r.Bounds.QuotaWindowSeconds, defaultQuotaWindowSeconds)
+	setDefault(&r.Bounds.RevokeMilliseconds, defaultRevokeMilliseconds)
+	setDefault(&r.Store.ValueBytes, defaultStoreValueBytes)
+	setDefault(&r.Machine.MemoryMegabytes, defaultRoleMemoryMegabytes)
+	setDefault(&r.Machine.DiskMegabytes, defaultRoleDiskMegabytes)
 }
 
-func (r *Role) check() error {
+func (r *Role) validate() error {
 	for _, name := range []struct{ path, value string }{{"cluster", r.Cluster}, {"node", r.Node}, {"zone", r.Zone}} {
 		if !namePattern.MatchString(name.value) {
 			return &FieldError{name.path, name.value, nameAllowed}
@@ -198,10 +204,10 @@
 			return &FieldError{bound.path, fmt.Sprint(bound.value), "0 or more"}
 		}
 	}
-	return r.checkListen()
+	return r.validateListen()
 }
 
-func (r *Role) checkListen() error {
+func (r *Role) validateListen() error {
 	addresses := []struct{ path, value string }{
 		{"listen.callers", r.Listen.Callers}, {"listen.readiness", r.Listen.Readiness}, {"listen.peers", r.Listen.Peers},
 	}
@@ -219,20 +225,20 @@
 	return nil
 }
 
-// PeerAddress is IP:port other nodes reach this one at.
+// PeerAddress returns the IP:port on which the node serves other nodes.
 func (r *Role) PeerAddress() string { return fmt.Sprintf("%s:%d", r.Address, r.Ports[0]) }
 
-// StopTime is the time from the request to stop until the process is killed.
-func (r *Role) StopTime() time.Duration {
+// StopTimeout returns the time from the stop signal until the process is killed.
+func (r *Role) StopTimeout() time.Duration {
 	return time.Duration(r.Bounds.StopSeconds * float64(time.Second))
 }
 
-// ResultsKept is how long after its submission a job stays readable.
-func (r *Role) ResultsKept() time.Duration {
+// ResultRetention returns how long a job remains readable after its submission.
+func (r *Role) ResultRetention() time.Duration {
 	return time.Duration(r.Bounds.ResultsKeptSeconds * float64(time.Second))
 }
 
-// QuotaTolerance is by how much tenants' limits may be exceeded.
+// QuotaTolerance returns by how much tenants may exceed their rate limits.
 func (r *Role) QuotaTolerance() allotment.Tolerance {
 	return allotment.Tolerance{
 		Window:  time.Duration(r.Bounds.QuotaWindowSeconds * float64(time.Second)),
@@ -240,8 +246,8 @@
 	}
 }
 
-// RevokeTime is how old the last report of the configuration may be before
-// requests that need a key are refused; 0 is any age.
+// RevokeTime returns how long the configuration may be unconfirmed before
+// requests that need a key are refused; 0 means without limit.
 func (r *Role) RevokeTime() time.Duration {
 	if !r.Bounds.RevokeFailClosed {
 		return 0
@@ -249,7 +255,7 @@
 	return time.Duration(r.Bounds.RevokeMilliseconds) * time.Millisecond
 }
 
-// DrainTime is how long a leaving runner still takes requests.
+// DrainTime returns how long a runner that leaves still accepts requests.
 func (r *Role) DrainTime() time.Duration {
 	return time.Duration(r.Bounds.DrainMilliseconds) * time.Millisecond
 }
--- a/internal/configuration/settings/role_test.go
+++ b/internal/configuration/settings/role_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const goodRole = `cluster: c
+const validRole = `cluster: c
 node: "n-1"
 zone: "z"
 region: "r"
@@ -29,17 +29,16 @@
   stop_seconds: 8
 `
 
-func TestRoleSettings(t *testing.T) {
+func TestRoleSettingsAreParsed(t *testing.T) {
 	is := is.New(t)
-	role, err := ParseRole([]byte(goodRole))
+	role, err := ParseRole([]byte(validRole))
 	is.NoErr(err)
 	is.Equal(role.PeerAddress(), "10.0.0.1:7000")
-	is.Equal(role.Store.ValueBytes, defaultStoreValueBytes) // a gap takes the default
+	is.Equal(role.Store.ValueBytes, defaultStoreValueBytes) // a key without a value gets the default
 }
 
-// Bad settings stop the start with one line: the field, what was found, what
-// is allowed.
-func TestBadRoleSettings(t *testing.T) {
+// Guards against an error that spreads over several lines of the log.
+func TestInvalidRoleSettingsGiveOneLineError(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"unknown key":     {"zone:", "zome: \"x\"\nzone:"},
 		"address":         {`"10.0.0.1"` + "\nports", `"host.example"` + "\nports"},
@@ -51,8 +50,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(goodRole, change[0], change[1], 1)
-			is.True(text != goodRole)
+			text := strings.Replace(validRole, change[0], change[1], 1)
+			is.True(text != validRole)
 			_, err := ParseRole([]byte(text))
 			is.True(err != nil)
 			is.True(!strings.Contains(err.Error(), "\n")) // one line
@@ -60,9 +59,9 @@
 	}
 }
 
-// Nothing reads these keys any more. Files that carry them still load, and
-// settings with and without them are the same but for the fields themselves.
-func TestKeysWithoutEffectStillLoad(t *testing.T) {
+// Files that contain keys without effect must still load, and the keys must
+// change no other field.
+func TestUnusedKeysAreAccepted(t *testing.T) {
 	for name, added := range map[string]struct {
 		section, line string
 		clear         func(*Role)
@@ -75,7 +74,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			base := goodRole + "machine:\n  memory_megabytes: 300\n"
+			base := validRole + "machine:\n  memory_megabytes: 300\n"
 			without, err := ParseRole([]byte(base))
 			is.NoErr(err)
 			text := strings.Replace(base, added.section, added.section+added.line, 1)
--- a/internal/configuration/settings/settings.go
+++ b/internal/configuration/settings/settings.go
@@ -1,13 +1,15 @@
-// Package settings decodes and checks a node's settings file: Settings of a
-// plain node, Role of an edge or a storage node. Settings say where a node is,
-// whom it talks to and what it may use; policy lies in the bundle of a plain
-// node and in the store's configuration of the roles.
+// Package settings decodes and validates a node's settings file: Settings for a
+// plain node, Role for an edge or a storage node. The settings give the node's
+// location, the addresses of its peers and services, and the resources that it
+// may use. Policy is not part of the settings: a plain node reads it from the
+// bundle, an edge or a storage node from the platform's store.
 //
-// It owns the names, defaults and bounds of the keys, and relies on no other
-// node or service. Every program reads its file once, at its start.
+// The package defines the keys with their defaults and allowed values, and
+// depends on no other node or service. Every program reads its file once, when
+// it starts.
 //
-// Decoding is strict: an unknown key or a bad value stops the start with the
-// field, the line, what was found and what is allowed.
+// Decoding is strict: an unknown key or an invalid value stops the program with
+// an error that names the field, the line, the value and the allowed values.
 package settings
 
 import (
@@ -19,52 +21,56 @@
 	"github.com/gravitational/trace"
 )
 
-// Settings is one node's settings file.
+// Settings is the settings file of a plain node.
 type Settings struct {
-	// Cluster names the deployment; nodes of different clusters refuse each other.
+	// Cluster is the name of the deployment. Nodes of different clusters refuse
+	// connections from each other.
 	Cluster string `yaml:"cluster"`
-	// Node says which node this is and where it listens.
+	// Node identifies the node and gives the addresses on which it listens.
 	Node NodeSettings `yaml:"node"`
-	// Data is set on the few nodes that have a disk for bulk data.
+	// Data configures the disk of the nodes that store batch data.
 	Data DiskSettings `yaml:"data"`
-	// Platform says where the platform's services are.
+	// Platform gives the addresses of the platform's services.
 	Platform PlatformSettings `yaml:"platform"`
-	// TLS names key files; each part left out means plain TCP there.
+	// TLS gives the paths of certificates and keys. Connections whose key pair
+	// is left out use plain TCP.
 	TLS TLSSettings `yaml:"tls"`
-	// Limits bound what the node takes from callers.
+	// Limits bounds the size of callers' requests and the duration of a stop.
 	Limits CallerLimits `yaml:"limits"`
 }
 
-// NodeSettings say which node this is and where it listens.
+// NodeSettings identifies a node and gives the addresses on which it listens.
 type NodeSettings struct {
-	// ID is unique in the cluster: letters, digits, dots and dashes. Default:
-	// the internal address.
+	// ID is the node's name, unique in the cluster (default: the internal
+	// address).
 	ID string `yaml:"id"`
-	// Region groups zones, for example "occidente".
+	// Region is the node's region, a group of zones, for example "occidente".
 	Region string `yaml:"region"`
-	// Zone is the failure domain the node stands in, for example "gdl-centro".
+	// Zone is the node's failure domain, for example "gdl-centro".
 	Zone string `yaml:"zone"`
-	// InternalAddress is IP:port other nodes reach this one at.
+	// InternalAddress is the IP:port on which the node serves other nodes.
 	InternalAddress string `yaml:"internal_address"`
-	// APIAddress is IP:port callers reach this node at.
+	// APIAddress is the IP:port on which the node serves callers.
 	APIAddress string `yaml:"api_address"`
-	// AdminAddress is IP:port for health, metrics and operators' verbs.
+	// AdminAddress is the IP:port on which the node serves health checks,
+	// metrics and operators' commands.
 	AdminAddress string `yaml:"admin_address"`
 }
 
-// DiskSettings are of a node that has a disk.
+// DiskSettings configures the disk of a node that stores batch data.
 type DiskSettings struct {
-	// Folder is the data folder. Empty: the node keeps nothing.
+	// Folder is the data folder. A node without a folder stores nothing.
 	Folder string `yaml:"folder"`
-	// Shards is the number of batch shards when the cluster is founded
-	// (default 8). Later it is read from the platform's service.
+	// Shards is the number of batch shards that a new cluster is created with
+	// (default 8). An existing cluster's number is read from the key-value
+	// service.
 	Shards int `yaml:"shards"`
-	// ReserveBytes of disk are left free: new jobs are refused below it
+	// ReserveBytes is the free disk space below which new jobs are refused
 	// (default 256 MiB).
 	ReserveBytes int64 `yaml:"reserve_bytes"`
 }
 
-// PlatformSettings say where the platform's services are.
+// PlatformSettings gives the addresses of the platform's services.
 type PlatformSettings struct {
 	// KeyValue is the base URL of the key-value service (etcd v3 JSON gateway).
 	KeyValue string `yaml:"key_value"`
@@ -72,23 +78,27 @@
 	Machines string `yaml:"machines"`
 	// Runners is the URL of the runner list, in the same format.
 	Runners string `yaml:"runners"`
-	// RequestsPerSecond bounds calls to the key-value service (default 5).
+	// RequestsPerSecond limits the rate of calls to the key-value service
+	// (default 5).
 	RequestsPerSecond float64 `yaml:"requests_per_second"`
-	// ListInterval is the time between reads of the lists (default 2s).
+	// ListInterval is the time between two reads of the machine and runner lists
+	// (default 2s).
 	ListInterval YAMLDuration `yaml:"list_interval"`
 }
 
-// TLSSettings name key files in PEM. Files are read again when they change.
+// TLSSettings gives the paths of PEM files. Files are read again when they
+// change.
 type TLSSettings struct {
-	// API serves callers by TLS.
+	// API is the key pair of the callers' API.
 	API KeyPair `yaml:"api"`
 	// Nodes is this node's key pair for mutual TLS between nodes.
 	Nodes KeyPair `yaml:"nodes"`
-	// NodesAuthority is the certificate authority of all nodes.
+	// NodesAuthority is the path of the certificate of the authority that signs
+	// the nodes' certificates.
 	NodesAuthority string `yaml:"nodes_authority"`
 }
 
-// KeyPair is a certificate and its key.
+// KeyPair gives the paths of a certificate and its private key.
 type KeyPair struct {
 	// Certificate is the path of the PEM certificate chain.
 	Certificate string `yaml:"certificate"`
@@ -96,21 +106,21 @@
 	Key string `yaml:"key"`
 }
 
-// IsSet reports whether a pair is named.
+// IsSet reports whether at least one of the two paths is set.
 func (p KeyPair) IsSet() bool { return p.Certificate != "" || p.Key != "" }
 
-// CallerLimits bound what the node takes from callers.
+// CallerLimits bounds the size of callers' requests and the duration of a stop.
 type CallerLimits struct {
-	// BodyBytes bounds one request's body (default 4 MiB).
+	// BodyBytes is the maximum size of a request body (default 4 MiB).
 	BodyBytes int `yaml:"body_bytes"`
-	// FileBytes bounds one uploaded file (default 2 GiB).
+	// FileBytes is the maximum size of an uploaded file (default 2 GiB).
 	FileBytes int64 `yaml:"file_bytes"`
-	// StopTimeout bounds a planned stop (default 60s); what still runs then is
-	// ended with a numbered error.
+	// StopTimeout is the maximum duration of a graceful stop (default 60s).
+	// Requests that still run then end with an error.
 	StopTimeout YAMLDuration `yaml:"stop_timeout"`
 }
 
-// YAMLDuration is written like "1.5s" or "250ms".
+// YAMLDuration is a duration written in YAML as, for example, "1.5s" or "250ms".
 type YAMLDuration struct{ time.Duration }
 
 // UnmarshalYAML implements goccy/go-yaml's BytesUnmarshaler.
@@ -127,10 +137,10 @@
 	return nil
 }
 
-// MarshalYAML writes the duration as it is read.
+// MarshalYAML writes the duration in the form that UnmarshalYAML reads.
 func (d YAMLDuration) MarshalYAML() ([]byte, error) { return []byte(d.String()), nil }
 
-// Load reads, decodes, completes and checks a settings file.
+// Load reads a settings file, fills in defaults and validates it.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -143,20 +153,20 @@
 	return loaded, nil
 }
 
-// Parse decodes, completes and checks settings.
+// Parse decodes settings, fills in defaults and validates them.
 func Parse(text []byte) (*Settings, error) {
 	var parsed Settings
 	if err := yaml.UnmarshalWithOptions(text, &parsed, yaml.Strict()); err != nil {
 		return nil, trace.BadParameter("%s", yaml.FormatError(err, false, true))
 	}
-	parsed.Complete()
+	parsed.SetDefaults()
 	if err := parsed.Validate(); err != nil {
-		return nil, locate(text, err)
+		return nil, addLineNumber(text, err)
 	}
 	return &parsed, nil
 }
 
-// Defaults, as documented on the fields.
+// Defaults of the fields.
 const (
 	DefaultShards            = 8
 	DefaultReserveBytes      = 256 << 20
@@ -167,21 +177,21 @@
 	DefaultStopTimeout       = 60 * time.Second
 )
 
-// Complete fills in defaults.
-func (s *Settings) Complete() {
+// SetDefaults sets the fields that are zero to their defaults.
+func (s *Settings) SetDefaults() {
 	if s.Node.ID == "" {
 		s.Node.ID = s.Node.InternalAddress
 	}
-	orDefault(&s.Data.Shards, DefaultShards)
-	orDefault(&s.Data.ReserveBytes, DefaultReserveBytes)
-	orDefault(&s.Platform.RequestsPerSecond, DefaultRequestsPerSecond)
-	orDefault(&s.Platform.ListInterval.Duration, DefaultListInterval)
-	orDefault(&s.Limits.BodyBytes, DefaultBodyBytes)
-	orDefault(&s.Limits.FileBytes, DefaultFileBytes)
-	orDefault(&s.Limits.StopTimeout.Duration, DefaultStopTimeout)
+	setDefault(&s.Data.Shards, DefaultShards)
+	setDefault(&s.Data.ReserveBytes, DefaultReserveBytes)
+	setDefault(&s.Platform.RequestsPerSecond, DefaultRequestsPerSecond)
+	setDefault(&s.Platform.ListInterval.Duration, DefaultListInterval)
+	setDefault(&s.Limits.BodyBytes, DefaultBodyBytes)
+	setDefault(&s.Limits.FileBytes, DefaultFileBytes)
+	setDefault(&s.Limits.StopTimeout.Duration, DefaultStopTimeout)
 }
 
-func orDefault[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/internal/configuration/settings/settings_test.go
+++ b/internal/configuration/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `
+const validSettings = `
 cluster: villasenor
 node:
   region: occidente
@@ -22,16 +22,16 @@
   runners: http://127.0.0.1:2380/runners
 `
 
-func TestDefaults(t *testing.T) {
+func TestDefaultsAreApplied(t *testing.T) {
 	is := is.New(t)
-	loaded, err := Parse([]byte(good))
+	loaded, err := Parse([]byte(validSettings))
 	is.NoErr(err)
 	is.Equal(loaded.Node.ID, "127.0.0.1:7400")
 	is.Equal(loaded.Data.Shards, DefaultShards)
 	is.Equal(loaded.Limits.StopTimeout.Duration, time.Minute)
 }
 
-func TestBadSettingsSayWhatWhereAndWhatIsAllowed(t *testing.T) {
+func TestInvalidSettingsErrorNamesFieldAndAllowedValues(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"unknown key", "cluster:", "clutser:", `unknown field "clutser"`},
 		{"host name", "127.0.0.1:7400", "node7:7400", `line 6: node.internal_address: found "node7:7400", allowed: an IP number and a port`},
@@ -44,7 +44,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got %v, want it to contain %q", err, c.want)
 			}
@@ -53,7 +53,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("cluster: [1"))
 	f.Add([]byte("node: 3"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -150,7 +150,7 @@
 // maxWait. It returns nil for tenants without a limit. An error means that the request must
 // not run, and carries the retry delay.
 func (c *Controller) Admit(ctx context.Context, id string, tenant *catalog.Tenant, maxWait time.Duration) (*Admission, error) {
-	if !tenant.Limited() {
+	if !tenant.HasRateLimit() {
 		return nil, nil
 	}
 	limit := limitOf(tenant)
--- a/lab/fleet/start.go
+++ b/lab/fleet/start.go
@@ -133,6 +133,6 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	loaded.Complete()
+	loaded.SetDefaults()
 	return loaded, trace.Wrap(loaded.Validate())
 }
--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -84,7 +84,7 @@
 	options.Directory.SetDisk(m.db.DiskID())
 	follower.DiskCache = m.db
 	options.Node, options.Region = m.settings.Node, m.settings.Region
-	options.DiskLosses, options.Retention = m.settings.DiskLosses, retentionFactor*m.settings.ResultsKept()
+	options.DiskLosses, options.Retention = m.settings.DiskLosses, retentionFactor*m.settings.ResultRetention()
 	options.DB, options.Store = m.db, store
 	options.LogBytes = logBytes(m.settings.Machine)
 	options.TenantLimit, options.Tolerance = admission.LimitOf(catalogs), m.settings.QuotaTolerance()
--- a/modules/roles/cluster/cluster.go
+++ b/modules/roles/cluster/cluster.go
@@ -82,7 +82,7 @@
 		Incarnation: uint64(time.Now().UnixMilli()),
 	})
 	m.informer = informer.New(informer.Options{
-		Schema: schema, Store: store, WatchTimeout: listwatch.WatchTimeoutWithin(loaded.Store.History()), Contact: listwatch.NewStoreContact(),
+		Schema: schema, Store: store, WatchTimeout: listwatch.WatchTimeoutWithin(loaded.Store.HistoryRetention()), Contact: listwatch.NewStoreContact(),
 		Catalogs: catalog.NewHolder(), Runners: runnerset.New(), Layouts: queuestore.NewLayouts(), Directory: directory,
 		Pool: pool, Drain: loaded.DrainTime(),
 		Interest: subset.DefaultInterest(loaded.Node, loaded.Zone, loaded.DataFolder != ""), Timing: relay.TimingWithin(loaded.DrainTime()),
