--- a/modules/config/bundles/bundles.go
+++ b/modules/config/bundles/bundles.go
@@ -1,16 +1,17 @@
-// Package bundles keeps the bundle in force on this node, and makes operators'
-// changes to it.
+// Package bundles keeps this node's active bundle up to date and commits operators'
+// changes to the bundle.
 //
-// A few watchers per region watch the head in the platform's key-value service. A
-// node that learns of a new head notifies a few others at once, which fetch the head
-// and the changed documents from it; gossip carries the head's revision as repair.
-// While the platform is down all that is in force stays, and a starting node learns
-// from its peers.
+// A few nodes per region, the watchers, watch the head in the platform's key-value
+// service. A node that gets a new head notifies a few other nodes at once, and these
+// fetch the head and the changed documents from it. Gossip also carries the revision
+// of the head, so that nodes that missed a notice catch up. While the platform is
+// down, the active bundle stays active and a node that starts fetches it from a peer.
 //
-// It owns the snapshots in memory; the head and the generations last in the
-// platform's service and change by compare-and-swap. It relies on
-// internal/configuration/bundle for what is valid and signed, on internal/cluster/spread
-// for whom to notify, and on the links. The plain node runs it.
+// The module keeps snapshots in memory. The key-value service stores the head and the
+// generations, and the head is changed by compare-and-swap. The module depends on
+// internal/configuration/bundle for validation and signatures, on
+// internal/cluster/spread for the choice of watchers and of nodes to notify, and on
+// the connections between nodes. Plain nodes run it.
 package bundles
 
 import (
@@ -39,7 +40,7 @@
 	"cobaltramp.example/cobaltramp/modules/platform/etcdgateway"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "config.bundles"
 
 func init() {
@@ -49,14 +50,14 @@
 	})
 }
 
-// Membership is the part of the membership module used here.
+// Membership is the part of the membership module that this module uses.
 type Membership interface {
 	View() *fleet.View
 	SetBundleRevision(uint64)
 	AheadPeer() (uint64, string)
 }
 
-// Module provides the snapshot in force.
+// Module keeps the active bundle and commits operators' changes.
 type Module struct {
 	settings *settings.Settings
 	store    ports.KeyValueStore
@@ -64,17 +65,17 @@
 	pool     *rpc.Pool
 	metrics  *metrics
 
-	inForce  atomic.Pointer[bundle.Snapshot]
+	active   atomic.Pointer[bundle.Snapshot]
 	accepted atomic.Pointer[bundle.Snapshot]
 	head     atomic.Pointer[bundle.Head]
 
-	// applying serialises changes of the three pointers above.
-	applying sync.Mutex
-	// previous is what was in force before; peers may still ask for it.
-	previous  atomic.Pointer[bundle.Snapshot]
-	listeners []func(*bundle.Snapshot)
-	reachable atomic.Bool
-	notices   chan string
+	// updateMutex serialises changes of active, accepted and head.
+	updateMutex sync.Mutex
+	// previous is the snapshot that was active before; peers may still request it.
+	previous          atomic.Pointer[bundle.Snapshot]
+	listeners         []func(*bundle.Snapshot)
+	platformReachable atomic.Bool
+	notices           chan string
 
 	background tasks.Group
 }
@@ -96,31 +97,32 @@
 		return trace.Wrap(err)
 	}
 	m.metrics = newMetrics(registry)
-	m.notices = make(chan string, noticeQueue)
+	m.notices = make(chan string, noticeQueueSize)
 	server.Handle(wirev1.Method_METHOD_BUNDLE_FETCH, m.serveFetch)
 	server.HandleNotice(wirev1.Method_METHOD_BUNDLE_NOTICE, m.receiveNotice)
 	ctx.Provide(m)
 	return nil
 }
 
-// noticeQueue bounds the notices that wait; the repair loop makes up for others.
-const noticeQueue = 16
+// noticeQueueSize is the number of notices that may wait. When the queue is full, new
+// notices are dropped and the repair loop fetches the head later.
+const noticeQueueSize = 16
 
-// Snapshot returns the bundle in force, nil before the first.
-func (m *Module) Snapshot() *bundle.Snapshot { return m.inForce.Load() }
+// Snapshot returns the active bundle, or nil if there is none yet.
+func (m *Module) Snapshot() *bundle.Snapshot { return m.active.Load() }
 
-// Accepted returns the newest accepted bundle, which may not be rolled here.
+// Accepted returns the newest accepted bundle, or nil if there is none yet. It may not
+// be rolled out to this node's zone.
 func (m *Module) Accepted() *bundle.Snapshot { return m.accepted.Load() }
 
-// Head returns the newest head known here, nil before the first.
+// Head returns the newest head that this node knows, or nil if there is none yet.
 func (m *Module) Head() *bundle.Head { return m.head.Load() }
 
-// PlatformReachable reports whether the last call to the key-value service
-// was answered.
-func (m *Module) PlatformReachable() bool { return m.reachable.Load() }
+// PlatformReachable reports whether the last call to the key-value service succeeded.
+func (m *Module) PlatformReachable() bool { return m.platformReachable.Load() }
 
-// OnSnapshot calls listener whenever a generation is put in force. It is
-// called while modules are provisioned.
+// OnSnapshot registers a listener that is called whenever a generation becomes
+// active. It must be called while modules are provisioned.
 func (m *Module) OnSnapshot(listener func(*bundle.Snapshot)) {
 	m.listeners = append(m.listeners, listener)
 }
@@ -133,16 +135,16 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. The loops end with the context of Start.
+// Cleanup implements kernel.Cleaner. The loops end when the context of Start does.
 func (m *Module) Cleanup() { m.background.Wait() }
 
 const (
-	// repairInterval is the time between two looks at whether a peer is ahead.
+	// repairInterval is the time between two checks for a peer with a newer head.
 	repairInterval = 500 * time.Millisecond
-	// watchBackoff is the shortest wait after a watch has ended; a random time of up
-	// to as much is added.
+	// watchBackoff is the minimum wait after a watch has ended. A random jitter of up
+	// to the same duration is added.
 	watchBackoff = time.Second
-	// fetchTimeout bounds one fetch from a peer.
+	// fetchTimeout is the timeout of a fetch from a peer.
 	fetchTimeout = 5 * time.Second
 )
 
@@ -152,8 +154,8 @@
 	return spread.IsWatcher(self, view.Candidates)
 }
 
-// watchLoop follows the head in the platform's service while this node is a
-// watcher, and reads it once in a while when it knows none.
+// watchLoop watches the head in the key-value service while this node is a watcher.
+// Other nodes read the head repeatedly until they have one.
 func (m *Module) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if m.isWatcher() || m.head.Load() == nil {
@@ -167,40 +169,41 @@
 	}
 }
 
-// watchOnce reads the head, then watches from the revision read until the
-// watch breaks.
+// watchOnce reads the head. On a watcher it then watches the head from the revision
+// read until the watch ends.
 func (m *Module) watchOnce(ctx context.Context) {
 	values, revision, err := m.store.List(ctx, m.headKey())
-	m.reachable.Store(err == nil)
+	m.platformReachable.Store(err == nil)
 	if err != nil {
 		return
 	}
 	for _, value := range values {
-		m.learnStored(ctx, value.Value)
+		m.applyStoredHead(ctx, value.Value)
 	}
 	if !m.isWatcher() {
 		return
 	}
 	err = m.store.Watch(ctx, m.headKey(), revision, func(event ports.WatchEvent) {
 		if !event.Deleted {
-			m.learnStored(ctx, event.Value.Value)
+			m.applyStoredHead(ctx, event.Value.Value)
 		}
 	})
 	klog.V(1).InfoS("watch of the bundle head ended", "node", m.settings.Node.ID, "err", err)
 }
 
-func (m *Module) learnStored(ctx context.Context, text []byte) {
+func (m *Module) applyStoredHead(ctx context.Context, text []byte) {
 	head, err := bundle.DecodeHead(text)
 	if err != nil {
-		klog.ErrorS(err, "stored bundle head is unreadable", "node", m.settings.Node.ID)
+		klog.ErrorS(err, "cannot decode the stored bundle head", "node", m.settings.Node.ID)
 		return
 	}
-	if err := m.Learn(ctx, head, ""); err != nil {
-		klog.ErrorS(err, "bundle cannot be applied", "node", m.settings.Node.ID, "generation", head.Generation)
+	if err := m.ApplyHead(ctx, head, ""); err != nil {
+		klog.ErrorS(err, "cannot apply the stored bundle head", "node", m.settings.Node.ID, "generation", head.Generation)
 	}
 }
 
-// repairLoop fetches from a peer that gossip says is ahead.
+// repairLoop fetches the head from a peer when gossip reports that the peer has a
+// newer one.
 func (m *Module) repairLoop(ctx context.Context) {
 	ticker := time.NewTicker(repairInterval)
 	defer ticker.Stop()
@@ -212,7 +215,7 @@
 		}
 		revision, peer := m.members.AheadPeer()
 		if peer != "" && revision > m.revision() {
-			m.fetchFrom(ctx, peer)
+			m.fetchHead(ctx, peer)
 		}
 	}
 }
@@ -223,7 +226,7 @@
 		case <-ctx.Done():
 			return
 		case peer := <-m.notices:
-			m.fetchFrom(ctx, peer)
+			m.fetchHead(ctx, peer)
 		}
 	}
 }
@@ -238,7 +241,7 @@
 func (m *Module) receiveNotice(from string, payload []byte) {
 	var notice wirev1.BundleNotice
 	if err := proto.Unmarshal(payload, &notice); err != nil {
-		klog.V(1).InfoS("unreadable bundle notice dropped", "node", m.settings.Node.ID, "peer", from, "err", err)
+		klog.V(1).InfoS("bundle notice dropped: it cannot be decoded", "node", m.settings.Node.ID, "peer", from, "err", err)
 		return
 	}
 	if notice.Revision <= m.revision() {
@@ -250,15 +253,15 @@
 	}
 	select {
 	case m.notices <- address:
-	default: // the repair loop catches up
+	default: // the queue is full; the repair loop fetches the head later
 	}
 }
 
-// fetchFrom gets the newest head and what changed from a peer.
-func (m *Module) fetchFrom(ctx context.Context, peer string) {
+// fetchHead fetches the newest head from a peer and applies it.
+func (m *Module) fetchHead(ctx context.Context, peer string) {
 	reply, err := m.callFetch(ctx, peer, 0)
 	if err != nil {
-		klog.V(1).InfoS("bundle head not fetched from peer", "node", m.settings.Node.ID, "peer", peer, "err", err)
+		klog.V(1).InfoS("cannot fetch the bundle head from a peer", "node", m.settings.Node.ID, "peer", peer, "err", err)
 		return
 	}
 	if len(reply.Head) == 0 {
@@ -266,14 +269,14 @@
 	}
 	head, err := bundle.DecodeHead(reply.Head)
 	if err != nil {
-		klog.V(1).InfoS("bundle head of peer is unreadable", "node", m.settings.Node.ID, "peer", peer, "err", err)
+		klog.V(1).InfoS("cannot decode the bundle head of a peer", "node", m.settings.Node.ID, "peer", peer, "err", err)
 		return
 	}
 	if head.Revision <= m.revision() {
 		return
 	}
-	if err := m.Learn(ctx, head, peer); err != nil {
-		klog.V(1).InfoS("bundle fetched from peer cannot be applied", "node", m.settings.Node.ID, "peer", peer, "err", err)
+	if err := m.ApplyHead(ctx, head, peer); err != nil {
+		klog.V(1).InfoS("cannot apply the bundle head fetched from a peer", "node", m.settings.Node.ID, "peer", peer, "err", err)
 	}
 }
 
--- a/modules/config/bundles/change.go
+++ b/modules/config/bundles/change.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// commitTries bounds how often a commit whose answer was lost is sent.
-	commitTries = 4
-	// commitPause is the time between two of them.
-	commitPause = 300 * time.Millisecond
+	// maxCommitAttempts is how often a commit is sent while its outcome is unknown.
+	maxCommitAttempts = 4
+	// commitRetryDelay is the time between two attempts of a commit.
+	commitRetryDelay = 300 * time.Millisecond
 )
 
-// Submit offers a signed bundle as the next generation. Operators race by
-// compare-and-swap: one wins, the others get GenerationConflict. Other errors:
-// BundleInvalid, SignatureInvalid, PlatformUnavailable (nothing was written), and
-// SubmissionUnknown (it may have been: ask Operation). A submission sent again
-// returns the head that the first one wrote.
+// Submit submits a signed bundle as the next generation and returns the new head. Of
+// several concurrent submissions one succeeds and the others return
+// GenerationConflict. Submit also returns BundleInvalid, SignatureInvalid,
+// PlatformUnavailable if nothing was written, and SubmissionUnknown if the outcome is
+// unknown; Operation then tells whether the submission took effect. A repeated
+// submission returns the head that the first one wrote.
 func (m *Module) Submit(ctx context.Context, submission *bundle.Submission) (*bundle.Head, error) {
 	current, revision, err := m.readHead(ctx)
 	if err != nil {
@@ -32,18 +33,18 @@
 	if done, err := m.Operation(ctx, submission.OperationID); err != nil || done != nil {
 		return done, err
 	}
-	var judge *bundle.Snapshot
+	var authority *bundle.Snapshot
 	if current != nil {
-		if judge, err = m.contentFor(ctx, current); err != nil {
-			return nil, unavailable(err)
+		if authority, err = m.snapshotOf(ctx, current); err != nil {
+			return nil, platformUnavailable(err)
 		}
 	}
-	next, snapshot, err := bundle.Accept(current, judge, m.settings.Cluster, submission, time.Now())
+	next, snapshot, err := bundle.Accept(current, authority, m.settings.Cluster, submission, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	base := judge
-	if next.Generation%fullEvery == 1 {
+	base := authority
+	if next.Generation%fullGenerationInterval == 1 {
 		base = nil
 	}
 	delta, err := snapshot.DeltaFrom(base).Encode()
@@ -54,8 +55,8 @@
 	return m.commitHead(ctx, next, revision, content)
 }
 
-// Roll advances or halts the newest generation. Errors are those of Submit, and
-// NotFound before the first bundle.
+// Roll advances or halts the rollout of the newest generation and returns the new
+// head. It returns the same errors as Submit, and NotFound if there is no bundle yet.
 func (m *Module) Roll(ctx context.Context, request *bundle.RollRequest) (*bundle.Head, error) {
 	current, revision, err := m.readHead(ctx)
 	if err != nil {
@@ -70,11 +71,11 @@
 	if request.Generation != current.Generation {
 		return nil, result.New(result.GenerationConflict, "the request is for generation %d, the newest is %d", request.Generation, current.Generation)
 	}
-	judge, err := m.contentFor(ctx, current)
+	authority, err := m.snapshotOf(ctx, current)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, platformUnavailable(err)
 	}
-	if err := bundle.VerifyRoll(judge, m.settings.Cluster, request); err != nil {
+	if err := bundle.VerifyRoll(authority, m.settings.Cluster, request); err != nil {
 		return nil, err
 	}
 	next, err := bundle.Roll(current, request.Action, request.OperationID, time.Now())
@@ -84,8 +85,8 @@
 	return m.commitHead(ctx, next, revision)
 }
 
-// History returns the stored deltas' generations, digests and sign-offs, the
-// newest first, up to limit. It returns PlatformUnavailable if one can't be read.
+// History returns the stored deltas of the newest generations, at most limit, the
+// newest first. It returns PlatformUnavailable if a delta cannot be read.
 func (m *Module) History(ctx context.Context, limit int) ([]*bundle.Delta, error) {
 	head, _, err := m.readHead(ctx)
 	if err != nil {
@@ -98,24 +99,24 @@
 	for generation := head.Generation; generation > 0 && len(history) < limit; generation-- {
 		delta, err := m.storedDelta(ctx, generation)
 		if err != nil {
-			return nil, unavailable(err)
+			return nil, platformUnavailable(err)
 		}
 		history = append(history, delta)
 	}
 	return history, nil
 }
 
-func (m *Module) contentFor(ctx context.Context, head *bundle.Head) (*bundle.Snapshot, error) {
-	m.applying.Lock()
-	defer m.applying.Unlock()
-	return m.content(ctx, head.Generation, head.Digest, "")
+func (m *Module) snapshotOf(ctx context.Context, head *bundle.Head) (*bundle.Snapshot, error) {
+	m.updateMutex.Lock()
+	defer m.updateMutex.Unlock()
+	return m.loadSnapshot(ctx, head.Generation, head.Digest, "")
 }
 
 func (m *Module) readHead(ctx context.Context) (*bundle.Head, int64, error) {
 	value, found, err := m.store.Get(ctx, m.headKey())
-	m.reachable.Store(err == nil)
+	m.platformReachable.Store(err == nil)
 	if err != nil {
-		return nil, 0, unavailable(err)
+		return nil, 0, platformUnavailable(err)
 	}
 	if !found {
 		return nil, 0, nil
@@ -127,16 +128,16 @@
 	return head, value.Revision, nil
 }
 
-func unavailable(err error) error {
+func platformUnavailable(err error) error {
 	return result.New(result.PlatformUnavailable, "the platform's key-value service does not answer: %v", trace.UserMessage(err)).WithRetryAfter(time.Second)
 }
 
-// Operation returns the head an operation wrote, nil if it took no effect. It
-// returns PlatformUnavailable if that can't be read.
+// Operation returns the head that an operation wrote, or nil if the operation took no
+// effect. It returns PlatformUnavailable if the record cannot be read.
 func (m *Module) Operation(ctx context.Context, operation string) (*bundle.Head, error) {
 	value, found, err := m.store.Get(ctx, OperationKey(m.settings.Cluster, operation))
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, platformUnavailable(err)
 	}
 	if !found {
 		return nil, nil
@@ -144,38 +145,39 @@
 	return bundle.DecodeHead(value.Value)
 }
 
-// commitHead replaces the head if it is still at the revision read. The
-// operation's own key is written in the same transaction, so a lost answer is
-// resolved by reading it, whatever happened to the head since.
+// commitHead replaces the head if it still has the given revision. The same transaction
+// writes the operation's record, so that a lost response can be resolved even when the
+// head has changed again since.
 func (m *Module) commitHead(ctx context.Context, next *bundle.Head, revision int64, more ...ports.Put) (*bundle.Head, error) {
 	puts := append([]ports.Put{
 		{Key: m.headKey(), Value: next.Encode()},
 		{Key: OperationKey(m.settings.Cluster, next.OperationID), Value: next.Encode()},
 	}, more...)
-	for range commitTries {
+	for range maxCommitAttempts {
 		committed, err := m.store.Commit(ctx, []ports.Condition{{Key: m.headKey(), Revision: revision}}, puts)
 		switch {
 		case err == nil && committed:
-			m.learnOwn(ctx, next)
+			m.applyOwnHead(ctx, next)
 			return next, nil
 		case err == nil:
-			return m.lostRace(ctx, next)
+			return m.resolveConflict(ctx, next)
 		case !errors.Is(err, ports.ErrOutcomeUnknown):
-			return nil, unavailable(err)
+			return nil, platformUnavailable(err)
 		}
-		// The answer was lost. The same commit again is safe: the condition
-		// lets it take effect at most once, and both tries write the same.
+		// The outcome is unknown. Retrying is safe: the condition allows the commit to
+		// take effect only once.
 		select {
 		case <-ctx.Done():
-		case <-time.After(commitPause):
+		case <-time.After(commitRetryDelay):
 		}
 	}
 	return nil, result.New(result.SubmissionUnknown, "the answer was lost; ask again with operation %s", next.OperationID)
 }
 
-// lostRace is reached when the head has moved: by an earlier try of this very
-// operation, whose answer was lost, or by someone else.
-func (m *Module) lostRace(ctx context.Context, next *bundle.Head) (*bundle.Head, error) {
+// resolveConflict handles a commit that failed because the head has changed: either by
+// an earlier attempt of the same operation, whose response was lost, or by another
+// operation.
+func (m *Module) resolveConflict(ctx context.Context, next *bundle.Head) (*bundle.Head, error) {
 	done, err := m.Operation(ctx, next.OperationID)
 	if err != nil {
 		return nil, result.New(result.SubmissionUnknown, "cannot read whether operation %s took effect: %v", next.OperationID, err)
@@ -183,12 +185,12 @@
 	if done == nil {
 		return nil, result.New(result.GenerationConflict, "another change was accepted first")
 	}
-	m.learnOwn(ctx, done)
+	m.applyOwnHead(ctx, done)
 	return done, nil
 }
 
-func (m *Module) learnOwn(ctx context.Context, head *bundle.Head) {
-	if err := m.Learn(ctx, head, ""); err != nil {
-		m.reachable.Store(false)
+func (m *Module) applyOwnHead(ctx context.Context, head *bundle.Head) {
+	if err := m.ApplyHead(ctx, head, ""); err != nil {
+		m.platformReachable.Store(false)
 	}
 }
--- a/modules/config/bundles/content.go
+++ b/modules/config/bundles/content.go
@@ -12,40 +12,41 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Keys in the platform's service, below the cluster's name.
+// Keys in the key-value service begin with the cluster's name.
 
 func (m *Module) headKey() string { return HeadKey(m.settings.Cluster) }
 
-// HeadKey is where the head is stored.
+// HeadKey returns the key of the head.
 func HeadKey(cluster string) string { return cluster + "/bundle/head" }
 
-// GenerationKey is where a generation's delta is stored.
+// GenerationKey returns the key of a generation's delta.
 func GenerationKey(cluster string, generation uint64) string {
 	return fmt.Sprintf("%s/bundle/generations/%020d", cluster, generation)
 }
 
-// OperationKey records that an operation took effect.
+// OperationKey returns the key of an operation's record, which exists if the operation
+// took effect.
 func OperationKey(cluster, operation string) string {
 	return cluster + "/bundle/operations/" + operation
 }
 
-// fullEvery: each such generation is stored whole, which bounds how many
-// deltas a node reads when it has none.
-const fullEvery = 16
+// fullGenerationInterval is the interval at which a generation is stored whole rather
+// than as a difference. It bounds the number of deltas that a new node reads.
+const fullGenerationInterval = 16
 
-// content returns the snapshot of a generation: from memory, a peer, or the
-// platform's service. The caller holds the applying mutex.
-func (m *Module) content(ctx context.Context, generation uint64, digest, peer string) (*bundle.Snapshot, error) {
-	if known := m.known(generation); known != nil && known.Digest == digest {
-		return known, nil
+// loadSnapshot returns the snapshot of a generation from memory, from the peer or from
+// the key-value service, in this order. The caller must hold updateMutex.
+func (m *Module) loadSnapshot(ctx context.Context, generation uint64, digest, peer string) (*bundle.Snapshot, error) {
+	if cached := m.cached(generation); cached != nil && cached.Digest == digest {
+		return cached, nil
 	}
 	if peer != "" {
-		if snapshot, err := m.contentFromPeer(ctx, generation, digest, peer); err == nil {
+		if snapshot, err := m.fetchFromPeer(ctx, generation, digest, peer); err == nil {
 			m.metrics.fetches.WithLabelValues("peer").Inc()
 			return snapshot, nil
 		}
 	}
-	snapshot, err := m.contentFromPlatform(ctx, generation)
+	snapshot, err := m.fetchFromPlatform(ctx, generation)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -56,7 +57,7 @@
 	return snapshot, nil
 }
 
-func (m *Module) contentFromPeer(ctx context.Context, generation uint64, digest, peer string) (*bundle.Snapshot, error) {
+func (m *Module) fetchFromPeer(ctx context.Context, generation uint64, digest, peer string) (*bundle.Snapshot, error) {
 	reply, err := m.callFetch(ctx, peer, generation)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -71,8 +72,9 @@
 	return m.accepted.Load().Apply(delta)
 }
 
-// contentFromPlatform applies stored deltas from the newest base it has.
-func (m *Module) contentFromPlatform(ctx context.Context, generation uint64) (*bundle.Snapshot, error) {
+// fetchFromPlatform reads stored deltas back to the accepted snapshot, or to a full
+// generation, and applies them.
+func (m *Module) fetchFromPlatform(ctx context.Context, generation uint64) (*bundle.Snapshot, error) {
 	base := m.accepted.Load()
 	var chain []*bundle.Delta
 	for wanted := generation; ; wanted-- {
@@ -102,7 +104,7 @@
 
 func (m *Module) storedDelta(ctx context.Context, generation uint64) (*bundle.Delta, error) {
 	value, found, err := m.store.Get(ctx, GenerationKey(m.settings.Cluster, generation))
-	m.reachable.Store(err == nil)
+	m.platformReachable.Store(err == nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -112,7 +114,8 @@
 	return bundle.DecodeDelta(value.Value)
 }
 
-// serveFetch answers a peer with the head and the difference from what it has.
+// serveFetch sends a peer the head and, if the peer asks for a generation, the delta
+// from the peer's own generation.
 func (m *Module) serveFetch(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.BundleFetchRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -127,11 +130,11 @@
 	if wanted == 0 {
 		return stream.Send(reply)
 	}
-	snapshot := m.known(wanted)
+	snapshot := m.cached(wanted)
 	if snapshot == nil {
 		return result.New(result.NotFound, "generation %d is not held here", wanted)
 	}
-	encoded, err := snapshot.DeltaFrom(m.known(request.HaveGeneration)).Encode()
+	encoded, err := snapshot.DeltaFrom(m.cached(request.HaveGeneration)).Encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -139,8 +142,8 @@
 	return stream.Send(reply)
 }
 
-func (m *Module) known(generation uint64) *bundle.Snapshot {
-	for _, snapshot := range []*bundle.Snapshot{m.accepted.Load(), m.inForce.Load(), m.previous.Load()} {
+func (m *Module) cached(generation uint64) *bundle.Snapshot {
+	for _, snapshot := range []*bundle.Snapshot{m.accepted.Load(), m.active.Load(), m.previous.Load()} {
 		if snapshot != nil && snapshot.Generation == generation {
 			return snapshot
 		}
--- a/modules/config/bundles/learn.go
+++ b/modules/config/bundles/learn.go
@@ -13,17 +13,17 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Learn takes a head: it fetches the content, puts in force what the head
-// rolls in this zone, and notifies a few other nodes. Older heads are ignored, so
-// a generation in force never falls. peer, if not empty, is the address to fetch
-// from first. On an error what was in force stays.
-func (m *Module) Learn(ctx context.Context, head *bundle.Head, peer string) error {
-	m.applying.Lock()
-	defer m.applying.Unlock()
+// ApplyHead fetches the generations that a head names, activates the generation of
+// this node's zone, and notifies a few other nodes. Older heads are ignored, so that
+// the active generation never decreases. If peer is not empty, the generations are
+// fetched from that address first. On an error the active bundle stays active.
+func (m *Module) ApplyHead(ctx context.Context, head *bundle.Head, peer string) error {
+	m.updateMutex.Lock()
+	defer m.updateMutex.Unlock()
 	if head.Revision <= m.revision() {
 		return nil
 	}
-	accepted, err := m.content(ctx, head.Generation, head.Digest, peer)
+	accepted, err := m.loadSnapshot(ctx, head.Generation, head.Digest, peer)
 	if err != nil {
 		return trace.Wrap(err, "content of generation %d", head.Generation)
 	}
@@ -31,7 +31,7 @@
 		return trace.Wrap(err)
 	}
 	m.accepted.Store(accepted)
-	if err := m.force(ctx, head, peer); err != nil {
+	if err := m.activate(ctx, head, peer); err != nil {
 		return trace.Wrap(err)
 	}
 	m.head.Store(head)
@@ -41,46 +41,47 @@
 	return nil
 }
 
-// checkSignOffs verifies the successor of the generation known here; a node
-// that skipped generations relies on the chain of those that did not.
+// checkSignOffs verifies the signatures of a head that directly follows the accepted
+// generation. A node that has skipped generations cannot verify the signatures and
+// relies on the nodes that did.
 func (m *Module) checkSignOffs(head *bundle.Head, accepted *bundle.Snapshot) error {
-	judge := m.accepted.Load()
-	if judge == nil && head.Generation == 1 {
-		judge = accepted
+	authority := m.accepted.Load()
+	if authority == nil && head.Generation == 1 {
+		authority = accepted
 	}
-	if judge == nil || (judge != accepted && judge.Generation+1 != head.Generation) {
+	if authority == nil || (authority != accepted && authority.Generation+1 != head.Generation) {
 		return nil
 	}
-	if judge.Generation == head.Generation && head.Generation != 1 {
+	if authority.Generation == head.Generation && head.Generation != 1 {
 		return nil
 	}
-	return bundle.VerifySignOffs(judge, m.settings.Cluster, head.Generation, head.Digest, head.SignOffs)
+	return bundle.VerifySignOffs(authority, m.settings.Cluster, head.Generation, head.Digest, head.SignOffs)
 }
 
-// force puts in force the generation the head rolls in this zone.
-func (m *Module) force(ctx context.Context, head *bundle.Head, peer string) error {
+// activate makes the head's generation for this node's zone the active one.
+func (m *Module) activate(ctx context.Context, head *bundle.Head, peer string) error {
 	generation, digest := head.GenerationFor(m.settings.Node.Zone)
-	current := m.inForce.Load()
+	current := m.active.Load()
 	if generation == 0 || (current != nil && current.Generation >= generation) {
 		return nil
 	}
-	snapshot, err := m.content(ctx, generation, digest, peer)
+	snapshot, err := m.loadSnapshot(ctx, generation, digest, peer)
 	if err != nil {
 		return trace.Wrap(err, "content of generation %d", generation)
 	}
 	m.previous.Store(current)
-	m.inForce.Store(snapshot)
+	m.active.Store(snapshot)
 	m.metrics.generation.Set(float64(generation))
 	m.metrics.applied.Inc()
-	klog.InfoS("bundle in force", "node", m.settings.Node.ID, "generation", generation)
+	klog.InfoS("bundle activated", "node", m.settings.Node.ID, "generation", generation)
 	for _, listener := range m.listeners {
 		listener(snapshot)
 	}
 	return nil
 }
 
-// notifyOthers sends the revision to a few random members; each that did not
-// know it fetches it and notifies as many again.
+// notifyOthers sends the revision of the head to a few random nodes. A node that has
+// an older head fetches the new one and notifies further nodes.
 func (m *Module) notifyOthers(revision uint64) {
 	view := m.members.View()
 	random := rand.New(rand.NewPCG(rand.Uint64(), revision))
