--- a/modules/callers/openai/api.go
+++ b/modules/callers/openai/api.go
@@ -1,9 +1,9 @@
-// Package openai serves callers: the OpenAI chat completions, completions, models,
-// files and batches API, with numbered outcomes on every error. It owns the API
-// listener and this node's use of tenants' limits, in memory. It relies on the bundle
-// in force for keys, models and limits, on module serving.router for online answers,
-// and on module batch.directory for files, jobs and claims of idempotency keys. The
-// plain node runs it.
+// Package openai serves the callers' API: OpenAI's chat completions, completions,
+// models, files and batches. Every error response carries a result code. The module
+// owns the API listener and enforces this node's share of the tenants' limits, whose
+// state it keeps in memory. It depends on the active bundle for keys, models and
+// limits, on module serving.router for online responses, and on module batch.directory
+// for files, jobs and claims of idempotency keys. Plain nodes run it.
 package openai
 
 import (
@@ -30,7 +30,7 @@
 	"cobaltramp.example/cobaltramp/modules/serving/router"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "callers.openai"
 
 func init() {
@@ -40,7 +40,7 @@
 	})
 }
 
-// Snapshots gives the bundle in force.
+// Snapshots provides the active bundle.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
 // Router runs online requests.
@@ -48,10 +48,10 @@
 	Generate(context.Context, *router.Request, func(router.Chunk) error) (router.Usage, error)
 }
 
-// Shares gives this node's share of a tenant's limits.
+// Shares provides this node's share of a tenant's limits, from 0 to 1.
 type Shares interface{ Share(tenant string) float64 }
 
-// Leaver announces to the fleet that this node takes nothing new.
+// Leaver announces to the fleet that this node accepts no new work.
 type Leaver interface{ Leave() }
 
 // Module serves the callers' API.
@@ -71,10 +71,10 @@
 	draining atomic.Bool
 	inFlight atomic.Int64
 
-	// background are the calls to shards that no caller waits for; lifetime, the
-	// context of Start, ends them.
-	background tasks.Group
-	lifetime   context.Context
+	// background runs calls to shards that no caller waits for. startContext, the
+	// context of Start, cancels them.
+	background   tasks.Group
+	startContext context.Context
 }
 
 var (
@@ -106,29 +106,30 @@
 }
 
 type metrics struct {
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	first    prometheus.Histogram
+	requests   *prometheus.CounterVec
+	duration   *prometheus.HistogramVec
+	firstToken prometheus.Histogram
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
 	m := &metrics{
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_api_requests_total", Help: "Callers' requests by route and result code name."}, []string{"route", "code"}),
-		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cobaltramp_api_request_seconds", Help: "Callers' requests from arrival to the last byte.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"route"}),
-		first:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_api_first_token_seconds", Help: "Online requests from arrival to first token.", Buckets: prometheus.ExponentialBuckets(0.005, 1.6, 16)}),
+		requests:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_api_requests_total", Help: "Callers' requests by route and result code name."}, []string{"route", "code"}),
+		duration:   prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cobaltramp_api_request_seconds", Help: "Callers' requests from arrival to the last byte.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"route"}),
+		firstToken: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "cobaltramp_api_first_token_seconds", Help: "Online requests from arrival to first token.", Buckets: prometheus.ExponentialBuckets(0.005, 1.6, 16)}),
 	}
-	registry.MustRegister(m.requests, m.duration, m.first)
+	registry.MustRegister(m.requests, m.duration, m.firstToken)
 	return m
 }
 
 // Start implements kernel.Starter.
 func (m *Module) Start(ctx context.Context) error {
-	m.lifetime = ctx
+	m.startContext = ctx
 	app := fiber.New(fiber.Config{
 		BodyLimit:         m.settings.Limits.BodyBytes,
 		StreamRequestBody: true,
-		// Headers and parameters outlive their handler, for example the key a
-		// claim is resolved under; the server would reuse their memory.
+		// Some headers and parameters are used after the handler has returned, for
+		// example the key of a claim that is resolved in the background. Without
+		// Immutable, the server would reuse their memory.
 		Immutable:                    true,
 		DisablePreParseMultipartForm: true,
 		ErrorHandler:                 m.handleError,
@@ -150,14 +151,14 @@
 }
 
 const (
-	// readTimeout bounds the reading of one request, a file's upload included.
+	// readTimeout is the timeout for reading a request, which may be a file's upload.
 	readTimeout = 5 * time.Minute
-	// idleTimeout bounds how long a connection is kept between two requests.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout = 90 * time.Second
 )
 
 func (m *Module) routes(app *fiber.App) {
-	app.Use(m.track)
+	app.Use(m.trackRequest)
 	app.Post("/v1/chat/completions", m.authenticated(m.chat))
 	app.Post("/v1/completions", m.authenticated(m.completion))
 	app.Get("/v1/models", m.authenticated(m.listModels))
@@ -169,8 +170,9 @@
 	})
 }
 
-// track counts requests in flight and refuses new ones while draining.
-func (m *Module) track(c fiber.Ctx) error {
+// trackRequest counts requests in flight, records their metrics, and closes the
+// connection after the response while the node drains.
+func (m *Module) trackRequest(c fiber.Ctx) error {
 	if m.draining.Load() {
 		c.RequestCtx().SetConnectionClose()
 	}
@@ -179,7 +181,7 @@
 	started := time.Now()
 	err := c.Next()
 	if err != nil {
-		drain(c)
+		discardBody(c)
 	}
 	route := c.Route().Path
 	code := result.CodeOf(err)
@@ -188,7 +190,8 @@
 	return err
 }
 
-// Ready reports whether the node can serve callers, and why not.
+// Ready returns nil if the node can serve callers, or the reason why it cannot:
+// Draining or NotReady.
 func (m *Module) Ready() error {
 	if m.draining.Load() {
 		return result.New(result.Draining, "the node is stopping")
@@ -199,18 +202,19 @@
 	return nil
 }
 
-// spreadTime lets balancers and callers see that the node is not ready before
-// it stops accepting.
-const spreadTime = 500 * time.Millisecond
+// drainDelay is the time between the announcement that the node leaves and the end of
+// accepting connections. It lets load balancers stop sending requests first.
+const drainDelay = 500 * time.Millisecond
 
-// Drain implements kernel.Drainer: the fleet is notified first, so that owners are
-// chosen elsewhere; then no connection is accepted; then requests finish.
+// Drain implements kernel.Drainer. It first notifies the fleet, so that other nodes take
+// over this node's runners, then stops accepting connections, and then waits for the
+// requests in flight.
 func (m *Module) Drain(ctx context.Context) {
 	m.draining.Store(true)
 	m.leaver.Leave()
 	select {
 	case <-ctx.Done():
-	case <-time.After(spreadTime):
+	case <-time.After(drainDelay):
 	}
 	if m.server != nil {
 		m.server.Shutdown(ctx)
@@ -225,10 +229,10 @@
 	m.background.Wait()
 }
 
-// Address returns the address callers reach the node at.
+// Address returns the listening address of the callers' API.
 func (m *Module) Address() string { return m.server.Address() }
 
-// handleError writes the one error shape.
+// handleError writes an error response.
 func (m *Module) handleError(c fiber.Ctx, err error) error {
 	return writeError(c, toResult(err))
 }
--- a/modules/callers/openai/auth.go
+++ b/modules/callers/openai/auth.go
@@ -11,18 +11,20 @@
 	"cobaltramp.example/cobaltramp/internal/serving/limits"
 )
 
-// caller is an authenticated caller with the bundle its request is served by:
-// one request never sees two generations.
-type caller struct {
+// callerIdentity is an authenticated caller: its tenant, and the snapshot that serves
+// the request. All steps of a request use this snapshot, so that a request never sees
+// two generations of the bundle.
+type callerIdentity struct {
 	snapshot *bundle.Snapshot
 	tenant   *bundle.CompiledTenant
 }
 
-type handler func(fiber.Ctx, *caller) error
+type handler func(fiber.Ctx, *callerIdentity) error
 
 const bearer = "Bearer "
 
-// authenticated finds the tenant of the API key in the bundle in force.
+// authenticated wraps a handler with authentication: it looks up the tenant of the API
+// key in the active bundle.
 func (m *Module) authenticated(next handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		if m.draining.Load() {
@@ -41,22 +43,22 @@
 		if !known {
 			return result.New(result.Unauthenticated, "the API key is not of a tenant in the bundle in force")
 		}
-		return next(c, &caller{snapshot: snapshot, tenant: tenant})
+		return next(c, &callerIdentity{snapshot: snapshot, tenant: tenant})
 	}
 }
 
-// admit holds the tenant to this node's share of its limits; the request must
-// be released.
-func (m *Module) admit(who *caller) (*limits.TenantLimiter, error) {
+// admit checks a request against this node's share of its tenant's limits. An admitted
+// request must be released with TenantLimiter.Release.
+func (m *Module) admit(caller *callerIdentity) (*limits.TenantLimiter, error) {
 	limit := limits.TenantLimits{
-		RequestsPerSecond: who.tenant.RequestsPerSecond, Burst: who.tenant.Burst,
-		Concurrent: who.tenant.Concurrent, TokensPerMinute: who.tenant.TokensPerMinute,
+		RequestsPerSecond: caller.tenant.RequestsPerSecond, Burst: caller.tenant.Burst,
+		Concurrent: caller.tenant.Concurrent, TokensPerMinute: caller.tenant.TokensPerMinute,
 	}
 	share := 1.0
 	if limit != (limits.TenantLimits{}) {
-		share = m.shares.Share(who.tenant.Name)
+		share = m.shares.Share(caller.tenant.Name)
 	}
-	tenant := m.limits.Tenant(who.tenant.Name, limit, share)
+	tenant := m.limits.Tenant(caller.tenant.Name, limit, share)
 	if err := tenant.Admit(time.Now()); err != nil {
 		return nil, err
 	}
--- a/modules/callers/openai/batches.go
+++ b/modules/callers/openai/batches.go
@@ -65,11 +65,11 @@
 	}
 	if spec.MetadataJson != "" {
 		if err := json.Unmarshal([]byte(spec.MetadataJson), &body.Metadata); err != nil {
-			klog.ErrorS(err, "metadata of a batch is unreadable and left out", "job", spec.JobId)
+			klog.ErrorS(err, "cannot decode the metadata of a batch; it is left out of the response", "job", spec.JobId)
 		}
 	}
-	finished := seconds(job.FinishedUnixMs)
-	body.CancellingAt = seconds(job.CancellingUnixMs)
+	finished := unixSeconds(job.FinishedUnixMs)
+	body.CancellingAt = unixSeconds(job.CancellingUnixMs)
 	switch job.Status {
 	case wirev1.JobStatus_JOB_STATUS_COMPLETED:
 		body.CompletedAt = finished
@@ -80,12 +80,12 @@
 	default:
 		return body
 	}
-	body.nameFiles(job)
+	body.setResultFiles(job)
 	return body
 }
 
-// nameFiles names the result files of an ended job.
-func (b *batchBody) nameFiles(job *wirev1.JobRecord) {
+// setResultFiles sets the IDs of the result files of a finished job.
+func (b *batchBody) setResultFiles(job *wirev1.JobRecord) {
 	if job.Completed > 0 {
 		id := outputPrefix + job.Spec.JobId
 		b.OutputFileID = &id
@@ -96,7 +96,7 @@
 	}
 }
 
-func seconds(milliseconds int64) *int64 {
+func unixSeconds(milliseconds int64) *int64 {
 	if milliseconds == 0 {
 		return nil
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-// createBatch makes a job of an uploaded file. A resend, known by its
-// Idempotency-Key or, without one, by the file's content, gets the first job.
-func (m *Module) createBatch(c fiber.Ctx, who *caller) error {
+// createBatch creates a job from an uploaded file. A repeated request returns the first
+// job; it is recognised by its Idempotency-Key or, without a key, by the file's content.
+func (m *Module) createBatch(c fiber.Ctx, caller *callerIdentity) error {
 	raw, err := readBody(c, m.settings.Limits.BodyBytes)
 	if err != nil {
 		return err
@@ -135,15 +135,15 @@
 	if body.Endpoint != "/v1/chat/completions" && body.Endpoint != "/v1/completions" {
 		return result.New(result.InvalidRequest, "endpoint is %q, allowed: /v1/chat/completions or /v1/completions", body.Endpoint)
 	}
-	shard, err := m.shardOf(body.InputFileID, filePrefix, "file")
+	shard, err := m.shardFromID(body.InputFileID, filePrefix, "file")
 	if err != nil {
 		return err
 	}
-	window, err := completionWindow(body.CompletionWindow, who)
+	window, err := completionWindow(body.CompletionWindow, caller)
 	if err != nil {
 		return err
 	}
-	command, err := m.createJobCommand(c, who, shard, &body, window)
+	command, err := m.createJobCommand(c, caller, shard, &body, window)
 	if err != nil {
 		return err
 	}
@@ -156,22 +156,23 @@
 	return c.JSON(newBatchBody(answer.Job))
 }
 
-func (m *Module) createJobCommand(c fiber.Ctx, who *caller, shard uint32, body *createBatchBody, window time.Duration) (*wirev1.CreateJob, error) {
+func (m *Module) createJobCommand(c fiber.Ctx, caller *callerIdentity, shard uint32, body *createBatchBody, window time.Duration) (*wirev1.CreateJob, error) {
 	metadata, err := json.Marshal(body.Metadata)
 	if err != nil {
 		return nil, result.New(result.InvalidRequest, "metadata: %v", err)
 	}
 	now := time.Now()
 	return &wirev1.CreateJob{
-		JobId: newBatchID(shard), Tenant: who.tenant.Name, InputFileId: body.InputFileID, Endpoint: body.Endpoint,
+		JobId: newBatchID(shard), Tenant: caller.tenant.Name, InputFileId: body.InputFileID, Endpoint: body.Endpoint,
 		IdempotencyKey: c.Get(headerIdempotencyKey), CreatedUnixMs: now.UnixMilli(), DeadlineUnixMs: now.Add(window).UnixMilli(),
-		Priority: int32(who.tenant.BatchPriority), MetadataJson: string(metadata), CompletionWindow: body.CompletionWindow,
+		Priority: int32(caller.tenant.BatchPriority), MetadataJson: string(metadata), CompletionWindow: body.CompletionWindow,
 	}, nil
 }
 
-// completionWindow reads the window a job asks for, at most the bundle's.
-func completionWindow(written string, who *caller) (time.Duration, error) {
-	limit := who.snapshot.Policy.Batch.CompletionWindow.Std()
+// completionWindow returns the completion window that a job requests, limited to the
+// one in the bundle.
+func completionWindow(written string, caller *callerIdentity) (time.Duration, error) {
+	limit := caller.snapshot.Policy.Batch.CompletionWindow.Std()
 	if written == "" {
 		return limit, nil
 	}
@@ -182,38 +183,38 @@
 	return min(asked, limit), nil
 }
 
-func (m *Module) readJob(id string, who *caller) (*wirev1.JobRecord, error) {
-	shard, err := m.shardOf(id, batchPrefix, "batch")
+func (m *Module) readJob(id string, caller *callerIdentity) (*wirev1.JobRecord, error) {
+	shard, err := m.shardFromID(id, batchPrefix, "batch")
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
-	reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_JOB, Tenant: who.tenant.Name, Id: id})
+	reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_JOB, Tenant: caller.tenant.Name, Id: id})
 	if err != nil {
 		return nil, err
 	}
 	return reply.Job, nil
 }
 
-func (m *Module) getBatch(c fiber.Ctx, who *caller) error {
-	job, err := m.readJob(c.Params("id"), who)
+func (m *Module) getBatch(c fiber.Ctx, caller *callerIdentity) error {
+	job, err := m.readJob(c.Params("id"), caller)
 	if err != nil {
 		return err
 	}
 	return c.JSON(newBatchBody(job))
 }
 
-func (m *Module) cancelBatch(c fiber.Ctx, who *caller) error {
+func (m *Module) cancelBatch(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	shard, err := m.shardOf(id, batchPrefix, "batch")
+	shard, err := m.shardFromID(id, batchPrefix, "batch")
 	if err != nil {
 		return err
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
 	answer, err := m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_CancelJob{CancelJob: &wirev1.CancelJob{
-		JobId: id, Tenant: who.tenant.Name, AtUnixMs: time.Now().UnixMilli(),
+		JobId: id, Tenant: caller.tenant.Name, AtUnixMs: time.Now().UnixMilli(),
 	}}})
 	if err != nil {
 		return err
@@ -226,10 +227,10 @@
 	maxListLimit     = 100
 )
 
-// listBatches pages through a tenant's jobs, shard by shard.
-func (m *Module) listBatches(c fiber.Ctx, who *caller) error {
-	return listShards(c, m, who, batchPrefix, "batch", func(shard uint32, after string, limit int) ([]batchBody, error) {
-		jobs, err := m.shardJobs(who, shard, after, limit)
+// listBatches returns a page of the tenant's jobs.
+func (m *Module) listBatches(c fiber.Ctx, caller *callerIdentity) error {
+	return listShards(c, m, caller, batchPrefix, "batch", func(shard uint32, after string, limit int) ([]batchBody, error) {
+		jobs, err := m.shardJobs(caller, shard, after, limit)
 		bodies := make([]batchBody, len(jobs))
 		for i, job := range jobs {
 			bodies[i] = newBatchBody(job)
@@ -238,15 +239,15 @@
 	})
 }
 
-// identified is a listed body.
+// identified is an entry of a list, with its ID.
 type identified interface{ identity() string }
 
 func (b batchBody) identity() string { return b.ID }
 func (b fileBody) identity() string  { return b.ID }
 
-// listShards pages through what a tenant has on the shards of its home region;
-// the cursor is the last id of the page before.
-func listShards[T identified](c fiber.Ctx, m *Module, who *caller, prefix, kind string, read func(shard uint32, after string, limit int) ([]T, error)) error {
+// listShards returns a page of a tenant's files or jobs, read one after the other from
+// the shards of its home region. The cursor is the last ID of the previous page.
+func listShards[T identified](c fiber.Ctx, m *Module, caller *callerIdentity, prefix, kind string, read func(shard uint32, after string, limit int) ([]T, error)) error {
 	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListLimit)))
 	if err != nil || limit < 1 || limit > maxListLimit {
 		return result.New(result.InvalidRequest, "limit is %q, allowed: 1 to %d", c.Query("limit"), maxListLimit)
@@ -254,12 +255,12 @@
 	cursor := c.Query("after")
 	first := uint32(0)
 	if cursor != "" {
-		if first, err = m.shardOf(cursor, prefix, kind); err != nil {
+		if first, err = m.shardFromID(cursor, prefix, kind); err != nil {
 			return err
 		}
 	}
 	list := listBody[T]{Object: "list", Data: []T{}}
-	for _, shard := range m.batch.HomeShards(who.tenant.HomeRegion) {
+	for _, shard := range m.batch.HomeShards(caller.tenant.HomeRegion) {
 		if shard < first || len(list.Data) > limit {
 			continue
 		}
@@ -278,11 +279,11 @@
 	return c.JSON(list)
 }
 
-func (m *Module) shardJobs(who *caller, shard uint32, after string, limit int) ([]*wirev1.JobRecord, error) {
+func (m *Module) shardJobs(caller *callerIdentity, shard uint32, after string, limit int) ([]*wirev1.JobRecord, error) {
 	ctx, cancel := storeContext()
 	defer cancel()
 	reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{
-		Shard: shard, Kind: wirev1.ReadKind_READ_KIND_JOBS, Tenant: who.tenant.Name, After: after, Limit: uint32(limit),
+		Shard: shard, Kind: wirev1.ReadKind_READ_KIND_JOBS, Tenant: caller.tenant.Name, After: after, Limit: uint32(limit),
 	})
 	if err != nil {
 		return nil, err
--- a/modules/callers/openai/body.go
+++ b/modules/callers/openai/body.go
@@ -8,8 +8,8 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// readLimited reads a request's body, which the server hands over as a stream
-// when it is large, into memory of its own.
+// readLimited copies a request's body, which the server provides as a stream if it is
+// large. It returns BodyTooLarge if the stream is longer than the limit.
 func readLimited(c fiber.Ctx, limit int) ([]byte, error) {
 	stream := c.RequestCtx().RequestBodyStream()
 	if stream == nil {
@@ -25,14 +25,15 @@
 	return body, nil
 }
 
-// maxDrain bounds what is read of a refused body.
-const maxDrain = 64 << 20
+// maxDiscardedBytes is the maximum number of bytes read from the body of a refused
+// request.
+const maxDiscardedBytes = 64 << 20
 
-// drain reads the rest of a refused request's body. A server that closes a
-// connection with bytes unread resets it, and the caller, still sending, would
-// see a broken connection in place of the error.
-func drain(c fiber.Ctx) {
+// discardBody reads the rest of a refused request's body. Closing a connection with
+// unread bytes would reset it, and a caller that is still sending would see the reset
+// instead of the error response.
+func discardBody(c fiber.Ctx) {
 	if stream := c.RequestCtx().RequestBodyStream(); stream != nil {
-		_, _ = io.CopyN(io.Discard, stream, maxDrain) // the caller gets its answer either way
+		_, _ = io.CopyN(io.Discard, stream, maxDiscardedBytes) // the error response is sent even if this fails
 	}
 }
--- a/modules/callers/openai/disconnect.go
+++ b/modules/callers/openai/disconnect.go
@@ -12,19 +12,21 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// hangUpPoll is how often a waiting request looks whether its caller is still
-// there. fasthttp does not notify a running handler that the caller hung up.
-const hangUpPoll = 250 * time.Millisecond
+// disconnectPollInterval is the time between two checks whether the caller of a waiting
+// request is still connected. fasthttp does not notify a running handler when its caller
+// disconnects.
+const disconnectPollInterval = 250 * time.Millisecond
 
 // callerContext returns a context that ends at the timeout or when the caller
-// hangs up, whichever is first. stop must be called.
+// disconnects, whichever is first. The returned function releases the context's
+// resources and must be called.
 func callerContext(c fiber.Ctx, timeout time.Duration) (context.Context, func()) {
 	ctx, cancelTimeout := context.WithTimeout(context.Background(), timeout)
 	ctx, cancel := context.WithCancelCause(ctx)
 	raw := sockets.Raw(c.RequestCtx().Conn())
 	var watching tasks.Group
 	if raw != nil {
-		watching.Go(func() { watchHangUp(ctx, raw, cancel) })
+		watching.Go(func() { watchDisconnect(ctx, raw, cancel) })
 	}
 	return ctx, func() {
 		cancel(nil)
@@ -33,8 +35,8 @@
 	}
 }
 
-func watchHangUp(ctx context.Context, raw syscall.RawConn, cancel context.CancelCauseFunc) {
-	ticker := time.NewTicker(hangUpPoll)
+func watchDisconnect(ctx context.Context, raw syscall.RawConn, cancel context.CancelCauseFunc) {
+	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/modules/callers/openai/errors.go
+++ b/modules/callers/openai/errors.go
@@ -10,7 +10,8 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// errorBody is the shape of every error, OpenAI's with the run field added.
+// errorBody is the body of every error response: OpenAI's format with the additional
+// fields run and resend_safe.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -18,11 +19,10 @@
 type errorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
-	// Code is the number of the result code, as a string, which is the type
-	// the OpenAI API gives the field.
+	// Code is the number of the result code. It is a string as in the OpenAI API.
 	Code  string  `json:"code"`
 	Param *string `json:"param"`
-	// Run is "no", "yes" or "unknown": whether the work was run.
+	// Run says whether the work was run: "no", "yes" or "unknown".
 	Run        string `json:"run"`
 	ResendSafe bool   `json:"resend_safe"`
 }
@@ -35,11 +35,11 @@
 	}}
 }
 
-// Headers that repeat the outcome for callers that do not read bodies.
+// Response headers that repeat the result for callers that do not read the body.
 const (
 	headerResultCode = "X-Result-Code"
 	headerRun        = "X-Run"
-	// headerShouldRetry says to OpenAI's clients whether to retry by themselves.
+	// headerShouldRetry tells OpenAI's client libraries whether to retry.
 	headerShouldRetry = "X-Should-Retry"
 	headerRetryAfter  = "Retry-After"
 )
--- a/modules/callers/openai/files.go
+++ b/modules/callers/openai/files.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// BatchStore reaches the batch shards.
+// BatchStore reads from and writes to the batch shards.
 type BatchStore interface {
 	Shards() uint32
 	HomeShards(region string) []uint32
@@ -24,13 +24,13 @@
 
 const (
 	purposeBatch = "batch"
-	// storeTimeout bounds one call to a shard, with its retries.
+	// storeTimeout is the timeout of a call to a shard, including retries.
 	storeTimeout = 15 * time.Second
-	// parallelSegments bounds the segments of one upload on their way to disk.
+	// parallelSegments is the number of segments of an upload that are stored at once.
 	parallelSegments = 4
 )
 
-// Ids carry their shard, so that any node finds a file or job without asking:
+// IDs contain their shard, so that every node can find a file or a job from its ID:
 // "file-0003-…" and "batch_0003_…".
 
 func newFileID(shard uint32) string {
@@ -49,8 +49,9 @@
 	shardDigits  = 4
 )
 
-// shardOf reads the shard out of an id.
-func (m *Module) shardOf(id, prefix, kind string) (uint32, error) {
+// shardFromID returns the shard in an ID, or NotFound if the ID is invalid. kind names
+// the missing object in the error.
+func (m *Module) shardFromID(id, prefix, kind string) (uint32, error) {
 	rest, fits := strings.CutPrefix(id, prefix)
 	if fits && len(rest) > shardDigits {
 		shard, err := strconv.ParseUint(rest[:shardDigits], 16, 32)
@@ -90,13 +91,13 @@
 	return context.WithTimeout(context.Background(), storeTimeout)
 }
 
-// listFiles pages through a tenant's uploaded files.
-func (m *Module) listFiles(c fiber.Ctx, who *caller) error {
-	return listShards(c, m, who, filePrefix, "file", func(shard uint32, after string, limit int) ([]fileBody, error) {
+// listFiles returns a page of the tenant's uploaded files.
+func (m *Module) listFiles(c fiber.Ctx, caller *callerIdentity) error {
+	return listShards(c, m, caller, filePrefix, "file", func(shard uint32, after string, limit int) ([]fileBody, error) {
 		ctx, cancel := storeContext()
 		defer cancel()
 		reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{
-			Shard: shard, Kind: wirev1.ReadKind_READ_KIND_FILES, Tenant: who.tenant.Name, After: after, Limit: uint32(limit),
+			Shard: shard, Kind: wirev1.ReadKind_READ_KIND_FILES, Tenant: caller.tenant.Name, After: after, Limit: uint32(limit),
 		})
 		if err != nil {
 			return nil, err
@@ -109,38 +110,38 @@
 	})
 }
 
-func (m *Module) getFile(c fiber.Ctx, who *caller) error {
+func (m *Module) getFile(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	if job, _, err := m.resultFile(id, who); err != nil || job != nil {
+	if job, _, err := m.resultFile(id, caller); err != nil || job != nil {
 		if err != nil {
 			return err
 		}
 		return c.JSON(resultFileBody(id, job))
 	}
-	shard, err := m.shardOf(id, filePrefix, "file")
+	shard, err := m.shardFromID(id, filePrefix, "file")
 	if err != nil {
 		return err
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
-	reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_FILE, Tenant: who.tenant.Name, Id: id})
+	reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_FILE, Tenant: caller.tenant.Name, Id: id})
 	if err != nil {
 		return err
 	}
 	return c.JSON(newFileBody(reply.File))
 }
 
-// fileContent streams an uploaded file back, or a job's results.
-func (m *Module) fileContent(c fiber.Ctx, who *caller) error {
+// fileContent streams the content of an uploaded file or of a job's result file.
+func (m *Module) fileContent(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	job, wantErrors, err := m.resultFile(id, who)
+	job, wantErrors, err := m.resultFile(id, caller)
 	if err != nil {
 		return err
 	}
 	var pages pageReader
 	if job != nil {
 		pages = m.resultPages(job, wantErrors)
-	} else if pages, err = m.contentPages(id, who); err != nil {
+	} else if pages, err = m.contentPages(id, caller); err != nil {
 		return err
 	}
 	return streamPages(c, pages)
@@ -152,15 +153,15 @@
 	Deleted bool   `json:"deleted"`
 }
 
-func (m *Module) deleteFile(c fiber.Ctx, who *caller) error {
+func (m *Module) deleteFile(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	shard, err := m.shardOf(id, filePrefix, "file")
+	shard, err := m.shardFromID(id, filePrefix, "file")
 	if err != nil {
 		return err
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
-	_, err = m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_DeleteFile{DeleteFile: &wirev1.DeleteFile{FileId: id, Tenant: who.tenant.Name}}})
+	_, err = m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_DeleteFile{DeleteFile: &wirev1.DeleteFile{FileId: id, Tenant: caller.tenant.Name}}})
 	if err != nil {
 		return err
 	}
--- a/modules/callers/openai/generate.go
+++ b/modules/callers/openai/generate.go
@@ -27,32 +27,32 @@
 	headerRequestID      = "X-Request-Id"
 )
 
-func (m *Module) chat(c fiber.Ctx, who *caller) error {
-	return m.generate(c, who, wirev1.Surface_SURFACE_CHAT)
+func (m *Module) chat(c fiber.Ctx, caller *callerIdentity) error {
+	return m.generate(c, caller, wirev1.Surface_SURFACE_CHAT)
 }
 
-func (m *Module) completion(c fiber.Ctx, who *caller) error {
-	return m.generate(c, who, wirev1.Surface_SURFACE_COMPLETION)
+func (m *Module) completion(c fiber.Ctx, caller *callerIdentity) error {
+	return m.generate(c, caller, wirev1.Surface_SURFACE_COMPLETION)
 }
 
-// online is one online request after its checks.
-type online struct {
-	id        string
-	who       *caller
-	model     *bundle.CompiledModel
-	asked     string // the model name as asked for
-	surface   wirev1.Surface
-	body      []byte
-	stream    bool
-	withUsage bool
-	class     string
-	key       string
-	timeout   time.Duration
-	arrived   time.Time
+// onlineRequest is a validated online request.
+type onlineRequest struct {
+	id             string
+	caller         *callerIdentity
+	model          *bundle.CompiledModel
+	requestedModel string // the model name in the request, which may be an adapter's
+	surface        wirev1.Surface
+	body           []byte
+	stream         bool
+	withUsage      bool
+	class          string
+	key            string
+	timeout        time.Duration
+	arrived        time.Time
 }
 
-func (m *Module) generate(c fiber.Ctx, who *caller, surface wirev1.Surface) error {
-	request, err := m.parse(c, who, surface)
+func (m *Module) generate(c fiber.Ctx, caller *callerIdentity, surface wirev1.Surface) error {
+	request, err := m.parse(c, caller, surface)
 	if err != nil {
 		return err
 	}
@@ -60,19 +60,19 @@
 	if request.class == bundle.ClassOnce {
 		return m.generateOnce(c, request)
 	}
-	tenant, err := m.admit(who)
+	tenant, err := m.admit(caller)
 	if err != nil {
 		return err
 	}
 	if request.stream {
-		return m.streamed(c, request, tenant)
+		return m.respondStream(c, request, tenant)
 	}
-	return m.whole(c, request, tenant)
+	return m.respondJSON(c, request, tenant)
 }
 
-// parse checks a request and copies its body: the server reuses its buffer
-// when the handler returns.
-func (m *Module) parse(c fiber.Ctx, who *caller, surface wirev1.Surface) (*online, error) {
+// parse validates a request and copies its body, because the server reuses the buffer
+// after the handler has returned.
+func (m *Module) parse(c fiber.Ctx, caller *callerIdentity, surface wirev1.Surface) (*onlineRequest, error) {
 	body, err := readBody(c, m.settings.Limits.BodyBytes)
 	if err != nil {
 		return nil, err
@@ -80,43 +80,44 @@
 	if !gjson.ValidBytes(body) {
 		return nil, result.New(result.InvalidRequest, "the body is not JSON")
 	}
-	request := &online{
-		id: "req-" + uuid.NewString(), who: who, surface: surface, arrived: time.Now(),
+	request := &onlineRequest{
+		id: "req-" + uuid.NewString(), caller: caller, surface: surface, arrived: time.Now(),
 		stream:    gjson.GetBytes(body, "stream").Bool(),
 		withUsage: gjson.GetBytes(body, "stream_options.include_usage").Bool(),
 		key:       c.Get(headerIdempotencyKey),
 	}
-	if request.model, request.asked, err = checkModel(who, body); err != nil {
+	if request.model, request.requestedModel, err = checkModel(caller, body); err != nil {
 		return nil, err
 	}
 	if request.body, err = checkContent(body, surface, request.model); err != nil {
 		return nil, err
 	}
-	if request.class, err = checkClass(c, who, request.key); err != nil {
+	if request.class, err = checkClass(c, caller, request.key); err != nil {
 		return nil, err
 	}
-	if request.timeout, err = checkTimeout(c, who); err != nil {
+	if request.timeout, err = checkTimeout(c, caller); err != nil {
 		return nil, err
 	}
 	return request, nil
 }
 
-func checkModel(who *caller, body []byte) (*bundle.CompiledModel, string, error) {
+func checkModel(caller *callerIdentity, body []byte) (*bundle.CompiledModel, string, error) {
 	asked := gjson.GetBytes(body, "model").String()
 	if asked == "" {
 		return nil, "", result.New(result.InvalidRequest, "model is missing")
 	}
-	model, known := who.snapshot.Models[asked]
+	model, known := caller.snapshot.Models[asked]
 	if !known {
 		return nil, "", result.New(result.UnknownModel, "model %q does not exist", asked)
 	}
-	if !who.tenant.MayCall(asked) {
+	if !caller.tenant.MayCall(asked) {
 		return nil, "", result.New(result.Forbidden, "the tenant may not call model %q", asked)
 	}
 	return model, asked, nil
 }
 
-// checkContent checks the prompt and holds max_tokens to the model's bound.
+// checkContent validates the prompt and returns the body with max_tokens limited to the
+// model's maximum.
 func checkContent(body []byte, surface wirev1.Surface, model *bundle.CompiledModel) ([]byte, error) {
 	if surface == wirev1.Surface_SURFACE_CHAT {
 		messages := gjson.GetBytes(body, "messages")
@@ -147,10 +148,10 @@
 	return edited, nil
 }
 
-func checkClass(c fiber.Ctx, who *caller, key string) (string, error) {
+func checkClass(c fiber.Ctx, caller *callerIdentity, key string) (string, error) {
 	class := c.Get(headerWorkClass)
 	if class == "" {
-		class = who.tenant.DefaultClass
+		class = caller.tenant.DefaultClass
 	}
 	switch class {
 	case bundle.ClassRepeatable:
@@ -165,8 +166,8 @@
 	}
 }
 
-func checkTimeout(c fiber.Ctx, who *caller) (time.Duration, error) {
-	limit := who.snapshot.Policy.RequestTimeout.Std()
+func checkTimeout(c fiber.Ctx, caller *callerIdentity) (time.Duration, error) {
+	limit := caller.snapshot.Policy.RequestTimeout.Std()
 	written := c.Get(headerTimeout)
 	if written == "" {
 		return limit, nil
@@ -178,55 +179,55 @@
 	return min(limit, time.Duration(milliseconds)*time.Millisecond), nil
 }
 
-// prefixBytes of the first message or prompt decide which runner's cache a
-// request is sent to.
+// prefixBytes is the length of the prefix of the prompt or of the first message that is
+// hashed to select a runner, so that requests with the same prefix share its cache.
 const prefixBytes = 512
 
-func prefixHash(request *online) uint64 {
+func prefixHash(request *onlineRequest) uint64 {
 	path := "prompt"
 	if request.surface == wirev1.Surface_SURFACE_CHAT {
 		path = "messages.0.content"
 	}
 	text := gjson.GetBytes(request.body, path).String()
-	return xxhash.Sum64String(request.asked + "\x00" + text[:min(len(text), prefixBytes)])
+	return xxhash.Sum64String(request.requestedModel + "\x00" + text[:min(len(text), prefixBytes)])
 }
 
-func (o *online) routed() *router.Request {
+func (o *onlineRequest) routerRequest() *router.Request {
 	return &router.Request{
-		ID: o.id, Tenant: o.who.tenant.Name, Model: o.model, Surface: o.surface,
+		ID: o.id, Tenant: o.caller.tenant.Name, Model: o.model, Surface: o.surface,
 		Body: o.body, PrefixHash: prefixHash(o), Once: o.class == bundle.ClassOnce,
 	}
 }
 
-// whole answers with one JSON object.
-func (m *Module) whole(c fiber.Ctx, request *online, tenant *limits.TenantLimiter) error {
+// respondJSON responds with one JSON object.
+func (m *Module) respondJSON(c fiber.Ctx, request *onlineRequest, tenant *limits.TenantLimiter) error {
 	ctx, stop := callerContext(c, request.timeout)
 	defer stop()
-	answer, err := m.collect(ctx, request)
+	answer, err := m.collectResponse(ctx, request)
 	tenant.Release(time.Now(), answer.usage.CompletionTokens)
 	if err != nil {
 		return err
 	}
-	return c.JSON(answer.encode(request))
+	return c.JSON(answer.toBody(request))
 }
 
-// answer is a collected answer.
-type answer struct {
+// collectedResponse is a complete response, assembled from its chunks.
+type collectedResponse struct {
 	text   []byte
 	finish string
 	usage  router.Usage
 }
 
-func (m *Module) collect(ctx context.Context, request *online) (*answer, error) {
-	collected := &answer{}
+func (m *Module) collectResponse(ctx context.Context, request *onlineRequest) (*collectedResponse, error) {
+	collected := &collectedResponse{}
 	var err error
-	collected.usage, err = m.router.Generate(ctx, request.routed(), func(piece router.Chunk) error {
+	collected.usage, err = m.router.Generate(ctx, request.routerRequest(), func(chunk router.Chunk) error {
 		if len(collected.text) == 0 {
-			m.metrics.first.Observe(time.Since(request.arrived).Seconds())
+			m.metrics.firstToken.Observe(time.Since(request.arrived).Seconds())
 		}
-		collected.text = append(collected.text, piece.Text...)
-		if piece.FinishReason != "" {
-			collected.finish = piece.FinishReason
+		collected.text = append(collected.text, chunk.Text...)
+		if chunk.FinishReason != "" {
+			collected.finish = chunk.FinishReason
 		}
 		return nil
 	})
@@ -265,9 +266,9 @@
 	Usage   *usageBody `json:"usage,omitempty"`
 }
 
-func (a *answer) encode(request *online) completionBody {
+func (a *collectedResponse) toBody(request *onlineRequest) completionBody {
 	body := completionBody{
-		ID: request.id, Object: "text_completion", Created: request.arrived.Unix(), Model: request.asked, Usage: newUsage(a.usage),
+		ID: request.id, Object: "text_completion", Created: request.arrived.Unix(), Model: request.requestedModel, Usage: newUsage(a.usage),
 	}
 	text := string(a.text)
 	only := choice{FinishReason: &a.finish}
@@ -281,9 +282,9 @@
 	return body
 }
 
-// encodeWhole returns the answer's JSON.
-func (a *answer) encodeWhole(request *online) ([]byte, error) {
-	return json.Marshal(a.encode(request))
+// encodeJSON returns the response's body as JSON.
+func (a *collectedResponse) encodeJSON(request *onlineRequest) ([]byte, error) {
+	return json.Marshal(a.toBody(request))
 }
 
 func readBody(c fiber.Ctx, limit int) ([]byte, error) {
--- a/modules/callers/openai/models.go
+++ b/modules/callers/openai/models.go
@@ -23,10 +23,10 @@
 	LastID  string `json:"last_id,omitempty"`
 }
 
-func (m *Module) listModels(c fiber.Ctx, who *caller) error {
+func (m *Module) listModels(c fiber.Ctx, caller *callerIdentity) error {
 	list := listBody[modelBody]{Object: "list", Data: []modelBody{}}
-	for name := range who.snapshot.Models {
-		if who.tenant.MayCall(name) {
+	for name := range caller.snapshot.Models {
+		if caller.tenant.MayCall(name) {
 			list.Data = append(list.Data, modelBody{ID: name, Object: "model", OwnedBy: "cobaltramp"})
 		}
 	}
@@ -34,9 +34,9 @@
 	return c.JSON(list)
 }
 
-func (m *Module) getModel(c fiber.Ctx, who *caller) error {
+func (m *Module) getModel(c fiber.Ctx, caller *callerIdentity) error {
 	name := c.Params("id")
-	if _, known := who.snapshot.Models[name]; !known || !who.tenant.MayCall(name) {
+	if _, known := caller.snapshot.Models[name]; !known || !caller.tenant.MayCall(name) {
 		return result.New(result.UnknownModel, "model %q does not exist", name)
 	}
 	return c.JSON(modelBody{ID: name, Object: "model", OwnedBy: "cobaltramp"})
--- a/modules/callers/openai/once.go
+++ b/modules/callers/openai/once.go
@@ -14,36 +14,36 @@
 	"cobaltramp.example/cobaltramp/internal/serving/limits"
 )
 
-// Claims records idempotency keys durably.
+// Claims stores claims of idempotency keys durably.
 type Claims interface {
 	Claim(context.Context, uint32, *wirev1.Command) (*wirev1.CommandResult, error)
 }
 
 const (
-	// claimTimeout bounds the recording of a claim, before its request is run.
+	// claimTimeout is the timeout for storing a claim before its request is run.
 	claimTimeout = 5 * time.Second
-	// resolveTimeout bounds the recording of an answer; the caller gets its
-	// answer whether or not it was recorded in time.
+	// resolveTimeout is the timeout for storing the outcome of a request. The caller
+	// gets the response even if its outcome is not stored in time.
 	resolveTimeout = 10 * time.Second
-	// claimGrace is how long after its deadline a claim without an answer is
-	// held to be running.
+	// claimGrace is how long after the request's timeout a claim without an outcome
+	// still counts as running.
 	claimGrace = 5 * time.Second
 	statusOK   = 200
 )
 
-// generateOnce runs work that must not run twice. The key is claimed in the
-// replicated store before the first byte goes to an engine; a resend through
-// any node finds the claim and gets the same answer, "in progress" or "outcome
-// unknown".
-func (m *Module) generateOnce(c fiber.Ctx, request *online) error {
+// generateOnce runs a request that must not run twice. It claims the request's
+// idempotency key in the replicated store before anything is sent to an engine. A
+// repeated request, at any node, finds the claim and gets the same response, InProgress
+// or OutcomeUnknown.
+func (m *Module) generateOnce(c fiber.Ctx, request *onlineRequest) error {
 	if request.stream {
 		return result.New(result.InvalidRequest, "work of class once is answered whole; leave out stream")
 	}
-	shards := m.batch.HomeShards(request.who.tenant.HomeRegion)
+	shards := m.batch.HomeShards(request.caller.tenant.HomeRegion)
 	if len(shards) == 0 {
 		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").WithRetryAfter(time.Second)
 	}
-	tenant, err := m.admit(request.who)
+	tenant, err := m.admit(request.caller)
 	if err != nil {
 		return err
 	}
@@ -60,21 +60,23 @@
 	return m.runClaimed(c, request, shard, tenant)
 }
 
-// claimShard is the same at every node, so that a resend meets the claim.
-func claimShard(request *online, shards []uint32) uint32 {
-	return shards[xxhash.Sum64String(request.who.tenant.Name+"\x00"+request.key)%uint64(len(shards))]
+// claimShard returns the shard of a request's claim. All nodes choose the same shard for
+// a key, so that a repeated request finds the claim.
+func claimShard(request *onlineRequest, shards []uint32) uint32 {
+	return shards[xxhash.Sum64String(request.caller.tenant.Name+"\x00"+request.key)%uint64(len(shards))]
 }
 
-// claim asks for the key. A claim whose fate is unknown counts as not granted:
-// nothing was dispatched, so the request was not run, and the claim it may
-// have left behind blocks only its own key until it expires as unknown.
-func (m *Module) claim(request *online, shard uint32) (*wirev1.ClaimRecord, bool, error) {
+// claim claims the request's idempotency key, and returns the key's record and whether
+// the claim was granted. If the outcome of the claim is unknown, the request is refused:
+// it has not been dispatched, so it has not run. A claim that was stored all the same
+// blocks its key until it is resolved or expires.
+func (m *Module) claim(request *onlineRequest, shard uint32) (*wirev1.ClaimRecord, bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	now := time.Now()
-	fingerprint := sha256.Sum256(append([]byte(request.asked+"\x00"), request.body...))
+	fingerprint := sha256.Sum256(append([]byte(request.requestedModel+"\x00"), request.body...))
 	answer, err := m.claims.Claim(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_Claim{Claim: &wirev1.Claim{
-		Tenant: request.who.tenant.Name, Key: request.key, Fingerprint: fingerprint[:], RequestId: request.id,
+		Tenant: request.caller.tenant.Name, Key: request.key, Fingerprint: fingerprint[:], RequestId: request.id,
 		AtUnixMs: now.UnixMilli(), ExpiresUnixMs: now.Add(request.timeout + claimGrace).UnixMilli(),
 	}}})
 	if result.Is(err, result.CommitUnknown) {
@@ -87,7 +89,7 @@
 	return answer.Claim, answer.Accepted == 1, nil
 }
 
-// replay answers a resend from the claim's record.
+// replay responds to a repeated request from the record of its claim.
 func replay(c fiber.Ctx, record *wirev1.ClaimRecord) error {
 	switch record.State {
 	case wirev1.ClaimState_CLAIM_STATE_ANSWERED:
@@ -104,19 +106,19 @@
 	}
 }
 
-func (m *Module) runClaimed(c fiber.Ctx, request *online, shard uint32, tenant *limits.TenantLimiter) error {
-	// Work that was claimed goes on when its caller hangs up: a resend fetches
-	// the answer.
+func (m *Module) runClaimed(c fiber.Ctx, request *onlineRequest, shard uint32, tenant *limits.TenantLimiter) error {
+	// The request continues when its caller disconnects, because the caller can fetch
+	// the response by repeating the request.
 	ctx, cancel := context.WithTimeout(context.Background(), request.timeout)
 	defer cancel()
-	collected, err := m.collect(ctx, request)
+	collected, err := m.collectResponse(ctx, request)
 	tenant.Release(time.Now(), collected.usage.CompletionTokens)
 	if err != nil {
 		failure := result.FromError(err)
 		m.resolveLater(request, shard, resolutionOf(failure))
 		return failure
 	}
-	body, err := collected.encodeWhole(request)
+	body, err := collected.encodeJSON(request)
 	if err != nil {
 		return result.New(result.Internal, "encoding the answer: %v", err)
 	}
@@ -125,9 +127,9 @@
 	return c.Send(body)
 }
 
-// resolutionOf says what a failure means for the key: free again if the work
-// provably did not run, the same refusal if the engine rejected it, else
-// unknown.
+// resolutionOf returns the outcome to store for a failed request. If the engine rejected
+// the request, repeated requests get the same error. If the request certainly did not
+// run, its key becomes free again. Otherwise the outcome is unknown.
 func resolutionOf(failure *result.Error) *wirev1.ResolveClaim {
 	entry := failure.Code.Entry()
 	switch {
@@ -140,19 +142,19 @@
 	}
 }
 
-// resolve records what became of the work under a key. If that fails, the claim stays
-// in progress until it expires; the outcome is unknown from then on.
-func (m *Module) resolve(ctx context.Context, request *online, shard uint32, resolution *wirev1.ResolveClaim) {
+// resolve stores the outcome of a claimed request. If this fails, the claim remains in
+// progress until it expires, and its outcome is unknown from then on.
+func (m *Module) resolve(ctx context.Context, request *onlineRequest, shard uint32, resolution *wirev1.ResolveClaim) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
-	resolution.Tenant, resolution.Key, resolution.RequestId = request.who.tenant.Name, request.key, request.id
+	resolution.Tenant, resolution.Key, resolution.RequestId = request.caller.tenant.Name, request.key, request.id
 	resolution.AtUnixMs = time.Now().UnixMilli()
 	_, err := m.claims.Claim(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_ResolveClaim{ResolveClaim: resolution}})
 	if err != nil {
-		klog.InfoS("claim not resolved", "node", m.settings.Node.ID, "id", request.id, "shard", shard, "err", err)
+		klog.InfoS("cannot store the outcome of a claim", "node", m.settings.Node.ID, "id", request.id, "shard", shard, "err", err)
 	}
 }
 
-func (m *Module) resolveLater(request *online, shard uint32, resolution *wirev1.ResolveClaim) {
-	m.background.Go(func() { m.resolve(m.lifetime, request, shard, resolution) })
+func (m *Module) resolveLater(request *onlineRequest, shard uint32, resolution *wirev1.ResolveClaim) {
+	m.background.Go(func() { m.resolve(m.startContext, request, shard, resolution) })
 }
--- a/modules/callers/openai/results.go
+++ b/modules/callers/openai/results.go
@@ -15,15 +15,15 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// resultFile finds the job behind the id of an output or error file; nil if
-// the id is of an uploaded file.
-func (m *Module) resultFile(id string, who *caller) (*wirev1.JobRecord, bool, error) {
+// resultFile returns the job of an output or error file, and whether the ID is that of
+// the error file. The job is nil if the ID is that of an uploaded file.
+func (m *Module) resultFile(id string, caller *callerIdentity) (*wirev1.JobRecord, bool, error) {
 	wantErrors := strings.HasPrefix(id, errorsPrefix)
 	if !wantErrors && !strings.HasPrefix(id, outputPrefix) {
 		return nil, false, nil
 	}
 	batchID := strings.TrimPrefix(strings.TrimPrefix(id, errorsPrefix), outputPrefix)
-	job, err := m.readJob(batchID, who)
+	job, err := m.readJob(batchID, caller)
 	return job, wantErrors, err
 }
 
@@ -31,7 +31,7 @@
 	return fileBody{ID: id, Object: "file", CreatedAt: job.FinishedUnixMs / 1000, Filename: id + ".jsonl", Purpose: "batch_output", Status: "processed"}
 }
 
-// pageReader returns the next page of lines, nil after the last.
+// pageReader returns the next page of lines, or nil after the last one.
 type pageReader func() ([]byte, error)
 
 func (m *Module) resultPages(job *wirev1.JobRecord, wantErrors bool) pageReader {
@@ -42,7 +42,7 @@
 		}
 		ctx, cancel := storeContext()
 		defer cancel()
-		shard, err := m.shardOf(job.Spec.JobId, batchPrefix, "batch")
+		shard, err := m.shardFromID(job.Spec.JobId, batchPrefix, "batch")
 		if err != nil {
 			return nil, err
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-func (m *Module) contentPages(id string, who *caller) (pageReader, error) {
-	shard, err := m.shardOf(id, filePrefix, "file")
+func (m *Module) contentPages(id string, caller *callerIdentity) (pageReader, error) {
+	shard, err := m.shardFromID(id, filePrefix, "file")
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 		}
 		ctx, cancel := storeContext()
 		defer cancel()
-		reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_CONTENT, Tenant: who.tenant.Name, Id: id, Segment: segment})
+		reply, err := m.batch.Read(ctx, &wirev1.ReadRequest{Shard: shard, Kind: wirev1.ReadKind_READ_KIND_CONTENT, Tenant: caller.tenant.Name, Id: id, Segment: segment})
 		if err != nil {
 			return nil, err
 		}
@@ -78,9 +78,10 @@
 	}, nil
 }
 
-// streamPages sends pages as they are read. The first is read before the
-// status is decided. A page that cannot be read later ends the connection
-// without the closing chunk, which a client sees as a broken download.
+// streamPages sends pages as they are read. The first page is read before the status is
+// sent, so that its error becomes an error response. If a later page cannot be read, the
+// connection is closed without the final chunk, which tells the client that the download
+// is incomplete.
 func streamPages(c fiber.Ctx, next pageReader) error {
 	first, err := next()
 	if err != nil {
@@ -94,8 +95,8 @@
 				return
 			}
 			if page, err = next(); err != nil {
-				klog.V(1).InfoS("results not read, the download is cut", "err", err)
-				_ = conn.Close() // the caller sees the cut either way
+				klog.V(1).InfoS("cannot read the next page of a file; closing the connection", "err", err)
+				_ = conn.Close() // a failure leaves nothing else to do
 				return
 			}
 		}
--- a/modules/callers/openai/stream.go
+++ b/modules/callers/openai/stream.go
@@ -16,10 +16,10 @@
 	"cobaltramp.example/cobaltramp/modules/serving/router"
 )
 
-// pieces carries an answer from the router's goroutine to the one that writes
-// to the caller.
-type pieces struct {
-	queue      chan router.Chunk
+// responseStream carries the chunks of a response from the goroutine that generates it to
+// the goroutine that writes to the caller.
+type responseStream struct {
+	chunks     chan router.Chunk
 	done       chan outcome
 	generating tasks.Group
 }
@@ -29,19 +29,19 @@
 	err   error
 }
 
-// streamQueue decouples the engine from a caller that reads slowly; beyond it
-// the answer is held back at the owner.
-const streamQueue = 256
+// streamQueueChunks is the number of chunks buffered for a caller that reads slowly. When
+// the buffer is full, the response waits at the node that owns the runner.
+const streamQueueChunks = 256
 
-// streamed answers with server-sent events. The status is decided by the first
-// piece: an error before it is an ordinary error answer.
-func (m *Module) streamed(c fiber.Ctx, request *online, tenant *limits.TenantLimiter) error {
+// respondStream responds with server-sent events. The status is sent with the first
+// chunk, so that an error before it becomes an ordinary error response.
+func (m *Module) respondStream(c fiber.Ctx, request *onlineRequest, tenant *limits.TenantLimiter) error {
 	ctx, stop := callerContext(c, request.timeout)
-	flow := m.startFlow(ctx, request)
-	first, end := flow.wait(ctx)
+	response := m.startGeneration(ctx, request)
+	first, end := response.wait(ctx)
 	if end != nil && end.err != nil {
 		stop()
-		flow.generating.Wait()
+		response.generating.Wait()
 		tenant.Release(time.Now(), 0)
 		return end.err
 	}
@@ -50,64 +50,64 @@
 	m.inFlight.Add(1)
 	c.RequestCtx().SetBodyStreamWriter(fasthttp.StreamWriter(func(writer *bufio.Writer) {
 		defer m.inFlight.Add(-1)
-		defer flow.generating.Wait()
+		defer response.generating.Wait()
 		defer stop()
 		sender := &eventWriter{request: request, writer: writer}
-		tokens := sender.run(flow, first, end)
+		tokens := sender.run(response, first, end)
 		tenant.Release(time.Now(), tokens)
 	}))
 	return nil
 }
 
-func (m *Module) startFlow(ctx context.Context, request *online) *pieces {
-	flow := &pieces{queue: make(chan router.Chunk, streamQueue), done: make(chan outcome, 1)}
-	flow.generating.Go(func() {
+func (m *Module) startGeneration(ctx context.Context, request *onlineRequest) *responseStream {
+	response := &responseStream{chunks: make(chan router.Chunk, streamQueueChunks), done: make(chan outcome, 1)}
+	response.generating.Go(func() {
 		first := true
-		usage, err := m.router.Generate(ctx, request.routed(), func(piece router.Chunk) error {
+		usage, err := m.router.Generate(ctx, request.routerRequest(), func(chunk router.Chunk) error {
 			if first {
 				first = false
-				m.metrics.first.Observe(time.Since(request.arrived).Seconds())
+				m.metrics.firstToken.Observe(time.Since(request.arrived).Seconds())
 			}
 			select {
-			case flow.queue <- piece:
+			case response.chunks <- chunk:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		})
-		flow.done <- outcome{usage, err}
-		close(flow.queue)
+		response.done <- outcome{usage, err}
+		close(response.chunks)
 	})
-	return flow
+	return response
 }
 
-// wait returns the first piece, or the outcome if there is none.
-func (p *pieces) wait(_ context.Context) (*router.Chunk, *outcome) {
-	piece, open := <-p.queue
+// wait returns the first chunk, or the outcome if the response has no chunk.
+func (p *responseStream) wait(_ context.Context) (*router.Chunk, *outcome) {
+	chunk, open := <-p.chunks
 	if open {
-		return &piece, nil
+		return &chunk, nil
 	}
 	end := <-p.done
 	return nil, &end
 }
 
-// eventWriter writes one answer as server-sent events.
+// eventWriter writes a response as server-sent events.
 type eventWriter struct {
-	request *online
-	writer  *bufio.Writer
-	begun   bool
+	request  *onlineRequest
+	writer   *bufio.Writer
+	roleSent bool
 }
 
-// keepAliveInterval bounds how long a caller that hung up goes unseen while no
-// token comes.
+// keepAliveInterval is the time between two comments that are sent while no token
+// arrives. Writing them detects that a caller has disconnected.
 const keepAliveInterval = time.Second
 
-// run writes pieces until the answer ends or the caller is gone, and returns
-// the tokens written.
-func (w *eventWriter) run(flow *pieces, first *router.Chunk, end *outcome) int {
+// run writes chunks until the response ends or the caller disconnects, and returns the
+// number of tokens written.
+func (w *eventWriter) run(response *responseStream, first *router.Chunk, end *outcome) int {
 	tokens := 0
 	if first != nil {
-		if !w.piece(first) {
+		if !w.chunk(first) {
 			return 1
 		}
 		tokens++
@@ -116,76 +116,76 @@
 	defer keepAlive.Stop()
 	for end == nil {
 		select {
-		case piece, open := <-flow.queue:
+		case chunk, open := <-response.chunks:
 			if !open {
-				ended := <-flow.done
+				ended := <-response.done
 				end = &ended
 				continue
 			}
-			if !w.piece(&piece) {
+			if !w.chunk(&chunk) {
 				return tokens
 			}
 			tokens++
 		case <-keepAlive.C:
-			if !w.flush(": waiting\n\n") {
+			if !w.write(": waiting\n\n") {
 				return tokens
 			}
 		}
 	}
-	w.finish(end)
+	w.writeEnd(end)
 	return tokens
 }
 
-func (w *eventWriter) finish(end *outcome) {
+func (w *eventWriter) writeEnd(end *outcome) {
 	if end.err != nil {
-		w.flush("data: " + string(encodeError(result.FromError(end.err))) + "\n\n")
+		w.write("data: " + string(encodeError(result.FromError(end.err))) + "\n\n")
 		return
 	}
 	if w.request.withUsage {
-		body := w.chunk()
+		body := w.newChunkBody()
 		body.Choices = []choice{}
 		body.Usage = newUsage(end.usage)
-		w.event(body)
+		w.writeEvent(body)
 	}
-	w.flush("data: [DONE]\n\n")
+	w.write("data: [DONE]\n\n")
 }
 
-func (w *eventWriter) chunk() completionBody {
+func (w *eventWriter) newChunkBody() completionBody {
 	object := "text_completion"
 	if w.request.surface == wirev1.Surface_SURFACE_CHAT {
 		object = "chat.completion.chunk"
 	}
-	return completionBody{ID: w.request.id, Object: object, Created: w.request.arrived.Unix(), Model: w.request.asked}
+	return completionBody{ID: w.request.id, Object: object, Created: w.request.arrived.Unix(), Model: w.request.requestedModel}
 }
 
-func (w *eventWriter) piece(piece *router.Chunk) bool {
-	body := w.chunk()
-	only := choice{}
-	if piece.FinishReason != "" {
-		only.FinishReason = &piece.FinishReason
+func (w *eventWriter) chunk(chunk *router.Chunk) bool {
+	body := w.newChunkBody()
+	entry := choice{}
+	if chunk.FinishReason != "" {
+		entry.FinishReason = &chunk.FinishReason
 	}
 	if w.request.surface == wirev1.Surface_SURFACE_CHAT {
-		only.Delta = &message{Content: piece.Text}
-		if !w.begun {
-			only.Delta.Role = "assistant"
-			w.begun = true
+		entry.Delta = &message{Content: chunk.Text}
+		if !w.roleSent {
+			entry.Delta.Role = "assistant"
+			w.roleSent = true
 		}
 	} else {
-		only.Text = &piece.Text
+		entry.Text = &chunk.Text
 	}
-	body.Choices = []choice{only}
-	return w.event(body)
+	body.Choices = []choice{entry}
+	return w.writeEvent(body)
 }
 
-func (w *eventWriter) event(body completionBody) bool {
+func (w *eventWriter) writeEvent(body completionBody) bool {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return false
 	}
-	return w.flush("data: " + string(encoded) + "\n\n")
+	return w.write("data: " + string(encoded) + "\n\n")
 }
 
-func (w *eventWriter) flush(text string) bool {
+func (w *eventWriter) write(text string) bool {
 	if _, err := w.writer.WriteString(text); err != nil {
 		return false
 	}
--- a/modules/callers/openai/upload.go
+++ b/modules/callers/openai/upload.go
@@ -22,9 +22,9 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/bundle"
 )
 
-// uploadFile takes a multipart upload as a stream: segments go to their shard
-// while the rest is still on its way.
-func (m *Module) uploadFile(c fiber.Ctx, who *caller) error {
+// uploadFile reads a multipart upload as a stream and stores its segments in a shard
+// while the rest is still arriving.
+func (m *Module) uploadFile(c fiber.Ctx, caller *callerIdentity) error {
 	if length := c.Request().Header.ContentLength(); int64(length) > m.settings.Limits.FileBytes {
 		return result.New(result.BodyTooLarge, "the file has %d bytes, allowed: %d", length, m.settings.Limits.FileBytes)
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	class, err := uploadClass(c, who)
+	class, err := uploadClass(c, caller)
 	if err != nil {
 		return err
 	}
@@ -53,12 +53,12 @@
 			}
 			purpose = string(text)
 		case "file":
-			return m.takeFile(c, who, part, purpose, class)
+			return m.storeFile(c, caller, part, purpose, class)
 		}
 	}
 }
 
-// maxPurposeBytes bounds the form's field purpose.
+// maxPurposeBytes is the maximum length read from the form's field purpose.
 const maxPurposeBytes = 64
 
 func multipartReader(c fiber.Ctx, limit int64) (*multipart.Reader, error) {
@@ -73,10 +73,10 @@
 	return multipart.NewReader(io.LimitReader(stream, limit), parameters["boundary"]), nil
 }
 
-func uploadClass(c fiber.Ctx, who *caller) (wirev1.WorkClass, error) {
+func uploadClass(c fiber.Ctx, caller *callerIdentity) (wirev1.WorkClass, error) {
 	class := c.Get(headerWorkClass)
 	if class == "" {
-		class = who.tenant.DefaultClass
+		class = caller.tenant.DefaultClass
 	}
 	switch class {
 	case bundle.ClassOnce:
@@ -88,17 +88,17 @@
 	}
 }
 
-func (m *Module) takeFile(c fiber.Ctx, who *caller, part *multipart.Part, purpose string, class wirev1.WorkClass) error {
+func (m *Module) storeFile(c fiber.Ctx, caller *callerIdentity, part *multipart.Part, purpose string, class wirev1.WorkClass) error {
 	if purpose != "" && purpose != purposeBatch {
 		return result.New(result.InvalidRequest, "purpose is %q, allowed: batch", purpose)
 	}
-	shards := m.batch.HomeShards(who.tenant.HomeRegion)
+	shards := m.batch.HomeShards(caller.tenant.HomeRegion)
 	if len(shards) == 0 {
 		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").WithRetryAfter(time.Second)
 	}
 	digest := sha256.New()
-	reader := jsonl.NewReader(io.TeeReader(part, digest), jsonl.Rules{Model: modelRule(who), DefaultClass: class})
-	upload := &upload{module: m, reader: reader, digest: digest, tenant: who.tenant.Name, filename: part.FileName()}
+	reader := jsonl.NewReader(io.TeeReader(part, digest), jsonl.Rules{Model: modelResolver(caller), DefaultClass: class})
+	upload := &upload{module: m, reader: reader, digest: digest, tenant: caller.tenant.Name, filename: part.FileName()}
 	record, err := upload.run(shards)
 	if err != nil {
 		return err
@@ -106,20 +106,20 @@
 	return c.JSON(newFileBody(record))
 }
 
-func modelRule(who *caller) func(string) (string, error) {
+func modelResolver(caller *callerIdentity) func(string) (string, error) {
 	return func(name string) (string, error) {
-		model, known := who.snapshot.Models[name]
+		model, known := caller.snapshot.Models[name]
 		if !known {
 			return "", fmt.Errorf("body.model is %q, which does not exist", name)
 		}
-		if !who.tenant.MayCall(name) {
+		if !caller.tenant.MayCall(name) {
 			return "", fmt.Errorf("body.model is %q, which the tenant may not call", name)
 		}
 		return model.Name, nil
 	}
 }
 
-// upload is one file on its way to its shard.
+// upload is a file that is being uploaded.
 type upload struct {
 	module   *Module
 	reader   *jsonl.Reader
@@ -132,8 +132,8 @@
 	segments uint32
 }
 
-// run stores the file. It becomes visible with its last command, the seal; an
-// upload that fails leaves nothing behind that anyone can see.
+// run stores the file. The file becomes visible only when it is sealed, so a failed
+// upload leaves no visible file.
 func (u *upload) run(shards []uint32) (*wirev1.FileRecord, error) {
 	first, err := u.reader.Next()
 	if errors.Is(err, io.EOF) {
@@ -142,9 +142,9 @@
 	if err != nil {
 		return nil, lineError(err)
 	}
-	// The same content goes to the same shard, where a resent job meets the
-	// first one.
-	u.shard = shards[contentHash(u.tenant, first)%uint64(len(shards))]
+	// The shard follows from the content, so that a repeated job is recognised in the
+	// shard of the first one.
+	u.shard = shards[segmentHash(u.tenant, first)%uint64(len(shards))]
 	u.fileID = newFileID(u.shard)
 	if err := u.propose(&wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{
 		FileId: u.fileID, Tenant: u.tenant, Filename: u.filename, Purpose: purposeBatch, CreatedUnixMs: time.Now().UnixMilli(),
@@ -158,7 +158,7 @@
 	return u.seal()
 }
 
-func contentHash(tenant string, segment *jsonl.Segment) uint64 {
+func segmentHash(tenant string, segment *jsonl.Segment) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(tenant)
 	for _, item := range segment.Items {
@@ -197,7 +197,7 @@
 			break
 		}
 		if err != nil {
-			_ = group.Wait() // the bad line is what the caller has to know
+			_ = group.Wait() // the error of the invalid line matters more to the caller
 			return err
 		}
 	}
@@ -219,11 +219,11 @@
 
 func (u *upload) discard() {
 	u.module.background.Go(func() {
-		ctx, cancel := context.WithTimeout(u.module.lifetime, storeTimeout)
+		ctx, cancel := context.WithTimeout(u.module.startContext, storeTimeout)
 		defer cancel()
 		err := u.proposeWithin(ctx, &wirev1.Command{Kind: &wirev1.Command_DeleteFile{DeleteFile: &wirev1.DeleteFile{FileId: u.fileID, Tenant: u.tenant}}})
 		if err != nil {
-			klog.V(1).InfoS("file of a broken upload not deleted, retention ends it", "file", u.fileID, "err", err)
+			klog.V(1).InfoS("cannot delete the file of a failed upload; it remains until its retention ends", "file", u.fileID, "err", err)
 		}
 	})
 }
--- a/modules/callers/quota/quota.go
+++ b/modules/callers/quota/quota.go
@@ -1,8 +1,8 @@
-// Package quota holds this node's share of tenants' limits: it reports demand to the
-// node that divides a tenant's limits, and divides those of the tenants that fall to
-// this node (internal/serving/quota). It owns the shares in use, in memory; it relies on
-// the view of the fleet for which node divides, and on the links between nodes. The
-// plain node runs it.
+// Package quota divides tenants' limits among the nodes. Each tenant has one node that
+// divides its limits, its divider. All nodes report the tenant's demand to the divider,
+// which returns each node's share of the limits (see internal/serving/quota). The
+// module keeps the shares in memory. It depends on the view of the fleet, which
+// determines the dividers, and on the connections between nodes. Plain nodes run it.
 package quota
 
 import (
@@ -23,7 +23,7 @@
 	"cobaltramp.example/cobaltramp/modules/fleet/membership"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "callers.quota"
 
 func init() {
@@ -33,31 +33,32 @@
 	})
 }
 
-// Views gives the view of the fleet.
+// Views provides the current view of the fleet.
 type Views interface{ View() *fleet.View }
 
-// Module provides shares.
+// Module provides this node's shares of tenants' limits.
 type Module struct {
 	views Views
 	pool  *rpc.Pool
-	// due is signalled for a tenant that is new here: it is reported at once.
-	due chan struct{}
+	// reportRequests requests an immediate report when the first request of a tenant
+	// arrives.
+	reportRequests chan struct{}
 
-	dividing sync.Mutex
-	divider  *quota.Divider
+	dividerMutex sync.Mutex
+	divider      *quota.Divider
 
-	mutex   sync.Mutex
-	tenants map[string]*tenantShare
+	mutex  sync.Mutex
+	shares map[string]*tenantShare
 
 	background tasks.Group
 }
 
-// tenantShare is what this node knows of one tenant.
+// tenantShare holds this node's demand and share of a tenant.
 type tenantShare struct {
-	demand   float64
-	share    float64
-	received time.Time
-	used     time.Time
+	demand     float64
+	share      float64
+	receivedAt time.Time
+	lastUsed   time.Time
 }
 
 var (
@@ -75,8 +76,8 @@
 		return trace.Wrap(err)
 	}
 	m.divider = quota.NewDivider()
-	m.tenants = map[string]*tenantShare{}
-	m.due = make(chan struct{}, 1)
+	m.shares = map[string]*tenantShare{}
+	m.reportRequests = make(chan struct{}, 1)
 	server.Handle(wirev1.Method_METHOD_QUOTA, m.serve)
 	ctx.Provide(m)
 	return nil
@@ -85,36 +86,36 @@
 const (
 	reportInterval = time.Second
 	reportTimeout  = time.Second
-	// staleAfter: a share that is not renewed is used this long, then the node falls
-	// back to an even share.
-	staleAfter = 10 * time.Second
-	// idleAfter: a tenant not seen for this long is no longer reported.
-	idleAfter = 5 * time.Second
+	// shareLifetime is how long a share is used after its last renewal. After that the
+	// node assumes equal shares for all nodes.
+	shareLifetime = 10 * time.Second
+	// idleTimeout is how long after its last request a tenant is still reported.
+	idleTimeout = 5 * time.Second
 )
 
-// Share counts one request of a tenant and returns this node's share of the
-// tenant's limits.
+// Share counts a request of the tenant and returns this node's share of the tenant's
+// limits, from 0 to 1.
 func (m *Module) Share(tenant string) float64 {
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	known := m.tenants[tenant]
+	known := m.shares[tenant]
 	if known == nil {
 		known = &tenantShare{}
-		m.tenants[tenant] = known
-		m.wake() // do not wait for the next report
+		m.shares[tenant] = known
+		m.requestReport()
 	}
 	known.demand++
-	known.used = now
-	if now.Sub(known.received) > staleAfter {
+	known.lastUsed = now
+	if now.Sub(known.receivedAt) > shareLifetime {
 		return 1 / float64(max(1, len(m.views.View().Candidates)))
 	}
 	return known.share
 }
 
-func (m *Module) wake() {
+func (m *Module) requestReport() {
 	select {
-	case m.due <- struct{}{}:
+	case m.reportRequests <- struct{}{}:
 	default:
 	}
 }
@@ -136,14 +137,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.due:
+		case <-m.reportRequests:
 		}
 		m.report(ctx)
 	}
 }
 
-// report sends this node's demand to the nodes that divide the tenants' limits, one
-// message to each.
+// report sends this node's demand to the dividers, with one message to each of them,
+// and stores the shares that they return.
 func (m *Module) report(ctx context.Context) {
 	view := m.views.View()
 	var reports tasks.Group
@@ -157,20 +158,20 @@
 		})
 	}
 	reports.Wait()
-	m.dividing.Lock()
-	defer m.dividing.Unlock()
+	m.dividerMutex.Lock()
+	defer m.dividerMutex.Unlock()
 	m.divider.RemoveExpired(time.Now())
 }
 
-// collect takes the demand since the last report, by the node that divides.
+// collect returns the demand since the last report, grouped by divider, and resets it.
 func (m *Module) collect(view *fleet.View) map[string][]*wirev1.QuotaEntry {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
 	byDivider := map[string][]*wirev1.QuotaEntry{}
-	for tenant, known := range m.tenants {
-		if now.Sub(known.used) > idleAfter {
-			delete(m.tenants, tenant)
+	for tenant, known := range m.shares {
+		if now.Sub(known.lastUsed) > idleTimeout {
+			delete(m.shares, tenant)
 			continue
 		}
 		divider := view.Rendezvous.Owner(ownership.Runner{ID: "quota/" + tenant, Region: view.Self.Region})
@@ -185,21 +186,22 @@
 	defer cancel()
 	reply := &wirev1.QuotaMessage{}
 	if err := m.pool.Call(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_QUOTA, message, reply); err != nil {
-		// The shares in use hold until staleAfter, and the next report is near.
-		klog.V(1).InfoS("demand of tenants not reported", "peer", address, "tenants", len(message.Entries), "err", err)
+		// The current shares remain valid for shareLifetime, and the next report follows
+		// soon.
+		klog.V(1).InfoS("cannot report the demand of tenants", "peer", address, "tenants", len(message.Entries), "err", err)
 		return
 	}
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, entry := range reply.Entries {
-		if known := m.tenants[entry.Tenant]; known != nil {
-			known.share, known.received = entry.Value, now
+		if known := m.shares[entry.Tenant]; known != nil {
+			known.share, known.receivedAt = entry.Value, now
 		}
 	}
 }
 
-// serve answers another node's report.
+// serve handles a report: it records the node's demand and returns its shares.
 func (m *Module) serve(_ context.Context, stream *rpc.ServerStream) error {
 	var message wirev1.QuotaMessage
 	if err := stream.DecodeRequest(&message); err != nil {
@@ -207,11 +209,11 @@
 	}
 	now := time.Now()
 	reply := &wirev1.QuotaMessage{}
-	m.dividing.Lock()
+	m.dividerMutex.Lock()
 	for _, entry := range message.Entries {
 		share := m.divider.Report(now, entry.Tenant, message.NodeId, entry.Value)
 		reply.Entries = append(reply.Entries, &wirev1.QuotaEntry{Tenant: entry.Tenant, Value: share})
 	}
-	m.dividing.Unlock()
+	m.dividerMutex.Unlock()
 	return stream.Send(reply)
 }
