--- a/internal/configuration/bundle/bucketmap.go
+++ b/internal/configuration/bundle/bucketmap.go
@@ -37,7 +37,7 @@
 }
 
 // bucketEditor edits a copy of a bucketMap. It copies each bucket when it is first
-// changed. No edits may be made after result is in use.
+// changed. The result must not be edited after it has been shared.
 type bucketEditor[K comparable, V any] struct {
 	result   *bucketMap[K, V]
 	writable [bucketCount]bool
@@ -58,7 +58,7 @@
 
 func (e *bucketEditor[K, V]) set(key K, value V) {
 	bucket := e.writableBucket(key)
-	if _, had := bucket[key]; !had {
+	if _, exists := bucket[key]; !exists {
 		e.result.size++
 	}
 	bucket[key] = value
@@ -66,7 +66,7 @@
 
 func (e *bucketEditor[K, V]) remove(key K) {
 	bucket := e.writableBucket(key)
-	if _, had := bucket[key]; had {
+	if _, exists := bucket[key]; exists {
 		e.result.size--
 	}
 	delete(bucket, key)
--- a/internal/configuration/bundle/bundle_test.go
+++ b/internal/configuration/bundle/bundle_test.go
@@ -22,7 +22,7 @@
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune('a'+seed)), ed25519.SeedSize)))
 }
 
-func public(key ed25519.PrivateKey) string {
+func publicKey(key ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey))
 }
 
@@ -48,7 +48,7 @@
 version: "1"
 service: s
 adapters: [m-legal]
-`, threshold, number+1, public(testKey(0)), public(testKey(1)))
+`, threshold, number+1, publicKey(testKey(0)), publicKey(testKey(1)))
 }
 
 func parse(t interface{ Fatalf(string, ...any) }, text string) []Document {
@@ -77,7 +77,7 @@
 		{"unknown kind", strings.Replace(good, "kind: Model", "kind: Modle", 1), "allowed: Policy, Model, Tenant or Operator"},
 		{"bad name", strings.Replace(good, "name: m\n", "name: \"M M\"\n", 1), "allowed: 1 to 63 lower-case"},
 		{"twice", good + "---\nkind: Model\nname: m\nversion: \"2\"\nservice: s\n", "Model/m is named twice"},
-		{"no policy", "kind: Operator\nname: a\npublic_key: " + public(testKey(0)), "found 0 Policy documents"},
+		{"no policy", "kind: Operator\nname: a\npublic_key: " + publicKey(testKey(0)), "found 0 Policy documents"},
 		{"threshold too high", testBundle(1, 3), "2 operators are named"},
 		{"tenant of no model", good + "---\nkind: Tenant\nname: t\nmodels: [x]\nkey_hashes: [" + strings.Repeat("ab", 32) + "]\n", `models: found "x"`},
 	}
@@ -90,7 +90,7 @@
 			}
 			is.True(err != nil)
 			t.Log(err)
-			is.True(strings.Contains(err.Error(), c.want)) // the error names field and what is allowed
+			is.True(strings.Contains(err.Error(), c.want)) // the error names the field and the allowed values
 		})
 	}
 }
@@ -123,14 +123,15 @@
 	}
 }
 
-// Guards against a zone that returns to an older generation, and against two
-// contents of one generation, when operators submit, roll and halt concurrently.
+// Guards against a zone that returns to an older generation, and against a
+// generation with two different contents, when operators submit, roll and halt
+// concurrently.
 func TestActiveGenerationNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var head *Head
 		snapshots := map[uint64]*Snapshot{}
 		digests := map[uint64]string{}
-		inForce := map[string]uint64{}
+		active := map[string]uint64{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			read := head // both operators change this head; the first change wins
 			for range rapid.IntRange(1, 2).Draw(t, "operators") {
@@ -143,15 +144,15 @@
 				continue
 			}
 			if known, seen := digests[head.Generation]; seen && known != head.Digest {
-				t.Fatalf("generation %d has two contents", head.Generation)
+				t.Fatalf("generation %d has two different contents", head.Generation)
 			}
 			digests[head.Generation] = head.Digest
 			for _, zone := range []string{"z1", "z2", "z3", "z9"} {
 				generation, _ := head.GenerationFor(zone)
-				if generation < inForce[zone] {
-					t.Fatalf("zone %s fell from generation %d to %d", zone, inForce[zone], generation)
+				if generation < active[zone] {
+					t.Fatalf("zone %s went back from generation %d to %d", zone, active[zone], generation)
 				}
-				inForce[zone] = generation
+				active[zone] = generation
 			}
 		}
 	})
@@ -167,7 +168,7 @@
 		}
 		next, snapshot, err := Accept(head, authority, cluster, submission(t, generation, step, 0), time.Unix(0, 0))
 		if err != nil {
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("submission refused: %v", err)
 		}
 		snapshots[generation] = snapshot
 		return next
@@ -199,11 +200,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var previous *Snapshot
 		for generation := range rapid.IntRange(1, 6).Draw(t, "generations") {
-			whole, err := Compile(uint64(generation+1), parse(t, testBundle(rapid.IntRange(0, 3).Draw(t, "number"), 1)))
+			compiled, err := Compile(uint64(generation+1), parse(t, testBundle(rapid.IntRange(0, 3).Draw(t, "number"), 1)))
 			if err != nil {
 				t.Fatalf("compile: %v", err)
 			}
-			encoded, err := whole.DeltaFrom(previous).Encode()
+			encoded, err := compiled.DeltaFrom(previous).Encode()
 			if err != nil {
 				t.Fatalf("encode: %v", err)
 			}
@@ -212,7 +213,7 @@
 				t.Fatalf("decode: %v", err)
 			}
 			applied, err := previous.Apply(delta)
-			if err != nil || applied.Digest != whole.Digest {
+			if err != nil || applied.Digest != compiled.Digest {
 				t.Fatalf("applied: %v", err)
 			}
 			previous = applied
@@ -281,7 +282,7 @@
 	}
 }
 
-// BenchmarkSnapshotMemory reports the heap of a bundle with 17,000 tenants.
+// BenchmarkSnapshotMemory reports the heap size of a bundle with 17,000 tenants.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
--- a/internal/configuration/bundle/compile.go
+++ b/internal/configuration/bundle/compile.go
@@ -12,9 +12,9 @@
 	return newEmptySnapshot().Next(generation, documents, nil)
 }
 
-// Next builds the snapshot of the next generation: it removes the documents with the
-// removed keys, adds or replaces the changed documents, and keeps all others. It
-// returns the same errors as Compile.
+// Next builds the snapshot of the given generation from this one: it removes the
+// documents with the removed keys, adds or replaces the changed documents, and keeps
+// all others. It returns the same errors as Compile.
 func (s *Snapshot) Next(generation uint64, changed []Document, removed []Key) (*Snapshot, error) {
 	b := &builder{
 		documents: s.documents.edit(), keys: s.tenantByKey.edit(), changedBuckets: map[uint8]bool{},
--- a/internal/configuration/bundle/delta.go
+++ b/internal/configuration/bundle/delta.go
@@ -26,7 +26,7 @@
 	}
 	for bucket := range s.digests {
 		if s.digests[bucket] != older.digests[bucket] {
-			delta.addBucket(s.documents.buckets[bucket], older.documents.buckets[bucket])
+			delta.addChanges(s.documents.buckets[bucket], older.documents.buckets[bucket])
 		}
 	}
 	Sort(delta.Changed)
@@ -34,14 +34,14 @@
 	return delta
 }
 
-func (d *Delta) addBucket(now, before map[Key]compiledDocument) {
-	for key, known := range now {
-		if old, had := before[key]; !had || old.hash != known.hash {
+func (d *Delta) addChanges(current, previous map[Key]compiledDocument) {
+	for key, known := range current {
+		if old, existed := previous[key]; !existed || old.hash != known.hash {
 			d.Changed = append(d.Changed, known.document)
 		}
 	}
-	for key := range before {
-		if _, still := now[key]; !still {
+	for key := range previous {
+		if _, exists := current[key]; !exists {
 			d.Removed = append(d.Removed, key)
 		}
 	}
--- a/internal/configuration/bundle/document.go
+++ b/internal/configuration/bundle/document.go
@@ -44,8 +44,8 @@
 }
 
 // Parse decodes YAML documents separated by "---". Each document has a kind, a name
-// and the fields of its kind. Unknown fields, invalid values and duplicate names
-// are errors that name the document.
+// and the fields of its kind. Parse returns an error that identifies the document if
+// a field is unknown, a value is invalid or a name occurs twice within a kind.
 func Parse(text []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	var documents []Document
@@ -62,7 +62,7 @@
 		if fields == nil {
 			continue
 		}
-		document, err := fromFields(fields)
+		document, err := newDocument(fields)
 		if err != nil {
 			return nil, fmt.Errorf("document %d: %w", position, err)
 		}
@@ -86,7 +86,7 @@
 	})
 }
 
-func fromFields(fields map[string]any) (Document, error) {
+func newDocument(fields map[string]any) (Document, error) {
 	kind, _ := fields["kind"].(string)
 	name, _ := fields["name"].(string)
 	if !namePattern.MatchString(name) {
--- a/internal/configuration/bundle/head.go
+++ b/internal/configuration/bundle/head.go
@@ -16,9 +16,9 @@
 	Signature string `json:"signature"`
 }
 
-// Head records the newest accepted generation and the zones that it is rolled out
-// to. It is replaced only by compare-and-swap, because several operators may change
-// it at the same time.
+// Head records the newest accepted generation and the progress of its rollout. It is
+// replaced only by compare-and-swap, because several operators may change it at the
+// same time.
 //
 // Invariants: each change increases Revision by one; Generation never decreases; the
 // digest of a generation never changes.
@@ -31,8 +31,8 @@
 	Stages [][]string `json:"stages,omitempty"`
 	Stage  int        `json:"stage"`
 	Halted bool       `json:"halted,omitempty"`
-	// Zones lists the zones that have a newer generation than the whole fleet. A
-	// zone keeps its generation when another one is submitted.
+	// Zones lists the zones with a newer generation than Rolled. A zone keeps its
+	// generation when the next one is submitted.
 	Zones []ZoneRoll `json:"zones,omitempty"`
 	// Rolled is the newest generation that was rolled out to the whole fleet.
 	Rolled       uint64    `json:"rolled"`
@@ -101,8 +101,8 @@
 	OperationID string     `json:"operation_id"`
 }
 
-// SigningMessage returns the bytes that operators sign. They contain the cluster and
-// the generation, so that a signature is not valid for any other.
+// SigningMessage returns the message that operators sign. It contains the cluster and
+// the generation, so that a signature is not valid for another cluster or generation.
 func SigningMessage(cluster string, generation uint64, digest string) []byte {
 	return fmt.Appendf(nil, "cobaltramp bundle v1\n%s\n%d\n%s\n", cluster, generation, digest)
 }
@@ -243,7 +243,7 @@
 	return fmt.Appendf(nil, "cobaltramp roll v1\n%s\n%d\n%s\n%s\n", cluster, r.Generation, r.Action, r.OperationID)
 }
 
-// SignRoll sets the request's signature to the operator's.
+// SignRoll signs the request as the operator.
 func (r *RollRequest) SignRoll(operator string, key ed25519.PrivateKey, cluster string) {
 	signature := ed25519.Sign(key, r.message(cluster))
 	r.SignOff = SignOff{Operator: operator, Signature: base64.StdEncoding.EncodeToString(signature)}
--- a/internal/configuration/bundle/schema.go
+++ b/internal/configuration/bundle/schema.go
@@ -106,8 +106,8 @@
 type Model struct {
 	// Version is the version of the model that its runners load.
 	Version string `json:"version"`
-	// Adapters lists adapters that are loaded with the model. Callers use their
-	// names like model names.
+	// Adapters lists the adapters that are loaded with the model. Callers request
+	// an adapter by its name in place of a model name.
 	Adapters []string `json:"adapters,omitempty"`
 	// Service is the pool of runners that serve the model: the service label in the
 	// runner list.
--- a/internal/configuration/bundle/snapshot.go
+++ b/internal/configuration/bundle/snapshot.go
@@ -25,7 +25,7 @@
 
 // Snapshot is an immutable compiled bundle. A request handler loads it once per
 // request, so that a request never sees two generations. Successive snapshots
-// share the data that did not change.
+// share unchanged data.
 type Snapshot struct {
 	Generation uint64
 	Digest     string
--- a/internal/configuration/catalog/catalog_test.go
+++ b/internal/configuration/catalog/catalog_test.go
@@ -37,9 +37,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			taken := holder.UpdateIfNewer(next, nil, 0, time.Now())
-			if taken != (version > highest) {
-				t.Fatalf("version %d after %d activated: %v", version, highest, taken)
+			updated := holder.UpdateIfNewer(next, nil, 0, time.Now())
+			if updated != (version > highest) {
+				t.Fatalf("version %d after %d activated: %v", version, highest, updated)
 			}
 			highest = max(highest, version)
 			if holder.Current().Version != highest {
--- a/internal/configuration/catalog/holder.go
+++ b/internal/configuration/catalog/holder.go
@@ -27,16 +27,16 @@
 
 // Current returns the active version, or nil if there is none yet.
 func (h *Holder) Current() *Catalog {
-	if held := h.active.Load(); held != nil {
-		return held.catalog
+	if current := h.active.Load(); current != nil {
+		return current.catalog
 	}
 	return nil
 }
 
 // Age returns how long the version has been active.
 func (h *Holder) Age(now time.Time) time.Duration {
-	if held := h.active.Load(); held != nil {
-		return now.Sub(held.since)
+	if current := h.active.Load(); current != nil {
+		return now.Sub(current.since)
 	}
 	return 0
 }
@@ -44,8 +44,8 @@
 // Document returns the source text of the active version and its revision, so
 // that peers can fetch them.
 func (h *Holder) Document() ([]byte, int64) {
-	if held := h.active.Load(); held != nil {
-		return held.document, held.revision
+	if current := h.active.Load(); current != nil {
+		return current.document, current.revision
 	}
 	return nil, 0
 }
@@ -55,7 +55,7 @@
 func (h *Holder) UpdateIfNewer(next *Catalog, document []byte, revision int64, now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if held := h.active.Load(); held != nil && held.catalog.Version >= next.Version {
+	if current := h.active.Load(); current != nil && current.catalog.Version >= next.Version {
 		return false
 	}
 	h.active.Store(&activeVersion{next, document, revision, now})
--- a/internal/configuration/catalog/route.go
+++ b/internal/configuration/catalog/route.go
@@ -15,7 +15,8 @@
 const (
 	// Repeatable requests may run more than once.
 	Repeatable RouteKind = iota
-	// Once requests run at most once each time the caller sends them.
+	// Once requests run at most once. A request that the caller sends again is
+	// another request.
 	Once
 	// Streaming requests are answered with a stream of events. They run at most
 	// once unless the route is resumable.
@@ -39,12 +40,12 @@
 	Kind       RouteKind
 	// Timeout is the maximum duration of a request; 0 means no limit.
 	Timeout time.Duration
-	// Target is the target response time: of a stream up to its first event, of a
-	// job up to its acceptance.
+	// Target is the target response time: until the first event of a stream, until
+	// the acceptance of a job, and until the whole response otherwise.
 	Target time.Duration
 	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// Attempts is the maximum number of runners to which a request is sent.
+	// Attempts is the maximum number of runners that one request may run on.
 	Attempts int
 	// Priority orders routes; 0 is the highest priority.
 	Priority int
@@ -76,8 +77,8 @@
 		return r.Services[0].Service
 	}
 	total := 0
-	for _, part := range r.Services {
-		total += part.Weight
+	for _, weighted := range r.Services {
+		total += weighted.Weight
 	}
 	if total == 0 {
 		return ""
@@ -85,12 +86,12 @@
 	digest := fnv.New64a() // its Write never returns an error
 	_, _ = digest.Write([]byte(r.Name))
 	_, _ = digest.Write([]byte(id))
-	at := int(mixBits(digest.Sum64()) % uint64(total))
-	for _, part := range r.Services {
-		if at < part.Weight {
-			return part.Service
+	position := int(mixBits(digest.Sum64()) % uint64(total))
+	for _, weighted := range r.Services {
+		if position < weighted.Weight {
+			return weighted.Service
 		}
-		at -= part.Weight
+		position -= weighted.Weight
 	}
 	return ""
 }
@@ -122,9 +123,9 @@
 	if len(route.Services) == 0 {
 		return &InvalidRouteError{route.Name, "service", "", "at least one service"}
 	}
-	for _, part := range route.Services {
-		if part.Weight < 0 {
-			return &InvalidRouteError{route.Name, "weight", fmt.Sprint(part.Weight), "0 or more"}
+	for _, weighted := range route.Services {
+		if weighted.Weight < 0 {
+			return &InvalidRouteError{route.Name, "weight", fmt.Sprint(weighted.Weight), "0 or more"}
 		}
 	}
 	return nil
--- a/internal/configuration/catalog/tenants.go
+++ b/internal/configuration/catalog/tenants.go
@@ -76,8 +76,8 @@
 			return &InvalidTenantError{spec.Name, "keys", fmt.Sprintf("an empty one at position %d", number), "keys that are not empty"}
 		}
 		digest := DigestKey(key)
-		if holder := c.keys[digest]; holder != nil {
-			found := fmt.Sprintf("the one at position %d also at tenant %q", number, holder.Name)
+		if other := c.keys[digest]; other != nil {
+			found := fmt.Sprintf("the one at position %d also at tenant %q", number, other.Name)
 			return &InvalidTenantError{spec.Name, "keys", found, "each key once"}
 		}
 		c.keys[digest] = &tenant
--- a/modules/callers/openai/api.go
+++ b/modules/callers/openai/api.go
@@ -1,9 +1,9 @@
 // Package openai serves the callers' API: OpenAI's chat completions, completions,
-// models, files and batches. Every error response carries a result code. The module
-// owns the API listener and enforces this node's share of the tenants' limits, whose
-// state it keeps in memory. It depends on the active bundle for keys, models and
-// limits, on module serving.router for online responses, and on module batch.directory
-// for files, jobs and claims of idempotency keys. Plain nodes run it.
+// models, files and batches. Every error response contains a result code. The module
+// owns the API listener and enforces this node's shares of the tenants' limits, which
+// it keeps in memory. It depends on the active bundle for keys, models and limits, on
+// module serving.router for online responses, and on module batch.directory for files,
+// jobs and claims of idempotency keys. Plain nodes run it.
 package openai
 
 import (
@@ -202,8 +202,9 @@
 	return nil
 }
 
-// drainDelay is the time between the announcement that the node leaves and the end of
-// accepting connections. It lets load balancers stop sending requests first.
+// drainDelay is the time from the announcement that the node leaves until it stops
+// accepting connections. Load balancers and callers need it to notice that the node is
+// not ready.
 const drainDelay = 500 * time.Millisecond
 
 // Drain implements kernel.Drainer. It first notifies the fleet, so that other nodes take
--- a/modules/callers/openai/auth.go
+++ b/modules/callers/openai/auth.go
@@ -19,13 +19,13 @@
 	tenant   *bundle.CompiledTenant
 }
 
-type handler func(fiber.Ctx, *callerIdentity) error
+type authenticatedHandler func(fiber.Ctx, *callerIdentity) error
 
 const bearer = "Bearer "
 
 // authenticated wraps a handler with authentication: it looks up the tenant of the API
 // key in the active bundle.
-func (m *Module) authenticated(next handler) fiber.Handler {
+func (m *Module) authenticated(next authenticatedHandler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		if m.draining.Load() {
 			return result.New(result.Draining, "this node is stopping; use another").WithRetryAfter(time.Second)
@@ -58,9 +58,9 @@
 	if limit != (limits.TenantLimits{}) {
 		share = m.shares.Share(caller.tenant.Name)
 	}
-	tenant := m.limits.Tenant(caller.tenant.Name, limit, share)
-	if err := tenant.Admit(time.Now()); err != nil {
+	limiter := m.limits.Tenant(caller.tenant.Name, limit, share)
+	if err := limiter.Admit(time.Now()); err != nil {
 		return nil, err
 	}
-	return tenant, nil
+	return limiter, nil
 }
--- a/modules/callers/openai/batches.go
+++ b/modules/callers/openai/batches.go
@@ -149,11 +149,11 @@
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
-	answer, err := m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_CreateJob{CreateJob: command}})
+	reply, err := m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_CreateJob{CreateJob: command}})
 	if err != nil {
 		return err
 	}
-	return c.JSON(newBatchBody(answer.Job))
+	return c.JSON(newBatchBody(reply.Job))
 }
 
 func (m *Module) createJobCommand(c fiber.Ctx, caller *callerIdentity, shard uint32, body *createBatchBody, window time.Duration) (*wirev1.CreateJob, error) {
@@ -171,16 +171,16 @@
 
 // completionWindow returns the completion window that a job requests, limited to the
 // one in the bundle.
-func completionWindow(written string, caller *callerIdentity) (time.Duration, error) {
+func completionWindow(value string, caller *callerIdentity) (time.Duration, error) {
 	limit := caller.snapshot.Policy.Batch.CompletionWindow.Std()
-	if written == "" {
+	if value == "" {
 		return limit, nil
 	}
-	asked, err := time.ParseDuration(written)
-	if err != nil || asked <= 0 {
-		return 0, result.New(result.InvalidRequest, "completion_window is %q, allowed: a duration such as 24h", written)
+	window, err := time.ParseDuration(value)
+	if err != nil || window <= 0 {
+		return 0, result.New(result.InvalidRequest, "completion_window is %q, allowed: a duration such as 24h", value)
 	}
-	return min(asked, limit), nil
+	return min(window, limit), nil
 }
 
 func (m *Module) readJob(id string, caller *callerIdentity) (*wirev1.JobRecord, error) {
@@ -213,13 +213,13 @@
 	}
 	ctx, cancel := storeContext()
 	defer cancel()
-	answer, err := m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_CancelJob{CancelJob: &wirev1.CancelJob{
+	reply, err := m.batch.Propose(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_CancelJob{CancelJob: &wirev1.CancelJob{
 		JobId: id, Tenant: caller.tenant.Name, AtUnixMs: time.Now().UnixMilli(),
 	}}})
 	if err != nil {
 		return err
 	}
-	return c.JSON(newBatchBody(answer.Job))
+	return c.JSON(newBatchBody(reply.Job))
 }
 
 const (
@@ -227,7 +227,7 @@
 	maxListLimit     = 100
 )
 
-// listBatches returns a page of the tenant's jobs.
+// listBatches responds with a page of the tenant's jobs.
 func (m *Module) listBatches(c fiber.Ctx, caller *callerIdentity) error {
 	return listShards(c, m, caller, batchPrefix, "batch", func(shard uint32, after string, limit int) ([]batchBody, error) {
 		jobs, err := m.shardJobs(caller, shard, after, limit)
@@ -239,29 +239,29 @@
 	})
 }
 
-// identified is an entry of a list, with its ID.
-type identified interface{ identity() string }
+// listEntry is an entry of a list; listID returns its ID.
+type listEntry interface{ listID() string }
 
-func (b batchBody) identity() string { return b.ID }
-func (b fileBody) identity() string  { return b.ID }
+func (b batchBody) listID() string { return b.ID }
+func (b fileBody) listID() string  { return b.ID }
 
-// listShards returns a page of a tenant's files or jobs, read one after the other from
-// the shards of its home region. The cursor is the last ID of the previous page.
-func listShards[T identified](c fiber.Ctx, m *Module, caller *callerIdentity, prefix, kind string, read func(shard uint32, after string, limit int) ([]T, error)) error {
+// listShards responds with a page of a tenant's files or jobs. It reads the shards of the
+// tenant's home region in order. The cursor is the last ID of the previous page.
+func listShards[T listEntry](c fiber.Ctx, m *Module, caller *callerIdentity, prefix, kind string, read func(shard uint32, after string, limit int) ([]T, error)) error {
 	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListLimit)))
 	if err != nil || limit < 1 || limit > maxListLimit {
 		return result.New(result.InvalidRequest, "limit is %q, allowed: 1 to %d", c.Query("limit"), maxListLimit)
 	}
 	cursor := c.Query("after")
-	first := uint32(0)
+	firstShard := uint32(0)
 	if cursor != "" {
-		if first, err = m.shardFromID(cursor, prefix, kind); err != nil {
+		if firstShard, err = m.shardFromID(cursor, prefix, kind); err != nil {
 			return err
 		}
 	}
 	list := listBody[T]{Object: "list", Data: []T{}}
 	for _, shard := range m.batch.HomeShards(caller.tenant.HomeRegion) {
-		if shard < first || len(list.Data) > limit {
+		if shard < firstShard || len(list.Data) > limit {
 			continue
 		}
 		page, err := read(shard, cursor, limit+1-len(list.Data))
@@ -274,7 +274,7 @@
 	list.HasMore = len(list.Data) > limit
 	list.Data = list.Data[:min(limit, len(list.Data))]
 	if len(list.Data) > 0 {
-		list.FirstID, list.LastID = list.Data[0].identity(), list.Data[len(list.Data)-1].identity()
+		list.FirstID, list.LastID = list.Data[0].listID(), list.Data[len(list.Data)-1].listID()
 	}
 	return c.JSON(list)
 }
--- a/modules/callers/openai/files.go
+++ b/modules/callers/openai/files.go
@@ -91,7 +91,7 @@
 	return context.WithTimeout(context.Background(), storeTimeout)
 }
 
-// listFiles returns a page of the tenant's uploaded files.
+// listFiles responds with a page of the tenant's uploaded files.
 func (m *Module) listFiles(c fiber.Ctx, caller *callerIdentity) error {
 	return listShards(c, m, caller, filePrefix, "file", func(shard uint32, after string, limit int) ([]fileBody, error) {
 		ctx, cancel := storeContext()
@@ -112,11 +112,11 @@
 
 func (m *Module) getFile(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	if job, _, err := m.resultFile(id, caller); err != nil || job != nil {
+	if job, _, err := m.jobOfResultFile(id, caller); err != nil || job != nil {
 		if err != nil {
 			return err
 		}
-		return c.JSON(resultFileBody(id, job))
+		return c.JSON(newResultFileBody(id, job))
 	}
 	shard, err := m.shardFromID(id, filePrefix, "file")
 	if err != nil {
@@ -134,7 +134,7 @@
 // fileContent streams the content of an uploaded file or of a job's result file.
 func (m *Module) fileContent(c fiber.Ctx, caller *callerIdentity) error {
 	id := c.Params("id")
-	job, wantErrors, err := m.resultFile(id, caller)
+	job, wantErrors, err := m.jobOfResultFile(id, caller)
 	if err != nil {
 		return err
 	}
--- a/modules/callers/openai/generate.go
+++ b/modules/callers/openai/generate.go
@@ -44,11 +44,11 @@
 	surface        wirev1.Surface
 	body           []byte
 	stream         bool
-	withUsage      bool
-	class          string
-	key            string
+	includeUsage   bool
+	workClass      string
+	idempotencyKey string
 	timeout        time.Duration
-	arrived        time.Time
+	arrivedAt      time.Time
 }
 
 func (m *Module) generate(c fiber.Ctx, caller *callerIdentity, surface wirev1.Surface) error {
@@ -57,17 +57,17 @@
 		return err
 	}
 	c.Set(headerRequestID, request.id)
-	if request.class == bundle.ClassOnce {
+	if request.workClass == bundle.ClassOnce {
 		return m.generateOnce(c, request)
 	}
-	tenant, err := m.admit(caller)
+	limiter, err := m.admit(caller)
 	if err != nil {
 		return err
 	}
 	if request.stream {
-		return m.respondStream(c, request, tenant)
+		return m.respondStream(c, request, limiter)
 	}
-	return m.respondJSON(c, request, tenant)
+	return m.respondJSON(c, request, limiter)
 }
 
 // parse validates a request and copies its body, because the server reuses the buffer
@@ -81,10 +81,10 @@
 		return nil, result.New(result.InvalidRequest, "the body is not JSON")
 	}
 	request := &onlineRequest{
-		id: "req-" + uuid.NewString(), caller: caller, surface: surface, arrived: time.Now(),
-		stream:    gjson.GetBytes(body, "stream").Bool(),
-		withUsage: gjson.GetBytes(body, "stream_options.include_usage").Bool(),
-		key:       c.Get(headerIdempotencyKey),
+		id: "req-" + uuid.NewString(), caller: caller, surface: surface, arrivedAt: time.Now(),
+		stream:         gjson.GetBytes(body, "stream").Bool(),
+		includeUsage:   gjson.GetBytes(body, "stream_options.include_usage").Bool(),
+		idempotencyKey: c.Get(headerIdempotencyKey),
 	}
 	if request.model, request.requestedModel, err = checkModel(caller, body); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	if request.body, err = checkContent(body, surface, request.model); err != nil {
 		return nil, err
 	}
-	if request.class, err = checkClass(c, caller, request.key); err != nil {
+	if request.workClass, err = checkWorkClass(c, caller, request.idempotencyKey); err != nil {
 		return nil, err
 	}
 	if request.timeout, err = checkTimeout(c, caller); err != nil {
@@ -102,18 +102,18 @@
 }
 
 func checkModel(caller *callerIdentity, body []byte) (*bundle.CompiledModel, string, error) {
-	asked := gjson.GetBytes(body, "model").String()
-	if asked == "" {
+	name := gjson.GetBytes(body, "model").String()
+	if name == "" {
 		return nil, "", result.New(result.InvalidRequest, "model is missing")
 	}
-	model, known := caller.snapshot.Models[asked]
+	model, known := caller.snapshot.Models[name]
 	if !known {
-		return nil, "", result.New(result.UnknownModel, "model %q does not exist", asked)
+		return nil, "", result.New(result.UnknownModel, "model %q does not exist", name)
 	}
-	if !caller.tenant.MayCall(asked) {
-		return nil, "", result.New(result.Forbidden, "the tenant may not call model %q", asked)
+	if !caller.tenant.MayCall(name) {
+		return nil, "", result.New(result.Forbidden, "the tenant may not call model %q", name)
 	}
-	return model, asked, nil
+	return model, name, nil
 }
 
 // checkContent validates the prompt and returns the body with max_tokens limited to the
@@ -130,16 +130,16 @@
 	if n := gjson.GetBytes(body, "n"); n.Exists() && n.Int() != 1 {
 		return nil, result.New(result.InvalidRequest, "n must be 1")
 	}
-	asked := gjson.GetBytes(body, "max_tokens")
-	if !asked.Exists() {
-		asked = gjson.GetBytes(body, "max_completion_tokens")
+	maxTokens := gjson.GetBytes(body, "max_tokens")
+	if !maxTokens.Exists() {
+		maxTokens = gjson.GetBytes(body, "max_completion_tokens")
 	}
 	limit := int64(model.MaxTokens)
-	if asked.Exists() && asked.Int() < 1 {
+	if maxTokens.Exists() && maxTokens.Int() < 1 {
 		return nil, result.New(result.InvalidRequest, "max_tokens must be 1 or more")
 	}
-	if asked.Exists() && asked.Int() < limit {
-		limit = asked.Int()
+	if maxTokens.Exists() && maxTokens.Int() < limit {
+		limit = maxTokens.Int()
 	}
 	edited, err := sjson.SetBytes(body, "max_tokens", limit)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return edited, nil
 }
 
-func checkClass(c fiber.Ctx, caller *callerIdentity, key string) (string, error) {
+func checkWorkClass(c fiber.Ctx, caller *callerIdentity, key string) (string, error) {
 	class := c.Get(headerWorkClass)
 	if class == "" {
 		class = caller.tenant.DefaultClass
@@ -168,19 +168,20 @@
 
 func checkTimeout(c fiber.Ctx, caller *callerIdentity) (time.Duration, error) {
 	limit := caller.snapshot.Policy.RequestTimeout.Std()
-	written := c.Get(headerTimeout)
-	if written == "" {
+	value := c.Get(headerTimeout)
+	if value == "" {
 		return limit, nil
 	}
-	milliseconds, err := strconv.Atoi(written)
+	milliseconds, err := strconv.Atoi(value)
 	if err != nil || milliseconds < 1 {
-		return 0, result.New(result.InvalidRequest, "%s is %q, allowed: a whole number of milliseconds", headerTimeout, written)
+		return 0, result.New(result.InvalidRequest, "%s is %q, allowed: a whole number of milliseconds", headerTimeout, value)
 	}
 	return min(limit, time.Duration(milliseconds)*time.Millisecond), nil
 }
 
-// prefixBytes is the length of the prefix of the prompt or of the first message that is
-// hashed to select a runner, so that requests with the same prefix share its cache.
+// prefixBytes is the length of the prefix of the prompt, or of the first message, whose
+// hash selects a runner. Requests with the same prefix go to the same runner and share its
+// prompt cache.
 const prefixBytes = 512
 
 func prefixHash(request *onlineRequest) uint64 {
@@ -195,43 +196,43 @@
 func (o *onlineRequest) routerRequest() *router.Request {
 	return &router.Request{
 		ID: o.id, Tenant: o.caller.tenant.Name, Model: o.model, Surface: o.surface,
-		Body: o.body, PrefixHash: prefixHash(o), Once: o.class == bundle.ClassOnce,
+		Body: o.body, PrefixHash: prefixHash(o), Once: o.workClass == bundle.ClassOnce,
 	}
 }
 
 // respondJSON responds with one JSON object.
-func (m *Module) respondJSON(c fiber.Ctx, request *onlineRequest, tenant *limits.TenantLimiter) error {
+func (m *Module) respondJSON(c fiber.Ctx, request *onlineRequest, limiter *limits.TenantLimiter) error {
 	ctx, stop := callerContext(c, request.timeout)
 	defer stop()
-	answer, err := m.collectResponse(ctx, request)
-	tenant.Release(time.Now(), answer.usage.CompletionTokens)
+	response, err := m.collectResponse(ctx, request)
+	limiter.Release(time.Now(), response.usage.CompletionTokens)
 	if err != nil {
 		return err
 	}
-	return c.JSON(answer.toBody(request))
+	return c.JSON(response.toBody(request))
 }
 
 // collectedResponse is a complete response, assembled from its chunks.
 type collectedResponse struct {
-	text   []byte
-	finish string
-	usage  router.Usage
+	text         []byte
+	finishReason string
+	usage        router.Usage
 }
 
 func (m *Module) collectResponse(ctx context.Context, request *onlineRequest) (*collectedResponse, error) {
-	collected := &collectedResponse{}
+	response := &collectedResponse{}
 	var err error
-	collected.usage, err = m.router.Generate(ctx, request.routerRequest(), func(chunk router.Chunk) error {
-		if len(collected.text) == 0 {
-			m.metrics.firstToken.Observe(time.Since(request.arrived).Seconds())
+	response.usage, err = m.router.Generate(ctx, request.routerRequest(), func(chunk router.Chunk) error {
+		if len(response.text) == 0 {
+			m.metrics.firstToken.Observe(time.Since(request.arrivedAt).Seconds())
 		}
-		collected.text = append(collected.text, chunk.Text...)
+		response.text = append(response.text, chunk.Text...)
 		if chunk.FinishReason != "" {
-			collected.finish = chunk.FinishReason
+			response.finishReason = chunk.FinishReason
 		}
 		return nil
 	})
-	return collected, err
+	return response, err
 }
 
 type usageBody struct {
@@ -268,17 +269,17 @@
 
 func (a *collectedResponse) toBody(request *onlineRequest) completionBody {
 	body := completionBody{
-		ID: request.id, Object: "text_completion", Created: request.arrived.Unix(), Model: request.requestedModel, Usage: newUsage(a.usage),
+		ID: request.id, Object: "text_completion", Created: request.arrivedAt.Unix(), Model: request.requestedModel, Usage: newUsage(a.usage),
 	}
 	text := string(a.text)
-	only := choice{FinishReason: &a.finish}
+	entry := choice{FinishReason: &a.finishReason}
 	if request.surface == wirev1.Surface_SURFACE_CHAT {
 		body.Object = "chat.completion"
-		only.Message = &message{Role: "assistant", Content: text}
+		entry.Message = &message{Role: "assistant", Content: text}
 	} else {
-		only.Text = &text
+		entry.Text = &text
 	}
-	body.Choices = []choice{only}
+	body.Choices = []choice{entry}
 	return body
 }
 
--- a/modules/callers/openai/once.go
+++ b/modules/callers/openai/once.go
@@ -33,8 +33,8 @@
 
 // generateOnce runs a request that must not run twice. It claims the request's
 // idempotency key in the replicated store before anything is sent to an engine. A
-// repeated request, at any node, finds the claim and gets the same response, InProgress
-// or OutcomeUnknown.
+// repeated request, at any node, finds the claim and gets either the same response or the
+// error InProgress or OutcomeUnknown.
 func (m *Module) generateOnce(c fiber.Ctx, request *onlineRequest) error {
 	if request.stream {
 		return result.New(result.InvalidRequest, "work of class once is answered whole; leave out stream")
@@ -43,40 +43,40 @@
 	if len(shards) == 0 {
 		return result.New(result.StoreUnavailable, "no storage in the tenant's home region is known yet").WithRetryAfter(time.Second)
 	}
-	tenant, err := m.admit(request.caller)
+	limiter, err := m.admit(request.caller)
 	if err != nil {
 		return err
 	}
 	shard := claimShard(request, shards)
 	record, granted, err := m.claim(request, shard)
 	if err != nil {
-		tenant.Release(time.Now(), 0)
+		limiter.Release(time.Now(), 0)
 		return err
 	}
 	if !granted {
-		tenant.Release(time.Now(), 0)
+		limiter.Release(time.Now(), 0)
 		return replay(c, record)
 	}
-	return m.runClaimed(c, request, shard, tenant)
+	return m.runClaimed(c, request, shard, limiter)
 }
 
 // claimShard returns the shard of a request's claim. All nodes choose the same shard for
 // a key, so that a repeated request finds the claim.
 func claimShard(request *onlineRequest, shards []uint32) uint32 {
-	return shards[xxhash.Sum64String(request.caller.tenant.Name+"\x00"+request.key)%uint64(len(shards))]
+	return shards[xxhash.Sum64String(request.caller.tenant.Name+"\x00"+request.idempotencyKey)%uint64(len(shards))]
 }
 
 // claim claims the request's idempotency key, and returns the key's record and whether
-// the claim was granted. If the outcome of the claim is unknown, the request is refused:
-// it has not been dispatched, so it has not run. A claim that was stored all the same
-// blocks its key until it is resolved or expires.
+// the claim was granted. If it is unknown whether the claim was stored, the request is
+// refused, which is safe because it has not been dispatched. If the claim was stored, it
+// blocks only its own key until it is resolved or expires.
 func (m *Module) claim(request *onlineRequest, shard uint32) (*wirev1.ClaimRecord, bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	now := time.Now()
 	fingerprint := sha256.Sum256(append([]byte(request.requestedModel+"\x00"), request.body...))
-	answer, err := m.claims.Claim(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_Claim{Claim: &wirev1.Claim{
-		Tenant: request.caller.tenant.Name, Key: request.key, Fingerprint: fingerprint[:], RequestId: request.id,
+	reply, err := m.claims.Claim(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_Claim{Claim: &wirev1.Claim{
+		Tenant: request.caller.tenant.Name, Key: request.idempotencyKey, Fingerprint: fingerprint[:], RequestId: request.id,
 		AtUnixMs: now.UnixMilli(), ExpiresUnixMs: now.Add(request.timeout + claimGrace).UnixMilli(),
 	}}})
 	if result.Is(err, result.CommitUnknown) {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return answer.Claim, answer.Accepted == 1, nil
+	return reply.Claim, reply.Accepted == 1, nil
 }
 
 // replay responds to a repeated request from the record of its claim.
@@ -106,19 +106,19 @@
 	}
 }
 
-func (m *Module) runClaimed(c fiber.Ctx, request *onlineRequest, shard uint32, tenant *limits.TenantLimiter) error {
+func (m *Module) runClaimed(c fiber.Ctx, request *onlineRequest, shard uint32, limiter *limits.TenantLimiter) error {
 	// The request continues when its caller disconnects, because the caller can fetch
 	// the response by repeating the request.
 	ctx, cancel := context.WithTimeout(context.Background(), request.timeout)
 	defer cancel()
-	collected, err := m.collectResponse(ctx, request)
-	tenant.Release(time.Now(), collected.usage.CompletionTokens)
+	response, err := m.collectResponse(ctx, request)
+	limiter.Release(time.Now(), response.usage.CompletionTokens)
 	if err != nil {
 		failure := result.FromError(err)
 		m.resolveLater(request, shard, resolutionOf(failure))
 		return failure
 	}
-	body, err := collected.encodeJSON(request)
+	body, err := response.encodeJSON(request)
 	if err != nil {
 		return result.New(result.Internal, "encoding the answer: %v", err)
 	}
@@ -147,7 +147,7 @@
 func (m *Module) resolve(ctx context.Context, request *onlineRequest, shard uint32, resolution *wirev1.ResolveClaim) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
-	resolution.Tenant, resolution.Key, resolution.RequestId = request.caller.tenant.Name, request.key, request.id
+	resolution.Tenant, resolution.Key, resolution.RequestId = request.caller.tenant.Name, request.idempotencyKey, request.id
 	resolution.AtUnixMs = time.Now().UnixMilli()
 	_, err := m.claims.Claim(ctx, shard, &wirev1.Command{Kind: &wirev1.Command_ResolveClaim{ResolveClaim: resolution}})
 	if err != nil {
--- a/modules/callers/openai/results.go
+++ b/modules/callers/openai/results.go
@@ -15,9 +15,9 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// resultFile returns the job of an output or error file, and whether the ID is that of
-// the error file. The job is nil if the ID is that of an uploaded file.
-func (m *Module) resultFile(id string, caller *callerIdentity) (*wirev1.JobRecord, bool, error) {
+// jobOfResultFile returns the job of an output or error file, and whether the ID is that
+// of the error file. The job is nil if the ID is that of an uploaded file.
+func (m *Module) jobOfResultFile(id string, caller *callerIdentity) (*wirev1.JobRecord, bool, error) {
 	wantErrors := strings.HasPrefix(id, errorsPrefix)
 	if !wantErrors && !strings.HasPrefix(id, outputPrefix) {
 		return nil, false, nil
@@ -27,7 +27,7 @@
 	return job, wantErrors, err
 }
 
-func resultFileBody(id string, job *wirev1.JobRecord) fileBody {
+func newResultFileBody(id string, job *wirev1.JobRecord) fileBody {
 	return fileBody{ID: id, Object: "file", CreatedAt: job.FinishedUnixMs / 1000, Filename: id + ".jsonl", Purpose: "batch_output", Status: "processed"}
 }
 
@@ -96,7 +96,7 @@
 			}
 			if page, err = next(); err != nil {
 				klog.V(1).InfoS("cannot read the next page of a file; closing the connection", "err", err)
-				_ = conn.Close() // a failure leaves nothing else to do
+				_ = conn.Close() // the download ends either way
 				return
 			}
 		}
--- a/modules/callers/openai/stream.go
+++ b/modules/callers/openai/stream.go
@@ -29,20 +29,20 @@
 	err   error
 }
 
-// streamQueueChunks is the number of chunks buffered for a caller that reads slowly. When
-// the buffer is full, the response waits at the node that owns the runner.
+// streamQueueChunks is the number of chunks that are buffered for a caller that reads
+// slowly. While the buffer is full, the node that owns the runner holds the response back.
 const streamQueueChunks = 256
 
 // respondStream responds with server-sent events. The status is sent with the first
 // chunk, so that an error before it becomes an ordinary error response.
-func (m *Module) respondStream(c fiber.Ctx, request *onlineRequest, tenant *limits.TenantLimiter) error {
+func (m *Module) respondStream(c fiber.Ctx, request *onlineRequest, limiter *limits.TenantLimiter) error {
 	ctx, stop := callerContext(c, request.timeout)
 	response := m.startGeneration(ctx, request)
 	first, end := response.wait(ctx)
 	if end != nil && end.err != nil {
 		stop()
 		response.generating.Wait()
-		tenant.Release(time.Now(), 0)
+		limiter.Release(time.Now(), 0)
 		return end.err
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
@@ -54,7 +54,7 @@
 		defer stop()
 		sender := &eventWriter{request: request, writer: writer}
 		tokens := sender.run(response, first, end)
-		tenant.Release(time.Now(), tokens)
+		limiter.Release(time.Now(), tokens)
 	}))
 	return nil
 }
@@ -66,7 +66,7 @@
 		usage, err := m.router.Generate(ctx, request.routerRequest(), func(chunk router.Chunk) error {
 			if first {
 				first = false
-				m.metrics.firstToken.Observe(time.Since(request.arrived).Seconds())
+				m.metrics.firstToken.Observe(time.Since(request.arrivedAt).Seconds())
 			}
 			select {
 			case response.chunks <- chunk:
@@ -82,12 +82,12 @@
 }
 
 // wait returns the first chunk, or the outcome if the response has no chunk.
-func (p *responseStream) wait(_ context.Context) (*router.Chunk, *outcome) {
-	chunk, open := <-p.chunks
+func (s *responseStream) wait(_ context.Context) (*router.Chunk, *outcome) {
+	chunk, open := <-s.chunks
 	if open {
 		return &chunk, nil
 	}
-	end := <-p.done
+	end := <-s.done
 	return nil, &end
 }
 
@@ -98,8 +98,8 @@
 	roleSent bool
 }
 
-// keepAliveInterval is the time between two comments that are sent while no token
-// arrives. Writing them detects that a caller has disconnected.
+// keepAliveInterval is the interval at which comment lines are written to the event
+// stream while no token arrives. A failed write shows that the caller has disconnected.
 const keepAliveInterval = time.Second
 
 // run writes chunks until the response ends or the caller disconnects, and returns the
@@ -141,7 +141,7 @@
 		w.write("data: " + string(encodeError(result.FromError(end.err))) + "\n\n")
 		return
 	}
-	if w.request.withUsage {
+	if w.request.includeUsage {
 		body := w.newChunkBody()
 		body.Choices = []choice{}
 		body.Usage = newUsage(end.usage)
@@ -155,7 +155,7 @@
 	if w.request.surface == wirev1.Surface_SURFACE_CHAT {
 		object = "chat.completion.chunk"
 	}
-	return completionBody{ID: w.request.id, Object: object, Created: w.request.arrived.Unix(), Model: w.request.requestedModel}
+	return completionBody{ID: w.request.id, Object: object, Created: w.request.arrivedAt.Unix(), Model: w.request.requestedModel}
 }
 
 func (w *eventWriter) chunk(chunk *router.Chunk) bool {
--- a/modules/callers/openai/upload.go
+++ b/modules/callers/openai/upload.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	class, err := uploadClass(c, caller)
+	class, err := uploadWorkClass(c, caller)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	return multipart.NewReader(io.LimitReader(stream, limit), parameters["boundary"]), nil
 }
 
-func uploadClass(c fiber.Ctx, caller *callerIdentity) (wirev1.WorkClass, error) {
+func uploadWorkClass(c fiber.Ctx, caller *callerIdentity) (wirev1.WorkClass, error) {
 	class := c.Get(headerWorkClass)
 	if class == "" {
 		class = caller.tenant.DefaultClass
@@ -140,10 +140,10 @@
 		return nil, result.New(result.InvalidRequest, "the file has no lines")
 	}
 	if err != nil {
-		return nil, lineError(err)
+		return nil, uploadError(err)
 	}
-	// The shard follows from the content, so that a repeated job is recognised in the
-	// shard of the first one.
+	// The shard is derived from the content, so that a repeated job goes to the shard of
+	// the first one and is recognised there.
 	u.shard = shards[segmentHash(u.tenant, first)%uint64(len(shards))]
 	u.fileID = newFileID(u.shard)
 	if err := u.propose(&wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{
@@ -153,7 +153,7 @@
 	}
 	if err := u.sendSegments(first); err != nil {
 		u.discard()
-		return nil, lineError(err)
+		return nil, uploadError(err)
 	}
 	return u.seal()
 }
@@ -171,10 +171,10 @@
 func (u *upload) propose(command *wirev1.Command) error {
 	ctx, cancel := storeContext()
 	defer cancel()
-	return u.proposeWithin(ctx, command)
+	return u.proposeWithContext(ctx, command)
 }
 
-func (u *upload) proposeWithin(ctx context.Context, command *wirev1.Command) error {
+func (u *upload) proposeWithContext(ctx context.Context, command *wirev1.Command) error {
 	_, err := u.module.batch.Propose(ctx, u.shard, command)
 	return err
 }
@@ -197,7 +197,7 @@
 			break
 		}
 		if err != nil {
-			_ = group.Wait() // the error of the invalid line matters more to the caller
+			_ = group.Wait() // the caller gets the error of the invalid line instead
 			return err
 		}
 	}
@@ -207,28 +207,28 @@
 func (u *upload) seal() (*wirev1.FileRecord, error) {
 	ctx, cancel := storeContext()
 	defer cancel()
-	answer, err := u.module.batch.Propose(ctx, u.shard, &wirev1.Command{Kind: &wirev1.Command_SealFile{SealFile: &wirev1.SealFile{
+	reply, err := u.module.batch.Propose(ctx, u.shard, &wirev1.Command{Kind: &wirev1.Command_SealFile{SealFile: &wirev1.SealFile{
 		FileId: u.fileID, Segments: u.segments, Items: u.reader.Items(), Bytes: u.reader.Bytes(), Digest: u.digest.Sum(nil),
 		Endpoint: u.reader.Endpoint(),
 	}}})
 	if err != nil {
 		return nil, err
 	}
-	return answer.File, nil
+	return reply.File, nil
 }
 
 func (u *upload) discard() {
 	u.module.background.Go(func() {
 		ctx, cancel := context.WithTimeout(u.module.startContext, storeTimeout)
 		defer cancel()
-		err := u.proposeWithin(ctx, &wirev1.Command{Kind: &wirev1.Command_DeleteFile{DeleteFile: &wirev1.DeleteFile{FileId: u.fileID, Tenant: u.tenant}}})
+		err := u.proposeWithContext(ctx, &wirev1.Command{Kind: &wirev1.Command_DeleteFile{DeleteFile: &wirev1.DeleteFile{FileId: u.fileID, Tenant: u.tenant}}})
 		if err != nil {
 			klog.V(1).InfoS("cannot delete the file of a failed upload; it remains until its retention ends", "file", u.fileID, "err", err)
 		}
 	})
 }
 
-func lineError(err error) error {
+func uploadError(err error) error {
 	var bad *jsonl.LineError
 	if errors.As(err, &bad) {
 		return result.New(result.InvalidRequest, "%v", bad)
--- a/modules/callers/quota/quota.go
+++ b/modules/callers/quota/quota.go
@@ -40,21 +40,21 @@
 type Module struct {
 	views Views
 	pool  *rpc.Pool
-	// reportRequests requests an immediate report when the first request of a tenant
-	// arrives.
+	// reportRequests wakes the report loop when the first request of a tenant arrives.
 	reportRequests chan struct{}
 
-	dividerMutex sync.Mutex
+	dividerMutex sync.Mutex // guards divider
 	divider      *quota.Divider
 
-	mutex  sync.Mutex
-	shares map[string]*tenantShare
+	mutex   sync.Mutex // guards tenants
+	tenants map[string]*tenantState
 
 	background tasks.Group
 }
 
-// tenantShare holds this node's demand and share of a tenant.
-type tenantShare struct {
+// tenantState holds a tenant's demand at this node since the last report, and this
+// node's share of the tenant's limits.
+type tenantState struct {
 	demand     float64
 	share      float64
 	receivedAt time.Time
@@ -76,7 +76,7 @@
 		return trace.Wrap(err)
 	}
 	m.divider = quota.NewDivider()
-	m.shares = map[string]*tenantShare{}
+	m.tenants = map[string]*tenantState{}
 	m.reportRequests = make(chan struct{}, 1)
 	server.Handle(wirev1.Method_METHOD_QUOTA, m.serve)
 	ctx.Provide(m)
@@ -99,18 +99,18 @@
 	now := time.Now()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	known := m.shares[tenant]
-	if known == nil {
-		known = &tenantShare{}
-		m.shares[tenant] = known
+	state := m.tenants[tenant]
+	if state == nil {
+		state = &tenantState{}
+		m.tenants[tenant] = state
 		m.requestReport()
 	}
-	known.demand++
-	known.lastUsed = now
-	if now.Sub(known.receivedAt) > shareLifetime {
+	state.demand++
+	state.lastUsed = now
+	if now.Sub(state.receivedAt) > shareLifetime {
 		return 1 / float64(max(1, len(m.views.View().Candidates)))
 	}
-	return known.share
+	return state.share
 }
 
 func (m *Module) requestReport() {
@@ -169,14 +169,14 @@
 	defer m.mutex.Unlock()
 	now := time.Now()
 	byDivider := map[string][]*wirev1.QuotaEntry{}
-	for tenant, known := range m.shares {
-		if now.Sub(known.lastUsed) > idleTimeout {
-			delete(m.shares, tenant)
+	for tenant, state := range m.tenants {
+		if now.Sub(state.lastUsed) > idleTimeout {
+			delete(m.tenants, tenant)
 			continue
 		}
 		divider := view.Rendezvous.Owner(ownership.Runner{ID: "quota/" + tenant, Region: view.Self.Region})
-		byDivider[divider] = append(byDivider[divider], &wirev1.QuotaEntry{Tenant: tenant, Value: known.demand})
-		known.demand = 0
+		byDivider[divider] = append(byDivider[divider], &wirev1.QuotaEntry{Tenant: tenant, Value: state.demand})
+		state.demand = 0
 	}
 	return byDivider
 }
@@ -186,8 +186,8 @@
 	defer cancel()
 	reply := &wirev1.QuotaMessage{}
 	if err := m.pool.Call(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_QUOTA, message, reply); err != nil {
-		// The current shares remain valid for shareLifetime, and the next report follows
-		// soon.
+		// The current shares remain in use for shareLifetime, and the next report
+		// follows after reportInterval.
 		klog.V(1).InfoS("cannot report the demand of tenants", "peer", address, "tenants", len(message.Entries), "err", err)
 		return
 	}
@@ -195,8 +195,8 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, entry := range reply.Entries {
-		if known := m.shares[entry.Tenant]; known != nil {
-			known.share, known.receivedAt = entry.Value, now
+		if state := m.tenants[entry.Tenant]; state != nil {
+			state.share, state.receivedAt = entry.Value, now
 		}
 	}
 }
--- a/modules/config/bundles/bundles.go
+++ b/modules/config/bundles/bundles.go
@@ -69,7 +69,7 @@
 	accepted atomic.Pointer[bundle.Snapshot]
 	head     atomic.Pointer[bundle.Head]
 
-	// updateMutex serialises changes of active, accepted and head.
+	// updateMutex is held while active, accepted and head are changed.
 	updateMutex sync.Mutex
 	// previous is the snapshot that was active before; peers may still request it.
 	previous          atomic.Pointer[bundle.Snapshot]
@@ -111,8 +111,8 @@
 // Snapshot returns the active bundle, or nil if there is none yet.
 func (m *Module) Snapshot() *bundle.Snapshot { return m.active.Load() }
 
-// Accepted returns the newest accepted bundle, or nil if there is none yet. It may not
-// be rolled out to this node's zone.
+// Accepted returns the newest accepted bundle, or nil if there is none yet. The bundle
+// is not necessarily rolled out to this node's zone.
 func (m *Module) Accepted() *bundle.Snapshot { return m.accepted.Load() }
 
 // Head returns the newest head that this node knows, or nil if there is none yet.
--- a/modules/config/bundles/change.go
+++ b/modules/config/bundles/change.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if done, err := m.Operation(ctx, submission.OperationID); err != nil || done != nil {
-		return done, err
+	if earlier, err := m.Operation(ctx, submission.OperationID); err != nil || earlier != nil {
+		return earlier, err
 	}
 	var authority *bundle.Snapshot
 	if current != nil {
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if done, err := m.Operation(ctx, request.OperationID); err != nil || done != nil {
-		return done, err
+	if earlier, err := m.Operation(ctx, request.OperationID); err != nil || earlier != nil {
+		return earlier, err
 	}
 	if current == nil {
 		return nil, result.New(result.NotFound, "no bundle was submitted yet")
@@ -178,15 +178,15 @@
 // an earlier attempt of the same operation, whose response was lost, or by another
 // operation.
 func (m *Module) resolveConflict(ctx context.Context, next *bundle.Head) (*bundle.Head, error) {
-	done, err := m.Operation(ctx, next.OperationID)
+	earlier, err := m.Operation(ctx, next.OperationID)
 	if err != nil {
 		return nil, result.New(result.SubmissionUnknown, "cannot read whether operation %s took effect: %v", next.OperationID, err)
 	}
-	if done == nil {
+	if earlier == nil {
 		return nil, result.New(result.GenerationConflict, "another change was accepted first")
 	}
-	m.applyOwnHead(ctx, done)
-	return done, nil
+	m.applyOwnHead(ctx, earlier)
+	return earlier, nil
 }
 
 func (m *Module) applyOwnHead(ctx context.Context, head *bundle.Head) {
--- a/modules/config/bundles/content.go
+++ b/modules/config/bundles/content.go
@@ -30,8 +30,8 @@
 	return cluster + "/bundle/operations/" + operation
 }
 
-// fullGenerationInterval is the interval at which a generation is stored whole rather
-// than as a difference. It bounds the number of deltas that a new node reads.
+// fullGenerationInterval is the number of generations after which one is stored as a full
+// delta. It bounds the number of deltas that a new node reads.
 const fullGenerationInterval = 16
 
 // loadSnapshot returns the snapshot of a generation from memory, from the peer or from
--- a/modules/config/bundles/learn.go
+++ b/modules/config/bundles/learn.go
@@ -42,8 +42,8 @@
 }
 
 // checkSignOffs verifies the signatures of a head that directly follows the accepted
-// generation. A node that has skipped generations cannot verify the signatures and
-// relies on the nodes that did.
+// generation. A node that has skipped generations lacks the operators' keys of the
+// generation before, and relies on the nodes that have verified the signatures.
 func (m *Module) checkSignOffs(head *bundle.Head, accepted *bundle.Snapshot) error {
 	authority := m.accepted.Load()
 	if authority == nil && head.Generation == 1 {
@@ -58,7 +58,7 @@
 	return bundle.VerifySignOffs(authority, m.settings.Cluster, head.Generation, head.Digest, head.SignOffs)
 }
 
-// activate makes the head's generation for this node's zone the active one.
+// activate activates the generation that the head assigns to this node's zone.
 func (m *Module) activate(ctx context.Context, head *bundle.Head, peer string) error {
 	generation, digest := head.GenerationFor(m.settings.Node.Zone)
 	current := m.active.Load()
