--- a/internal/configuration/settings/role.go
+++ b/internal/configuration/settings/role.go
@@ -33,7 +33,8 @@
 	// Ports holds the first and the last port available for traffic between
 	// nodes. Only the first port is used.
 	Ports []int `yaml:"ports"`
-	// Listen gives the node's other listening addresses.
+	// Listen gives the addresses on which the node serves callers, probes and
+	// nodes that join.
 	Listen RoleListen `yaml:"listen"`
 	// DataFolder is the data folder of a storage node.
 	DataFolder string `yaml:"data_folder"`
@@ -106,13 +107,14 @@
 	DrainMilliseconds int `yaml:"drain_milliseconds"`
 	// StopSeconds is the time from the stop signal until the process is killed.
 	StopSeconds float64 `yaml:"stop_seconds"`
-	// CancelMilliseconds is how long items of a cancelled job may still be
+	// CancelMilliseconds is how long after the end of a job its items may still be
 	// dispatched. It is accepted but has no effect.
 	CancelMilliseconds int `yaml:"cancel_milliseconds"`
 	// SettleMilliseconds is how long a read may miss an acknowledged write. It is
 	// accepted but has no effect.
 	SettleMilliseconds int `yaml:"settle_milliseconds"`
-	// CatchUpSeconds is how long a disk that returns may take to catch up.
+	// CatchUpSeconds is how long a disk that returns may take until it holds all
+	// data that it should hold.
 	CatchUpSeconds float64 `yaml:"catch_up_seconds"`
 	// ResultsKeptSeconds is how long a job remains readable after its submission.
 	ResultsKeptSeconds float64 `yaml:"results_kept_seconds"`
--- a/modules/callers/openai/generate.go
+++ b/modules/callers/openai/generate.go
@@ -267,12 +267,12 @@
 	Usage   *usageBody `json:"usage,omitempty"`
 }
 
-func (a *collectedResponse) toBody(request *onlineRequest) completionBody {
+func (r *collectedResponse) toBody(request *onlineRequest) completionBody {
 	body := completionBody{
-		ID: request.id, Object: "text_completion", Created: request.arrivedAt.Unix(), Model: request.requestedModel, Usage: newUsage(a.usage),
+		ID: request.id, Object: "text_completion", Created: request.arrivedAt.Unix(), Model: request.requestedModel, Usage: newUsage(r.usage),
 	}
-	text := string(a.text)
-	entry := choice{FinishReason: &a.finishReason}
+	text := string(r.text)
+	entry := choice{FinishReason: &r.finishReason}
 	if request.surface == wirev1.Surface_SURFACE_CHAT {
 		body.Object = "chat.completion"
 		entry.Message = &message{Role: "assistant", Content: text}
@@ -284,8 +284,8 @@
 }
 
 // encodeJSON returns the response's body as JSON.
-func (a *collectedResponse) encodeJSON(request *onlineRequest) ([]byte, error) {
-	return json.Marshal(a.toBody(request))
+func (r *collectedResponse) encodeJSON(request *onlineRequest) ([]byte, error) {
+	return json.Marshal(r.toBody(request))
 }
 
 func readBody(c fiber.Ctx, limit int) ([]byte, error) {
--- a/modules/callers/openai/upload.go
+++ b/modules/callers/openai/upload.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// upload is a file that is being uploaded.
+// upload is the upload of a file in progress.
 type upload struct {
 	module   *Module
 	reader   *jsonl.Reader
