--- a/internal/configuration/settings/settings_test.go
+++ b/internal/configuration/settings/settings_test.go
@@ -59,7 +59,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		loaded, err := Parse(text)
 		if err == nil && loaded.Validate() != nil {
-			t.Fatal("accepted settings do not check")
+			t.Fatal("Parse returned invalid settings")
 		}
 	})
 }
