--- a/internal/configuration/bundle/bucketmap.go
+++ b/internal/configuration/bundle/bucketmap.go
@@ -47,8 +47,8 @@
 	at := e.result.bucketOf(key)
 	if !e.writable[at] {
 		copied := make(map[K]V, len(e.result.buckets[at])+1)
-		for known, value := range e.result.buckets[at] {
-			copied[known] = value
+		for existingKey, value := range e.result.buckets[at] {
+			copied[existingKey] = value
 		}
 		e.result.buckets[at] = copied
 		e.writable[at] = true
--- a/internal/configuration/bundle/compile.go
+++ b/internal/configuration/bundle/compile.go
@@ -80,13 +80,13 @@
 }
 
 func (b *builder) remove(key Key) {
-	known, found := b.documents.result.get(key)
+	old, found := b.documents.result.get(key)
 	if !found {
 		return
 	}
 	b.documents.remove(key)
 	b.changedBuckets[bucketOfKey(key)] = true
-	switch value := known.value.(type) {
+	switch value := old.value.(type) {
 	case *CompiledTenant:
 		for _, hash := range keyHashes(value) {
 			b.keys.remove(hash)
@@ -169,8 +169,8 @@
 	s.Models = map[string]*CompiledModel{}
 	s.Operators = map[string]*Operator{}
 	var names []string
-	s.documents.forEach(func(key Key, known compiledDocument) {
-		switch value := known.value.(type) {
+	s.documents.forEach(func(key Key, compiled compiledDocument) {
+		switch value := compiled.value.(type) {
 		case *CompiledModel:
 			s.Models[key.Name] = value
 			names = append(names, key.Name)
@@ -199,8 +199,8 @@
 
 func (s *Snapshot) allTenants() []*CompiledTenant {
 	var tenants []*CompiledTenant
-	s.documents.forEach(func(_ Key, known compiledDocument) {
-		if tenant, ok := known.value.(*CompiledTenant); ok {
+	s.documents.forEach(func(_ Key, compiled compiledDocument) {
+		if tenant, ok := compiled.value.(*CompiledTenant); ok {
 			tenants = append(tenants, tenant)
 		}
 	})
--- a/internal/configuration/bundle/delta.go
+++ b/internal/configuration/bundle/delta.go
@@ -35,9 +35,9 @@
 }
 
 func (d *Delta) addChanges(current, previous map[Key]compiledDocument) {
-	for key, known := range current {
-		if old, existed := previous[key]; !existed || old.hash != known.hash {
-			d.Changed = append(d.Changed, known.document)
+	for key, compiled := range current {
+		if old, existed := previous[key]; !existed || old.hash != compiled.hash {
+			d.Changed = append(d.Changed, compiled.document)
 		}
 	}
 	for key := range previous {
--- a/internal/configuration/bundle/digest.go
+++ b/internal/configuration/bundle/digest.go
@@ -11,8 +11,8 @@
 // documents.
 func digestBucket(bucket map[Key]compiledDocument) Hash {
 	hashes := make([]Hash, 0, len(bucket))
-	for _, known := range bucket {
-		hashes = append(hashes, known.hash)
+	for _, compiled := range bucket {
+		hashes = append(hashes, compiled.hash)
 	}
 	sort.Slice(hashes, func(i, j int) bool { return bytes.Compare(hashes[i][:], hashes[j][:]) < 0 })
 	digest := sha256.New()
--- a/internal/configuration/bundle/head.go
+++ b/internal/configuration/bundle/head.go
@@ -85,9 +85,9 @@
 func (h *Head) setZone(zone string) {
 	rolled := ZoneRoll{zone, h.Generation, h.Digest}
 	zones := make([]ZoneRoll, 0, len(h.Zones)+1)
-	for _, known := range h.Zones {
-		if known.Zone != zone {
-			zones = append(zones, known)
+	for _, other := range h.Zones {
+		if other.Zone != zone {
+			zones = append(zones, other)
 		}
 	}
 	h.Zones = append(zones, rolled)
--- a/internal/configuration/bundle/schema.go
+++ b/internal/configuration/bundle/schema.go
@@ -249,8 +249,8 @@
 	c.require(p.RequestTimeout > 0, "request_timeout", p.RequestTimeout.Std(), "more than 0s")
 	c.require(p.RetryBudget >= 0 && p.RetryBudget <= 1, "retry_budget", p.RetryBudget, "0 to 1")
 	c.require(p.DrainTimeout > 0, "drain_timeout", p.DrainTimeout.Std(), "more than 0s")
-	known := p.Batch.Mode == BatchManaged || p.Batch.Mode == BatchStatic || p.Batch.Mode == BatchPriorityOnly || p.Batch.Mode == BatchOff
-	c.require(known, "batch.mode", p.Batch.Mode, "managed, static, priority_only or off")
+	validMode := p.Batch.Mode == BatchManaged || p.Batch.Mode == BatchStatic || p.Batch.Mode == BatchPriorityOnly || p.Batch.Mode == BatchOff
+	c.require(validMode, "batch.mode", p.Batch.Mode, "managed, static, priority_only or off")
 	c.require(p.Batch.StaticSlots >= 0, "batch.static_slots", p.Batch.StaticSlots, "0 or more")
 	c.require(p.Batch.TailWeight >= 0 && p.Batch.TailWeight <= 1, "batch.tail_weight", p.Batch.TailWeight, "0 to 1")
 	c.require(p.Batch.ReserveSlots >= 0, "batch.reserve_slots", p.Batch.ReserveSlots, "0 or more")
--- a/internal/configuration/bundle/snapshot.go
+++ b/internal/configuration/bundle/snapshot.go
@@ -78,7 +78,7 @@
 // Documents returns all documents, sorted by kind and name.
 func (s *Snapshot) Documents() []Document {
 	documents := make([]Document, 0, s.documents.size)
-	s.documents.forEach(func(_ Key, known compiledDocument) { documents = append(documents, known.document) })
+	s.documents.forEach(func(_ Key, compiled compiledDocument) { documents = append(documents, compiled.document) })
 	Sort(documents)
 	return documents
 }
