--- a/internal/configuration/bundle/bundle_test.go
+++ b/internal/configuration/bundle/bundle_test.go
@@ -22,11 +22,11 @@
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune('a'+seed)), ed25519.SeedSize)))
 }
 
-func public(key ed25519.PrivateKey) string {
+func publicKey(key ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey))
 }
 
-// testBundle is a bundle whose content depends on a number.
+// testBundle returns a valid bundle; different numbers give different content.
 func testBundle(number int, threshold int) string {
 	return fmt.Sprintf(`
 kind: Policy
@@ -48,7 +48,7 @@
 version: "1"
 service: s
 adapters: [m-legal]
-`, threshold, number+1, public(testKey(0)), public(testKey(1)))
+`, threshold, number+1, publicKey(testKey(0)), publicKey(testKey(1)))
 }
 
 func parse(t interface{ Fatalf(string, ...any) }, text string) []Document {
@@ -68,7 +68,7 @@
 	return s
 }
 
-func TestValidationNamesTheField(t *testing.T) {
+func TestValidationErrorsNameField(t *testing.T) {
 	good := testBundle(1, 1)
 	cases := []struct{ name, text, want string }{
 		{"bad number", strings.Replace(good, "request_timeout: 2s", "retry_budget: 7", 1), `Policy "fleet", retry_budget: found "7", allowed: 0 to 1`},
@@ -77,7 +77,7 @@
 		{"unknown kind", strings.Replace(good, "kind: Model", "kind: Modle", 1), "allowed: Policy, Model, Tenant or Operator"},
 		{"bad name", strings.Replace(good, "name: m\n", "name: \"M M\"\n", 1), "allowed: 1 to 63 lower-case"},
 		{"twice", good + "---\nkind: Model\nname: m\nversion: \"2\"\nservice: s\n", "Model/m is named twice"},
-		{"no policy", "kind: Operator\nname: a\npublic_key: " + public(testKey(0)), "found 0 Policy documents"},
+		{"no policy", "kind: Operator\nname: a\npublic_key: " + publicKey(testKey(0)), "found 0 Policy documents"},
 		{"threshold too high", testBundle(1, 3), "2 operators are named"},
 		{"tenant of no model", good + "---\nkind: Tenant\nname: t\nmodels: [x]\nkey_hashes: [" + strings.Repeat("ab", 32) + "]\n", `models: found "x"`},
 	}
@@ -90,19 +90,19 @@
 			}
 			is.True(err != nil)
 			t.Log(err)
-			is.True(strings.Contains(err.Error(), c.want)) // the error names field and what is allowed
+			is.True(strings.Contains(err.Error(), c.want)) // the error names the field and the allowed values
 		})
 	}
 }
 
-func TestSignOffs(t *testing.T) {
-	judge, err := Compile(1, parse(t, testBundle(1, 2)))
+func TestSubmissionsNeedEnoughValidSignOffs(t *testing.T) {
+	authority, err := Compile(1, parse(t, testBundle(1, 2)))
 	is.New(t).NoErr(err)
-	head := &Head{Revision: 1, Generation: 1, Digest: judge.Digest, Rolled: 1}
+	head := &Head{Revision: 1, Generation: 1, Digest: authority.Digest, Rolled: 1}
 	foreign := submission(t, 2, 2, 0, 1)
-	foreign.SignOffs[1].Operator = "ann" // bob's signature under ann's name
+	foreign.SignOffs[1].Operator = "ann" // the signature is bob's
 	old := submission(t, 1, 2, 0, 1)
-	old.Generation = 2 // signatures of another generation
+	old.Generation = 2 // the signatures are for generation 1
 	cases := []struct {
 		name       string
 		submission *Submission
@@ -117,25 +117,25 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, err := Accept(head, judge, cluster, c.submission, time.Unix(0, 0))
+			_, _, err := Accept(head, authority, cluster, c.submission, time.Unix(0, 0))
 			is.New(t).Equal(result.CodeOf(err), c.code)
 		})
 	}
 }
 
-// Operators race by compare-and-swap, in any order, with rolls and halts
-// between. In every zone the generation in force never falls, and two heads of
-// one generation never differ in content.
-func TestGenerationInForceNeverFalls(t *testing.T) {
+// Guards against a zone that returns to an older generation, and against a
+// generation with two different contents, when operators submit, roll and halt
+// concurrently.
+func TestActiveGenerationNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var head *Head
 		snapshots := map[uint64]*Snapshot{}
 		digests := map[uint64]string{}
-		inForce := map[string]uint64{}
+		active := map[string]uint64{}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			read := head // two operators read the same head; the first to commit wins
+			read := head // both operators change this head; the first change wins
 			for range rapid.IntRange(1, 2).Draw(t, "operators") {
-				next := change(t, read, snapshots, step)
+				next := applyRandomChange(t, read, snapshots, step)
 				if next != nil && head == read {
 					head = next
 				}
@@ -144,31 +144,31 @@
 				continue
 			}
 			if known, seen := digests[head.Generation]; seen && known != head.Digest {
-				t.Fatalf("generation %d has two contents", head.Generation)
+				t.Fatalf("generation %d has two different contents", head.Generation)
 			}
 			digests[head.Generation] = head.Digest
 			for _, zone := range []string{"z1", "z2", "z3", "z9"} {
 				generation, _ := head.GenerationFor(zone)
-				if generation < inForce[zone] {
-					t.Fatalf("zone %s fell from generation %d to %d", zone, inForce[zone], generation)
+				if generation < active[zone] {
+					t.Fatalf("zone %s went back from generation %d to %d", zone, active[zone], generation)
 				}
-				inForce[zone] = generation
+				active[zone] = generation
 			}
 		}
 	})
 }
 
-func change(t *rapid.T, head *Head, snapshots map[uint64]*Snapshot, step int) *Head {
+func applyRandomChange(t *rapid.T, head *Head, snapshots map[uint64]*Snapshot, step int) *Head {
 	if head == nil || rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 		generation := uint64(1)
-		var judge *Snapshot
+		var authority *Snapshot
 		if head != nil {
 			generation = head.Generation + 1
-			judge = snapshots[head.Generation]
+			authority = snapshots[head.Generation]
 		}
-		next, snapshot, err := Accept(head, judge, cluster, submission(t, generation, step, 0), time.Unix(0, 0))
+		next, snapshot, err := Accept(head, authority, cluster, submission(t, generation, step, 0), time.Unix(0, 0))
 		if err != nil {
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("submission refused: %v", err)
 		}
 		snapshots[generation] = snapshot
 		return next
@@ -181,7 +181,7 @@
 	return next
 }
 
-func TestSubmittedIsNotInForceBeforeItIsRolled(t *testing.T) {
+func TestGenerationIsActiveOnlyAfterRoll(t *testing.T) {
 	is := is.New(t)
 	head, _, err := Accept(nil, nil, cluster, submission(t, 1, 1, 0), time.Unix(0, 0))
 	is.NoErr(err)
@@ -191,20 +191,20 @@
 	is.NoErr(err)
 	first, _ := head.GenerationFor("z1")
 	second, _ := head.GenerationFor("z2")
-	is.Equal(first, uint64(1)) // the first stage has it
+	is.Equal(first, uint64(1)) // z1 is in the first stage
 	is.Equal(second, uint64(0))
 }
 
-// Any chain of deltas leads to the same snapshot as compiling it whole.
-func TestDeltasLeadToTheSameSnapshot(t *testing.T) {
+// A chain of deltas must give the same snapshot as compiling the last bundle.
+func TestDeltasReproduceCompiledSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var previous *Snapshot
 		for generation := range rapid.IntRange(1, 6).Draw(t, "generations") {
-			whole, err := Compile(uint64(generation+1), parse(t, testBundle(rapid.IntRange(0, 3).Draw(t, "number"), 1)))
+			compiled, err := Compile(uint64(generation+1), parse(t, testBundle(rapid.IntRange(0, 3).Draw(t, "number"), 1)))
 			if err != nil {
 				t.Fatalf("compile: %v", err)
 			}
-			encoded, err := whole.DeltaFrom(previous).Encode()
+			encoded, err := compiled.DeltaFrom(previous).Encode()
 			if err != nil {
 				t.Fatalf("encode: %v", err)
 			}
@@ -213,7 +213,7 @@
 				t.Fatalf("decode: %v", err)
 			}
 			applied, err := previous.Apply(delta)
-			if err != nil || applied.Digest != whole.Digest {
+			if err != nil || applied.Digest != compiled.Digest {
 				t.Fatalf("applied: %v", err)
 			}
 			previous = applied
@@ -232,13 +232,13 @@
 		}
 		again, err := Compile(1, documents)
 		if err == nil && again.Digest != Digest(documents) {
-			t.Fatal("digest changes with compiling")
+			t.Fatal("digest differs before and after compiling")
 		}
 	})
 }
 
-// manyTenants is a bundle with the letter's number of tenants.
-func manyTenants(b *testing.B, count int) *Snapshot {
+// snapshotWithTenants compiles a bundle with a number of tenants.
+func snapshotWithTenants(b *testing.B, count int) *Snapshot {
 	documents := parse(b, testBundle(1, 1))
 	for i := range count {
 		content := fmt.Sprintf(`{"key_hashes":["%x"],"requests_per_second":10,"concurrent":8}`, HashKey(fmt.Sprint(i)))
@@ -255,9 +255,10 @@
 	return snapshot
 }
 
-// BenchmarkApplyChange is what one changed tenant among 17,000 costs a node.
+// BenchmarkApplyChange measures a change of one tenant in a bundle with 17,000
+// tenants.
 func BenchmarkApplyChange(b *testing.B) {
-	snapshot := manyTenants(b, 17000)
+	snapshot := snapshotWithTenants(b, 17000)
 	changed, err := Canonical(KindTenant, "tenant-7", []byte(fmt.Sprintf(`{"key_hashes":["%x"],"requests_per_second":99}`, HashKey("7"))))
 	if err != nil {
 		b.Fatal(err)
@@ -274,24 +275,24 @@
 }
 
 func BenchmarkTenantByKey(b *testing.B) {
-	snapshot := manyTenants(b, 17000)
+	snapshot := snapshotWithTenants(b, 17000)
 	b.ReportAllocs()
 	for b.Loop() {
 		snapshot.TenantByKey("some-key")
 	}
 }
 
-// BenchmarkSnapshotMemory reports the heap of a bundle with 17,000 tenants.
+// BenchmarkSnapshotMemory reports the heap size of a bundle with 17,000 tenants.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	for b.Loop() {
-		before := heap()
-		snapshot := manyTenants(b, 17000)
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MiB")
+		before := heapBytes()
+		snapshot := snapshotWithTenants(b, 17000)
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MiB")
 		snapshot.TenantByKey("kept until here")
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
