--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,6 +1,10 @@
-// Package transport groups the connections of all programs. It holds no code itself.
+// Package transport groups the packages for network connections. It contains no code
+// itself.
 //
-//   - rpc connects nodes, httpcall makes calls to runners and services.
-//   - nethttp serves callers of an edge, httpserve those of a plain node.
-//   - eventstream reads event streams, sockets looks at connections, tlskeys loads keys.
+//   - rpc carries messages between nodes.
+//   - httpcall is an HTTP client for runners and services.
+//   - nethttp is the HTTP server of edges and storage nodes, httpserve that of plain nodes.
+//   - eventstream decodes server-sent events.
+//   - sockets configures TCP connections and checks their state.
+//   - tlskeys loads TLS key pairs and reloads them when their files change.
 package transport
--- a/internal/transport/eventstream/eventstream.go
+++ b/internal/transport/eventstream/eventstream.go
@@ -1,6 +1,6 @@
-// Package eventstream reads server-sent events (text/event-stream, WHATWG HTML
-// section 9.2) whole: a part of an event is never handed on. It owns no state beyond
-// the event being read. Edges and storage nodes run it on the answers of runners.
+// Package eventstream decodes server-sent events (text/event-stream, WHATWG HTML
+// section 9.2). It returns only complete events. Edges and storage nodes decode the
+// responses of runners with it.
 package eventstream
 
 import (
@@ -11,28 +11,30 @@
 	"strconv"
 )
 
-// StreamEvent is one whole event.
+// StreamEvent is one complete event.
 type StreamEvent struct {
-	// Raw is the event as it came, with the empty line that ends it. It is valid
-	// until the next call.
+	// Raw holds the bytes of the event, including the empty line at its end. It is
+	// valid until the next call of Next.
 	Raw []byte
-	// ID of the event; HasID is false when it has none.
+	// ID is the number in the event's id field. HasID is false if the event has no id
+	// field.
 	ID    int64
 	HasID bool
-	// Data is the event's data lines, joined by line feeds.
+	// Data holds the values of the event's data fields, joined by line feeds. It is
+	// valid until the next call of Next.
 	Data []byte
 }
 
-// MaxEventBytes bounds one event.
+// MaxEventBytes bounds the size of one event.
 const MaxEventBytes = 1 << 20
 
-// BrokenError says that a stream cannot be followed further.
+// BrokenError reports an invalid event, after which the stream cannot be read further.
 type BrokenError struct{ Reason string }
 
 // Error implements error.
 func (e *BrokenError) Error() string { return "event stream broken: " + e.Reason }
 
-// Decoder reads events from a body.
+// Decoder reads events from a response body.
 type Decoder struct {
 	source *bufio.Reader
 	raw    []byte
@@ -41,13 +43,13 @@
 
 const bufferBytes = 4 << 10
 
-// NewDecoder returns a decoder of a body.
+// NewDecoder returns a decoder that reads from the body.
 func NewDecoder(body io.Reader) *Decoder {
 	return &Decoder{source: bufio.NewReaderSize(body, bufferBytes)}
 }
 
-// Next reads one event. It returns io.EOF only between events;
-// io.ErrUnexpectedEOF within one.
+// Next reads one event. It returns io.EOF if the body ends between two events, and
+// io.ErrUnexpectedEOF if it ends within an event.
 func (d *Decoder) Next() (StreamEvent, error) {
 	event := StreamEvent{}
 	d.raw = d.raw[:0]
@@ -56,7 +58,7 @@
 	for {
 		line, err := d.line()
 		if err != nil {
-			return event, d.ended(err)
+			return event, d.readError(err)
 		}
 		if len(line) == 0 {
 			event.Raw, event.Data = d.raw, d.data
@@ -80,14 +82,14 @@
 	}
 }
 
-func (d *Decoder) ended(err error) error {
+func (d *Decoder) readError(err error) error {
 	if err == io.EOF && len(d.raw) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// line reads one line, keeps it in raw, and returns it without its end.
+// line reads one line, appends it to raw, and returns it without the line ending.
 func (d *Decoder) line() ([]byte, error) {
 	start := len(d.raw)
 	for {
--- a/internal/transport/eventstream/eventstream_test.go
+++ b/internal/transport/eventstream/eventstream_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEvents(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	is := is.New(t)
 	text := "id: 1\ndata: a\ndata: b\n\nversion: 3\nid:2\r\ndata:c\r\n\r\n"
 	decoder := NewDecoder(iotest.OneByteReader(strings.NewReader(text)))
@@ -28,8 +28,8 @@
 	is.True(errors.Is(err, io.EOF))
 }
 
-// A stream that ends within an event is not at its end.
-func TestEndWithinAnEvent(t *testing.T) {
+// A stream that ends within an event is reported as truncated, not as ended.
+func TestStreamEndingWithinEvent(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"id: 1", "id: 1\n", "id: 1\ndata: x\n"} {
 		_, err := NewDecoder(strings.NewReader(text)).Next()
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestBrokenEvents(t *testing.T) {
+func TestInvalidEvents(t *testing.T) {
 	is := is.New(t)
 	var broken *BrokenError
 	_, err := NewDecoder(strings.NewReader("id: x\n\n")).Next()
@@ -46,7 +46,7 @@
 	is.True(errors.As(err, &broken))
 }
 
-// Whatever bytes come, events are whole and nothing is read twice.
+// For any input, the raw bytes of the decoded events are a prefix of the input.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Add([]byte("\n\nid:\n\n"))
@@ -61,7 +61,7 @@
 			seen = append(seen, event.Raw...)
 		}
 		if !bytes.HasPrefix(text, seen) {
-			t.Fatalf("%q is not the beginning of %q", seen, text)
+			t.Fatalf("%q is not a prefix of %q", seen, text)
 		}
 	})
 }
--- a/internal/transport/httpcall/client.go
+++ b/internal/transport/httpcall/client.go
@@ -1,12 +1,12 @@
-// Package httpcall makes single HTTP/1.1 exchanges whose fate is known: an
-// error says whether any byte of the request left the process.
+// Package httpcall is an HTTP/1.1 client for requests that must run at most once. It
+// never retries, and its errors tell whether any byte of the request was sent.
 //
-// It uses fasthttp's request and response codecs on connections it owns and
-// never retries. fasthttp's own client is not used because it may resend a
-// request on a stale keep-alive connection, which at-most-once work forbids.
+// The client uses the request and response codecs of fasthttp on its own connections.
+// The client of fasthttp is not suitable, since it may resend a request if a keep-alive
+// connection turns out to be closed.
 //
-// Every program uses it: towards runners, the platform's services and other
-// programs' own HTTP interfaces. It owns its connections.
+// All programs use the package to call runners, services of the platform and the HTTP
+// interfaces of other programs.
 package httpcall
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client keeps idle connections per address.
+// Client sends requests and keeps idle connections for reuse.
 type Client struct {
 	tls *tls.Config
 
@@ -28,35 +28,38 @@
 	idle  map[string][]*conn
 }
 
-// NewClient returns a client; tlsConfig serves https addresses and may be nil.
+// NewClient returns a client. It uses tlsConfig, which may be nil, for https URLs.
 func NewClient(tlsConfig *tls.Config) *Client {
 	return &Client{tls: tlsConfig, idle: map[string][]*conn{}}
 }
 
-// Request is one exchange.
+// Request describes a request for Client.Do.
 type Request struct {
 	Method string
-	// URL is absolute.
+	// URL must be absolute.
 	URL     string
 	Headers [][2]string
 	Body    []byte
-	// FreshConnection forbids a kept connection, so a stale one cannot blur the outcome.
+	// FreshConnection demands a new connection. A request on an idle connection may fail
+	// without a known outcome if the server closes the connection at that moment.
 	FreshConnection bool
-	// Target is the request target exactly as it is to be written; empty takes
-	// the URL's.
+	// Target is the request target, which is sent unchanged. If empty, the target is
+	// taken from the URL.
 	Target string
-	// Host replaces the address in the Host header; empty keeps the address.
+	// Host is the value of the Host header. If empty, the address in the URL is sent.
 	Host string
-	// Matches tells an answer to this request from one that came too late for an
-	// earlier one, which is read and dropped; nil takes any.
+	// Matches reports whether a response belongs to this request. A response that does
+	// not match is a late response to an earlier request, and is read and dropped. If
+	// nil, every response matches.
 	Matches func(*fasthttp.ResponseHeader) bool
-	// Proceed is asked once a connection is there, right before the first byte
-	// is written; false ends the call as not sent. nil asks nothing.
-	Proceed func() bool
+	// BeforeWrite is called when the connection is open, right before the first byte is
+	// written. If it returns false, the request is not sent and Do returns a
+	// NotSentError with ErrWithdrawn. It may be nil.
+	BeforeWrite func() bool
 }
 
-// Do sends the request and reads the answer's header. When the context ends
-// the connection is closed, which also ends reads of the body.
+// Do sends the request and reads the header of the response. When the context ends, the
+// connection is closed, and reads of the body fail.
 func (c *Client) Do(ctx context.Context, request *Request) (*Response, error) {
 	parsed, err := url.Parse(request.URL)
 	if err != nil || parsed.Host == "" {
@@ -66,14 +69,14 @@
 	if err != nil {
 		return nil, &NotSentError{err}
 	}
-	unwatch := context.AfterFunc(ctx, func() { _ = connection.Close() })
+	stopContextWatch := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	response, err := c.exchange(connection, parsed, request)
 	if err != nil {
-		unwatch()
-		connection.end()
+		stopContextWatch()
+		connection.closeAndWait()
 		return nil, classify(ctx, connection, err)
 	}
-	response.unwatch = unwatch
+	response.stopContextWatch = stopContextWatch
 	return response, nil
 }
 
@@ -84,60 +87,60 @@
 	if connection.written.Load() == 0 {
 		return &NotSentError{err}
 	}
-	return &UnansweredError{err}
+	return &NoResponseError{err}
 }
 
 func (c *Client) exchange(connection *conn, target *url.URL, request *Request) (*Response, error) {
 	connection.written.Store(0)
-	if request.Proceed != nil && !request.Proceed() {
+	if request.BeforeWrite != nil && !request.BeforeWrite() {
 		return nil, ErrWithdrawn
 	}
-	wire := fasthttp.AcquireRequest()
-	wire.Header.SetMethod(request.Method)
-	wire.Header.SetNoDefaultContentType(true)
-	wire.SetRequestURI(target.RequestURI())
+	outgoing := fasthttp.AcquireRequest()
+	outgoing.Header.SetMethod(request.Method)
+	outgoing.Header.SetNoDefaultContentType(true)
+	outgoing.SetRequestURI(target.RequestURI())
 	if request.Target != "" {
-		wire.SetRequestURI(request.Target)
+		outgoing.SetRequestURI(request.Target)
 	}
-	wire.Header.SetHost(target.Host)
+	outgoing.Header.SetHost(target.Host)
 	if request.Host != "" {
-		wire.Header.SetHost(request.Host)
-		wire.UseHostHeader = true
+		outgoing.Header.SetHost(request.Host)
+		outgoing.UseHostHeader = true
 	}
 	for _, header := range request.Headers {
-		wire.Header.Set(header[0], header[1])
+		outgoing.Header.Set(header[0], header[1])
 	}
 	if request.Body != nil {
-		wire.SetBodyRaw(request.Body)
+		outgoing.SetBodyRaw(request.Body)
 	}
 	if len(request.Body) <= bufferBytes {
-		defer fasthttp.ReleaseRequest(wire)
-		if err := writeRequest(connection, wire); err != nil {
+		defer fasthttp.ReleaseRequest(outgoing)
+		if err := writeRequest(connection, outgoing); err != nil {
 			return nil, err
 		}
-		return c.readAnswer(connection, request)
+		return c.readResponse(connection, request)
 	}
-	return c.exchangeLong(connection, wire, request)
+	return c.exchangeLongBody(connection, outgoing, request)
 }
 
-func writeRequest(connection *conn, wire *fasthttp.Request) error {
+func writeRequest(connection *conn, outgoing *fasthttp.Request) error {
 	writer := bufio.NewWriterSize(connection, bufferBytes)
-	if err := wire.Write(writer); err != nil {
+	if err := outgoing.Write(writer); err != nil {
 		return err
 	}
 	return writer.Flush()
 }
 
-// exchangeLong writes a long body while it waits for the answer, which a
-// server may give before it has read the body. Such a connection is not used
-// again: the rest of the body is still due on it.
-func (c *Client) exchangeLong(connection *conn, wire *fasthttp.Request, request *Request) (*Response, error) {
+// exchangeLongBody writes a long body and reads the response at the same time, since a
+// server may respond before it has read the whole body. If the body is not completely
+// written when the response arrives, the connection is not reused.
+func (c *Client) exchangeLongBody(connection *conn, outgoing *fasthttp.Request, request *Request) (*Response, error) {
 	written := make(chan error, 1)
-	connection.writing.Go(func() {
-		defer fasthttp.ReleaseRequest(wire)
-		written <- writeRequest(connection, wire)
+	connection.bodyWrite.Go(func() {
+		defer fasthttp.ReleaseRequest(outgoing)
+		written <- writeRequest(connection, outgoing)
 	})
-	response, err := c.readAnswer(connection, request)
+	response, err := c.readResponse(connection, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/httpcall/client_test.go
+++ b/internal/transport/httpcall/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// rawServer answers each connection by a script.
+// rawServer runs serve on each accepted connection and returns the server's URL.
 func rawServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,11 +47,11 @@
 
 func get(url string) (*Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	_ = cancel // ends with the test
+	_ = cancel // the timeout ends the context
 	return NewClient(nil).Do(ctx, &Request{Method: "GET", URL: url})
 }
 
-func TestFateOfARequestIsKnown(t *testing.T) {
+func TestErrorsSayWhetherRequestWasSent(t *testing.T) {
 	closing := rawServer(t, func(conn net.Conn) {
 		readRequest(bufio.NewReader(conn))
 		_ = conn.Close()
@@ -61,16 +61,16 @@
 		url  string
 		sent bool
 	}{
-		{"nobody listens", "http://127.0.0.1:1/", false},
+		{"no listener", "http://127.0.0.1:1/", false},
 		{"bad address", "http://", false},
-		{"closed without an answer", closing, true},
+		{"connection closed without a response", closing, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := get(c.url)
 			var notSent *NotSentError
-			var unanswered *UnansweredError
+			var unanswered *NoResponseError
 			is.Equal(errors.As(err, &notSent), !c.sent)
 			is.Equal(errors.As(err, &unanswered), c.sent)
 		})
@@ -78,28 +78,27 @@
 }
 
 func TestTruncatedBodiesAreErrors(t *testing.T) {
-	answers := map[string]string{
+	rawResponses := map[string]string{
 		"content length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345",
 		"chunked":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n",
 	}
-	for name, answer := range answers {
+	for name, rawResponse := range rawResponses {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			url := rawServer(t, func(conn net.Conn) {
 				readRequest(bufio.NewReader(conn))
-				_, _ = io.WriteString(conn, answer)
+				_, _ = io.WriteString(conn, rawResponse)
 				_ = conn.Close()
 			})
 			response, err := get(url)
 			is.NoErr(err)
 			_, err = response.ReadAll(100)
-			is.True(err != nil) // a short body is never taken for a whole one
+			is.True(err != nil) // a truncated body is not returned as complete
 		})
 	}
 }
 
-// A kept connection that the server has closed meanwhile is noticed before it
-// is used, and fresh requests never use one.
+// An idle connection that the server has closed is not reused.
 func TestStaleConnectionsAreNotReused(t *testing.T) {
 	is := is.New(t)
 	var conns atomic.Int32
@@ -108,7 +107,7 @@
 		if readRequest(bufio.NewReader(conn)) {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
-		_ = conn.Close() // though it looked kept alive
+		_ = conn.Close() // the response did not announce the close
 	})
 	client := NewClient(nil)
 	for range 3 {
@@ -117,7 +116,7 @@
 		body, err := response.ReadAll(10)
 		is.NoErr(err)
 		is.Equal(string(body), "ok")
-		time.Sleep(20 * time.Millisecond) // the close arrives
+		time.Sleep(20 * time.Millisecond) // until the client's socket has received the close
 	}
 	is.Equal(conns.Load(), int32(3))
 }
@@ -156,14 +155,14 @@
 	is.True(err != nil && !strings.Contains(err.Error(), "exceeds"))
 }
 
-// A server may answer before it has read a long body and read on later: the
-// connection is not used again, and nothing but the body comes on it.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// If a server responds before it has read a long body, the connection is not reused, and
+// the server reads nothing but the body from it.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	body := strings.Repeat("x", 32<<20) // more than the buffers of both sockets hold
 	var connections atomic.Int64
 	var foreign atomic.Bool
-	answered := make(chan struct{})
+	responded := make(chan struct{})
 	ended := make(chan struct{})
 	url := rawServer(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
@@ -172,10 +171,10 @@
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno")
 		if connections.Add(1) > 1 {
-			<-ended // stays open without reading, as the first one does
+			<-ended // stays open without reading, as the first connection does
 			return
 		}
-		<-answered // not a byte of the body is read before the client has both answers
+		<-responded // start reading the body after the client has both responses
 		for {
 			data, err := reader.ReadByte()
 			if err != nil {
@@ -192,20 +191,19 @@
 		response, err := client.Do(context.Background(), &Request{Method: "POST", URL: url, Body: []byte(body)})
 		is.NoErr(err)
 		is.Equal(response.Status, 413)
-		answer, err := response.ReadAll(10)
+		text, err := response.ReadAll(10)
 		is.NoErr(err)
-		is.Equal(string(answer), "no")
+		is.Equal(string(text), "no")
 	}
-	close(answered)
+	close(responded)
 	<-ended
 	is.Equal(connections.Load(), int64(2))
 	is.True(!foreign.Load())
 }
 
-// A server that answers early and has the whole body before the client reads
-// the answer may be sent the next request on the same connection; each request
-// then begins right behind the whole body of the one before.
-func TestAnswerBeforeTheBodyIsReadWholeBodySent(t *testing.T) {
+// If a server responds early and the whole body was nevertheless written, the connection
+// may be reused. The next request then starts right after the complete body.
+func TestConnectionReuseAfterEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	const length = 1 << 20
 	body := strings.Repeat("x", length)
@@ -217,7 +215,7 @@
 			for range length {
 				data, err := reader.ReadByte()
 				if err != nil {
-					return // the client closed it: nothing more comes
+					return // the client closed the connection
 				}
 				if data != 'x' {
 					foreign.Store(true)
@@ -230,16 +228,16 @@
 		response, err := client.Do(context.Background(), &Request{Method: "POST", URL: url, Body: []byte(body)})
 		is.NoErr(err)
 		is.Equal(response.Status, 413)
-		answer, err := response.ReadAll(10)
+		text, err := response.ReadAll(10)
 		is.NoErr(err)
-		is.Equal(string(answer), "no")
+		is.Equal(string(text), "no")
 	}
 	is.True(!foreign.Load())
 }
 
-// Only a machine that says that nothing listens there counts as a refusal; a
-// connection that comes up is kept for the next call.
-func TestRefused(t *testing.T) {
+// ConnectionRefused is true only if the machine refuses the connection. A successful
+// connection is kept for reuse.
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -249,7 +247,7 @@
 	is.Equal(len(client.idle["http://"+listener.Addr().String()]), 1)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(!client.ConnectionRefused(ended, address)) // no answer says nothing
+	is.True(!client.ConnectionRefused(ended, address)) // a canceled dial is not a refusal
 	client.CloseIdle()
 	is.NoErr(listener.Close())
 	is.True(client.ConnectionRefused(t.Context(), address))
--- a/internal/transport/httpcall/connections.go
+++ b/internal/transport/httpcall/connections.go
@@ -21,35 +21,35 @@
 
 const (
 	dialTimeout = time.Second
-	// idleTimeout is how long a connection is kept for a later call if the server
-	// states no shorter time.
+	// idleTimeout is how long an idle connection is kept if the server states no
+	// shorter time.
 	idleTimeout = 30 * time.Second
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 64
-	// bufferBytes are read and written at once; a longer body is written while the
-	// answer is awaited.
+	// bufferBytes is the size of the read and write buffers. A longer body is written
+	// while the client waits for the response.
 	bufferBytes = 8 << 10
 )
 
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	key     string
-	written atomic.Int64
-	idled   time.Time
-	// life is how long the connection may be idle before it is not used any more.
-	life time.Duration
-	// writing is the writing of a long body while the answer is awaited.
-	writing tasks.Group
+	reader    *bufio.Reader
+	key       string
+	written   atomic.Int64
+	idleSince time.Time
+	// idleLimit is how long the connection may be idle and still be reused.
+	idleLimit time.Duration
+	// bodyWrite runs the goroutine that writes a long body.
+	bodyWrite tasks.Group
 }
 
-// end closes the connection and waits for a body that is still being written.
-func (c *conn) end() {
-	_ = c.Close() // nothing more is wanted of it
-	c.writing.Wait()
+// closeAndWait closes the connection and waits for the goroutine that writes the body.
+func (c *conn) closeAndWait() {
+	_ = c.Close() // the connection is not used any more
+	c.bodyWrite.Wait()
 }
 
-// Write counts the bytes that left.
+// Write implements net.Conn and counts the bytes that were sent.
 func (c *conn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.written.Add(int64(n))
@@ -59,8 +59,8 @@
 func (c *Client) connect(ctx context.Context, target *url.URL, fresh bool) (*conn, error) {
 	key := target.Scheme + "://" + target.Host
 	if !fresh {
-		if kept := c.take(key); kept != nil {
-			return kept, nil
+		if reused := c.takeIdle(key); reused != nil {
+			return reused, nil
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -82,8 +82,9 @@
 	return dialer.DialContext(ctx, "tcp", target.Host)
 }
 
-// ConnectionRefused dials a URL's address, and reports whether its machine says that nothing
-// listens there. A connection that comes up is kept for a later call.
+// ConnectionRefused dials the address of a URL and reports whether the machine refuses or
+// resets the connection, as it does if no process listens on the port. If the dial
+// succeeds, the connection is kept for reuse.
 func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	target, err := url.Parse(address)
 	if err != nil || target.Host == "" {
@@ -91,62 +92,64 @@
 	}
 	connection, err := c.connect(ctx, target, true)
 	if err == nil {
-		connection.life = idleTimeout
-		c.keep(connection)
+		connection.idleLimit = idleTimeout
+		c.putIdle(connection)
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// keepAliveShare is the share of a server's stated idle time that is used: a
-// connection taken up at its end may be closed under the request.
-const keepAliveShare = 0.6
+// keepAliveFraction is the fraction of the server's stated idle timeout after which a
+// connection is not reused. Near the full timeout the server may close the connection
+// while the next request is being sent.
+const keepAliveFraction = 0.6
 
-// idleLife returns how long the server keeps an idle connection open, less a margin.
-func idleLife(header *fasthttp.ResponseHeader) time.Duration {
+// serverIdleTimeout returns how long a connection may be idle and still be reused, from
+// the Keep-Alive header of the server's response.
+func serverIdleTimeout(header *fasthttp.ResponseHeader) time.Duration {
 	for _, part := range strings.Split(string(header.Peek("Keep-Alive")), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.ParseFloat(value, 64)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return min(time.Duration(seconds*keepAliveShare*float64(time.Second)), idleTimeout)
+			return min(time.Duration(seconds*keepAliveFraction*float64(time.Second)), idleTimeout)
 		}
 	}
 	return idleTimeout
 }
 
-func (c *Client) take(key string) *conn {
+func (c *Client) takeIdle(key string) *conn {
 	for {
-		kept := c.pop(key)
-		if kept == nil {
+		candidate := c.popIdle(key)
+		if candidate == nil {
 			return nil
 		}
-		if time.Since(kept.idled) < kept.life && kept.quiet() {
-			return kept
+		if time.Since(candidate.idleSince) < candidate.idleLimit && candidate.usable() {
+			return candidate
 		}
-		_ = kept.Close()
+		_ = candidate.Close()
 	}
 }
 
-func (c *Client) pop(key string) *conn {
+func (c *Client) popIdle(key string) *conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	list := c.idle[key]
 	if len(list) == 0 {
 		return nil
 	}
-	kept := list[len(list)-1]
+	last := list[len(list)-1]
 	c.idle[key] = list[:len(list)-1]
-	return kept
+	return last
 }
 
-// quiet reports whether an idle connection is still open and holds no bytes.
-func (c *conn) quiet() bool {
+// usable reports whether an idle connection is still open and has no unread bytes.
+func (c *conn) usable() bool {
 	raw := sockets.Raw(c.Conn)
-	return raw != nil && c.reader.Buffered() == 0 && sockets.Look(raw) == sockets.Quiet
+	return raw != nil && c.reader.Buffered() == 0 && sockets.Peek(raw) == sockets.Idle
 }
 
-func (c *Client) keep(connection *conn) {
-	connection.idled = time.Now()
+func (c *Client) putIdle(connection *conn) {
+	connection.idleSince = time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.idle[connection.key]) >= maxIdlePerAddress {
@@ -161,8 +164,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for key, list := range c.idle {
-		for _, kept := range list {
-			_ = kept.Close()
+		for _, connection := range list {
+			_ = connection.Close()
 		}
 		delete(c.idle, key)
 	}
--- a/internal/transport/httpcall/errors.go
+++ b/internal/transport/httpcall/errors.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// NotSentError says that no byte of the request left: it was not run.
+// NotSentError reports that no byte of the request was sent, so the server did not run
+// the request.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -14,17 +15,19 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// UnansweredError says that bytes left and no complete answer header came.
-type UnansweredError struct{ Cause error }
+// NoResponseError reports that at least one byte of the request was sent and no complete
+// response header was received.
+type NoResponseError struct{ Cause error }
 
 // Error implements error.
-func (e *UnansweredError) Error() string { return fmt.Sprintf("request sent, no answer: %v", e.Cause) }
+func (e *NoResponseError) Error() string { return fmt.Sprintf("request sent, no answer: %v", e.Cause) }
 
 // Unwrap returns the cause.
-func (e *UnansweredError) Unwrap() error { return e.Cause }
+func (e *NoResponseError) Unwrap() error { return e.Cause }
 
-// ErrWithdrawn says that Proceed did not allow the request to be written.
+// ErrWithdrawn is the cause of a NotSentError if Request.BeforeWrite returned false.
 var ErrWithdrawn = errors.New("withdrawn before it was written")
 
-// ErrStray says that only answers to other requests came.
-var ErrStray = errors.New("answers to other requests came instead")
+// ErrUnmatchedResponse is the cause of a NoResponseError if only responses to other
+// requests were received.
+var ErrUnmatchedResponse = errors.New("answers to other requests came instead")
--- a/internal/transport/httpcall/response.go
+++ b/internal/transport/httpcall/response.go
@@ -10,26 +10,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Response is an answer whose body is read as it comes. Close must be called.
+// Response is the response to a request. Its body is read from the connection by Read.
+// The caller must call Close, ReadAll or Discard.
 type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
 
-	client   *Client
-	conn     *conn
-	body     io.Reader
-	chunked  bool
-	reusable bool
-	finished bool
-	unwatch  func() bool
+	client           *Client
+	conn             *conn
+	body             io.Reader
+	chunked          bool
+	reusable         bool
+	finished         bool
+	stopContextWatch func() bool
 }
 
-// maxStrays bounds the answers to earlier requests that are dropped.
-const maxStrays = 2
+// maxUnmatchedResponses bounds how many responses to earlier requests are dropped.
+const maxUnmatchedResponses = 2
 
-// readAnswer reads the head of the answer to this request.
-func (c *Client) readAnswer(connection *conn, request *Request) (*Response, error) {
-	for range maxStrays + 1 {
+// readResponse reads the header of the response to this request. It drops responses that
+// do not match the request.
+func (c *Client) readResponse(connection *conn, request *Request) (*Response, error) {
+	for range maxUnmatchedResponses + 1 {
 		response, err := c.readHeader(connection)
 		if err != nil {
 			return nil, err
@@ -40,11 +42,11 @@
 		if response.Header.ContentLength() < 0 {
 			break
 		}
-		if _, err := io.Copy(io.Discard, readerOf(response)); err != nil {
+		if _, err := io.Copy(io.Discard, asReader(response)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, ErrStray
+	return nil, ErrUnmatchedResponse
 }
 
 func (c *Client) readHeader(connection *conn) (*Response, error) {
@@ -68,7 +70,8 @@
 	return response, nil
 }
 
-// Read reads the body. io.EOF is returned only at the body's declared end.
+// Read reads the body. It returns io.EOF only at the end of the body, and an error if the
+// connection closes before the declared end.
 func (r *Response) Read(buffer []byte) (int, error) {
 	n, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
@@ -81,10 +84,11 @@
 	return n, err
 }
 
-// ReadAll reads the body up to limit bytes and closes the response.
+// ReadAll reads the body and closes the response. It fails if the body exceeds limit
+// bytes.
 func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	defer r.Close()
-	body, err := io.ReadAll(io.LimitReader(readerOf(r), limit+1))
+	body, err := io.ReadAll(io.LimitReader(asReader(r), limit+1))
 	if err != nil {
 		return nil, err
 	}
@@ -94,33 +98,34 @@
 	return body, nil
 }
 
-func readerOf(r *Response) io.Reader { return r }
+func asReader(r *Response) io.Reader { return r }
 
-// Close returns the connection for reuse if the body was read to its end, else
-// closes it, by which the server learns that the rest is not wanted.
+// Close keeps the connection for reuse if the body was read to its end. Otherwise it closes
+// the connection.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	connection := r.conn
 	r.conn = nil
-	live := r.unwatch == nil || r.unwatch()
-	if !live || !r.finished || !r.reusable || !r.skipTrailer(connection) {
-		connection.end()
+	contextActive := r.stopContextWatch == nil || r.stopContextWatch()
+	if !contextActive || !r.finished || !r.reusable || !r.skipTrailer(connection) {
+		connection.closeAndWait()
 		return
 	}
 	if connection.reader.Buffered() > 0 {
-		connection.end() // bytes that nobody asked for
+		connection.closeAndWait() // unexpected bytes after the response
 		return
 	}
-	connection.life = idleLife(r.Header)
-	r.client.keep(connection)
+	connection.idleLimit = serverIdleTimeout(r.Header)
+	r.client.putIdle(connection)
 }
 
 // trailerTimeout bounds the wait for the empty line after the last chunk.
 const trailerTimeout = 100 * time.Millisecond
 
-// skipTrailer reads the empty line after the last chunk.
+// skipTrailer reads the line after the last chunk of a chunked body, and reports whether
+// that line is empty, as it is if there are no trailer fields.
 func (r *Response) skipTrailer(connection *conn) bool {
 	if !r.chunked {
 		return true
@@ -131,15 +136,15 @@
 	return err == nil && line == "\r\n"
 }
 
-// discardBytes bounds a body that is read only to keep its connection.
-const discardBytes = 64 << 10
+// maxDiscardBytes bounds a body that is read only so that its connection can be reused.
+const maxDiscardBytes = 64 << 10
 
-// Discard reads a short body, so that the connection can be kept, and closes
-// the response.
+// Discard closes the response. If the body is short, Discard reads it first, so that the
+// connection can be reused.
 func (r *Response) Discard() {
 	length := r.Header.ContentLength()
-	if length >= 0 && length <= discardBytes {
-		_, _ = io.Copy(io.Discard, readerOf(r))
+	if length >= 0 && length <= maxDiscardBytes {
+		_, _ = io.Copy(io.Discard, asReader(r))
 	}
 	r.Close()
 }
--- a/internal/transport/httpserve/server.go
+++ b/internal/transport/httpserve/server.go
@@ -1,6 +1,6 @@
-// Package httpserve runs a fiber application on a listener whose connections
-// it tracks, so that a server can be drained, or ended at once as if its
-// process had died. The plain node and the lab's stand-ins use it.
+// Package httpserve serves a fiber application over HTTP. A server can be drained, or
+// killed with all its connections as if its process had crashed. The plain node and the
+// simulated services of the lab use it.
 package httpserve
 
 import (
@@ -26,8 +26,8 @@
 	serving  tasks.Group
 }
 
-// Listen opens the address and returns a server that does not serve yet. With
-// tlsConfig set, connections are served by TLS.
+// Listen listens on the address and returns a server; Serve starts serving. If tlsConfig
+// is not nil, connections use TLS.
 func Listen(address string, app *fiber.App, tlsConfig *tls.Config) (*Server, error) {
 	raw, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return &Server{App: app, listener: tracked}, nil
 }
 
-// Address returns the IP:port listened on.
+// Address returns the IP address and port of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve starts serving in the background.
@@ -45,32 +45,33 @@
 	s.serving.Go(func() {
 		err := s.App.Listener(s.listener, fiber.ListenConfig{DisableStartupMessage: true})
 		if err != nil && !errors.Is(err, net.ErrClosed) {
-			klog.ErrorS(err, "serving HTTP ended", "address", s.Address())
+			klog.ErrorS(err, "HTTP server failed", "address", s.Address())
 		}
 	})
 }
 
-// Shutdown stops accepting, lets running requests end, and returns when all
-// have or the context ends.
+// Shutdown stops accepting connections and waits until all running requests have ended or
+// the context ends.
 func (s *Server) Shutdown(ctx context.Context) {
 	if err := s.App.ShutdownWithContext(ctx); err != nil {
-		klog.V(2).InfoS("HTTP server did not drain", "address", s.Address(), "err", err)
+		klog.V(2).InfoS("HTTP server stopped with running requests", "address", s.Address(), "err", err)
 	}
 }
 
-// Kill closes the listener and every connection at once.
+// Kill closes the listener and all connections without waiting for running requests.
 func (s *Server) Kill() {
 	_ = s.listener.Close()
 	s.listener.closeAll()
-	ctx, cancel := context.WithTimeout(context.Background(), killGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), killTimeout)
 	defer cancel()
-	_ = s.App.ShutdownWithContext(ctx) // requests are cut on purpose
+	_ = s.App.ShutdownWithContext(ctx) // running requests are aborted intentionally
 	s.serving.Wait()
 }
 
-// killGrace bounds the release of the application's own resources in Kill.
-const killGrace = 50 * time.Millisecond
+// killTimeout bounds the shutdown of the fiber application in Kill.
+const killTimeout = 50 * time.Millisecond
 
+// trackedListener keeps a list of its open connections, so that Kill can close them.
 type trackedListener struct {
 	net.Listener
 	tls *tls.Config
@@ -113,6 +114,7 @@
 	}
 }
 
+// trackedConn removes itself from its listener's list when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *trackedListener
@@ -126,5 +128,5 @@
 	return c.Conn.Close()
 }
 
-// NetConn returns the connection beneath, for probes of its socket.
+// NetConn returns the underlying connection, whose socket package sockets can check.
 func (c *trackedConn) NetConn() net.Conn { return c.Conn }
--- a/internal/transport/nethttp/nethttp.go
+++ b/internal/transport/nethttp/nethttp.go
@@ -1,7 +1,6 @@
-// Package nethttp serves a handler of net/http on one address and stops it without
-// cutting requests. It owns the listener and the goroutine that accepts on it; the
-// requests are the handler's. Edges and storage nodes run it, for callers, readiness and
-// metrics; the plain node's fiber applications run on httpserve.
+// Package nethttp runs a net/http server on one address and can drain it, so that running
+// requests complete before the server stops. Edges and storage nodes serve callers,
+// readiness checks and metrics with it. Plain nodes use package httpserve.
 package nethttp
 
 import (
@@ -18,23 +17,25 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// RequestLimits bound what callers may take; the zero value of each stands for none.
+// RequestLimits are the limits for requests and connections of clients. A zero value means
+// that net/http applies its default.
 type RequestLimits struct {
-	// HeaderTimeout is how long a request's header may take.
+	// HeaderTimeout bounds the time for reading the header of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay without a request.
+	// IdleTimeout bounds how long a connection may be idle between two requests.
 	IdleTimeout time.Duration
+	// HeaderBytes bounds the size of the header of a request.
 	HeaderBytes int
 }
 
-// Endpoint serves HTTP on one address.
+// Endpoint is an HTTP server on one address.
 type Endpoint struct {
 	http    *http.Server
 	address string
 	running tasks.Group
 }
 
-// Start listens on an address and serves until Drain or Close.
+// Start listens on the address and serves requests until Drain or Close is called.
 func Start(ctx context.Context, address string, handler http.Handler, limits RequestLimits) (*Endpoint, error) {
 	listener, err := sockets.ListenConfig().Listen(ctx, "tcp", address)
 	if err != nil {
@@ -49,18 +50,18 @@
 
 func (e *Endpoint) serve(listener net.Listener) {
 	if err := e.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		klog.ErrorS(err, "HTTP listener ended", "address", e.address)
+		klog.ErrorS(err, "HTTP server failed", "address", e.address)
 	}
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the listener.
 func (e *Endpoint) Address() string { return e.address }
 
-// Drain goes on serving for a time, in which new connections still come, then takes no
-// more and returns when every request is answered, or with an error when the context
-// ends.
-func (e *Endpoint) Drain(ctx context.Context, leaveTime time.Duration) error {
-	timer := time.NewTimer(leaveTime)
+// Drain continues to accept connections and requests during the grace period. It then
+// closes the listener and waits for the running requests. It returns an error if the
+// context ends before all requests have completed.
+func (e *Endpoint) Drain(ctx context.Context, gracePeriod time.Duration) error {
+	timer := time.NewTimer(gracePeriod)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -69,10 +70,10 @@
 	return trace.Wrap(e.http.Shutdown(ctx))
 }
 
-// Close cuts what is left and waits for the listener's end.
+// Close closes the listener and all connections, and waits for the server to stop.
 func (e *Endpoint) Close() {
 	if err := e.http.Close(); err != nil {
-		klog.V(1).InfoS("HTTP server closed", "address", e.address, "err", err)
+		klog.V(1).InfoS("closing the HTTP server failed", "address", e.address, "err", err)
 	}
 	e.running.Wait()
 }
--- a/internal/transport/nethttp/nethttp_test.go
+++ b/internal/transport/nethttp/nethttp_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// A drain answers requests that run and those that come while connections still do,
-// and takes none afterwards.
-func TestDrainAnswersWhatCame(t *testing.T) {
+// Drain completes running requests and requests that arrive in the grace period, and
+// afterwards no connections are accepted.
+func TestDrainServesAcceptedRequests(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}, 2), make(chan struct{})
 	server, err := Start(context.Background(), "127.0.0.1:0", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -22,33 +22,33 @@
 	}), RequestLimits{})
 	is.NoErr(err)
 	t.Cleanup(server.Close)
-	answers := make(chan string, 2)
-	ask := func() {
+	bodies := make(chan string, 2)
+	sendRequest := func() {
 		response, err := http.Get("http://" + server.Address())
 		if err != nil {
-			answers <- err.Error()
+			bodies <- err.Error()
 			return
 		}
 		body, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
-		answers <- string(body)
+		bodies <- string(body)
 	}
-	go ask()
+	go sendRequest()
 	<-entered
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(context.Background(), 300*time.Millisecond) }()
-	go ask()
+	go sendRequest()
 	<-entered
 	close(release)
-	is.Equal(<-answers, "ok")
-	is.Equal(<-answers, "ok")
+	is.Equal(<-bodies, "ok")
+	is.Equal(<-bodies, "ok")
 	is.NoErr(<-drained)
 	_, err = http.Get("http://" + server.Address())
 	is.True(err != nil)
 }
 
-// A drain ends with its context, and says so.
-func TestDrainEndsWithItsContext(t *testing.T) {
+// Drain returns an error when its context ends.
+func TestDrainStopsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	server, err := Start(context.Background(), "127.0.0.1:0", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/internal/transport/rpc/clientlink.go
+++ b/internal/transport/rpc/clientlink.go
@@ -16,32 +16,34 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// ErrLinkLost ends streams whose link broke before the other side ended them.
+// ErrLinkLost is returned by a stream whose link closed before the server ended the
+// stream.
 var ErrLinkLost = errors.New("link lost")
 
-// errRetired is the answer of a link that was closed as idle.
-var errRetired = errors.New("link retired")
+// errIdleClosed is returned for new streams on a link that was closed as idle.
+var errIdleClosed = errors.New("link closed as idle")
 
-// clientLink multiplexes the streams of one dialled link.
+// clientLink multiplexes the streams of a dialled link.
 type clientLink struct {
-	link *link
-	next atomic.Uint64
-	// used is when the link last carried something from here, as time since
-	// processStart.
-	used atomic.Int64
-	// forgetPool ends the wait for the end of the pool, which closes the link.
-	forgetPool func() bool
-
-	mutex   sync.Mutex
-	streams map[uint64]*ClientStream
-	lost    bool
-	retired bool
+	link   *link
+	lastID atomic.Uint64
+	// lastUsed is the time at which the last request or notice was sent on the link, as
+	// a duration since processStart.
+	lastUsed atomic.Int64
+	// stopPoolWatch unregisters the callback that closes the link together with the pool.
+	stopPoolWatch func() bool
+
+	mutex      sync.Mutex
+	streams    map[uint64]*ClientStream
+	lost       bool
+	idleClosed bool
 }
 
-// processStart anchors times kept in atomics to the monotonic clock.
+// processStart is the time from which lastUsed is measured. The duration since then is
+// monotonic and can be stored in an atomic integer.
 var processStart = time.Now()
 
-func (l *clientLink) touch() { l.used.Store(int64(time.Since(processStart))) }
+func (l *clientLink) touch() { l.lastUsed.Store(int64(time.Since(processStart))) }
 
 func (l *clientLink) alive() bool {
 	select {
@@ -57,11 +59,11 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "encoding request")
 	}
-	stream := &ClientStream{owner: l, id: l.next.Add(1), ready: make(chan struct{}, 1)}
+	stream := &ClientStream{owner: l, id: l.lastID.Add(1), ready: make(chan struct{}, 1)}
 	if err := l.add(stream); err != nil {
 		return nil, err
 	}
-	l.link.counters.noteSent(method, len(payload))
+	l.link.counters.recordSent(method, len(payload))
 	frame := &wirev1.Frame{Stream: stream.id, Kind: wirev1.FrameKind_FRAME_KIND_OPEN, Method: method, Payload: payload, TimeoutMs: remainingMs(ctx)}
 	if err := l.link.send(frame); err != nil {
 		l.remove(stream.id)
@@ -86,8 +88,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
-	case l.retired:
-		return errRetired
+	case l.idleClosed:
+		return errIdleClosed
 	case l.lost:
 		return result.New(result.PeerUnreachable, "link lost before the request was sent")
 	}
@@ -119,11 +121,11 @@
 		}
 		l.link.counters.FramesReceived.Add(1)
 		l.link.counters.BytesReceived.Add(uint64(proto.Size(&frame) + lengthBytes))
-		l.take(&frame)
+		l.handleFrame(&frame)
 	}
 }
 
-func (l *clientLink) take(frame *wirev1.Frame) {
+func (l *clientLink) handleFrame(frame *wirev1.Frame) {
 	switch frame.Kind {
 	case wirev1.FrameKind_FRAME_KIND_DATA:
 		if stream := l.find(frame.Stream); stream != nil {
@@ -151,8 +153,9 @@
 	}
 }
 
+// fail closes the link and ends its streams with ErrLinkLost.
 func (l *clientLink) fail() {
-	l.forgetPool()
+	l.stopPoolWatch()
 	l.link.close()
 	l.mutex.Lock()
 	l.lost = true
--- a/internal/transport/rpc/clientstream.go
+++ b/internal/transport/rpc/clientstream.go
@@ -10,8 +10,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// ClientStream is the calling side of one stream. Messages queue without
-// bound; a token stream is bounded by its request's token limit.
+// ClientStream is the client's end of one stream. The queue of received messages has no
+// bound, since the token limit of a request already bounds the length of its stream.
 type ClientStream struct {
 	owner *clientLink
 	id    uint64
@@ -19,12 +19,12 @@
 
 	mutex    sync.Mutex
 	messages [][]byte
-	ended    error
+	endError error
 }
 
 func (s *ClientStream) push(payload []byte) {
 	if payload == nil {
-		payload = []byte{} // an empty message is still a message
+		payload = []byte{} // an empty message; pop returns nil if there is no message
 	}
 	s.mutex.Lock()
 	s.messages = append(s.messages, payload)
@@ -34,8 +34,8 @@
 
 func (s *ClientStream) finish(reason error) {
 	s.mutex.Lock()
-	if s.ended == nil {
-		s.ended = reason
+	if s.endError == nil {
+		s.endError = reason
 	}
 	s.mutex.Unlock()
 	s.signal()
@@ -48,9 +48,14 @@
 	}
 }
 
-// Receive decodes the next message. It returns io.EOF after the last one of a
-// stream that ended well, a *result.Error if the other side ended it with
-// one, ErrLinkLost if the link broke, or the context's error.
+// Receive waits for the next message and decodes it. After the last message it returns one
+// of these errors:
+//
+//   - io.EOF if the server ended the stream without an error,
+//   - a *result.Error if the server ended the stream with an error,
+//   - ErrLinkLost if the link closed before the stream ended.
+//
+// If the context ends while Receive waits, it returns the error of the context.
 func (s *ClientStream) Receive(ctx context.Context, message proto.Message) error {
 	for {
 		payload, err := s.pop()
@@ -76,10 +81,10 @@
 		s.messages = s.messages[1:]
 		return payload, nil
 	}
-	return nil, s.ended
+	return nil, s.endError
 }
 
-// Close cancels the stream at the other side unless it has ended.
+// Close cancels the stream at the server unless the stream has ended.
 func (s *ClientStream) Close() {
 	if s.owner.remove(s.id) == nil {
 		return
--- a/internal/transport/rpc/counters.go
+++ b/internal/transport/rpc/counters.go
@@ -10,33 +10,34 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Counters counts a node's frames and bytes; all fields are atomics.
+// Counters counts the frames, bytes and connections of one node. All fields are safe
+// for concurrent use.
 type Counters struct {
 	BytesSent, BytesReceived   atomic.Uint64
 	FramesSent, FramesReceived atomic.Uint64
 	Dials, DialFailures        atomic.Uint64
-	// Links is how many links are open, of both directions.
+	// Links is the number of open links, both dialled and accepted.
 	Links atomic.Int64
 
-	methods sync.Map // wirev1.Method to *MethodCount
+	methods sync.Map // of *MethodCount by wirev1.Method
 }
 
-// MethodCount is what was sent of one method's messages.
+// MethodCount holds the number of messages sent for one method, and their size in bytes.
 type MethodCount struct{ Messages, Bytes atomic.Uint64 }
 
-func (c *Counters) noteSent(method wirev1.Method, bytes int) {
-	known, found := c.methods.Load(method)
+func (c *Counters) recordSent(method wirev1.Method, bytes int) {
+	value, found := c.methods.Load(method)
 	if !found {
-		known, _ = c.methods.LoadOrStore(method, &MethodCount{})
+		value, _ = c.methods.LoadOrStore(method, &MethodCount{})
 	}
-	count := known.(*MethodCount)
+	count := value.(*MethodCount)
 	count.Messages.Add(1)
 	count.Bytes.Add(uint64(bytes))
 }
 
-// Traffic is a node's traffic with others at one moment, to be compared with that of
-// another.
+// Traffic is a snapshot of a node's Counters.
 type Traffic struct {
+	// Sent and Received count frames.
 	Sent, Received, Dials uint64
 	BytesSent             uint64
 	BytesReceived         uint64
@@ -45,15 +46,15 @@
 	bytes                 map[wirev1.Method]uint64
 }
 
-// Traffic returns what was counted so far.
+// Traffic returns a snapshot of the counters.
 func (c *Counters) Traffic() Traffic {
 	now := Traffic{
 		Sent: c.FramesSent.Load(), Received: c.FramesReceived.Load(), Dials: c.Dials.Load(),
 		BytesSent: c.BytesSent.Load(), BytesReceived: c.BytesReceived.Load(), Links: c.Links.Load(),
 		messages: map[wirev1.Method]uint64{}, bytes: map[wirev1.Method]uint64{},
 	}
-	c.methods.Range(func(method, known any) bool {
-		count := known.(*MethodCount)
+	c.methods.Range(func(method, value any) bool {
+		count := value.(*MethodCount)
 		now.messages[method.(wirev1.Method)] = count.Messages.Load()
 		now.bytes[method.(wirev1.Method)] = count.Bytes.Load()
 		return true
@@ -61,22 +62,23 @@
 	return now
 }
 
-// Since returns what was counted between an earlier moment and this one. Links are
-// those open now.
+// Since returns the traffic between an earlier snapshot and this one. Links is not a
+// difference but the number of links open in this snapshot.
 func (t Traffic) Since(earlier Traffic) Traffic {
-	since := Traffic{
+	delta := Traffic{
 		Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received, Dials: t.Dials - earlier.Dials,
 		BytesSent: t.BytesSent - earlier.BytesSent, BytesReceived: t.BytesReceived - earlier.BytesReceived, Links: t.Links,
 		messages: map[wirev1.Method]uint64{}, bytes: map[wirev1.Method]uint64{},
 	}
 	for method, count := range t.messages {
-		since.messages[method] = count - earlier.messages[method]
-		since.bytes[method] = t.bytes[method] - earlier.bytes[method]
+		delta.messages[method] = count - earlier.messages[method]
+		delta.bytes[method] = t.bytes[method] - earlier.bytes[method]
 	}
-	return since
+	return delta
 }
 
-// ByMethod lists the messages sent and their bytes, the most frequent method first.
+// ByMethod lists the messages and bytes sent for each method, as one line of text. The
+// method with the most messages comes first.
 func (t Traffic) ByMethod() string {
 	var methods []wirev1.Method
 	for method, count := range t.messages {
--- a/internal/transport/rpc/frame.go
+++ b/internal/transport/rpc/frame.go
@@ -1,14 +1,16 @@
 // Package rpc carries protobuf messages between cobaltramp nodes in frames
-// over TCP: four bytes of big-endian length, then one wirev1.Frame.
+// over TCP. A frame is a length of four bytes in big-endian order, followed by
+// one encoded wirev1.Frame.
 //
-// Many streams share a connection. Each pair of nodes keeps one connection per
-// Class, so that online work never queues behind batch bytes in a link.
-// Packet loss, ordering and flow of a whole connection are TCP's; the package
-// adds streams, deadlines, cancellation, one-way notices and typed errors.
+// A TCP connection between two nodes is called a link. Many streams share one
+// link. Each pair of nodes has a separate link per Class, so that online requests
+// do not wait behind batch data. TCP provides ordering, retransmission and flow
+// control for a link; this package adds streams, deadlines, cancellation, one-way
+// notices and typed errors.
 //
-// Every program uses it, as a client through a Pool and as a Server. It owns the
-// connections between nodes; it relies on the messages of api/wire/v1 and on the
-// codes of package result.
+// All programs use the package, through a Pool as the client and through a Server.
+// The package owns the connections between nodes. Messages are defined in
+// api/wire/v1, and error codes in package result.
 package rpc
 
 import (
@@ -22,16 +24,18 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// MaxFrameBytes bounds one frame. The largest legitimate frame carries a batch
-// of log entries; anything above is a broken or hostile peer.
+// MaxFrameBytes bounds one frame. The largest valid frames carry a batch of log
+// entries; only a faulty or malicious peer sends a larger one.
 const MaxFrameBytes = 16 << 20
 
+// lengthBytes is the size of the length that precedes each frame.
 const lengthBytes = 4
 
-// ProtocolVersion is checked in the handshake.
+// ProtocolVersion is the version of the protocol. Both sides of a handshake must have
+// the same version.
 const ProtocolVersion = 1
 
-// AppendFrame appends the encoded frame, with its length, to buffer.
+// AppendFrame appends the length of the frame and the encoded frame to the buffer.
 func AppendFrame(buffer []byte, frame *wirev1.Frame) ([]byte, error) {
 	start := len(buffer)
 	buffer = append(buffer, 0, 0, 0, 0)
@@ -47,7 +51,7 @@
 	return buffer, nil
 }
 
-// ReadFrame reads one frame. It returns io.EOF only between frames.
+// ReadFrame reads one frame. It returns io.EOF only if the input ends between two frames.
 func ReadFrame(reader *bufio.Reader, frame *wirev1.Frame) error {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
--- a/internal/transport/rpc/hello.go
+++ b/internal/transport/rpc/hello.go
@@ -11,11 +11,12 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// handshakeTimeout bounds the exchange of hellos on a new link.
+// handshakeTimeout bounds the exchange of Hello messages on a new link.
 const handshakeTimeout = 5 * time.Second
 
-// greet sends the hello of the dialling side and checks the answer.
-func greet(conn net.Conn, reader *bufio.Reader, own *wirev1.Hello, timeout time.Duration) error {
+// clientHandshake sends this node's Hello on a dialled connection, reads the peer's Hello,
+// and checks that cluster and protocol version match.
+func clientHandshake(conn net.Conn, reader *bufio.Reader, own *wirev1.Hello, timeout time.Duration) error {
 	_ = conn.SetDeadline(time.Now().Add(timeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
 	if err := writeHello(conn, own); err != nil {
@@ -28,9 +29,10 @@
 	return checkHello(own, peerHello)
 }
 
-// acceptHello reads the peer's hello, answers with ours and checks that both
-// are of one cluster and protocol.
-func acceptHello(conn net.Conn, reader *bufio.Reader, own *wirev1.Hello) (string, error) {
+// serverHandshake reads the peer's Hello on an accepted connection, sends this
+// node's Hello, and checks that cluster and protocol version match. It returns the node ID
+// of the peer.
+func serverHandshake(conn net.Conn, reader *bufio.Reader, own *wirev1.Hello) (string, error) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
 	peer, err := readHello(reader)
--- a/internal/transport/rpc/idle.go
+++ b/internal/transport/rpc/idle.go
@@ -4,23 +4,24 @@
 	"time"
 )
 
-// defaultIdleTimeout is how long a link that carries nothing is kept: longer than
-// the pauses between two messages of nodes that work together, so that a node has
-// links to those nodes and not to all that it ever called.
+// defaultIdleTimeout is how long an unused link is kept open. It is longer than the
+// pauses between messages of nodes that communicate regularly, so that the links between
+// such nodes stay open.
 const defaultIdleTimeout = 15 * time.Second
 
-// closeIdle closes the links that have carried nothing for the idle timeout.
+// closeIdle closes the links that were not used within the idle timeout, and drops peers
+// without an open link.
 func (p *Pool) closeIdle() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return
 	}
-	for key, known := range p.peers {
-		l := known.current.Load()
+	for key, entry := range p.peers {
+		l := entry.current.Load()
 		switch {
-		case l == nil, !l.alive(), l.retire(p.idleTimeout):
-			p.forgetIdle(key, known)
+		case l == nil, !l.alive(), l.closeIfIdle(p.idleTimeout):
+			p.dropIfIdle(key, entry)
 		}
 	}
 	p.idleCheck = nil
@@ -29,28 +30,28 @@
 	}
 }
 
-// forgetIdle drops an address without a link, unless it is being dialled or its
-// last dial failed within dialBackoff. The mutex is held.
-func (p *Pool) forgetIdle(key peerKey, known *peer) {
-	if !known.mutex.TryLock() {
+// dropIfIdle drops a peer that has no open link, unless it is being dialled or its last
+// dial failed within dialBackoff. The caller holds the pool's mutex.
+func (p *Pool) dropIfIdle(key peerKey, entry *peer) {
+	if !entry.mutex.TryLock() {
 		return
 	}
-	defer known.mutex.Unlock()
-	if l := known.current.Load(); l != nil && l.alive() {
-		return // it was dialled since the check looked at it
+	defer entry.mutex.Unlock()
+	if l := entry.current.Load(); l != nil && l.alive() {
+		return // the peer was dialled after closeIdle checked its link
 	}
-	if time.Since(known.failedAt) >= dialBackoff {
+	if time.Since(entry.dialFailedAt) >= dialBackoff {
 		delete(p.peers, key)
 	}
 }
 
-// retire closes the link if it carries no stream and was last used at least
-// idleTimeout ago.
-func (l *clientLink) retire(idleTimeout time.Duration) bool {
+// closeIfIdle closes the link if it has no open streams and was not used within
+// idleTimeout. It reports whether it closed the link.
+func (l *clientLink) closeIfIdle(idleTimeout time.Duration) bool {
 	l.mutex.Lock()
-	idle := len(l.streams) == 0 && time.Since(processStart)-time.Duration(l.used.Load()) >= idleTimeout
+	idle := len(l.streams) == 0 && time.Since(processStart)-time.Duration(l.lastUsed.Load()) >= idleTimeout
 	if idle {
-		l.retired = true
+		l.idleClosed = true
 	}
 	l.mutex.Unlock()
 	if idle {
--- a/internal/transport/rpc/link.go
+++ b/internal/transport/rpc/link.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// linkQueueFrames bounds the frames that wait for a peer that does not read.
-	linkQueueFrames = 2048
-	// readBufferBytes are held by each link: most frames are far smaller, and the
-	// body of a larger one is read past the buffer.
+	// maxQueuedFrames bounds the frames that are queued on one link.
+	maxQueuedFrames = 2048
+	// readBufferBytes is the size of the read buffer that each link holds. Most frames
+	// are far smaller. The body of a larger frame is read past the buffer.
 	readBufferBytes = 4 << 10
-	// writeBufferBytes are held only while a link writes.
+	// writeBufferBytes is the size of a write buffer. A link holds a write buffer only
+	// while it writes.
 	writeBufferBytes = 64 << 10
-	// A peer that takes no byte for this long is treated as gone.
+	// linkWriteTimeout bounds the time for writing the frames that were queued together.
+	// If it expires because the peer does not read, the link is closed.
 	linkWriteTimeout = 20 * time.Second
 )
 
-// link is one TCP connection: a writer goroutine drains a queue of encoded
-// frames and flushes when the queue is empty, so bursts share a system call. An
-// idle link holds little memory.
+// link is one TCP connection with a queue of encoded frames. A writer goroutine
+// empties the queue and flushes once the queue is empty, so that frames queued in a
+// burst share a system call.
 type link struct {
 	conn      net.Conn
 	queue     *sendQueue
@@ -54,8 +56,8 @@
 	})
 }
 
-// send queues the frame; it blocks while the queue is full and fails once the
-// link is closed.
+// send queues the frame. It blocks while the queue is full, and fails if the link is
+// closed.
 func (l *link) send(frame *wirev1.Frame) error {
 	encoded, err := AppendFrame(nil, frame)
 	if err != nil {
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// trySend queues the frame unless the queue is full. One-way notices use it:
-// they may be lost by contract.
+// trySend queues the frame and reports whether it could be queued. It does not wait
+// if the queue is full.
 func (l *link) trySend(frame *wirev1.Frame) bool {
 	encoded, err := AppendFrame(nil, frame)
 	if err != nil {
@@ -77,22 +79,23 @@
 	return l.tryQueue(encoded)
 }
 
-// tryQueue queues an encoded frame unless the queue is full. The bytes may be
-// shared with other links and are not changed.
+// tryQueue queues an encoded frame unless the queue is full or closed. The link does
+// not modify the bytes, so several links may share them.
 func (l *link) tryQueue(encoded []byte) bool { return l.queue.tryPut(encoded) }
 
-// sendMessage wraps a message into a frame of the stream of a method and sends it.
+// sendMessage encodes the message into a frame of the given stream and sends the frame.
+// The message is counted for the method.
 func (l *link) sendMessage(stream uint64, method wirev1.Method, kind wirev1.FrameKind, message proto.Message) error {
 	payload, err := proto.Marshal(message)
 	if err != nil {
 		return trace.Wrap(err, "encoding message")
 	}
-	l.counters.noteSent(method, len(payload))
+	l.counters.recordSent(method, len(payload))
 	return l.send(&wirev1.Frame{Stream: stream, Kind: kind, Payload: payload})
 }
 
-// writers are shared by the links that write at the moment.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
+// writerPool holds the write buffers for all links.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
 func (l *link) writeLoop() {
 	defer l.close()
@@ -108,15 +111,16 @@
 	}
 }
 
-// writeQueued writes all that waits, and what comes meanwhile, then flushes.
+// writeQueued writes queued frames until the queue is empty, then flushes the writer.
+// It reports whether all writes succeeded.
 func (l *link) writeQueued() bool {
-	writer := writers.Get().(*bufio.Writer)
+	writer := writerPool.Get().(*bufio.Writer)
 	writer.Reset(l.conn)
 	defer func() {
 		writer.Reset(nil)
-		writers.Put(writer)
+		writerPool.Put(writer)
 	}()
-	for frames := l.queue.take(); frames != nil; frames = l.queue.take() {
+	for frames := l.queue.takeAll(); frames != nil; frames = l.queue.takeAll() {
 		_ = l.conn.SetWriteDeadline(time.Now().Add(linkWriteTimeout))
 		for _, encoded := range frames {
 			if _, err := writer.Write(encoded); err != nil {
--- a/internal/transport/rpc/notify.go
+++ b/internal/transport/rpc/notify.go
@@ -9,13 +9,14 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Notify sends a one-way message if a link exists or can be dialled; it may be
-// lost. It does not block: dialling happens in the background.
+// Notify sends a one-way message, which may be lost. It does not block: if there is no
+// open link, the address is dialled in the background.
 func (p *Pool) Notify(address string, class Class, method wirev1.Method, message proto.Message) {
 	p.NotifyAll([]string{address}, class, method, message)
 }
 
-// NotifyAll is Notify to several addresses; the message is encoded once.
+// NotifyAll sends a one-way message to several addresses, as Notify does, and encodes
+// the message once.
 func (p *Pool) NotifyAll(addresses []string, class Class, method wirev1.Method, message proto.Message) {
 	payload, err := proto.Marshal(message)
 	if err != nil {
@@ -28,14 +29,14 @@
 		return
 	}
 	for _, address := range addresses {
-		p.counters.noteSent(method, len(payload))
+		p.counters.recordSent(method, len(payload))
 		p.notify(address, class, encoded)
 	}
 }
 
 func (p *Pool) notify(address string, class Class, encoded []byte) {
-	if known := p.peer(address, class); known != nil {
-		if l := known.current.Load(); l != nil && l.alive() {
+	if entry := p.peer(address, class); entry != nil {
+		if l := entry.current.Load(); l != nil && l.alive() {
 			l.touch()
 			l.link.tryQueue(encoded)
 			return
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -19,41 +19,41 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// Class separates kinds of traffic onto their own connections.
+// Class is a kind of traffic. Each class has its own link between two nodes.
 type Class uint8
 
 // Classes of traffic between two nodes.
 const (
-	// ClassControl carries membership, digests and replica elections.
+	// ClassControl carries membership messages, digests and leader elections.
 	ClassControl Class = iota
 	// ClassOnline carries online requests and their tokens.
 	ClassOnline
-	// ClassBulk carries batch items, results and log entries.
+	// ClassBulk carries batch items, their results and replicated log entries.
 	ClassBulk
 	classCount
 )
 
 const (
 	dialTimeout = 2 * time.Second
-	// dialBackoff is how long calls to an address fail at once after a failed dial,
-	// so that a dead peer costs one dial and not one per request.
+	// dialBackoff is the time after a failed dial in which calls to the address fail
+	// without another dial.
 	dialBackoff = 200 * time.Millisecond
 )
 
-// errPoolClosed is the answer to calls after Close.
+// errPoolClosed is returned for calls after Close.
 var errPoolClosed = errors.New("pool closed")
 
-// Pool dials peers and keeps one link per address and class.
+// Pool dials other nodes and keeps one link per address and class.
 type Pool struct {
 	hello    *wirev1.Hello
 	tls      func() *tls.Config
 	counters *Counters
 
-	// idleTimeout and handshakeTimeout are their defaults, but for tests.
+	// idleTimeout and handshakeTimeout have their default values except in tests.
 	idleTimeout      time.Duration
 	handshakeTimeout time.Duration
-	// background are the loops of links and the dials for notices; context ends
-	// with the pool.
+	// background runs the read and write loops of links, and the dials for notices.
+	// Close cancels the context, which ends them.
 	background tasks.Group
 	context    context.Context
 	cancel     context.CancelFunc
@@ -61,7 +61,7 @@
 	mutex  sync.Mutex
 	peers  map[peerKey]*peer
 	closed bool
-	// idleCheck closes idle links; nil while there is no link.
+	// idleCheck is the timer for the next closeIdle; nil while the pool has no peers.
 	idleCheck *time.Timer
 }
 
@@ -70,16 +70,16 @@
 	class   Class
 }
 
-// peer serialises dialling of one address and class.
+// peer holds the link to one address and class. Its mutex serialises the dials.
 type peer struct {
-	mutex      sync.Mutex
-	current    atomic.Pointer[clientLink]
-	failedAt   time.Time
-	lastFailed error
+	mutex        sync.Mutex
+	current      atomic.Pointer[clientLink]
+	dialFailedAt time.Time
+	dialError    error
 }
 
-// NewPool returns a pool that introduces itself as nodeID of the cluster.
-// tlsConfig, when not nil, is asked for each dial, so keys can be replaced.
+// NewPool returns a pool for the node nodeID of the cluster. If tlsConfig is not nil, it
+// is called for each dial, so that replaced keys are used without a restart.
 func NewPool(nodeID, cluster string, tlsConfig func() *tls.Config, counters *Counters) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
@@ -93,8 +93,8 @@
 	}
 }
 
-// Close breaks all links, those of forgotten addresses too, and waits for their
-// loops to end; later calls fail.
+// Close closes all links and waits until their read and write loops have ended. Later calls
+// fail.
 func (p *Pool) Close() {
 	p.cancel()
 	p.mutex.Lock()
@@ -107,8 +107,9 @@
 	p.background.Wait()
 }
 
-// Open starts a stream. An error here proves that the request was not
-// delivered: it is PeerUnreachable, before any frame of it was queued.
+// Open starts a stream with the request. If Open returns an error, no frame of the
+// request was queued and the request was not delivered. If the peer cannot be reached,
+// the error has the code PeerUnreachable.
 func (p *Pool) Open(ctx context.Context, address string, class Class, method wirev1.Method, request proto.Message) (*ClientStream, error) {
 	for {
 		l, err := p.link(ctx, address, class)
@@ -116,14 +117,14 @@
 			return nil, result.New(result.PeerUnreachable, "node %s: %v", address, err)
 		}
 		stream, err := l.open(ctx, method, request)
-		if errors.Is(err, errRetired) {
-			continue // it was closed as idle a moment ago; the next is a new one
+		if errors.Is(err, errIdleClosed) {
+			continue // the link was closed as idle after it was looked up; dial a new link
 		}
 		return stream, err
 	}
 }
 
-// Call opens a stream, reads one reply and waits for the end.
+// Call opens a stream, reads one reply and closes the stream.
 func (p *Pool) Call(ctx context.Context, address string, class Class, method wirev1.Method, request, reply proto.Message) error {
 	stream, err := p.Open(ctx, address, class, method, request)
 	if err != nil {
@@ -143,80 +144,82 @@
 		return nil
 	}
 	key := peerKey{address, class}
-	known := p.peers[key]
-	if known == nil {
-		known = &peer{}
-		p.peers[key] = known
+	entry := p.peers[key]
+	if entry == nil {
+		entry = &peer{}
+		p.peers[key] = entry
 	}
 	if p.idleCheck == nil {
 		p.idleCheck = time.AfterFunc(p.idleTimeout/2, p.closeIdle)
 	}
-	return known
+	return entry
 }
 
-// Forget drops the links of an address that left the fleet.
-func (p *Pool) Forget(address string) {
+// CloseLinks closes the links to an address, which is no longer that of a member.
+func (p *Pool) CloseLinks(address string) {
 	for class := Class(0); class < classCount; class++ {
 		p.mutex.Lock()
-		known := p.peers[peerKey{address, class}]
+		entry := p.peers[peerKey{address, class}]
 		delete(p.peers, peerKey{address, class})
 		p.mutex.Unlock()
-		if known == nil {
+		if entry == nil {
 			continue
 		}
-		if l := known.current.Load(); l != nil {
+		if l := entry.current.Load(); l != nil {
 			l.link.close()
 		}
 	}
 }
 
-// link returns the link to an address, which it dials if there is none.
+// link returns the link to an address. It dials the address if there is no open link.
 func (p *Pool) link(ctx context.Context, address string, class Class) (*clientLink, error) {
 	for {
-		known := p.peer(address, class)
-		if known == nil {
+		entry := p.peer(address, class)
+		if entry == nil {
 			return nil, errPoolClosed
 		}
-		l, err := p.linkOf(ctx, peerKey{address, class}, known)
+		l, err := p.linkToPeer(ctx, peerKey{address, class}, entry)
 		if !errors.Is(err, errPeerDropped) {
 			return l, err
 		}
 	}
 }
 
-func (p *Pool) holds(key peerKey, known *peer) bool {
+// isCurrent reports whether the pool still holds the peer under its key.
+func (p *Pool) isCurrent(key peerKey, entry *peer) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.peers[key] == known
+	return p.peers[key] == entry
 }
 
-// errPeerDropped says that a peer was dropped as idle before it was dialled.
+// errPeerDropped is returned if a peer was dropped as idle before it was dialled.
 var errPeerDropped = errors.New("peer dropped as idle")
 
-// linkOf returns the link of a peer. A peer that is not the pool's any more is not
-// dialled: nobody would close its link.
-func (p *Pool) linkOf(ctx context.Context, key peerKey, known *peer) (*clientLink, error) {
-	if l := known.current.Load(); l != nil && l.alive() {
+// linkToPeer returns the link of a peer, and dials the peer if it has no open link. A
+// peer that was dropped from the pool is not dialled, since the check for idle links
+// would not find the new link.
+func (p *Pool) linkToPeer(ctx context.Context, key peerKey, entry *peer) (*clientLink, error) {
+	if l := entry.current.Load(); l != nil && l.alive() {
 		return l, nil
 	}
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	if l := known.current.Load(); l != nil && l.alive() {
+	entry.mutex.Lock()
+	defer entry.mutex.Unlock()
+	if l := entry.current.Load(); l != nil && l.alive() {
 		return l, nil
 	}
-	if !p.holds(key, known) {
+	if !p.isCurrent(key, entry) {
 		return nil, errPeerDropped
 	}
-	if time.Since(known.failedAt) < dialBackoff {
-		return nil, known.lastFailed
+	if time.Since(entry.dialFailedAt) < dialBackoff {
+		return nil, entry.dialError
 	}
 	l, err := p.dial(ctx, key.address)
 	if err != nil {
-		known.failedAt = time.Now()
-		known.lastFailed = err
+		entry.dialFailedAt = time.Now()
+		entry.dialError = err
 		return nil, err
 	}
-	known.current.Store(l)
+	entry.current.Store(l)
 	return l, nil
 }
 
@@ -229,17 +232,17 @@
 		p.counters.DialFailures.Add(1)
 		return nil, trace.ConnectionProblem(err, "dialling %s", address)
 	}
-	stopClosing := context.AfterFunc(p.context, func() { _ = conn.Close() }) // Close waits for no silent peer
+	stopClosing := context.AfterFunc(p.context, func() { _ = conn.Close() }) // so that Pool.Close does not wait for an unresponsive peer
 	defer stopClosing()
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
-	if err := greet(conn, reader, p.hello, p.handshakeTimeout); err != nil {
+	if err := clientHandshake(conn, reader, p.hello, p.handshakeTimeout); err != nil {
 		p.counters.DialFailures.Add(1)
 		_ = conn.Close()
 		return nil, trace.Wrap(err, "greeting %s", address)
 	}
 	l := &clientLink{link: newLink(conn, p.counters), streams: map[uint64]*ClientStream{}}
 	l.touch()
-	l.forgetPool = context.AfterFunc(p.context, l.link.close)
+	l.stopPoolWatch = context.AfterFunc(p.context, l.link.close)
 	if !p.background.Go(l.link.writeLoop) || !p.background.Go(func() { l.readLoop(reader) }) {
 		l.link.close()
 		return nil, errPoolClosed
--- a/internal/transport/rpc/rpc_test.go
+++ b/internal/transport/rpc/rpc_test.go
@@ -23,7 +23,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-func TestFramesSurviveTheWire(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wire []byte
 		var sent []*wirev1.Frame
@@ -44,9 +44,9 @@
 			var got wirev1.Frame
 			if err := ReadFrame(reader, &got); err != nil {
 				if cut == len(wire) {
-					t.Fatalf("whole wire, yet %v", err)
+					t.Fatalf("reading complete input: %v", err)
 				}
-				return // a cut wire ends in an error, never in a wrong frame
+				return // truncated input causes an error, never a wrong frame
 			}
 			if !proto.Equal(frame, &got) {
 				t.Fatalf("sent %v, got %v", frame, &got)
@@ -65,14 +65,15 @@
 		var frame wirev1.Frame
 		for ReadFrame(reader, &frame) == nil {
 			if proto.Size(&frame) > MaxFrameBytes {
-				t.Fatal("frame above the bound")
+				t.Fatal("frame exceeds MaxFrameBytes")
 			}
 		}
 	})
 }
 
-// serve starts a server with handlers and returns its address and a pool.
-func serve(t *testing.T, prepare func(*Server)) (string, *Pool) {
+// startServer starts a server with the handlers that prepare registers. It returns the
+// server's address and a pool.
+func startServer(t *testing.T, prepare func(*Server)) (string, *Pool) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -94,7 +95,7 @@
 
 func TestStreamsKeepTheirOwnOrder(t *testing.T) {
 	is := is.New(t)
-	address, pool := serve(t, func(s *Server) {
+	address, pool := startServer(t, func(s *Server) {
 		s.Handle(method, func(_ context.Context, stream *ServerStream) error {
 			var request wirev1.DispatchRequest
 			if err := stream.DecodeRequest(&request); err != nil {
@@ -123,7 +124,7 @@
 			is.Equal(got.Index, index)
 		}
 		err := stream.Receive(context.Background(), event(0))
-		is.Equal(result.CodeOf(err), result.Saturated) // the typed error crosses the wire
+		is.Equal(result.CodeOf(err), result.Saturated) // the result code reaches the client
 		is.Equal(result.FromError(err).RetryAfter, time.Second)
 	}
 }
@@ -131,7 +132,7 @@
 func TestCancelAndDeadlineReachTheServer(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 2)
-	address, pool := serve(t, func(s *Server) {
+	address, pool := startServer(t, func(s *Server) {
 		s.Handle(method, func(ctx context.Context, stream *ServerStream) error {
 			_ = stream.Send(event(0))
 			<-ctx.Done()
@@ -156,7 +157,7 @@
 func TestLostLinkEndsStreamsWithAnError(t *testing.T) {
 	is := is.New(t)
 	var server *Server
-	address, pool := serve(t, func(s *Server) {
+	address, pool := startServer(t, func(s *Server) {
 		server = s
 		s.Handle(method, func(ctx context.Context, stream *ServerStream) error {
 			_ = stream.Send(event(0))
@@ -169,10 +170,10 @@
 	is.NoErr(stream.Receive(context.Background(), event(0)))
 	go server.Close()
 	err = stream.Receive(context.Background(), event(0))
-	is.True(errors.Is(err, ErrLinkLost)) // never a clean end
+	is.True(errors.Is(err, ErrLinkLost)) // not io.EOF
 }
 
-func TestUnreachablePeerIsProvablyNotReached(t *testing.T) {
+func TestUnreachablePeerReturnsPeerUnreachable(t *testing.T) {
 	is := is.New(t)
 	pool := NewPool("client", "cluster", nil, &Counters{})
 	defer pool.Close()
@@ -180,9 +181,9 @@
 	is.Equal(result.CodeOf(err), result.PeerUnreachable)
 }
 
-func TestOtherClustersAreRefused(t *testing.T) {
+func TestOtherClustersAreRejected(t *testing.T) {
 	is := is.New(t)
-	address, _ := serve(t, func(*Server) {})
+	address, _ := startServer(t, func(*Server) {})
 	foreign := NewPool("client", "other", nil, &Counters{})
 	defer foreign.Close()
 	_, err := foreign.Open(context.Background(), address, ClassOnline, method, event(0))
@@ -191,7 +192,7 @@
 
 func TestHandlerPanicEndsOneStreamOnly(t *testing.T) {
 	is := is.New(t)
-	address, pool := serve(t, func(s *Server) {
+	address, pool := startServer(t, func(s *Server) {
 		s.Handle(method, func(context.Context, *ServerStream) error { panic("defect") })
 		s.Handle(wirev1.Method_METHOD_PULL, func(_ context.Context, stream *ServerStream) error { return stream.Send(event(7)) })
 	})
@@ -215,87 +216,87 @@
 	}
 }
 
-// A server tells once when the last link of a peer ends, not before.
-func TestLostPeerIsToldOnce(t *testing.T) {
+// The server calls OnPeerLost once, when the last link of a peer has closed.
+func TestLostPeerIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	lost := make(chan string, 4)
-	heard := make(chan struct{}, 4)
-	address, pool := serve(t, func(server *Server) {
-		server.OnLost(func(peer string) { lost <- peer })
-		server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, func(string, []byte) { heard <- struct{}{} })
+	received := make(chan struct{}, 4)
+	address, pool := startServer(t, func(server *Server) {
+		server.OnPeerLost(func(peer string) { lost <- peer })
+		server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, func(string, []byte) { received <- struct{}{} })
 	})
 	for _, class := range []Class{ClassControl, ClassBulk} {
 		pool.Notify(address, class, wirev1.Method_METHOD_RUNNER_USE, &wirev1.RunnerUses{})
-		<-heard
+		<-received
 	}
 	pool.peer(address, ClassBulk).current.Load().link.close()
 	pool.Notify(address, ClassBulk, wirev1.Method_METHOD_RUNNER_USE, &wirev1.RunnerUses{})
-	<-heard // the server has another link again, and one was there all the time
+	<-received // the server has a second link again; the first was open throughout
 	is.Equal(len(lost), 0)
 	pool.Close()
 	is.Equal(<-lost, "client")
 	is.Equal(len(lost), 0)
 }
 
-// A link that rests holds little memory: a node of a large fleet has a thousand,
-// and the collector would run without end once they fill its share.
+// Idle links must hold little memory: in a large fleet a node has about a thousand links,
+// and their buffers would keep the garbage collector busy.
 func TestIdleLinksHoldLittleMemory(t *testing.T) {
 	is := is.New(t)
-	const links, most = 200, 24 << 10 // bytes for both ends of a link, goroutines left out
-	heard := make(chan struct{}, links)
-	address, _ := serve(t, func(server *Server) {
-		server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, func(string, []byte) { heard <- struct{}{} })
+	const links, maxBytes = 200, 24 << 10 // bytes for both ends of a link, without goroutine stacks
+	received := make(chan struct{}, links)
+	address, _ := startServer(t, func(server *Server) {
+		server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, func(string, []byte) { received <- struct{}{} })
 	})
-	held := func() uint64 {
+	heapInUse := func() uint64 {
 		runtime.GC()
-		runtime.GC() // what a pool holds is dropped by the second
+		runtime.GC() // a sync.Pool drops its contents in the second collection
 		var stats runtime.MemStats
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	before := held()
+	before := heapInUse()
 	for range links {
 		pool := NewPool("client", "cluster", nil, &Counters{})
 		t.Cleanup(pool.Close)
 		pool.Notify(address, ClassControl, wirev1.Method_METHOD_RUNNER_USE, &wirev1.RunnerUses{})
 	}
 	for range links {
-		<-heard
+		<-received
 	}
-	perLink := (held() - before) / links
-	t.Logf("%d bytes a link", perLink)
-	is.True(perLink < most)
+	perLink := (heapInUse() - before) / links
+	t.Logf("%d bytes per link", perLink)
+	is.True(perLink < maxBytes)
 }
 
-// Frames of several senders arrive whole, and those of each in its order, also
-// through a queue that is full at times.
+// Frames of concurrent senders arrive unchanged and in each sender's order, also when the
+// queue is full at times, and the queue never exceeds its bound.
 func TestSendQueueKeepsOrderAndBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue := newSendQueue()
 		const senders = 3
-		each := rapid.IntRange(1, 2*linkQueueFrames).Draw(t, "each")
+		framesPerSender := rapid.IntRange(1, 2*maxQueuedFrames).Draw(t, "each")
 		var group sync.WaitGroup
 		for sender := range senders {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				for number := range each {
+				for number := range framesPerSender {
 					if !queue.put([]byte{byte(sender), byte(number >> 8), byte(number)}) {
-						panic("the queue is not closed")
+						panic("put failed on an open queue")
 					}
 				}
 			}()
 		}
 		next := [senders]int{}
-		for taken := 0; taken < senders*each; {
+		for taken := 0; taken < senders*framesPerSender; {
 			<-queue.ready
-			frames := queue.take()
-			if len(frames) > linkQueueFrames {
-				t.Fatalf("%d frames waited", len(frames))
+			frames := queue.takeAll()
+			if len(frames) > maxQueuedFrames {
+				t.Fatalf("queue held %d frames", len(frames))
 			}
 			for _, frame := range frames {
 				if number := int(frame[1])<<8 | int(frame[2]); number != next[frame[0]] {
-					t.Fatalf("frame %d of sender %d came, want %d", number, frame[0], next[frame[0]])
+					t.Fatalf("received frame %d of sender %d, want %d", number, frame[0], next[frame[0]])
 				}
 				next[frame[0]]++
 				taken++
@@ -305,9 +306,8 @@
 	})
 }
 
-// Whoever waits for room in a queue is let go when it closes, and a closed queue
-// takes nothing.
-func TestClosedQueueLetsNobodyWait(t *testing.T) {
+// Closing a queue releases callers that wait in put, and a closed queue accepts no frame.
+func TestClosingQueueReleasesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := newSendQueue()
@@ -315,7 +315,7 @@
 		}
 		waiting := make(chan bool, 1)
 		go func() { waiting <- queue.put([]byte{0}) }()
-		synctest.Wait() // it waits for room
+		synctest.Wait() // put is blocked
 		is.Equal(len(waiting), 0)
 		queue.close()
 		synctest.Wait()
@@ -325,9 +325,8 @@
 	})
 }
 
-// Links that carry nothing are ended, so that a node does not come to hold links to
-// all that it ever asked; what is asked next, at whatever moment, finds a link.
-func TestIdleLinksEnd(t *testing.T) {
+// Idle links are closed, and a call that coincides with the closing still succeeds.
+func TestIdleLinksAreClosed(t *testing.T) {
 	is := is.New(t)
 	counters := &Counters{}
 	pool := NewPool("client", "cluster", nil, counters)
@@ -335,7 +334,7 @@
 	t.Cleanup(pool.Close)
 	var addresses []string
 	for range 20 {
-		address, _ := serve(t, func(server *Server) {
+		address, _ := startServer(t, func(server *Server) {
 			server.Handle(wirev1.Method_METHOD_PEER_STATE, func(_ context.Context, stream *ServerStream) error {
 				return stream.Send(&wirev1.PeerStateReply{})
 			})
@@ -347,15 +346,15 @@
 			is.NoErr(pool.Call(context.Background(), address, ClassControl, wirev1.Method_METHOD_PEER_STATE, &wirev1.PeerStateRequest{}, &wirev1.PeerStateReply{}))
 		}
 	}
-	eventually.Require(t, "no link is left", func() bool { return counters.Links.Load() == 0 }, func() any { return counters.Links.Load() })
+	eventually.Require(t, "all links are closed", func() bool { return counters.Links.Load() == 0 }, func() any { return counters.Links.Load() })
 	is.NoErr(pool.Call(context.Background(), addresses[0], ClassControl, wirev1.Method_METHOD_PEER_STATE, &wirev1.PeerStateRequest{}, &wirev1.PeerStateReply{}))
 }
 
-// A link with a stream that waits is not ended, however long nothing comes.
-func TestLinksWithStreamsStay(t *testing.T) {
+// A link with an open stream is not closed as idle, even if no message arrives.
+func TestLinksWithStreamsStayOpen(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	address, _ := serve(t, func(server *Server) {
+	address, _ := startServer(t, func(server *Server) {
 		server.Handle(wirev1.Method_METHOD_FOLLOW, func(_ context.Context, stream *ServerStream) error {
 			<-release
 			return stream.Send(&wirev1.FollowReply{Revision: 7})
@@ -377,30 +376,30 @@
 	is.Equal(reply.Revision, int64(7))
 }
 
-// A call that found its peer right before the peer was dropped as idle does not dial
-// it: no check would ever close that link.
+// A call that looked up its peer just before the peer was dropped as idle does not dial
+// that peer: the check for idle links would never close the link.
 func TestDroppedPeerIsNotDialled(t *testing.T) {
 	is := is.New(t)
-	address, _ := serve(t, func(*Server) {})
+	address, _ := startServer(t, func(*Server) {})
 	counters := &Counters{}
 	pool := NewPool("client", "cluster", nil, counters)
 	t.Cleanup(pool.Close)
 	key := peerKey{address, ClassControl}
 	dropped := pool.peer(address, ClassControl)
 	pool.closeIdle()
-	_, err := pool.linkOf(context.Background(), key, dropped)
+	_, err := pool.linkToPeer(context.Background(), key, dropped)
 	is.True(errors.Is(err, errPeerDropped))
 	is.Equal(counters.Links.Load(), int64(0))
 	l, err := pool.link(context.Background(), address, ClassControl)
 	is.NoErr(err)
-	is.Equal(pool.peers[key].current.Load(), l) // the next check finds it
+	is.Equal(pool.peers[key].current.Load(), l) // the pool holds the new link
 }
 
-// A peer that was dialled while the check for idle links looked at its old link
-// stays: the next check would not find its new one.
-func TestPeerDialledDuringTheCheckStays(t *testing.T) {
+// A peer that is dialled while closeIdle checks its old link is not dropped: later checks
+// would not find its new link.
+func TestPeerDialledDuringIdleCheckStays(t *testing.T) {
 	is := is.New(t)
-	address, _ := serve(t, func(*Server) {})
+	address, _ := startServer(t, func(*Server) {})
 	pool := NewPool("client", "cluster", nil, &Counters{})
 	t.Cleanup(pool.Close)
 	key := peerKey{address, ClassControl}
@@ -408,13 +407,14 @@
 	is.NoErr(err)
 	pool.mutex.Lock()
 	dialled := pool.peers[key]
-	pool.forgetIdle(key, dialled)
+	pool.dropIfIdle(key, dialled)
 	is.Equal(pool.peers[key], dialled)
 	pool.mutex.Unlock()
 }
 
-// Close does not wait for a peer that has taken the connection and says nothing.
-func TestCloseEndsHandshakes(t *testing.T) {
+// Close does not wait for a peer that accepted the connection but never replies to the
+// handshake.
+func TestCloseAbortsHandshakes(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -422,9 +422,9 @@
 	pool := NewPool("client", "cluster", nil, &Counters{})
 	pool.handshakeTimeout = time.Hour
 	pool.Notify(listener.Addr().String(), ClassControl, wirev1.Method_METHOD_MEMBERSHIP, &wirev1.MembershipMessage{})
-	silent, err := listener.Accept()
+	unresponsive, err := listener.Accept()
 	is.NoErr(err)
-	defer func() { _ = silent.Close() }()
+	defer func() { _ = unresponsive.Close() }()
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
--- a/internal/transport/rpc/sendqueue.go
+++ b/internal/transport/rpc/sendqueue.go
@@ -2,21 +2,20 @@
 
 import "sync"
 
-// sendQueue holds encoded frames that wait for a link's writer. It takes no
-// memory while nothing waits: a node of a large fleet has a thousand links, most
-// of which are idle most of the time.
+// sendQueue is the bounded queue of encoded frames for a link's writer. An empty queue
+// holds no buffer, since a node in a large fleet has about a thousand mostly idle links.
 type sendQueue struct {
-	mutex  sync.Mutex
-	space  sync.Cond // signalled when frames were taken, or the queue closed
-	frames [][]byte
-	closed bool
-	// ready is signalled when there is something to take.
+	mutex   sync.Mutex
+	notFull sync.Cond // signalled when takeAll empties the queue, or when the queue is closed
+	frames  [][]byte
+	closed  bool
+	// ready is signalled when the queue holds frames.
 	ready chan struct{}
 }
 
 func newSendQueue() *sendQueue {
 	q := &sendQueue{ready: make(chan struct{}, 1)}
-	q.space.L = &q.mutex
+	q.notFull.L = &q.mutex
 	return q
 }
 
@@ -24,20 +23,20 @@
 func (q *sendQueue) tryPut(encoded []byte) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.closed || len(q.frames) >= linkQueueFrames {
+	if q.closed || len(q.frames) >= maxQueuedFrames {
 		return false
 	}
 	q.add(encoded)
 	return true
 }
 
-// put adds a frame, and waits while the queue is full. It reports false once the
-// queue is closed.
+// put adds a frame, and waits while the queue is full. It returns false if the queue is
+// closed.
 func (q *sendQueue) put(encoded []byte) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	for !q.closed && len(q.frames) >= linkQueueFrames {
-		q.space.Wait()
+	for !q.closed && len(q.frames) >= maxQueuedFrames {
+		q.notFull.Wait()
 	}
 	if q.closed {
 		return false
@@ -46,29 +45,29 @@
 	return true
 }
 
-// add appends a frame. The mutex is held.
+// add appends a frame. The caller holds the mutex.
 func (q *sendQueue) add(encoded []byte) {
 	q.frames = append(q.frames, encoded)
 	select {
 	case q.ready <- struct{}{}:
-	default: // it is signalled already
+	default: // already signalled
 	}
 }
 
-// take returns all that waits, in order; nil for nothing.
-func (q *sendQueue) take() [][]byte {
+// takeAll removes and returns all queued frames in their order, or nil if there are none.
+func (q *sendQueue) takeAll() [][]byte {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	taken := q.frames
 	q.frames = nil
-	q.space.Broadcast()
+	q.notFull.Broadcast()
 	return taken
 }
 
-// close lets nothing more in, and ends the waits of those who put.
+// close rejects further frames and wakes the callers that wait in put.
 func (q *sendQueue) close() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.closed = true
-	q.space.Broadcast()
+	q.notFull.Broadcast()
 }
--- a/internal/transport/rpc/server.go
+++ b/internal/transport/rpc/server.go
@@ -13,62 +13,62 @@
 	"cobaltramp.example/cobaltramp/internal/app/tasks"
 )
 
-// StreamHandler serves one stream. The context ends when the caller cancels,
-// its deadline passes, or the link breaks. The returned error ends the stream;
-// its result code crosses the wire.
+// StreamHandler serves one stream. The context ends when the client cancels the stream,
+// the client's deadline passes, or the link closes. When the handler returns, the stream
+// ends, and the client receives the result code and message of the error.
 type StreamHandler func(ctx context.Context, stream *ServerStream) error
 
-// NoticeHandler takes a one-way message. It runs on the link's reading
-// goroutine and must not block.
+// NoticeHandler handles a one-way message of the node with the ID from. It runs on the
+// link's reading goroutine and must not block.
 type NoticeHandler func(from string, payload []byte)
 
-// Server accepts links and serves streams by method. Handlers are registered
+// Server accepts links and calls the handlers of the methods. Handlers must be registered
 // before Serve is called.
 type Server struct {
-	hello    *wirev1.Hello
-	handlers map[wirev1.Method]StreamHandler
-	notices  map[wirev1.Method]NoticeHandler
-	counters *Counters
-	onLost   func(peer string)
-
-	mutex  sync.Mutex
-	links  map[*link]struct{}
-	peers  map[string]int // accepted links by peer
-	closed bool
-
-	streams tasks.Group
-	loops   tasks.Group
+	hello          *wirev1.Hello
+	handlers       map[wirev1.Method]StreamHandler
+	noticeHandlers map[wirev1.Method]NoticeHandler
+	counters       *Counters
+	onPeerLost     func(peer string)
+
+	mutex       sync.Mutex
+	links       map[*link]struct{}
+	linksByPeer map[string]int // number of accepted links by node ID of the peer
+	closed      bool
+
+	streams tasks.Group // handlers of streams
+	loops   tasks.Group // read and write loops of links
 }
 
-// NewServer returns a server that introduces itself as nodeID of the cluster.
+// NewServer returns a server for the node nodeID of the cluster.
 func NewServer(nodeID, cluster string, counters *Counters) *Server {
 	return &Server{
-		hello:    &wirev1.Hello{NodeId: nodeID, Cluster: cluster, Protocol: ProtocolVersion},
-		handlers: map[wirev1.Method]StreamHandler{},
-		notices:  map[wirev1.Method]NoticeHandler{},
-		counters: counters,
-		links:    map[*link]struct{}{},
-		peers:    map[string]int{},
+		hello:          &wirev1.Hello{NodeId: nodeID, Cluster: cluster, Protocol: ProtocolVersion},
+		handlers:       map[wirev1.Method]StreamHandler{},
+		noticeHandlers: map[wirev1.Method]NoticeHandler{},
+		counters:       counters,
+		links:          map[*link]struct{}{},
+		linksByPeer:    map[string]int{},
 	}
 }
 
-// OnLost sets a callback for the end of the last link that a peer had dialled: the
-// peer has ended, or its connections broke. It is not called when the server itself
-// closes. Call it before Serve.
-func (s *Server) OnLost(callback func(peer string)) { s.onLost = callback }
+// OnPeerLost sets a callback that is called when the last link that a peer dialled has
+// closed. The callback is not called when the server itself is closed. OnPeerLost must be
+// called before Serve.
+func (s *Server) OnPeerLost(callback func(peer string)) { s.onPeerLost = callback }
 
-// Handle registers the stream handler of a method.
+// Handle registers the handler for streams of a method.
 func (s *Server) Handle(method wirev1.Method, handler StreamHandler) {
 	s.handlers[method] = handler
 }
 
-// HandleNotice registers the one-way handler of a method.
+// HandleNotice registers the handler for one-way messages of a method.
 func (s *Server) HandleNotice(method wirev1.Method, handler NoticeHandler) {
-	s.notices[method] = handler
+	s.noticeHandlers[method] = handler
 }
 
-// Serve accepts links until the listener is closed. With tlsConfig set, each
-// link must complete a mutual TLS handshake first.
+// Serve accepts links until the listener is closed. If tlsConfig is not nil, connections
+// use TLS with that configuration.
 func (s *Server) Serve(listener net.Listener, tlsConfig *tls.Config) error {
 	for {
 		conn, err := listener.Accept()
@@ -79,12 +79,12 @@
 			conn = tls.Server(conn, tlsConfig)
 		}
 		if !s.loops.Go(func() { s.serveConn(conn) }) {
-			_ = conn.Close() // the server is closed; the peer dials again elsewhere
+			_ = conn.Close() // the server is closed
 		}
 	}
 }
 
-// Close breaks every link and waits for handlers to return.
+// Close closes all links and waits for the handlers to return.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -112,23 +112,25 @@
 	delete(s.links, l)
 }
 
-// join counts a link of a peer, and leave ends that.
-func (s *Server) join(peer string) {
+// addPeerLink counts an accepted link of a peer.
+func (s *Server) addPeerLink(peer string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.peers[peer]++
+	s.linksByPeer[peer]++
 }
 
-func (s *Server) leave(peer string) {
+// removePeerLink subtracts a closed link from the count of a peer, and calls onPeerLost if
+// no link of the peer is left.
+func (s *Server) removePeerLink(peer string) {
 	s.mutex.Lock()
-	s.peers[peer]--
-	lost := s.peers[peer] == 0 && !s.closed
-	if s.peers[peer] == 0 {
-		delete(s.peers, peer)
+	s.linksByPeer[peer]--
+	lost := s.linksByPeer[peer] == 0 && !s.closed
+	if s.linksByPeer[peer] == 0 {
+		delete(s.linksByPeer, peer)
 	}
 	s.mutex.Unlock()
-	if lost && s.onLost != nil {
-		s.onLost(peer)
+	if lost && s.onPeerLost != nil {
+		s.onPeerLost(peer)
 	}
 }
 
@@ -140,12 +142,12 @@
 	}
 	defer s.untrack(l)
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
-	peer, err := acceptHello(conn, reader, s.hello)
+	peer, err := serverHandshake(conn, reader, s.hello)
 	if err != nil {
 		return
 	}
-	s.join(peer)
-	defer s.leave(peer)
+	s.addPeerLink(peer)
+	defer s.removePeerLink(peer)
 	s.loops.Go(l.writeLoop)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/transport/rpc/serverlink.go
+++ b/internal/transport/rpc/serverlink.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// serverLink serves the streams of one accepted link.
+// serverLink serves the streams of an accepted link.
 type serverLink struct {
 	server *Server
 	link   *link
@@ -30,18 +30,18 @@
 	for ReadFrame(reader, &frame) == nil {
 		l.server.counters.FramesReceived.Add(1)
 		l.server.counters.BytesReceived.Add(uint64(proto.Size(&frame) + lengthBytes))
-		l.take(&frame)
+		l.handleFrame(&frame)
 	}
 }
 
-func (l *serverLink) take(frame *wirev1.Frame) {
+func (l *serverLink) handleFrame(frame *wirev1.Frame) {
 	switch frame.Kind {
 	case wirev1.FrameKind_FRAME_KIND_OPEN:
 		l.open(frame)
 	case wirev1.FrameKind_FRAME_KIND_CANCEL:
 		l.cancel(frame.Stream)
 	case wirev1.FrameKind_FRAME_KIND_NOTIFY:
-		if handler := l.server.notices[frame.Method]; handler != nil {
+		if handler := l.server.noticeHandlers[frame.Method]; handler != nil {
 			handler(l.peer, frame.Payload)
 		}
 	}
@@ -49,7 +49,7 @@
 
 func (l *serverLink) open(frame *wirev1.Frame) {
 	handler := l.server.handlers[frame.Method]
-	stream := &ServerStream{link: l.link, id: frame.Stream, method: frame.Method, payload: frame.Payload, Peer: l.peer}
+	stream := &ServerStream{link: l.link, id: frame.Stream, method: frame.Method, request: frame.Payload, Peer: l.peer}
 	if handler == nil {
 		stream.end(result.New(result.InvalidRequest, "method %v is not served here", frame.Method))
 		return
@@ -60,12 +60,13 @@
 	l.mutex.Unlock()
 	l.server.streams.Go(func() {
 		defer l.cancel(stream.id)
-		stream.end(callSafely(ctx, stream, handler))
+		stream.end(runHandler(ctx, stream, handler))
 	})
 }
 
-// callSafely turns a handler's panic into an Internal error for its one stream.
-func callSafely(ctx context.Context, stream *ServerStream, handler StreamHandler) error {
+// runHandler calls the handler and converts a panic into an Internal error, which ends
+// only this stream.
+func runHandler(ctx context.Context, stream *ServerStream, handler StreamHandler) error {
 	var err error
 	if recovered := panics.Try(func() { err = handler(ctx, stream) }); recovered != nil {
 		klog.ErrorS(recovered.AsError(), "stream handler panicked", "peer", stream.Peer)
--- a/internal/transport/rpc/serverstream.go
+++ b/internal/transport/rpc/serverstream.go
@@ -7,25 +7,25 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// ServerStream is the serving side of one stream.
+// ServerStream is the server's end of one stream.
 type ServerStream struct {
-	// Peer is the node id the other side introduced itself with.
+	// Peer is the node ID that the client sent in its Hello.
 	Peer    string
 	link    *link
 	id      uint64
 	method  wirev1.Method
-	payload []byte
+	request []byte
 }
 
-// DecodeRequest decodes the opening message.
+// DecodeRequest decodes the request that opened the stream.
 func (s *ServerStream) DecodeRequest(message proto.Message) error {
-	if err := proto.Unmarshal(s.payload, message); err != nil {
+	if err := proto.Unmarshal(s.request, message); err != nil {
 		return result.New(result.InvalidRequest, "decoding request: %v", err)
 	}
 	return nil
 }
 
-// Send sends one message to the caller. An error means the link is gone.
+// Send sends one message to the client. It fails if the link is closed.
 func (s *ServerStream) Send(message proto.Message) error {
 	return s.link.sendMessage(s.id, s.method, wirev1.FrameKind_FRAME_KIND_DATA, message)
 }
@@ -38,6 +38,6 @@
 		status.Message = failure.Message
 		status.RetryAfterMs = uint32(failure.RetryAfter.Milliseconds())
 	}
-	// A caller whose link is gone learns of the end by that.
+	// If the link is closed, the client's stream ends with ErrLinkLost instead.
 	_ = s.link.sendMessage(s.id, s.method, wirev1.FrameKind_FRAME_KIND_END, status)
 }
--- a/internal/transport/sockets/sockets.go
+++ b/internal/transport/sockets/sockets.go
@@ -1,4 +1,5 @@
-// Package sockets looks at a TCP connection without reading from it.
+// Package sockets configures TCP connections to detect dead peers, and checks the state of
+// a connection without reading from it.
 package sockets
 
 import (
@@ -10,53 +11,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look at a socket found.
+// State is the state of a socket.
 type State uint8
 
 // States of a socket.
 const (
-	// Quiet: open, nothing to read.
-	Quiet State = iota
-	// Readable: bytes wait to be read.
+	// Idle means that the connection is open and there is nothing to read.
+	Idle State = iota
+	// Readable means that there are bytes to read.
 	Readable
-	// Closed: the other side has closed it, or it is broken.
+	// Closed means that the peer has closed the connection or that the connection failed.
 	Closed
 )
 
-// Times after which a peer that says nothing counts as gone.
+// TCP settings that determine how soon the loss of a peer is detected.
 const (
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 4
-	// unackedTime bounds how long written bytes may stay unacknowledged.
-	unackedTime = 2500 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 4
+	// userTimeout bounds how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+	userTimeout = 2500 * time.Millisecond
 )
 
-// Dialer returns a dialer whose connections notice a dead peer within a few
-// seconds, with and without bytes on their way.
+// Dialer returns a dialer whose connections detect a dead peer within a few seconds,
+// whether or not there are unacknowledged bytes.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: setUserTimeout}
 }
 
-// ListenConfig returns the same for accepted connections.
+// ListenConfig returns a configuration for listeners whose accepted connections detect a
+// dead peer as those of Dialer do.
 func ListenConfig() *net.ListenConfig {
 	return &net.ListenConfig{KeepAliveConfig: keepAlive(), Control: setUserTimeout}
 }
 
 func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// setUserTimeout is best effort: a kernel without the option still probes.
+// setUserTimeout sets TCP_USER_TIMEOUT. Errors are ignored, since keep-alive probes work
+// without the option.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTime.Milliseconds()))
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
 type unwrapper interface{ NetConn() net.Conn }
 
-// Raw finds the socket beneath TLS and tracking layers, nil if there is none.
+// Raw returns the socket below connection wrappers such as TLS, or nil if there is none.
 func Raw(conn net.Conn) syscall.RawConn {
 	for {
 		if socket, ok := conn.(syscall.Conn); ok {
@@ -74,16 +77,16 @@
 	}
 }
 
-// Look peeks at a socket without waiting. It does not use read deadlines: a
-// deadline that has passed hides what the socket holds.
-func Look(raw syscall.RawConn) State {
+// Peek returns the state of a socket without blocking and without reading from it. It
+// works also after the read deadline of the connection has passed.
+func Peek(raw syscall.RawConn) State {
 	state := Closed
 	err := raw.Control(func(descriptor uintptr) {
 		var buffer [1]byte
 		n, _, err := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
-			state = Quiet
+			state = Idle
 		case err == nil && n > 0:
 			state = Readable
 		}
--- a/internal/transport/tlskeys/tlskeys.go
+++ b/internal/transport/tlskeys/tlskeys.go
@@ -1,5 +1,5 @@
-// Package tlskeys loads key pairs from files and reads them again when the
-// files change, so keys are replaced without a restart.
+// Package tlskeys loads TLS key pairs from files and reloads them when the files change,
+// so that keys can be replaced without a restart.
 package tlskeys
 
 import (
@@ -13,21 +13,22 @@
 	"k8s.io/klog/v2"
 )
 
-// checkInterval bounds how often files are looked at.
+// checkInterval is the minimum time between two checks of the files.
 const checkInterval = time.Second
 
-// Pair is a certificate and key that follow their files. A new pair that does
-// not load is reported and the old one stays in use.
+// Pair is a certificate and its private key, which are reloaded when their files change.
+// If the changed files cannot be loaded, an error is logged and the previous pair stays
+// in use.
 type Pair struct {
 	certificate, key string
 
-	mutex    sync.Mutex
-	loaded   *tls.Certificate
-	modified time.Time
-	checked  time.Time
+	mutex       sync.Mutex
+	loaded      *tls.Certificate
+	modified    time.Time
+	lastChecked time.Time
 }
 
-// LoadPair loads a key pair.
+// LoadPair loads a pair from the files with the certificate and the key.
 func LoadPair(certificate, key string) (*Pair, error) {
 	p := &Pair{certificate: certificate, key: key}
 	if err := p.load(); err != nil {
@@ -39,7 +40,7 @@
 func (p *Pair) load() error {
 	modified, err := p.modTime()
 	if err != nil {
-		return trace.Wrap(err, "key files")
+		return trace.Wrap(err, "checking the key files")
 	}
 	loaded, err := tls.LoadX509KeyPair(p.certificate, p.key)
 	if err != nil {
@@ -64,30 +65,30 @@
 	return latest, nil
 }
 
-// Current returns the pair in use, after a look at the files.
+// Current returns the certificate in use. If the files have changed, it reloads them first.
 func (p *Pair) Current() *tls.Certificate {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if now := time.Now(); now.Sub(p.checked) >= checkInterval {
-		p.checked = now
-		p.refresh()
+	if now := time.Now(); now.Sub(p.lastChecked) >= checkInterval {
+		p.lastChecked = now
+		p.reloadIfChanged()
 	}
 	return p.loaded
 }
 
-func (p *Pair) refresh() {
+func (p *Pair) reloadIfChanged() {
 	modified, err := p.modTime()
 	if err != nil || modified.Equal(p.modified) {
 		return
 	}
 	if err := p.load(); err != nil {
-		klog.ErrorS(err, "new key pair does not load, the old one stays", "certificate", p.certificate)
+		klog.ErrorS(err, "reloading the key pair failed; the previous pair stays in use", "certificate", p.certificate)
 		return
 	}
-	klog.InfoS("key pair replaced", "certificate", p.certificate)
+	klog.InfoS("key pair reloaded", "certificate", p.certificate)
 }
 
-// Server returns a configuration that serves TLS with the pair.
+// Server returns a configuration for TLS servers that use the pair.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -95,41 +96,42 @@
 	}
 }
 
-// Mutual is a pair for links between nodes, which both sides must prove to be
-// signed by the nodes' authority.
-type Mutual struct {
+// MutualTLS provides the TLS configurations of connections between nodes. Both sides must
+// present a certificate that is signed by the nodes' certificate authority.
+type MutualTLS struct {
 	pair      *Pair
 	authority *x509.CertPool
 }
 
-// LoadMutual loads a node's pair and the nodes' authority.
-func LoadMutual(certificate, key, authority string) (*Mutual, error) {
+// LoadMutualTLS loads the key pair of a node and the certificate of the nodes' certificate
+// authority from files.
+func LoadMutualTLS(certificate, key, authority string) (*MutualTLS, error) {
 	pair, err := LoadPair(certificate, key)
 	if err != nil {
 		return nil, err
 	}
 	text, err := os.ReadFile(authority)
 	if err != nil {
-		return nil, trace.Wrap(trace.ConvertSystemError(err), "nodes' authority")
+		return nil, trace.Wrap(trace.ConvertSystemError(err), "reading the certificate of the nodes' authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, trace.BadParameter("nodes' authority %s holds no PEM certificate", authority)
+		return nil, trace.BadParameter("file %s of the nodes' authority holds no PEM certificate", authority)
 	}
-	return &Mutual{pair: pair, authority: pool}, nil
+	return &MutualTLS{pair: pair, authority: pool}, nil
 }
 
-// Server returns the accepting side's configuration.
-func (m *Mutual) Server() *tls.Config {
+// Server returns the configuration for accepted connections.
+func (m *MutualTLS) Server() *tls.Config {
 	config := m.pair.Server()
 	config.ClientAuth = tls.RequireAndVerifyClientCert
 	config.ClientCAs = m.authority
 	return config
 }
 
-// Client returns the dialling side's configuration. Nodes are known by IP
-// number, which their certificates must name.
-func (m *Mutual) Client() *tls.Config {
+// Client returns the configuration for dialled connections. Nodes are dialled by IP
+// address, so their certificates must contain their IP addresses.
+func (m *MutualTLS) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		RootCAs:    m.authority,
--- a/internal/transport/tlskeys/tlskeys_test.go
+++ b/internal/transport/tlskeys/tlskeys_test.go
@@ -21,8 +21,9 @@
 	return parsed.SerialNumber.String()
 }
 
-// New files are taken up without a restart; a pair that does not load is not.
-func TestPairFollowsItsFiles(t *testing.T) {
+// Changed files are loaded without a restart. If they are invalid, the previous pair stays
+// in use.
+func TestPairReloadsChangedFiles(t *testing.T) {
 	is := is.New(t)
 	authority, err := keys.NewAuthority(t.TempDir())
 	is.NoErr(err)
@@ -41,9 +42,9 @@
 	second := serial(t, pair.Current())
 
 	is.NoErr(os.WriteFile(key, []byte("not a key"), 0o600))
-	even := later.Add(time.Hour)
-	is.NoErr(os.Chtimes(key, even, even))
-	time.Sleep(1100 * time.Millisecond) // past the interval between two looks
+	latest := later.Add(time.Hour)
+	is.NoErr(os.Chtimes(key, latest, latest))
+	time.Sleep(1100 * time.Millisecond) // longer than checkInterval
 	is.Equal(serial(t, pair.Current()), second)
 }
 
@@ -57,17 +58,17 @@
 	return false
 }
 
-func TestNodesProveThemselvesToEachOther(t *testing.T) {
+func TestMutualTLSRejectsForeignAuthority(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	authority, err := keys.NewAuthority(folder)
 	is.NoErr(err)
-	stranger, err := keys.NewAuthority(t.TempDir())
+	foreignAuthority, err := keys.NewAuthority(t.TempDir())
 	is.NoErr(err)
-	mutual := func(a *keys.Authority, name string) *tlskeys.Mutual {
+	mutual := func(a *keys.Authority, name string) *tlskeys.MutualTLS {
 		certificate, key, err := a.Issue(name)
 		is.NoErr(err)
-		loaded, err := tlskeys.LoadMutual(certificate, key, authority.File)
+		loaded, err := tlskeys.LoadMutualTLS(certificate, key, authority.File)
 		is.NoErr(err)
 		return loaded
 	}
@@ -80,14 +81,14 @@
 			if err != nil {
 				return
 			}
-			secured := tls.Server(conn, mutual(authority, "server").Server())
-			if secured.Handshake() == nil {
-				_, _ = secured.Write([]byte("ok"))
+			tlsConn := tls.Server(conn, mutual(authority, "server").Server())
+			if tlsConn.Handshake() == nil {
+				_, _ = tlsConn.Write([]byte("ok"))
 			}
-			_ = secured.Close()
+			_ = tlsConn.Close()
 		}
 	}()
-	read := func(client *tlskeys.Mutual) error {
+	read := func(client *tlskeys.MutualTLS) error {
 		conn, err := tls.Dial("tcp", listener.Addr().String(), client.Client())
 		if err != nil {
 			return err
@@ -97,5 +98,5 @@
 		return err
 	}
 	is.NoErr(read(mutual(authority, "client")))
-	is.True(read(mutual(stranger, "intruder")) != nil) // signed by someone else
+	is.True(read(mutual(foreignAuthority, "intruder")) != nil) // signed by a foreign authority
 }
--- a/modules/callers/openai/disconnect.go
+++ b/modules/callers/openai/disconnect.go
@@ -41,7 +41,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if sockets.Look(raw) == sockets.Closed {
+			if sockets.Peek(raw) == sockets.Closed {
 				cancel(result.New(result.CallerGone, "the caller hung up"))
 				return
 			}
--- a/modules/fleet/links/links.go
+++ b/modules/fleet/links/links.go
@@ -34,7 +34,7 @@
 type Module struct {
 	settings *settings.Settings
 	listener net.Listener
-	keys     *tlskeys.Mutual
+	keys     *tlskeys.MutualTLS
 	counters *rpc.Counters
 	server   *rpc.Server
 	pool     *rpc.Pool
@@ -60,7 +60,7 @@
 	}
 	m.settings = loaded
 	if loaded.TLS.Nodes.IsSet() {
-		m.keys, err = tlskeys.LoadMutual(loaded.TLS.Nodes.Certificate, loaded.TLS.Nodes.Key, loaded.TLS.NodesAuthority)
+		m.keys, err = tlskeys.LoadMutualTLS(loaded.TLS.Nodes.Certificate, loaded.TLS.Nodes.Key, loaded.TLS.NodesAuthority)
 		if err != nil {
 			return trace.Wrap(err, "tls.nodes")
 		}
--- a/modules/fleet/membership/membership.go
+++ b/modules/fleet/membership/membership.go
@@ -249,7 +249,7 @@
 		}
 		klog.InfoS("member changed", "node", m.settings.Node.ID, "member", change.After.Id, "state", stateName(change.After.State))
 		if change.After.State == membership.Dead {
-			m.pool.Forget(change.After.Address)
+			m.pool.CloseLinks(change.After.Address)
 		}
 	}
 }
--- a/modules/roles/cluster/cluster.go
+++ b/modules/roles/cluster/cluster.go
@@ -1,8 +1,14 @@
-// Package cluster runs the parts by which an edge or a storage node knows the others and
-// what the platform's store holds: the node records and their syncing between peers, the
-// copy of the store and its relaying, the reports of requests at runners, the
-// quarantine of requests that crash runners. It owns their wiring and their goroutines;
-// the adapter to the platform provides the client of the store and the runners' prober.
+// Package cluster connects an edge or a storage node to the cluster and to the platform's
+// store. It creates and runs:
+//
+//   - the directory of node records, and the syncer, which exchanges records between nodes;
+//   - the informer, which keeps a copy of the store's contents, and the relay, which sends
+//     changes of the store to other nodes;
+//   - the reporter, which exchanges reports with other nodes about the requests that each
+//     node runs at runners;
+//   - the quarantine of requests that crash runners.
+//
+// The platform's adapter provides the client of the store and the prober of runners.
 package cluster
 
 import (
@@ -31,11 +37,11 @@
 	"cobaltramp.example/cobaltramp/modules/roles/links"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "roles.cluster"
 
-// AdapterName is the name of the module that provides the adapter to the platform: an
-// *informer.Schema, an informer.StoreAPI and a quarantine.Prober.
+// AdapterName is the name of the module that connects a node to the platform. That module
+// provides an *informer.Schema, an informer.StoreAPI and a quarantine.Prober.
 const AdapterName = "platform.adapter"
 
 func init() {
@@ -51,7 +57,8 @@
 	_ kernel.Cleaner = (*Module)(nil)
 )
 
-// Module provides what the store holds, in the parts that other modules work with.
+// Module provides the informer with its store contact, catalogs, runners and queue layouts,
+// the directory of nodes, and the quarantine coordinator.
 type Module struct {
 	informer   *informer.Informer
 	syncer     *peers.Syncer
@@ -100,7 +107,7 @@
 	server.Handle(wirev1.Method_METHOD_PEER_STATE, m.syncer.Serve)
 	m.reporter = loadshare.New(directory, m.informer.Runners, pool, registry)
 	server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, m.reporter.ReceiveNotice)
-	server.OnLost(m.reporter.PeerLost)
+	server.OnPeerLost(m.reporter.PeerLost)
 	m.archive = quarantine.NewArchive(store)
 	m.quarantine = quarantine.NewCoordinator(directory, pool, prober, m.archive, registry)
 	m.informer.Quarantine = m.quarantine
--- a/modules/roles/links/links.go
+++ b/modules/roles/links/links.go
@@ -1,6 +1,6 @@
-// Package links opens a node's address for other nodes and keeps the connections to
-// them. It owns the listeners, the server of calls between nodes (to which other modules
-// add their handlers) and the pool of connections. Edges and storage nodes run it.
+// Package links provides the RPC server and the RPC connection pool of a node. It owns the
+// listeners for other nodes. Other modules register their handlers with the server. Edges and
+// storage nodes run it.
 package links
 
 import (
@@ -19,7 +19,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "roles.links"
 
 func init() {
@@ -29,7 +29,7 @@
 	})
 }
 
-// Module provides *rpc.Server and *rpc.Pool.
+// Module provides *rpc.Server, *rpc.Pool and *rpc.Counters.
 type Module struct {
 	settings  *settings.Role
 	server    *rpc.Server
@@ -68,7 +68,7 @@
 	for _, address := range addresses {
 		listener, err := sockets.ListenConfig().Listen(ctx, "tcp", address)
 		if err != nil {
-			return trace.Wrap(err, "listening for nodes on %s", address)
+			return trace.Wrap(err, "listening for other nodes on %s", address)
 		}
 		m.listeners = append(m.listeners, listener)
 		m.running.Go(func() {
@@ -76,16 +76,16 @@
 			klog.V(1).InfoS("node listener closed", "address", address, "err", err)
 		})
 	}
-	m.running.Go(func() { m.report(ctx) })
+	m.running.Go(func() { m.logTraffic(ctx) })
 	return nil
 }
 
-// reportInterval is how often a node's traffic with others is logged, as one line.
-const reportInterval = 10 * time.Second
+// trafficLogInterval is the time between two log lines on the traffic with other nodes.
+const trafficLogInterval = 10 * time.Second
 
-// report logs how much this node sends to others and receives, until the context ends.
-func (m *Module) report(ctx context.Context) {
-	ticker := time.NewTicker(reportInterval)
+// logTraffic periodically logs the traffic with other nodes until the context ends.
+func (m *Module) logTraffic(ctx context.Context) {
+	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
 	last := m.counters.Traffic()
 	for {
@@ -95,17 +95,17 @@
 		case <-ticker.C:
 		}
 		now := m.counters.Traffic()
-		since := now.Since(last)
+		delta := now.Since(last)
 		last = now
-		klog.InfoS("traffic between nodes", "framesSent", since.Sent, "framesReceived", since.Received, "bytesSent", since.BytesSent,
-			"bytesReceived", since.BytesReceived, "links", since.Links, "dials", since.Dials, "sent", since.ByMethod())
+		klog.InfoS("traffic between nodes", "framesSent", delta.Sent, "framesReceived", delta.Received, "bytesSent", delta.BytesSent,
+			"bytesReceived", delta.BytesReceived, "links", delta.Links, "dials", delta.Dials, "sent", delta.ByMethod())
 	}
 }
 
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() {
 	for _, listener := range m.listeners {
-		_ = listener.Close() // nobody listens from here on, whatever it says
+		_ = listener.Close() // the listener is not used any more
 	}
 	m.pool.Close()
 	m.server.Close()
--- a/modules/roles/metrics/metrics.go
+++ b/modules/roles/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics serves a node's counters and histograms as text, from the registry
-// that all modules share. Edges and storage nodes run it, if their settings name a port.
+// Package metrics serves the metrics of a node in the Prometheus text format, from the
+// registry that all modules share. Edges and storage nodes run the module; it listens only
+// if the settings name a port for metrics.
 package metrics
 
 import (
@@ -18,10 +19,10 @@
 	"cobaltramp.example/cobaltramp/internal/transport/nethttp"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "roles.metrics"
 
-// Path is where the figures are.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
 func init() {
@@ -31,7 +32,7 @@
 	})
 }
 
-// Module serves the figures if the settings name a port.
+// Module serves the metrics of a node.
 type Module struct {
 	settings *settings.Role
 	registry *prometheus.Registry
@@ -49,6 +50,7 @@
 	return ctx.Resolve(kernel.Dependency(&m.settings), kernel.Dependency(&m.registry))
 }
 
+// headerTimeout bounds the time for reading the header of a request.
 const headerTimeout = 3 * time.Second
 
 // Start implements kernel.Starter.
