--- a/internal/app/cli/bundle.go
+++ b/internal/app/cli/bundle.go
@@ -307,14 +307,14 @@
 		return
 	}
 	printHead(status.Head)
-	zones := make([]string, 0, len(status.InForce))
-	for zone := range status.InForce {
+	zones := make([]string, 0, len(status.ActiveGenerations))
+	for zone := range status.ActiveGenerations {
 		zones = append(zones, zone)
 	}
 	sort.Strings(zones)
 	for _, zone := range zones {
 		counts := map[uint64]int{}
-		for _, generation := range status.InForce[zone] {
+		for _, generation := range status.ActiveGenerations[zone] {
 			counts[generation]++
 		}
 		fmt.Printf("%-20s nodes by generation: %v\n", zone, counts)
--- a/modules/operators/admin/admin.go
+++ b/modules/operators/admin/admin.go
@@ -1,7 +1,8 @@
-// Package admin serves operators: health, readiness, metrics, status and the
-// bundle verbs, on the node's admin address. It owns that listener and no state; it
-// asks the other modules of the node, and for the status of the fleet the other
-// nodes. The plain node runs it.
+// Package admin serves the HTTP interface for operators on the node's admin address:
+// health, readiness, metrics, the status of the node and of the fleet, and reading and
+// changing the configuration bundle. It has no state of its own. It reads the status of
+// this node from other modules, and requests the status of other nodes over RPC. The plain
+// node runs it.
 package admin
 
 import (
@@ -33,7 +34,7 @@
 	"cobaltramp.example/cobaltramp/modules/serving/owner"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "operators.admin"
 
 func init() {
@@ -43,10 +44,10 @@
 	})
 }
 
-// Views gives the view of the fleet.
-type Views interface{ View() *fleet.View }
+// FleetViews provides the current view of the fleet.
+type FleetViews interface{ View() *fleet.View }
 
-// Bundles is the part of the bundle module used here.
+// Bundles is the part of the bundles module that the admin interface uses.
 type Bundles interface {
 	Snapshot() *bundle.Snapshot
 	Head() *bundle.Head
@@ -57,26 +58,28 @@
 	Operation(context.Context, string) (*bundle.Head, error)
 }
 
-// Runners lists this node's runners.
+// Runners provides the status of this node's runners.
 type Runners interface{ Status() []*wirev1.RunnerStatus }
 
-// Shards lists this node's shard replicas; nodes without a disk have none.
+// Shards provides the status of this node's shard replicas. A node without a disk has no
+// module that implements it.
 type Shards interface{ Status() []*wirev1.ShardStatus }
 
-// Readiness says why a node does not serve callers.
+// Readiness reports whether the node can serve callers. Ready returns nil if it can, and
+// the reason as an error if it cannot.
 type Readiness interface{ Ready() error }
 
-// Module serves operators.
+// Module serves the HTTP interface for operators.
 type Module struct {
-	settings *settings.Settings
-	views    Views
-	bundles  Bundles
-	runners  Runners
-	shards   Shards
-	ready    Readiness
-	pool     *rpc.Pool
-	gatherer prometheus.Gatherer
-	server   *httpserve.Server
+	settings  *settings.Settings
+	views     FleetViews
+	bundles   Bundles
+	runners   Runners
+	shards    Shards
+	readiness Readiness
+	pool      *rpc.Pool
+	gatherer  prometheus.Gatherer
+	server    *httpserve.Server
 }
 
 var (
@@ -90,19 +93,19 @@
 	var server *rpc.Server
 	if err := ctx.Resolve(
 		kernel.Dependency(&m.settings), kernel.Dependency(&m.views), kernel.Dependency(&m.bundles),
-		kernel.Dependency(&m.runners), kernel.Dependency(&m.ready), kernel.Dependency(&m.pool),
+		kernel.Dependency(&m.runners), kernel.Dependency(&m.readiness), kernel.Dependency(&m.pool),
 		kernel.Dependency(&m.gatherer), kernel.Dependency(&server),
 	); err != nil {
 		return trace.Wrap(err)
 	}
-	m.shards, _ = kernel.Find[Shards](ctx) // a node without a disk has none
+	m.shards, _ = kernel.Find[Shards](ctx) // nil if the node has no disk
 	server.Handle(wirev1.Method_METHOD_NODE_STATUS, m.serveStatus)
 	return nil
 }
 
 // Start implements kernel.Starter.
 func (m *Module) Start(context.Context) error {
-	app := fiber.New(fiber.Config{BodyLimit: submissionBytes, ErrorHandler: handleError, Immutable: true})
+	app := fiber.New(fiber.Config{BodyLimit: maxBodyBytes, ErrorHandler: handleError, Immutable: true})
 	app.Get("/healthz", func(c fiber.Ctx) error { return c.SendString("ok\n") })
 	app.Get("/readyz", m.readyz)
 	app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(m.gatherer, promhttp.HandlerOpts{})))
@@ -123,14 +126,15 @@
 }
 
 const (
-	// submissionBytes bounds the body of a request.
-	submissionBytes = 64 << 20
-	// statusTimeout bounds the question for the status of one other node.
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 64 << 20
+	// statusTimeout bounds a status request to another node.
 	statusTimeout = 2 * time.Second
-	// changeTimeout bounds a change of the bundle, with its retries.
-	changeTimeout = 15 * time.Second
-	// defaultHistory is how many generations are listed if the operator names no limit.
-	defaultHistory = 20
+	// bundleTimeout bounds one operation on the bundle, including its retries.
+	bundleTimeout = 15 * time.Second
+	// defaultHistoryLimit is the number of generations listed if the request states no
+	// limit.
+	defaultHistoryLimit = 20
 )
 
 // Cleanup implements kernel.Cleaner.
@@ -140,7 +144,7 @@
 	}
 }
 
-// ErrorBody is how the admin address reports an error.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Code    uint32 `json:"code"`
 	Name    string `json:"name"`
@@ -153,7 +157,7 @@
 }
 
 func (m *Module) readyz(c fiber.Ctx) error {
-	if err := m.ready.Ready(); err != nil {
+	if err := m.readiness.Ready(); err != nil {
 		return err
 	}
 	return c.SendString("ready\n")
@@ -166,7 +170,7 @@
 		PlatformReachable: m.bundles.PlatformReachable(), Runners: m.runners.Status(), ApiAddress: m.settings.Node.APIAddress,
 		State: "ready",
 	}
-	if err := m.ready.Ready(); err != nil {
+	if err := m.readiness.Ready(); err != nil {
 		reply.State = result.FromError(err).Message
 	}
 	if snapshot := m.bundles.Snapshot(); snapshot != nil {
@@ -190,19 +194,19 @@
 
 func (m *Module) status(c fiber.Ctx) error { return c.JSON(newNodeBody(m.nodeStatus())) }
 
-// fleetStatus asks every member for its status.
+// fleetStatus responds with the status of all members, which it requests concurrently.
 func (m *Module) fleetStatus(c fiber.Ctx) error {
 	members := m.nodeStatus().Members
 	bodies := make([]NodeBody, len(members))
-	var asking tasks.Group
+	var requests tasks.Group
 	for i, member := range members {
-		asking.Go(func() { bodies[i] = m.askMember(member) })
+		requests.Go(func() { bodies[i] = m.fetchMemberStatus(member) })
 	}
-	asking.Wait()
+	requests.Wait()
 	return c.JSON(bodies)
 }
 
-func (m *Module) askMember(member *wirev1.MemberRecord) NodeBody {
+func (m *Module) fetchMemberStatus(member *wirev1.MemberRecord) NodeBody {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	if member.State == wirev1.MemberState_MEMBER_STATE_DEAD {
@@ -216,28 +220,29 @@
 	return newNodeBody(reply)
 }
 
-// BundleBody is the bundle's status.
+// BundleBody is the status of the bundle.
 type BundleBody struct {
 	Head *bundle.Head `json:"head"`
-	// InForce maps each zone to the generations its nodes have in force.
-	InForce map[string]map[string]uint64 `json:"in_force"`
-	// Lagging lists nodes below the generation that should be in force.
+	// ActiveGenerations holds the active generation of each node, by zone and node ID.
+	ActiveGenerations map[string]map[string]uint64 `json:"in_force"`
+	// Lagging lists the IDs of nodes whose active generation is older than the
+	// generation that the head requires in their zone.
 	Lagging []string `json:"lagging"`
 }
 
 func (m *Module) bundleStatus(c fiber.Ctx) error {
-	body := BundleBody{Head: m.bundles.Head(), InForce: map[string]map[string]uint64{}, Lagging: []string{}}
+	body := BundleBody{Head: m.bundles.Head(), ActiveGenerations: map[string]map[string]uint64{}, Lagging: []string{}}
 	for _, member := range m.nodeStatus().Members {
-		node := m.askMember(member)
+		node := m.fetchMemberStatus(member)
 		if node.State == "dead" || node.State == "unreachable" {
 			continue
 		}
-		if body.InForce[node.Zone] == nil {
-			body.InForce[node.Zone] = map[string]uint64{}
+		if body.ActiveGenerations[node.Zone] == nil {
+			body.ActiveGenerations[node.Zone] = map[string]uint64{}
 		}
-		body.InForce[node.Zone][node.ID] = node.BundleGeneration
+		body.ActiveGenerations[node.Zone][node.ID] = node.BundleGeneration
 		if body.Head != nil {
-			if wanted, _ := body.Head.GenerationFor(node.Zone); node.BundleGeneration < wanted {
+			if required, _ := body.Head.GenerationFor(node.Zone); node.BundleGeneration < required {
 				body.Lagging = append(body.Lagging, node.ID)
 			}
 		}
@@ -245,7 +250,7 @@
 	return c.JSON(body)
 }
 
-// HistoryBody is one generation of the history.
+// HistoryBody is one generation in the history of the bundle.
 type HistoryBody struct {
 	Generation uint64   `json:"generation"`
 	Digest     string   `json:"digest"`
@@ -254,11 +259,11 @@
 }
 
 func (m *Module) bundleHistory(c fiber.Ctx) error {
-	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultHistory)))
+	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultHistoryLimit)))
 	if err != nil || limit < 1 {
 		return result.New(result.InvalidRequest, "limit is %q, allowed: 1 or more", c.Query("limit"))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	history, err := m.bundles.History(ctx, limit)
 	if err != nil {
@@ -279,7 +284,7 @@
 }
 
 func (m *Module) bundleOperation(c fiber.Ctx) error {
-	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	head, err := m.bundles.Operation(ctx, c.Params("id"))
 	if err != nil {
@@ -299,7 +304,7 @@
 	if submission.OperationID == "" {
 		return result.New(result.InvalidRequest, "operation_id is missing")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	head, err := m.bundles.Submit(ctx, &submission)
 	if err != nil {
@@ -316,7 +321,7 @@
 	if request.OperationID == "" {
 		return result.New(result.InvalidRequest, "operation_id is missing")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	head, err := m.bundles.Roll(ctx, &request)
 	if err != nil {
--- a/modules/operators/admin/body.go
+++ b/modules/operators/admin/body.go
@@ -4,7 +4,7 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// NodeBody is a node's status as operators read it.
+// NodeBody is the status of a node in responses to operators.
 type NodeBody struct {
 	ID                string       `json:"id"`
 	Region            string       `json:"region"`
@@ -19,7 +19,7 @@
 	Shards            []ShardBody  `json:"shards"`
 }
 
-// MemberBody is a member as the node sees it.
+// MemberBody is the status of a member of the fleet, as recorded by the reporting node.
 type MemberBody struct {
 	ID          string `json:"id"`
 	Address     string `json:"address"`
@@ -29,7 +29,7 @@
 	Disk        string `json:"disk,omitempty"`
 }
 
-// RunnerBody is an owned runner.
+// RunnerBody is the status of a runner that the node owns.
 type RunnerBody struct {
 	ID         string `json:"id"`
 	Address    string `json:"address"`
@@ -40,7 +40,7 @@
 	BatchLimit uint32 `json:"batch_limit"`
 }
 
-// ShardBody is a replica of a batch shard.
+// ShardBody is the status of the node's replica of a batch shard.
 type ShardBody struct {
 	Shard      uint32   `json:"shard"`
 	Leader     string   `json:"leader"`
--- a/modules/platform/etcdgateway/etcdgateway.go
+++ b/modules/platform/etcdgateway/etcdgateway.go
@@ -1,6 +1,5 @@
-// Package etcdgateway is the key-value adapter for the published JSON gateway of the
-// etcd v3 API (range, txn and watch). It implements ports.KeyValueStore, owns its client
-// and the limit on its calls a second, and keeps no state. The plain node runs it.
+// Package etcdgateway implements ports.KeyValueStore with the JSON gateway of the etcd v3
+// API (range, txn and watch). It limits the rate of its own calls. The plain node runs it.
 package etcdgateway
 
 import (
@@ -19,7 +18,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// ModuleName registers the adapter.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "platform.etcdgateway"
 
 func init() {
@@ -50,25 +49,26 @@
 func (m *Module) Cleanup() { m.client.http.CloseIdle() }
 
 const (
-	// callTimeout bounds one call, the wait for the limit on calls included.
+	// callTimeout bounds one call, including the time it waits for the rate limit.
 	callTimeout = 3 * time.Second
-	// maxAnswerBytes bounds one answer.
-	maxAnswerBytes = 64 << 20
-	// burstRequests is how many calls may be made at once within the limit.
+	// maxResponseBytes bounds the body of one response.
+	maxResponseBytes = 64 << 20
+	// burstRequests is the burst size of the rate limit.
 	burstRequests = 10
 )
 
-// Client speaks to one gateway.
+// Client calls the API of one gateway.
 type Client struct {
-	base    string
+	baseURL string
 	http    *httpcall.Client
 	limiter *rate.Limiter
 }
 
-// NewClient returns a client bounded to requestsPerSecond.
-func NewClient(base string, requestsPerSecond float64) *Client {
+// NewClient returns a client of the gateway at baseURL. The client limits the rate of its
+// calls to requestsPerSecond, with bursts of up to burstRequests.
+func NewClient(baseURL string, requestsPerSecond float64) *Client {
 	return &Client{
-		base:    strings.TrimRight(base, "/"),
+		baseURL: strings.TrimRight(baseURL, "/"),
 		http:    httpcall.NewClient(nil),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond), burstRequests),
 	}
@@ -128,15 +128,15 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.base + path, Body: body, Headers: jsonHeaders})
+	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.baseURL + path, Body: body, Headers: jsonHeaders})
 	if err != nil {
 		return classify(err)
 	}
-	answer, err := response.ReadAll(maxAnswerBytes)
+	payload, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return trace.Wrap(ports.ErrOutcomeUnknown, "reading answer: %v", err)
 	}
-	return decode(response.Status, answer, reply)
+	return decode(response.Status, payload, reply)
 }
 
 var jsonHeaders = [][2]string{{"Content-Type", "application/json"}}
@@ -149,21 +149,22 @@
 	return trace.Wrap(ports.ErrOutcomeUnknown, "%v", err)
 }
 
-// Statuses by which a gateway says that it did nothing.
+// HTTP statuses of the gateway. If the status is 429 or 503, the gateway has not executed
+// the call.
 const (
 	statusTooManyRequests = 429
 	statusUnavailable     = 503
 	statusOK              = 200
 )
 
-func decode(status int, answer []byte, reply any) error {
+func decode(status int, payload []byte, reply any) error {
 	switch status {
 	case statusOK:
-		return trace.Wrap(json.Unmarshal(answer, reply), "decoding answer")
+		return trace.Wrap(json.Unmarshal(payload, reply), "decoding answer")
 	case statusTooManyRequests, statusUnavailable:
 		return trace.Wrap(ports.ErrUnavailable, "status %d", status)
 	default:
-		return trace.Wrap(ports.ErrOutcomeUnknown, "status %d: %s", status, answer)
+		return trace.Wrap(ports.ErrOutcomeUnknown, "status %d: %s", status, payload)
 	}
 }
 
@@ -177,7 +178,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.base + "/v3/watch", Body: body, Headers: jsonHeaders, FreshConnection: true})
+	response, err := c.http.Do(ctx, &httpcall.Request{Method: "POST", URL: c.baseURL + "/v3/watch", Body: body, Headers: jsonHeaders, FreshConnection: true})
 	if err != nil {
 		return classify(err)
 	}
@@ -201,8 +202,8 @@
 	return ports.Value{Key: string(kv.Key), Value: kv.Value, Revision: kv.ModRevision}
 }
 
-// prefixEnd returns the smallest key after all keys with the prefix, as etcd
-// clients compute it.
+// prefixEnd returns the end of the key range that contains all keys with the prefix: the
+// smallest key after them, or the zero byte, with which etcd denotes the end of all keys.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/modules/platform/etcdgateway/wire.go
+++ b/modules/platform/etcdgateway/wire.go
@@ -1,7 +1,7 @@
 package etcdgateway
 
-// The JSON shapes of the published etcd v3 gateway. Keys and values are base64
-// ([]byte does that in encoding/json); 64-bit numbers are strings.
+// The types in this file are the JSON messages of the etcd v3 gateway. Keys and values are
+// encoded in base64, which encoding/json does for []byte, and 64-bit numbers are strings.
 
 type keyValueJSON struct {
 	Key            []byte `json:"key,omitempty"`
--- a/modules/platform/httpsd/httpsd.go
+++ b/modules/platform/httpsd/httpsd.go
@@ -1,7 +1,7 @@
-// Package httpsd is the adapter for machine and runner lists in the published JSON
-// of Prometheus HTTP service discovery: groups of targets with labels. Labels used:
-// zone, region, state ("live" or "leaving"), and for runners id and service. It
-// implements ports.Discovery, owns its client and keeps no state. The plain node runs it.
+// Package httpsd implements ports.Discovery for machine and runner lists in the JSON format
+// of Prometheus HTTP service discovery, which consists of groups of targets with labels.
+// The adapter uses the labels zone, region and state ("live" or "leaving"), and for runners
+// also id and service. The plain node runs it.
 package httpsd
 
 import (
@@ -17,7 +17,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// ModuleName registers the adapter.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "platform.httpsd"
 
 func init() {
@@ -53,17 +53,18 @@
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() { m.http.CloseIdle() }
 
+// targetGroup is a group of targets in the JSON of Prometheus HTTP service discovery.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
 const (
-	// callTimeout bounds the reading of one list.
+	// callTimeout bounds the request for one list.
 	callTimeout = 3 * time.Second
-	// maxAnswerBytes bounds the list.
-	maxAnswerBytes = 16 << 20
-	stateLeaving   = "leaving"
+	// maxListBytes bounds the size of one list.
+	maxListBytes = 16 << 20
+	stateLeaving = "leaving"
 )
 
 // Machines implements ports.Discovery.
@@ -117,7 +118,7 @@
 	if err != nil {
 		return nil, trace.Wrap(ports.ErrUnavailable, "%v", err)
 	}
-	body, err := response.ReadAll(maxAnswerBytes)
+	body, err := response.ReadAll(maxListBytes)
 	if err != nil {
 		return nil, trace.Wrap(ports.ErrUnavailable, "%v", err)
 	}
--- a/modules/standard/standard.go
+++ b/modules/standard/standard.go
@@ -1,9 +1,9 @@
-// Package standard imports the modules of an ordinary node for their
-// registration.
+// Package standard imports all modules of the standard node program, so that they register
+// themselves.
 package standard
 
 import (
-	// Each import registers one module.
+	// Each package registers its module when it is imported.
 	_ "cobaltramp.example/cobaltramp/modules/batch/directory"
 	_ "cobaltramp.example/cobaltramp/modules/batch/disk"
 	_ "cobaltramp.example/cobaltramp/modules/batch/queues"
