--- a/modules/callers/openai/disconnect.go
+++ b/modules/callers/openai/disconnect.go
@@ -43,7 +43,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if sockets.Look(raw) == sockets.Closed {
+			if sockets.Peek(raw) == sockets.Closed {
 				cancel(result.New(result.CallerGone, "the caller hung up"))
 				return
 			}
