--- a/internal/serving/quarantine/archive.go
+++ b/internal/serving/quarantine/archive.go
@@ -15,16 +15,17 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// DocumentKey is the key of all holds in the platform's store, which are a single
-// value that is changed by compare-and-swap. Holds are rare, so one value is enough
-// and all nodes watch only one key.
+// DocumentKey is the key of the document in the platform's store that contains the
+// holds. Nodes change the document by compare-and-swap.
 const DocumentKey = "cobaltramp/quarantine"
 
-// document is the stored form of the holds, by fingerprint.
+// document is the stored form of the holds. Its keys are fingerprints in the form of
+// Fingerprint.String.
 type document map[string]Hold
 
-// parseDocument decodes a stored document. It skips entries whose fingerprint is
-// invalid and returns their errors joined.
+// parseDocument decodes a stored document. It skips entries with an invalid fingerprint
+// and returns their errors joined, together with the holds of the other entries. If the
+// text is invalid in any other way, it returns an error and no holds.
 func parseDocument(text []byte) ([]Hold, error) {
 	var stored document
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -44,51 +45,55 @@
 	return holds, unreadable
 }
 
-// Archive writes holds to the platform's store and implements HoldStore.
-type Archive struct {
+// HoldWriter implements HoldStore. It writes holds to the document in the platform's
+// store.
+type HoldWriter struct {
 	store ports.KeyValueStore
 
 	mutex sync.Mutex
-	// unsaved contains the holds that may be missing in the store, by fingerprint.
+	// unsaved contains the holds that the stored document may lack, by fingerprint.
 	unsaved map[Fingerprint]Hold
 	batcher *notify.Batcher
 }
 
-var _ HoldStore = (*Archive)(nil)
+var _ HoldStore = (*HoldWriter)(nil)
 
-// NewArchive returns an archive that writes to the store.
-func NewArchive(store ports.KeyValueStore) *Archive {
-	a := &Archive{store: store, unsaved: map[Fingerprint]Hold{}}
-	a.batcher = notify.NewBatcher(notify.Schedule{Flush: a.writeWithRetry})
-	return a
+// NewHoldWriter returns a writer to the store. It writes nothing before Run is called.
+func NewHoldWriter(store ports.KeyValueStore) *HoldWriter {
+	w := &HoldWriter{store: store, unsaved: map[Fingerprint]Hold{}}
+	w.batcher = notify.NewBatcher(notify.Schedule{Flush: w.writeWithRetry})
+	return w
 }
 
 const (
-	// minRetryDelay and maxRetryDelay bound the exponential backoff between failed
-	// writes. Each delay is jittered, so that nodes do not write at the same time.
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after failed writes.
+	// Jitter then shortens each delay by up to one half, so that nodes do not write at
+	// the same time.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 8 * time.Second
-	// maxStoredHolds bounds the stored value at about 120 bytes per hold.
+	// maxStoredHolds is the maximum number of holds in a written document. A hold takes
+	// about 120 bytes there.
 	maxStoredHolds = 512
 )
 
-// Save implements HoldStore.
-func (a *Archive) Save(hold Hold) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if known, found := a.unsaved[hold.Fingerprint]; !found || hold.supersedes(known) {
-		a.unsaved[hold.Fingerprint] = hold
+// Save implements HoldStore. It ignores a hold that does not supersede the unsaved hold
+// of the same request.
+func (w *HoldWriter) Save(hold Hold) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if previous, found := w.unsaved[hold.Fingerprint]; !found || hold.supersedes(previous) {
+		w.unsaved[hold.Fingerprint] = hold
 	}
-	a.batcher.Trigger()
+	w.batcher.Trigger()
 }
 
 // Run writes unsaved holds until the context ends.
-func (a *Archive) Run(ctx context.Context) { a.batcher.Run(ctx) }
+func (w *HoldWriter) Run(ctx context.Context) { w.batcher.Run(ctx) }
 
-// writeWithRetry retries until the store has all holds or the context ends.
-func (a *Archive) writeWithRetry(ctx context.Context) {
-	for pause := minRetryDelay; !a.write(ctx) && ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
-		timer := time.NewTimer(pause/2 + rand.N(pause/2))
+// writeWithRetry calls write until it returns true or the context ends.
+func (w *HoldWriter) writeWithRetry(ctx context.Context) {
+	for delayBound := minRetryDelay; !w.write(ctx) && ctx.Err() == nil; delayBound = min(2*delayBound, maxRetryDelay) {
+		timer := time.NewTimer(delayBound/2 + rand.N(delayBound/2))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -97,23 +102,25 @@
 	}
 }
 
-// write adds the unsaved holds to the stored document and reports whether the
-// document contains them. If the outcome of a commit is unknown, the next call reads
-// the document again.
-func (a *Archive) write(ctx context.Context) bool {
-	stored, _, err := a.store.Get(ctx, DocumentKey)
+// write merges the unsaved holds into the stored document. It returns false if the
+// caller should retry, because the store failed, the document was changed concurrently,
+// or the outcome of the commit is unknown. It returns true if the write succeeded, no
+// write was necessary, or the document could not be encoded; in the last case the holds
+// stay unsaved until the next call.
+func (w *HoldWriter) write(ctx context.Context) bool {
+	stored, _, err := w.store.Get(ctx, DocumentKey)
 	if err != nil {
 		klog.InfoS("reading the stored quarantine failed; retrying later", "err", err)
 		return false
 	}
-	held, err := parseDocument(stored.Value)
+	storedHolds, err := parseDocument(stored.Value)
 	if err != nil && len(stored.Value) > 0 {
-		klog.ErrorS(err, "stored quarantine has unreadable entries and is overwritten", "revision", stored.Revision)
+		klog.ErrorS(err, "stored quarantine has unreadable content, which the next successful write removes", "revision", stored.Revision)
 	}
-	unsaved := a.unsavedHolds()
-	merged, missing := merge(held, unsaved, time.Now())
+	unsaved := w.unsavedHolds()
+	merged, missing := merge(storedHolds, unsaved, time.Now())
 	if missing == 0 {
-		a.removeSaved(unsaved)
+		w.removeSaved(unsaved)
 		return true
 	}
 	text, err := json.Marshal(documentOf(merged))
@@ -122,23 +129,25 @@
 		return true
 	}
 	unchanged := []ports.Condition{{Key: DocumentKey, Revision: stored.Revision}}
-	done, err := a.store.Commit(ctx, unchanged, []ports.Put{{Key: DocumentKey, Value: text}})
-	klog.InfoS("request quarantine written to the store", "holds", len(merged), "new", missing, "done", done, "err", err)
-	if done && err == nil {
-		a.removeSaved(unsaved)
+	committed, err := w.store.Commit(ctx, unchanged, []ports.Put{{Key: DocumentKey, Value: text}})
+	klog.InfoS("commit of the request quarantine to the store ended", "holds", len(merged), "new", missing, "done", committed, "err", err)
+	if committed && err == nil {
+		w.removeSaved(unsaved)
 		return true
 	}
 	return false
 }
 
-func (a *Archive) unsavedHolds() map[Fingerprint]Hold {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return maps.Clone(a.unsaved)
+func (w *HoldWriter) unsavedHolds() map[Fingerprint]Hold {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return maps.Clone(w.unsaved)
 }
 
-// merge returns the holds of the new document and how many of the unsaved holds are
-// missing in the stored one.
+// merge returns the holds of the new document, and how many of the unsaved holds the
+// stored document lacks or has in an older version. The new document contains the
+// holds that SuspectTable.Holds lists at the given time, and of these the latest
+// maxStoredHolds.
 func merge(stored []Hold, unsaved map[Fingerprint]Hold, now time.Time) (merged []Hold, missing int) {
 	table := NewSuspectTable()
 	for _, hold := range stored {
@@ -153,12 +162,12 @@
 	return merged[:min(len(merged), maxStoredHolds)], missing
 }
 
-// removeSaved removes written holds from the unsaved ones, except holds that were
-// replaced while the write was running.
-func (a *Archive) removeSaved(written map[Fingerprint]Hold) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	maps.DeleteFunc(a.unsaved, func(fingerprint Fingerprint, hold Hold) bool { return written[fingerprint] == hold })
+// removeSaved removes the given holds from the unsaved holds. It retains a hold that
+// Save replaced while the write was running.
+func (w *HoldWriter) removeSaved(written map[Fingerprint]Hold) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	maps.DeleteFunc(w.unsaved, func(fingerprint Fingerprint, hold Hold) bool { return written[fingerprint] == hold })
 }
 
 func documentOf(holds []Hold) document {
--- a/internal/serving/quarantine/attempts.go
+++ b/internal/serving/quarantine/attempts.go
@@ -1,6 +1,7 @@
 package quarantine
 
-// Begin implements Guard.
+// Begin implements Guard. It counts only the attempts of requests that are suspected
+// when the attempt starts.
 func (c *Coordinator) Begin(fingerprint Fingerprint, runner string) func() {
 	if !c.table.Suspected(fingerprint) {
 		return func() {}
@@ -25,8 +26,7 @@
 	}
 }
 
-// RunnersToAvoid implements Guard. It covers the suspects of this node only: other
-// nodes have few, and these are spread over the runners.
+// RunnersToAvoid implements Guard. It considers only attempts by this node.
 func (c *Coordinator) RunnersToAvoid(fingerprint Fingerprint) map[string]bool {
 	if !c.table.Suspected(fingerprint) {
 		return nil
--- a/internal/serving/quarantine/coordinator.go
+++ b/internal/serving/quarantine/coordinator.go
@@ -14,32 +14,40 @@
 
 // HoldStore saves holds durably.
 type HoldStore interface {
-	// Save stores a hold that this node decided or lifted. It does not block.
+	// Save stores a hold, which may be a lifted one (Until 0). It does not block: the
+	// hold is written later.
 	Save(hold Hold)
 }
 
 // Guard is used by senders of requests to check a request against the quarantine and
 // to report its outcome.
 type Guard interface {
-	// Held reports whether a request is held, and for how much longer.
+	// Held reports whether a request is held. If it is, the duration is the time until
+	// the hold expires.
 	Held(fingerprint Fingerprint) (time.Duration, bool)
-	// RecordBrokenRun records that a run broke which this node did not end itself.
+	// RecordBrokenRun records that the run of a request broke without having been ended
+	// by this node. The run counts against the request if the runner has ended. The
+	// first argument is the request's id, for logs.
 	RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string)
 	// RecordCompletion records that a runner has completed a request.
 	RecordCompletion(fingerprint Fingerprint)
-	// RunnersToAvoid returns the runners that a request should not be sent to; nil
-	// for a request that is not suspected.
+	// RunnersToAvoid returns the ids of the runners to which a request should not be
+	// sent. The result is empty or nil if there are none, and always nil for a request
+	// that is not suspected.
 	RunnersToAvoid(fingerprint Fingerprint) map[string]bool
-	// Begin records the start of an attempt at a runner; the returned function
-	// records its end.
+	// Begin records the start of an attempt at a runner. The caller has to call the
+	// returned function once, when the attempt ends.
 	Begin(fingerprint Fingerprint, runner string) (end func())
 }
 
 var _ Guard = (*Coordinator)(nil)
 
-// Coordinator runs the quarantine on one node: it maintains the node's table, reports
-// to other nodes and saves holds in the store. Endings that are recorded within
-// coalesceInterval are sent to each other node in one notice.
+// Coordinator runs the quarantine on one node: it maintains the node's SuspectTable,
+// exchanges notices with other nodes and saves holds in the store. Reports that are
+// recorded within coalesceInterval of the first are sent in one notice.
+//
+// Digest, NewestHolds, ReceiveHolds and ReceiveDocument accept a nil receiver, for nodes
+// that run no quarantine.
 type Coordinator struct {
 	*CrashDetector
 	table     *SuspectTable
@@ -51,13 +59,14 @@
 	// pending is the next notice to send; nil if there is nothing to report.
 	pending *wirev1.QuarantineNotice
 	batcher *notify.Batcher
-	// attempts counts the running attempts of this node's suspects, by runner.
+	// attempts counts this node's running attempts of suspected requests, by runner
+	// and fingerprint. It has no entries with count 0.
 	attempts map[string]map[Fingerprint]int
 
 	events *prometheus.CounterVec
 }
 
-// Values of the counter's event label.
+// Values of the label "event" of cobaltramp_quarantine_events_total.
 const (
 	eventEnding  = "runner_ended"
 	eventHold    = "held"
@@ -66,8 +75,8 @@
 	eventRefused = "refused"
 )
 
-// NewCoordinator returns the coordinator of a node. With a nil store, holds are not
-// saved.
+// NewCoordinator returns the coordinator of a node. If the store is nil, holds are not
+// saved. Notices are sent only while Run runs.
 func NewCoordinator(
 	directory notify.NodeDirectory, sender notify.NoticeSender, prober Prober, store HoldStore, registry prometheus.Registerer,
 ) *Coordinator {
@@ -101,17 +110,17 @@
 	return float64(held)
 }
 
-// Held implements Guard.
+// Held implements Guard. It counts each positive result as a refused request.
 func (c *Coordinator) Held(fingerprint Fingerprint) (time.Duration, bool) {
-	left, held := c.table.Held(fingerprint, time.Now())
+	remaining, held := c.table.Held(fingerprint, time.Now())
 	if held {
 		c.events.WithLabelValues(eventRefused).Inc()
 	}
-	return left, held
+	return remaining, held
 }
 
-// RecordBrokenRun implements Guard. It counts the run only if the runner has ended,
-// which takes up to one round trip to the runner's machine.
+// RecordBrokenRun implements Guard. It probes the runner, unless a recent result is
+// cached, and so may block for up to probeTimeout.
 func (c *Coordinator) RecordBrokenRun(request string, fingerprint Fingerprint, runner, address string) {
 	if !c.HasEnded(runner, address) {
 		return
@@ -135,7 +144,8 @@
 	}
 }
 
-// distributeHold reports and saves a hold that this node decided or lifted.
+// distributeHold logs a hold that this node decided or lifted, adds it to the next
+// notice and saves it in the store.
 func (c *Coordinator) distributeHold(hold Hold, reason string) {
 	c.recordHold(hold, reason)
 	c.addToNotice(func(notice *wirev1.QuarantineNotice) { notice.Holds = append(notice.Holds, Encode(hold)) })
@@ -148,7 +158,8 @@
 	}
 }
 
-// recordHold logs and counts a hold that is new to this node.
+// recordHold logs and counts a hold that is new to this node. Source is the reason for
+// a hold of this node, and otherwise the node that sent the hold, or "store".
 func (c *Coordinator) recordHold(hold Hold, source string) {
 	event := eventHold
 	if hold.Until == 0 {
@@ -159,7 +170,9 @@
 		"until", time.UnixMilli(hold.Until).UTC(), "decided", time.UnixMilli(hold.Decided).UTC(), "source", source)
 }
 
-// RecordCompletion implements Guard.
+// RecordCompletion implements Guard. It does nothing for a request that is not
+// suspected. Otherwise it removes the request's endings, lifts its hold and reports the
+// completion to other nodes.
 func (c *Coordinator) RecordCompletion(fingerprint Fingerprint) {
 	if !c.table.Suspected(fingerprint) {
 		return
@@ -172,7 +185,8 @@
 	}
 }
 
-// Lift ends a hold at an operator's request and reports whether there was one.
+// Lift lifts a hold at an operator's request. It reports whether the table had a hold
+// that was not lifted yet; this hold may have expired already.
 func (c *Coordinator) Lift(fingerprint Fingerprint) bool {
 	lifted := c.table.Lift(fingerprint, time.Now())
 	if lifted != nil {
@@ -181,5 +195,6 @@
 	return lifted != nil
 }
 
-// Holds lists the holds known to this node.
+// Holds lists the active and the recently lifted holds in this node's table, the latest
+// decided first (SuspectTable.Holds).
 func (c *Coordinator) Holds() []Hold { return c.table.Holds(time.Now()) }
--- a/internal/serving/quarantine/coordinator_test.go
+++ b/internal/serving/quarantine/coordinator_test.go
@@ -18,7 +18,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// fakeProber reports that all runners have ended except those at alive addresses.
+// fakeProber refuses connections to all addresses except those in alive.
 type fakeProber struct {
 	mutex  sync.Mutex
 	alive  map[string]bool
@@ -32,7 +32,8 @@
 	return !g.alive[address]
 }
 
-// network delivers notices between nodes, except those that dropsNotice selects.
+// network delivers notices between nodes at once, except for notices that dropsNotice
+// selects.
 type network struct {
 	nodes       map[string]*Coordinator
 	dropsNotice func(from, to string) bool
@@ -73,13 +74,13 @@
 func (k *memoryHoldStore) Save(hold Hold) { k.holds[hold.Fingerprint] = hold }
 
 func newNetwork(count int) (*network, *fakeProber, *memoryHoldStore) {
-	n, prober, kept := &network{nodes: map[string]*Coordinator{}}, &fakeProber{alive: map[string]bool{}}, &memoryHoldStore{map[Fingerprint]Hold{}}
+	n, prober, saved := &network{nodes: map[string]*Coordinator{}}, &fakeProber{alive: map[string]bool{}}, &memoryHoldStore{map[Fingerprint]Hold{}}
 	for number := range count {
 		name := fmt.Sprint("n", number)
 		m := member{n, name}
-		n.nodes[name] = NewCoordinator(m, m, prober, kept, prometheus.NewRegistry())
+		n.nodes[name] = NewCoordinator(m, m, prober, saved, prometheus.NewRegistry())
 	}
-	return n, prober, kept
+	return n, prober, saved
 }
 
 func (n *network) flush() {
@@ -92,7 +93,7 @@
 // saved.
 func TestAllNodesHoldTheRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		n, _, kept := newNetwork(4)
+		n, _, saved := newNetwork(4)
 		together := rapid.Bool().Draw(rt, "all at once")
 		for number := range EndingsToHold {
 			at := rapid.IntRange(0, 3).Draw(rt, "node")
@@ -107,7 +108,7 @@
 				rt.Fatalf("%s does not hold the request", name)
 			}
 		}
-		if _, found := kept.holds[7]; !found {
+		if _, found := saved.holds[7]; !found {
 			rt.Fatal("the hold is not saved")
 		}
 	})
@@ -144,25 +145,25 @@
 	is.Equal(held, 0)
 }
 
-// A completion lifts the hold on all nodes. A node that missed the notice learns it at
-// the next synchronization and does not restore the hold on the others.
+// A completion lifts the hold on all nodes. A node that missed the notice receives the
+// lifted hold at the next synchronization and does not restore the hold on other nodes.
 func TestCompletionLiftsHoldOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, _, kept := newNetwork(3)
+		n, _, saved := newNetwork(3)
 		for number := range EndingsToHold {
 			n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 		}
 		n.flush()
 		n.dropsNotice = func(_, to string) bool { return to == "n2" }
-		time.Sleep(time.Millisecond) // holds and releases are ordered by the millisecond
+		time.Sleep(time.Millisecond) // Decided has a resolution of one millisecond
 		n.nodes["n1"].RecordCompletion(7)
 		n.flush()
 		for _, name := range []string{"n0", "n1"} {
 			_, held := n.nodes[name].Held(7)
 			is.True(!held)
 		}
-		is.Equal(kept.holds[7].Until, int64(0))
+		is.Equal(saved.holds[7].Until, int64(0))
 		is.True(n.nodes["n2"].Digest() != n.nodes["n1"].Digest())
 		n.nodes["n1"].ReceiveHolds(n.nodes["n2"].NewestHolds(), "n2")
 		_, held := n.nodes["n1"].Held(7)
@@ -174,10 +175,10 @@
 	})
 }
 
-// A restarted node learns the holds from a peer or from the store.
+// A new node receives the holds from a peer or from the store.
 func TestNewNodeLearnsHoldsFromPeerAndStore(t *testing.T) {
 	is := is.New(t)
-	n, _, kept := newNetwork(2)
+	n, _, saved := newNetwork(2)
 	for number := range EndingsToHold {
 		n.nodes["n0"].RecordBrokenRun("id", 7, fmt.Sprint("r", number), "a")
 	}
@@ -186,9 +187,9 @@
 	_, held := fromPeer.Held(7)
 	is.True(held)
 	store := &fakeStore{}
-	archive := NewArchive(store)
-	archive.Save(kept.holds[7])
-	is.True(archive.write(context.Background()))
+	writer := NewHoldWriter(store)
+	writer.Save(saved.holds[7])
+	is.True(writer.write(context.Background()))
 	fromStore := NewCoordinator(member{n, "n3"}, member{n, "n3"}, &fakeProber{}, nil, prometheus.NewRegistry())
 	fromStore.ReceiveDocument(store.value, 1)
 	_, held = fromStore.Held(7)
@@ -220,7 +221,9 @@
 	is.Equal(len(coordinator.attempts), 0)
 }
 
-// fakeStore contains one value and injects the faults in order.
+// fakeStore contains one value. Each call takes the next fault: "down" fails the call,
+// "lost" makes the write but returns an unknown outcome, and "" is no fault. A read
+// fails with both faults.
 type fakeStore struct {
 	ports.KeyValueStore
 	value    []byte
@@ -261,25 +264,25 @@
 	return true, nil
 }
 
-// The store ends up with the holds of several nodes, even if calls fail or their
-// outcome is unknown, and a stored hold is not written again.
-func TestArchiveStoresAllHolds(t *testing.T) {
+// The store finally contains the holds of all writers, even if calls fail or their
+// outcome is unknown, and stored holds are not written again.
+func TestHoldWriterStoresAllHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &fakeStore{faults: rapid.SliceOfN(rapid.SampledFrom([]string{"", "down", "lost"}), 0, 12).Draw(rt, "faults")}
-		archives := []*Archive{NewArchive(store), NewArchive(store)}
+		writers := []*HoldWriter{NewHoldWriter(store), NewHoldWriter(store)}
 		until := time.Now().Add(time.Hour).UnixMilli()
 		count := rapid.IntRange(1, 8).Draw(rt, "holds")
 		for number := range count {
-			archive := archives[number%2]
-			archive.Save(Hold{Fingerprint: Fingerprint(number + 1), Decided: int64(number + 1), Until: until})
+			writer := writers[number%2]
+			writer.Save(Hold{Fingerprint: Fingerprint(number + 1), Decided: int64(number + 1), Until: until})
 			if rapid.Bool().Draw(rt, "write now") {
-				archive.write(context.Background())
+				writer.write(context.Background())
 			}
 		}
-		for _, archive := range archives {
-			for tries := 0; !archive.write(context.Background()); tries++ {
+		for _, writer := range writers {
+			for tries := 0; !writer.write(context.Background()); tries++ {
 				if tries > 50 {
-					rt.Fatal("the archive did not finish writing")
+					rt.Fatal("a writer did not write its holds in 50 tries")
 				}
 			}
 		}
@@ -289,7 +292,7 @@
 		}
 		before := store.commits
 		store.faults = nil
-		if !archives[0].write(context.Background()) || store.commits != before || len(archives[0].unsaved) != 0 {
+		if !writers[0].write(context.Background()) || store.commits != before || len(writers[0].unsaved) != 0 {
 			rt.Fatal("stored holds are written again")
 		}
 	})
--- a/internal/serving/quarantine/doc.go
+++ b/internal/serving/quarantine/doc.go
@@ -1,20 +1,27 @@
 // Package quarantine stops requests that crash runners from reaching more runners.
 //
-// The caller of a request that crashes every runner (a "query of death") retries
-// it at any node under a new id, so a single node cannot recognize it by id. Each
-// node therefore counts, by a fingerprint of the request's content, the runners that
-// ended while they ran the request, and the nodes report these endings to each
-// other. Once enough runners have ended, the request is held: no node sends it to a
-// runner until the hold expires. When a runner completes the request, its recorded
-// endings are dropped and its hold is lifted.
+// The caller of a request that crashes every runner (a "query of death") may retry it
+// at any node and under a new id. Nodes therefore identify a request by a fingerprint
+// of its content. Terms of this package:
 //
-//   - decision.go contains the rules: when a request is held and released, for how
-//     long, which request the end of a runner is attributed to, and which runners a
-//     suspect avoids.
-//   - SuspectTable is the state that the rules act on, without I/O.
+//   - An ending is the end of a runner's process while it ran a request.
+//   - A suspect, or suspected request, is a request with endings or with a hold.
+//   - A hold states that nodes must not send a request to runners until a given time.
+//     A node decides a hold once enough different runners have ended while running the
+//     request. A hold is lifted, before or after it expires, when a runner completes the
+//     request or at an operator's request.
+//
+// Nodes report endings, completions and holds to each other in notices, which may be
+// lost. Holds are therefore saved in the platform's store as well.
+//
+// Files and types:
+//
+//   - decision.go contains the rules: when a request is held and for how long, to which
+//     request an ending is attributed, and which runners a suspect avoids.
+//   - SuspectTable is the state to which the rules apply. It does no I/O.
 //   - CrashDetector distinguishes a runner that ended from a broken connection.
-//   - Coordinator reports to other nodes and saves holds in the platform's store
-//     (Archive), so that they survive restarts. Checking a request needs no I/O.
+//   - Coordinator exchanges notices with other nodes. It checks requests without I/O.
+//   - HoldWriter saves holds in the platform's store.
 //
 // The package owns the document of holds in the store and sends its notices through
 // package notify. The edge and the storage node run it, and the plain node runs it
--- a/internal/serving/quarantine/fingerprint.go
+++ b/internal/serving/quarantine/fingerprint.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is a hash of a request's tenant, method, host, URI and body. Unlike the
-// request's id, it is the same for each retry by the caller.
+// Fingerprint is a hash of a request's content (RequestContent). Unlike the request's
+// id, it is the same for each retry by the caller.
 type Fingerprint uint64
 
 // RequestContent is the part of a request that its fingerprint covers.
@@ -21,7 +21,7 @@
 	Body []byte
 }
 
-// FingerprintOf returns the fingerprint of a request.
+// FingerprintOf returns the fingerprint of a request's content.
 func FingerprintOf(content RequestContent) Fingerprint {
 	digest := xxhash.New() // Write never returns an error.
 	for _, part := range []string{content.Tenant, content.Method, content.Host, content.URI} {
@@ -32,7 +32,7 @@
 	return Fingerprint(digest.Sum64())
 }
 
-const hexadecimal = 16
+const hexadecimal = 16 // the base
 
 // String returns the hexadecimal form that logs and the store use.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), hexadecimal) }
--- a/internal/serving/quarantine/fingerprint_test.go
+++ b/internal/serving/quarantine/fingerprint_test.go
@@ -13,8 +13,8 @@
 // fingerprint.
 func TestFingerprintDependsOnContentOnly(t *testing.T) {
 	is := is.New(t)
-	work := RequestContent{Tenant: "t", Method: "POST", Host: "h", URI: "/a/b", Body: []byte("body")}
-	is.Equal(FingerprintOf(work), FingerprintOf(RequestContent{"t", "POST", "h", "/a/b", []byte("body")}))
+	content := RequestContent{Tenant: "t", Method: "POST", Host: "h", URI: "/a/b", Body: []byte("body")}
+	is.Equal(FingerprintOf(content), FingerprintOf(RequestContent{"t", "POST", "h", "/a/b", []byte("body")}))
 	for _, other := range []RequestContent{
 		{"u", "POST", "h", "/a/b", []byte("body")},
 		{"t", "GET", "h", "/a/b", []byte("body")},
@@ -25,7 +25,7 @@
 		{"t", "POST", "h/a", "/b", []byte("body")},
 		{"t", "POST", "h", "/a", []byte("/bbody")},
 	} {
-		is.True(FingerprintOf(other) != FingerprintOf(work))
+		is.True(FingerprintOf(other) != FingerprintOf(content))
 	}
 }
 
--- a/internal/serving/quarantine/hold.go
+++ b/internal/serving/quarantine/hold.go
@@ -2,16 +2,18 @@
 
 import wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 
-// Hold states that a request must not be sent to runners. Of two holds of the same
-// request the one decided later applies.
+// Hold states that a request must not be sent to runners until a given time, or, if
+// Until is 0, that an earlier hold of the request was lifted. Of two holds of the same
+// request the later decided applies; if both were decided at the same time, the hold
+// with the later Until applies.
 type Hold struct {
 	Fingerprint Fingerprint `json:"-"`
-	// Decided and Until are Unix times in milliseconds. A hold with Until 0 was
-	// lifted.
+	// Decided and Until are Unix times in milliseconds: when the hold was decided or
+	// lifted, and when it expires. Until is 0 for a lifted hold.
 	Decided int64 `json:"decided_unix_ms"`
 	Until   int64 `json:"until_unix_ms"`
-	// Length is the duration of the hold in milliseconds, from which the duration of
-	// the next one follows.
+	// Length is the duration of the hold in milliseconds; 0 for a lifted hold. The
+	// duration of the request's next hold depends on it (nextHold).
 	Length int64 `json:"length_ms"`
 }
 
--- a/internal/serving/quarantine/notices.go
+++ b/internal/serving/quarantine/notices.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// coalesceInterval is how long reports are collected before they are sent: all
-	// requests at a runner break within some milliseconds of its end.
+	// coalesceInterval is the time from the first report to the notice. All requests at
+	// a runner break within some milliseconds of its end.
 	coalesceInterval = 5 * time.Millisecond
-	// maxNoticeEntries bounds the endings and completions in one notice, of about
-	// 40 bytes each.
+	// maxNoticeEntries is the maximum number of endings and completions in one notice.
+	// An entry takes about 40 bytes. Holds are not counted.
 	maxNoticeEntries = 1024
 )
 
-// addToNotice calls add with the next notice, unless that one is full.
+// addToNotice calls add with the next notice. If this notice already has
+// maxNoticeEntries endings and completions, the report is dropped.
 func (c *Coordinator) addToNotice(add func(notice *wirev1.QuarantineNotice)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -28,16 +29,16 @@
 		c.pending = &wirev1.QuarantineNotice{}
 	}
 	if len(c.pending.Endings)+len(c.pending.Absolved) >= maxNoticeEntries {
-		return // The caller's next retry reports a dropped entry again.
+		return // Reports may be lost in any case.
 	}
 	add(c.pending)
 	c.batcher.Trigger()
 }
 
-// Run sends notices to other nodes until the context ends.
+// Run sends the pending notices to other nodes until the context ends.
 func (c *Coordinator) Run(ctx context.Context) { c.batcher.Run(ctx) }
 
-// flush sends the pending notice to each other node.
+// flush sends the pending notice, if there is one, to each other node.
 func (c *Coordinator) flush() {
 	c.mutex.Lock()
 	notice := c.pending
@@ -56,7 +57,8 @@
 	c.sender.NotifyAll(addresses, rpc.ClassControl, wirev1.Method_METHOD_QUARANTINE, notice)
 }
 
-// ReceiveNotice applies another node's notice.
+// ReceiveNotice applies a notice from another node. It logs and drops a notice that
+// cannot be decoded.
 func (c *Coordinator) ReceiveNotice(from string, payload []byte) {
 	var notice wirev1.QuarantineNotice
 	if err := proto.Unmarshal(payload, &notice); err != nil {
@@ -73,10 +75,10 @@
 	c.ReceiveHolds(notice.Holds, from)
 }
 
-// receiveEnding applies an ending that another node has observed. All nodes decide
-// the same hold. Each node that observed one of its endings saves the hold: when
-// several nodes observe endings at the same time, none of them may have decided the
-// hold by its own ending.
+// receiveEnding applies an ending that another node observed. If the ending causes a
+// hold, the node saves it only if it observed one of the other endings of the request.
+// Such a node has to save the hold: if several nodes observe endings at the same time,
+// each of them may decide the hold only on the report of another.
 func (c *Coordinator) receiveEnding(fingerprint Fingerprint, runner, from string, now time.Time) {
 	outcome := c.table.RecordEnding(fingerprint, runner, false, now)
 	if outcome.Hold == nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// ReceiveHolds applies holds from another node.
+// ReceiveHolds applies holds from another node; source is that node, for logs.
 func (c *Coordinator) ReceiveHolds(holds []*wirev1.QuarantineHold, source string) {
 	if c == nil {
 		return
--- a/internal/serving/quarantine/sync.go
+++ b/internal/serving/quarantine/sync.go
@@ -12,11 +12,13 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// maxSyncedHolds bounds the holds in one reply to a peer, of about 40 bytes each.
+// maxSyncedHolds is the maximum number of holds in one reply to a peer, and the number
+// of holds that Digest covers. A hold takes about 40 bytes in a reply.
 const maxSyncedHolds = 256
 
-// Digest returns a hash of the newest holds, by which nodes detect that they know
-// different ones. It is 0 if there are none or the receiver is nil.
+// Digest returns a hash of the holds that NewestHolds returns. Nodes compare their
+// digests to detect that their holds differ. The digest is 0 if there are no holds or
+// the receiver is nil.
 func (c *Coordinator) Digest() uint64 {
 	if c == nil {
 		return 0
@@ -39,7 +41,8 @@
 	return holds[:min(len(holds), maxSyncedHolds)]
 }
 
-// NewestHolds returns the holds decided last, for a peer with a different digest.
+// NewestHolds returns the latest maxSyncedHolds of the active and the recently lifted
+// holds, for a peer with a different digest.
 func (c *Coordinator) NewestHolds() []*wirev1.QuarantineHold {
 	if c == nil {
 		return nil
@@ -51,14 +54,15 @@
 	return encoded
 }
 
-// ReceiveDocument applies the holds of the document in the platform's store.
+// ReceiveDocument applies the holds of the document in the platform's store, which was
+// read at the given revision. It logs unreadable entries and applies the others.
 func (c *Coordinator) ReceiveDocument(text []byte, revision int64) {
 	if c == nil {
 		return
 	}
 	holds, err := parseDocument(text)
 	if err != nil {
-		klog.ErrorS(err, "stored quarantine has unreadable entries", "revision", revision)
+		klog.ErrorS(err, "decoding the stored quarantine failed in part or as a whole", "revision", revision)
 	}
 	for _, hold := range holds {
 		if c.table.ApplyHold(hold) {
@@ -67,7 +71,8 @@
 	}
 }
 
-// ServeAdmin serves an operator's request to list holds or to lift one.
+// ServeAdmin handles an operator's request. It lifts a hold if the request names one,
+// and then replies with the active holds.
 func (c *Coordinator) ServeAdmin(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QuarantineAdminRequest
 	if err := stream.DecodeRequest(&request); err != nil {
--- a/internal/serving/quarantine/table.go
+++ b/internal/serving/quarantine/table.go
@@ -9,50 +9,52 @@
 	"time"
 )
 
-// maxSuspects and maxHolds bound the memory of a table: a suspect takes about 200
-// bytes, a hold about 100. The oldest entries are evicted.
+// maxSuspects and maxHolds are the maximum numbers of entries of a table; at the maximum
+// the oldest entry is evicted. A suspect takes about 200 bytes, a hold about 100.
 const (
 	maxSuspects = 4096
 	maxHolds    = 1024
 )
 
-// suspect is a request that one or more runners were running when they ended.
+// suspect is the state of a request with endings.
 type suspect struct {
-	// endings contains the time of each ending, by runner.
+	// endings contains the time at which each ending was recorded, by runner.
 	endings map[string]time.Time
 	// last is the time when the latest ending was recorded.
-	last time.Time
-	// local is set if this node observed one of the endings.
+	lastEnding time.Time
+	// local is set if this node observed an ending of the request, even if that ending
+	// has expired since.
 	local bool
 }
 
 // EndingOutcome is the result of recording an ending.
 type EndingOutcome struct {
-	// Counted is set if the ending was new and counts against the request.
+	// Counted is set if the ending was recorded. It is not recorded if it is already
+	// known or is attributed to another request only.
 	Counted bool
 	// Hold is the hold that the ending caused; nil if it caused none.
 	Hold *Hold
-	// Local is set if this node observed one of the endings that led to the hold.
+	// Local is set together with Hold if this node observed an ending of the request.
 	Local bool
 }
 
 // SuspectTable contains the suspects and holds known to one node. It is safe for
 // concurrent use.
 //
-// Invariants: a hold is replaced only by one that supersedes it; once a request is
-// held, the endings that led to the hold count against another request only if that
-// one may be their cause as well (mayBeCause).
+// Invariants: a hold is replaced only by a hold that supersedes it. The endings that
+// led to a hold count against another request only if this request may be their cause
+// as well (mayBeCause).
 type SuspectTable struct {
 	mutex    sync.Mutex
 	suspects map[Fingerprint]*suspect
 	holds    map[Fingerprint]Hold
-	// attributed contains the runners whose end is attributed to a held request, with
-	// the time of that decision.
+	// attributed contains the runners whose endings are attributed to a held request,
+	// and the time of the attribution. Entries are removed after endingTTL.
 	attributed map[string]time.Time
-	// held is an immutable copy of holds, and suspected contains the keys of suspects.
-	// Checks of a request read these without locking the mutex.
-	held      atomic.Pointer[map[Fingerprint]Hold]
-	suspected sync.Map
+	// publishedHolds is an immutable copy of holds, and suspectedFingerprints contains
+	// the keys of suspects. Checks of a request read them without locking the mutex.
+	publishedHolds        atomic.Pointer[map[Fingerprint]Hold]
+	suspectedFingerprints sync.Map
 }
 
 // NewSuspectTable returns an empty table.
@@ -62,71 +64,73 @@
 	return t
 }
 
-// publish copies the holds for readers. The caller holds the mutex or is the only
-// user of the table.
+// publish updates publishedHolds. The caller holds the mutex or is the only user of the
+// table.
 func (t *SuspectTable) publish() {
 	holds := maps.Clone(t.holds)
-	t.held.Store(&holds)
+	t.publishedHolds.Store(&holds)
 }
 
-// Held reports whether a request is held, and for how much longer.
+// Held reports whether a request is held. If it is, the duration is the time until the
+// hold expires.
 func (t *SuspectTable) Held(fingerprint Fingerprint, now time.Time) (time.Duration, bool) {
-	hold, known := (*t.held.Load())[fingerprint]
-	if !known {
+	hold, found := (*t.publishedHolds.Load())[fingerprint]
+	if !found {
 		return 0, false
 	}
-	left := time.Duration(hold.Until-now.UnixMilli()) * time.Millisecond
-	return left, left > 0
+	remaining := time.Duration(hold.Until-now.UnixMilli()) * time.Millisecond
+	return remaining, remaining > 0
 }
 
-// Suspected reports whether a request has recorded endings or a hold. The completion
-// of such a request has to be reported to other nodes (Clear).
+// Suspected reports whether the table contains endings or a hold of a request, also if
+// these have expired or the hold was lifted.
 func (t *SuspectTable) Suspected(fingerprint Fingerprint) bool {
-	if _, suspected := t.suspected.Load(fingerprint); suspected {
+	if _, suspected := t.suspectedFingerprints.Load(fingerprint); suspected {
 		return true
 	}
-	_, held := (*t.held.Load())[fingerprint]
+	_, held := (*t.publishedHolds.Load())[fingerprint]
 	return held
 }
 
-// RecordEnding records that a runner ended while it ran a request; local states that
-// this node observed it.
+// RecordEnding records that a runner ended while it ran a request, and holds the request
+// if this was the last ending that a hold requires (mustHold). Local states that this
+// node observed the ending itself.
 func (t *SuspectTable) RecordEnding(fingerprint Fingerprint, runner string, local bool, now time.Time) EndingOutcome {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.suspects[fingerprint]
-	if _, attributed := t.attributed[runner]; attributed && !known.mayBeCause() {
+	entry := t.suspects[fingerprint]
+	if _, attributed := t.attributed[runner]; attributed && !entry.mayBeCause() {
 		return EndingOutcome{}
 	}
-	if known == nil {
+	if entry == nil {
 		t.evictOldest()
-		known = &suspect{endings: map[string]time.Time{}}
-		t.suspects[fingerprint] = known
-		t.suspected.Store(fingerprint, true)
+		entry = &suspect{endings: map[string]time.Time{}}
+		t.suspects[fingerprint] = entry
+		t.suspectedFingerprints.Store(fingerprint, true)
 	}
-	maps.DeleteFunc(known.endings, func(_ string, at time.Time) bool { return now.Sub(at) > endingTTL })
-	if _, counted := known.endings[runner]; counted {
+	maps.DeleteFunc(entry.endings, func(_ string, at time.Time) bool { return now.Sub(at) > endingTTL })
+	if _, counted := entry.endings[runner]; counted {
 		return EndingOutcome{}
 	}
-	known.endings[runner], known.last = now, now
-	known.local = known.local || local
-	last := t.holds[fingerprint]
-	if !mustHold(len(known.endings), last, now) {
+	entry.endings[runner], entry.lastEnding = now, now
+	entry.local = entry.local || local
+	previous := t.holds[fingerprint]
+	if !mustHold(len(entry.endings), previous, now) {
 		return EndingOutcome{Counted: true}
 	}
-	hold := nextHold(fingerprint, last, now)
+	hold := nextHold(fingerprint, previous, now)
 	t.putHold(hold)
 	t.publish()
-	t.attribute(known.endings, now)
-	return EndingOutcome{Counted: true, Hold: &hold, Local: known.local}
+	t.attribute(entry.endings, now)
+	return EndingOutcome{Counted: true, Hold: &hold, Local: entry.local}
 }
 
 // mayBeCause reports whether endings that are attributed to another request count
-// against this one too.
+// against this request too; false if the receiver is nil.
 func (s *suspect) mayBeCause() bool { return s != nil && mayBeCause(len(s.endings)) }
 
-// attribute attributes endings to the request that is held for them and removes them
-// from all bystanders. The caller holds the mutex.
+// attribute records that the endings are attributed to a held request and removes all
+// attributed endings from bystanders. The caller holds the mutex.
 func (t *SuspectTable) attribute(endings map[string]time.Time, now time.Time) {
 	maps.DeleteFunc(t.attributed, func(_ string, at time.Time) bool { return now.Sub(at) > endingTTL })
 	for runner := range endings {
@@ -146,17 +150,17 @@
 	}
 }
 
-// evictOldest removes the suspect whose last ending is the oldest if the table is
-// full. The caller holds the mutex.
+// evictOldest makes room for a suspect: if there are maxSuspects, it removes the suspect
+// whose latest ending is the oldest. The caller holds the mutex.
 func (t *SuspectTable) evictOldest() {
 	if len(t.suspects) < maxSuspects {
 		return
 	}
 	var oldest Fingerprint
-	var at time.Time
-	for fingerprint, known := range t.suspects {
-		if at.IsZero() || known.last.Before(at) {
-			oldest, at = fingerprint, known.last
+	var oldestEnding time.Time
+	for fingerprint, entry := range t.suspects {
+		if oldestEnding.IsZero() || entry.lastEnding.Before(oldestEnding) {
+			oldest, oldestEnding = fingerprint, entry.lastEnding
 		}
 	}
 	t.removeSuspect(oldest)
@@ -165,11 +169,11 @@
 // removeSuspect removes a suspect. The caller holds the mutex.
 func (t *SuspectTable) removeSuspect(fingerprint Fingerprint) {
 	delete(t.suspects, fingerprint)
-	t.suspected.Delete(fingerprint)
+	t.suspectedFingerprints.Delete(fingerprint)
 }
 
-// putHold stores a hold and evicts the one decided first if there are too many. The
-// caller holds the mutex.
+// putHold stores a hold. If there are then more than maxHolds, it evicts the hold that
+// was decided first, which may be the new hold. The caller holds the mutex.
 func (t *SuspectTable) putHold(hold Hold) {
 	t.holds[hold.Fingerprint] = hold
 	if len(t.holds) <= maxHolds {
@@ -184,12 +188,12 @@
 	delete(t.holds, oldest.Fingerprint)
 }
 
-// ApplyHold stores a hold that was decided elsewhere and reports whether it is new to
-// this table.
+// ApplyHold stores a hold from another node or from the store. It returns false, and
+// stores nothing, if the table has the same hold or one that supersedes it.
 func (t *SuspectTable) ApplyHold(hold Hold) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known, found := t.holds[hold.Fingerprint]; found && !hold.supersedes(known) {
+	if current, found := t.holds[hold.Fingerprint]; found && !hold.supersedes(current) {
 		return false
 	}
 	t.putHold(hold)
@@ -197,8 +201,8 @@
 	return true
 }
 
-// Clear removes the endings of a request that a runner has completed and lifts its
-// hold. It returns the lifted hold; nil if there was none.
+// Clear removes the endings of a request that a runner has completed, and lifts the
+// request's hold. It returns the lifted hold; nil if there was no hold to lift.
 func (t *SuspectTable) Clear(fingerprint Fingerprint, now time.Time) *Hold {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -206,13 +210,15 @@
 	return t.lift(fingerprint, now)
 }
 
-// Lift ends the hold of a request and returns the lifted hold; nil if there was none.
+// Lift lifts the hold of a request, even if the hold has expired. It returns the lifted
+// hold; nil if there was no hold to lift.
 func (t *SuspectTable) Lift(fingerprint Fingerprint, now time.Time) *Hold {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.lift(fingerprint, now)
 }
 
+// lift implements Lift. The caller holds the mutex.
 func (t *SuspectTable) lift(fingerprint Fingerprint, now time.Time) *Hold {
 	lifted, active := liftedHold(t.holds[fingerprint], now)
 	if !active {
@@ -223,11 +229,12 @@
 	return &lifted
 }
 
-// Holds lists the active holds, the latest decided first. A lifted hold is included
-// for as long as another node might still have the hold that it ended.
+// Holds lists the active holds and the lifted holds, the latest decided first. It omits
+// a lifted hold maxHoldDuration after it was lifted, when the original hold has expired
+// on all nodes.
 func (t *SuspectTable) Holds(now time.Time) []Hold {
 	var list []Hold
-	for _, hold := range *t.held.Load() {
+	for _, hold := range *t.publishedHolds.Load() {
 		if hold.Until > now.UnixMilli() || hold.Until == 0 && hold.Decided > now.Add(-maxHoldDuration).UnixMilli() {
 			list = append(list, hold)
 		}
@@ -238,9 +245,9 @@
 	return list
 }
 
-// Counts returns the number of suspects and the number of held requests.
+// Counts returns the number of requests with endings and the number of active holds.
 func (t *SuspectTable) Counts(now time.Time) (suspected, held int) {
-	for _, hold := range *t.held.Load() {
+	for _, hold := range *t.publishedHolds.Load() {
 		if hold.Until > now.UnixMilli() {
 			held++
 		}
--- a/internal/serving/quarantine/table_test.go
+++ b/internal/serving/quarantine/table_test.go
@@ -139,7 +139,7 @@
 	for number := range maxSuspects + 50 {
 		table.mutex.Lock()
 		table.evictOldest()
-		table.suspects[Fingerprint(number)] = &suspect{last: start.Add(time.Duration(number)), endings: map[string]time.Time{}}
+		table.suspects[Fingerprint(number)] = &suspect{lastEnding: start.Add(time.Duration(number)), endings: map[string]time.Time{}}
 		table.mutex.Unlock()
 	}
 	is.Equal(len(table.suspects), maxSuspects)
--- a/internal/serving/quarantine/witness.go
+++ b/internal/serving/quarantine/witness.go
@@ -10,32 +10,35 @@
 
 // Prober checks whether a process listens at a runner's address.
 type Prober interface {
-	// ConnectionRefused reports whether the machine refuses connections to the
-	// address. It returns false if there is no reply before the context ends.
+	// ConnectionRefused reports whether the machine refuses or resets connections to
+	// the address. It returns false if the connection succeeds, if it fails in another
+	// way, or if there is no reply before the context ends.
 	ConnectionRefused(ctx context.Context, address string) bool
 }
 
 const (
-	// probeTimeout bounds a probe. The runner's machine has just reset or closed a
-	// connection, so it replies within a round trip.
+	// probeTimeout bounds a probe. A machine whose runner has ended refuses the
+	// connection within one round trip.
 	probeTimeout = 60 * time.Millisecond
 	// probeResultTTL is how long a result is reused for other requests at the same
-	// runner, all of which break at the same time.
+	// runner. All requests at a runner break at the same time when it ends.
 	probeResultTTL = 300 * time.Millisecond
-	// maxProbeResults bounds the cached results.
+	// maxProbeResults is the maximum number of cached results. At the maximum all of
+	// them are dropped.
 	maxProbeResults = 256
 )
 
-// CrashDetector distinguishes a runner that ended from a broken connection. When many
-// requests at a runner break together, it probes the runner once.
+// CrashDetector distinguishes a runner that ended from a broken connection. It probes
+// the runner, and shares the result among requests that break together. It is safe for
+// concurrent use.
 type CrashDetector struct {
 	prober  Prober
-	probes  singleflight.Group
+	probes  singleflight.Group // by runner
 	mutex   sync.Mutex
 	results map[string]probeResult
 }
 
-// probeResult is the cached result of a probe.
+// probeResult is the result of the probe of a runner, and the time of the probe.
 type probeResult struct {
 	ended bool
 	at    time.Time
@@ -46,35 +49,39 @@
 	return &CrashDetector{prober: prober, results: map[string]probeResult{}}
 }
 
-// HasEnded reports whether the runner of a broken request has ended.
-func (w *CrashDetector) HasEnded(runner, address string) bool {
+// HasEnded reports whether the runner of a broken request has ended, according to a
+// probe of its address or to a result of the last probeResultTTL. It returns false if
+// the probe is inconclusive.
+func (d *CrashDetector) HasEnded(runner, address string) bool {
 	// The function below returns no error.
-	ended, _, _ := w.probes.Do(runner, func() (any, error) {
-		if found, known := w.cachedResult(runner); known {
-			return found, nil
+	ended, _, _ := d.probes.Do(runner, func() (any, error) {
+		if refused, known := d.cachedResult(runner); known {
+			return refused, nil
 		}
 		// All waiting requests share the probe, so it does not use a request's context.
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		found := w.prober.ConnectionRefused(ctx, address)
-		w.cacheResult(runner, found)
-		return found, nil
+		refused := d.prober.ConnectionRefused(ctx, address)
+		d.cacheResult(runner, refused)
+		return refused, nil
 	})
 	return ended.(bool)
 }
 
-func (w *CrashDetector) cachedResult(runner string) (ended, known bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	found, known := w.results[runner]
-	return found.ended, known && time.Since(found.at) < probeResultTTL
+// cachedResult returns the cached result for a runner; valid is false if there is none
+// or it is older than probeResultTTL.
+func (d *CrashDetector) cachedResult(runner string) (ended, valid bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	cached, valid := d.results[runner]
+	return cached.ended, valid && time.Since(cached.at) < probeResultTTL
 }
 
-func (w *CrashDetector) cacheResult(runner string, ended bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if len(w.results) >= maxProbeResults {
-		clear(w.results)
+func (d *CrashDetector) cacheResult(runner string, ended bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if len(d.results) >= maxProbeResults {
+		clear(d.results)
 	}
-	w.results[runner] = probeResult{ended, time.Now()}
+	d.results[runner] = probeResult{ended, time.Now()}
 }
--- a/modules/roles/cluster/cluster.go
+++ b/modules/roles/cluster/cluster.go
@@ -57,7 +57,7 @@
 	syncer     *peers.Syncer
 	reporter   *loadshare.Reporter
 	quarantine *quarantine.Coordinator
-	archive    *quarantine.Archive
+	archive    *quarantine.HoldWriter
 	running    tasks.Group
 }
 
@@ -101,7 +101,7 @@
 	m.reporter = loadshare.New(directory, m.informer.Runners, pool, registry)
 	server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, m.reporter.ReceiveNotice)
 	server.OnLost(m.reporter.PeerLost)
-	m.archive = quarantine.NewArchive(store)
+	m.archive = quarantine.NewHoldWriter(store)
 	m.quarantine = quarantine.NewCoordinator(directory, pool, prober, m.archive, registry)
 	m.informer.Quarantine = m.quarantine
 	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.quarantine.ReceiveNotice)
--- a/modules/serving/crashes/crashes.go
+++ b/modules/serving/crashes/crashes.go
@@ -24,7 +24,7 @@
 	"cobaltramp.example/cobaltramp/modules/fleet/membership"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "serving.crashes"
 
 func init() {
@@ -34,13 +34,13 @@
 	})
 }
 
-// Views gives the view of the fleet.
+// Views returns the view of the fleet.
 type Views interface{ View() *fleet.View }
 
-// Module provides *quarantine.Coordinator.
+// Module provides the *quarantine.Coordinator of the node to other modules.
 type Module struct {
 	store       ports.KeyValueStore
-	archive     *quarantine.Archive
+	holdWriter  *quarantine.HoldWriter
 	coordinator *quarantine.Coordinator
 
 	background tasks.Group
@@ -64,8 +64,8 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	m.archive = quarantine.NewArchive(m.store)
-	m.coordinator = quarantine.NewCoordinator(nodeDirectory{views}, pool, prober{httpcall.NewClient(nil)}, m.archive, registry)
+	m.holdWriter = quarantine.NewHoldWriter(m.store)
+	m.coordinator = quarantine.NewCoordinator(nodeDirectory{views}, pool, prober{httpcall.NewClient(nil)}, m.holdWriter, registry)
 	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.coordinator.ReceiveNotice)
 	server.Handle(wirev1.Method_METHOD_QUARANTINE_ADMIN, m.coordinator.ServeAdmin)
 	ctx.Provide(m.coordinator)
@@ -74,24 +74,26 @@
 
 // Start implements kernel.Starter.
 func (m *Module) Start(ctx context.Context) error {
-	for _, run := range []func(context.Context){m.coordinator.Run, m.archive.Run, m.followHolds} {
+	for _, run := range []func(context.Context){m.coordinator.Run, m.holdWriter.Run, m.followHolds} {
 		m.background.Go(func() { run(ctx) })
 	}
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner.
+// Cleanup implements kernel.Cleaner. It waits for the loops, which end with the context of
+// Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
-// retryDelay is the delay before the stored holds are read again after a failed read
-// or the end of a watch.
+// retryDelay is the delay before the stored holds are read again, after a failed read or
+// the end of a watch.
 const retryDelay = 2 * time.Second
 
-// followHolds applies the stored holds at the start and on each change.
+// followHolds applies the stored holds at the start and after each change, until the
+// context ends.
 func (m *Module) followHolds(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := m.followOnce(ctx); err != nil && ctx.Err() == nil {
-			klog.V(1).InfoS("reading the stored quarantine failed", "err", err)
+			klog.V(1).InfoS("reading or watching the stored quarantine failed; retrying later", "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -100,6 +102,8 @@
 	}
 }
 
+// followOnce reads the stored holds once and then watches them until the watch breaks. It
+// ignores the deletion of the document.
 func (m *Module) followOnce(ctx context.Context) error {
 	values, revision, err := m.store.List(ctx, quarantine.DocumentKey)
 	if err != nil {
@@ -122,11 +126,11 @@
 var _ notify.NodeDirectory = nodeDirectory{}
 
 // Self implements notify.NodeDirectory.
-func (m nodeDirectory) Self() *wirev1.NodeRecord { return recordOf(m.views.View().Self) }
+func (d nodeDirectory) Self() *wirev1.NodeRecord { return recordOf(d.views.View().Self) }
 
 // Records implements notify.NodeDirectory.
-func (m nodeDirectory) Records() []*wirev1.NodeRecord {
-	view := m.views.View()
+func (d nodeDirectory) Records() []*wirev1.NodeRecord {
+	view := d.views.View()
 	var records []*wirev1.NodeRecord
 	for _, candidate := range view.Candidates {
 		records = append(records, recordOf(view.Members[candidate.ID]))
@@ -134,6 +138,7 @@
 	return records
 }
 
+// recordOf converts a member record to a node record.
 func recordOf(member *wirev1.MemberRecord) *wirev1.NodeRecord {
 	return &wirev1.NodeRecord{NodeId: member.Id, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
