--- a/internal/serving/authn/authn.go
+++ b/internal/serving/authn/authn.go
@@ -1,9 +1,9 @@
-// Package authn determines the tenant of a request from the key that the caller sent
-// and the active configuration. Its errors contain no part of a key.
+// Package authn determines the tenant of a request from the key that the caller sent and
+// from the active configuration (package catalog), which contains the tenants and their
+// keys. The errors contain no part of a key. The package keeps no state and does no I/O.
 //
-// It keeps no state and does no I/O; package catalog provides the tenants and their
-// keys. The edge authenticates each request before package admission applies the
-// tenant's limit. The plain node authenticates against its bundle instead.
+// The edge uses this package before package admission applies the tenant's limit. The
+// plain node authenticates against its bundle instead.
 package authn
 
 import (
@@ -13,8 +13,8 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/catalog"
 )
 
-// Credentials are the credentials of a request: a key, or the reason why it has no
-// usable one.
+// Credentials are the credentials of a request: a key, or the reason why the request has
+// no usable key.
 type Credentials struct {
 	Key string
 	// Problem describes why there is no key to look up; empty if there is a key.
@@ -23,20 +23,20 @@
 
 // Authenticator determines the tenants of requests.
 type Authenticator struct {
-	// RevokeTime is how long the configuration may be unconfirmed before keys are
+	// RevokeTime is how long the configuration may be unconfirmed before valid keys are
 	// refused, since they may have been revoked in the meantime; 0 disables the check.
 	RevokeTime time.Duration
-	// SinceConfirmed returns the time since the active configuration was last
-	// confirmed to be the newest; nil if that is not known.
+	// SinceConfirmed returns the time since the active configuration was last confirmed
+	// to be the newest. If it is nil, the configuration counts as just confirmed.
 	SinceConfirmed func() time.Duration
 }
 
-// staleRetryAfter is the delay after which a caller should retry at a node that does
-// not know whether keys are still valid.
+// staleRetryAfter is the delay after which a caller should retry if the node does not know
+// whether keys are still valid.
 const staleRetryAfter = time.Second
 
-// UnconfirmedFor returns the time since the active configuration was last confirmed to
-// be the newest; 0 if that is not known.
+// UnconfirmedFor returns the time since the active configuration was last confirmed to be
+// the newest; 0 if SinceConfirmed is nil.
 func (a *Authenticator) UnconfirmedFor() time.Duration {
 	if a.SinceConfirmed == nil {
 		return 0
@@ -44,9 +44,10 @@
 	return a.SinceConfirmed()
 }
 
-// Authenticate returns the tenant that the key belongs to. It returns nil if the
-// configuration requires no keys, or if the route is public and the key belongs to no
-// tenant.
+// Authenticate returns the tenant that the key belongs to. If there is no key, or it belongs
+// to no tenant, the result is nil on a public route and the error Unauthenticated on others.
+// If the tenant's key may have been revoked, the error is NotReady, also on a public route.
+// If the configuration requires no keys, the result is nil in all cases.
 func (a *Authenticator) Authenticate(current *catalog.Catalog, credentials Credentials, public bool) (*catalog.Tenant, error) {
 	if !current.RequiresKeys() {
 		return nil, nil
@@ -64,8 +65,8 @@
 	return nil, result.New(result.Unauthenticated, "%s in version %d", problem, current.Version)
 }
 
-// checkConfirmed returns the tenant, or an error if its key may have been revoked
-// without this node having received the change.
+// checkConfirmed returns the tenant, or NotReady if the configuration has been unconfirmed
+// for longer than RevokeTime: the tenant's key may have been revoked since.
 func (a *Authenticator) checkConfirmed(current *catalog.Catalog, tenant *catalog.Tenant) (*catalog.Tenant, error) {
 	age := a.UnconfirmedFor()
 	if a.RevokeTime == 0 || age <= a.RevokeTime {
--- a/internal/serving/doc.go
+++ b/internal/serving/doc.go
@@ -7,7 +7,7 @@
 //     scheduling, health and arbiter on the plain node.
 //   - Sending, retries and refusals: online, exchange and retryafter on the edge;
 //     engine and retry on the plain node.
-//   - Requests that crash runners: quarantine, in every program.
+//   - Requests that crash runners: quarantine, on all kinds of nodes.
 //
 // The storage node runs batch items on the same runners and shares the packages that
 // are listed for the edge.
--- a/internal/serving/engine/client.go
+++ b/internal/serving/engine/client.go
@@ -1,9 +1,10 @@
-// Package engine is a client for model engines. It uses the OpenAI HTTP API with
+// Package engine is a client for model engines. It uses the OpenAI HTTP API with these
 // extensions: priorities, server-sent events that can be resumed by Last-Event-ID,
-// cancellation and fenced orders. It keeps connections to engines and no other state.
-// The plain node uses it (modules/serving/owner).
+// cancellation, and fenced orders to load models. It keeps connections to engines and no
+// other state. The plain node uses it (modules/serving/owner).
 //
-// Errors are those of package result and state whether the work was run.
+// The errors of Start, Resume and Stream.Next, except io.EOF, are of type result.Error;
+// their codes state whether the work was run.
 package engine
 
 import (
@@ -21,16 +22,17 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// Priorities of requests to engines, which serve lower numbers first.
+// Priorities of requests. An engine runs requests with lower numbers first.
 const (
 	PriorityOnline = 0
 	PriorityBatch  = 10
 )
 
 const (
+	// cancelTimeout bounds a call of Cancel.
 	cancelTimeout = 2 * time.Second
-	// maxErrorBytes bounds a response that is not a stream.
-	maxErrorBytes = 64 << 10
+	// maxResponseBytes is the maximum size of a response that is not a stream.
+	maxResponseBytes = 64 << 10
 )
 
 // Client calls engines.
@@ -45,14 +47,17 @@
 // Request is a request for a generation.
 type Request struct {
 	// ID identifies the stream at the engine and is unique for each dispatch.
-	ID       string
-	Surface  wirev1.Surface
-	Body     []byte
+	ID      string
+	Surface wirev1.Surface
+	// Body is the JSON that the caller sent.
+	Body []byte
+	// Priority is PriorityOnline or PriorityBatch.
 	Priority int
-	// Once marks work that must not run twice. It is sent on a new connection, since
-	// the failure of a stale one would leave the outcome unknown.
+	// Once marks work that must not run twice. The request is sent on a new connection,
+	// since the failure of a stale connection would leave the outcome unknown.
 	Once bool
-	// Received is the text that the caller already has. Generation continues after it.
+	// Received is the text that the caller already has, and ReceivedTokens its number of
+	// tokens. The engine continues after this text. Empty means a new response.
 	Received       string
 	ReceivedTokens int
 }
@@ -66,10 +71,11 @@
 }
 
 // Start dispatches a generation and waits for the engine's response header. The caller
-// must close the stream. The error is EngineRejected, NotFound or EngineRefused if the
-// engine did not run the request, and EngineFailed if the engine failed. Without a
-// response it is NoRunner or DeadlineTooClose if the request was not sent, and
-// OutcomeUnknown or DeadlineExceeded otherwise.
+// must close the stream. If the engine responds with an error, the code is EngineRejected,
+// NotFound or EngineRefused if the request was not run, and EngineFailed otherwise. Without
+// a response the code is NoRunner if the request was not sent, and OutcomeUnknown otherwise;
+// if the context has ended, for whatever reason, it is DeadlineTooClose or DeadlineExceeded
+// instead. A body that cannot be edited is InvalidRequest or Internal.
 func (c *Client) Start(ctx context.Context, address string, request *Request) (*Stream, error) {
 	body, err := streamBody(request)
 	if err != nil {
@@ -88,8 +94,8 @@
 	return newStream(response, request.ID, request.Surface, 0), nil
 }
 
-// Resume re-attaches to a stream after the event with the given index, or from the
-// start of the stream if the index is -1. The errors are those of Start.
+// Resume re-attaches to a stream: its first event is the event after the given index, or
+// event 0 if the index is -1. The errors are those of Start.
 func (c *Client) Resume(ctx context.Context, address, id string, surface wirev1.Surface, after int) (*Stream, error) {
 	headers := [][2]string{}
 	if after >= 0 {
@@ -105,8 +111,9 @@
 	return newStream(response, id, surface, after+1), nil
 }
 
-// Cancel asks the engine to stop a stream, within cancelTimeout. The context should
-// not be that of the stream, which has usually ended.
+// Cancel asks the engine to stop a stream, within cancelTimeout. It does not check the
+// status of the response: a stream that the engine does not know is no error. The context
+// should not be the context of the stream, which has usually ended.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -114,16 +121,17 @@
 	if err != nil {
 		return dispatchError(ctx, address, err)
 	}
-	_, err = response.ReadAll(maxErrorBytes)
+	_, err = response.ReadAll(maxResponseBytes)
 	return err
 }
 
 func streamURL(address, id string) string { return "http://" + address + "/v1/streams/" + id }
 
-// Order is a fenced order to an engine. The engine rejects an order whose fence is
-// below the highest that it has seen.
+// Order is an order to an engine to load a model or an adapter. The engine rejects an order
+// whose fence is below the highest fence that it has seen.
 type Order struct {
-	Fence   uint64 `json:"fence"`
+	Fence uint64 `json:"fence"`
+	// Kind is "load" for a model or "adapter".
 	Kind    string `json:"kind"`
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
@@ -131,8 +139,10 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Send sends an order to an engine. It returns StaleEpoch if the engine has seen a
-// higher fence, and otherwise the errors of Start.
+// Send sends an order to an engine. It returns StaleEpoch if the engine has seen a higher
+// fence, the errors of Start if the call fails otherwise, and an error without a code if
+// the response to an accepted order cannot be read. The engine may still be loading when
+// Send returns.
 func (c *Client) Send(ctx context.Context, address string, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -152,28 +162,32 @@
 	if response.Status != statusOK {
 		return statusError(response)
 	}
-	_, err = response.ReadAll(maxErrorBytes)
+	_, err = response.ReadAll(maxResponseBytes)
 	return err
 }
 
 // State is the state that an engine reports.
 type State struct {
+	// Fence is the highest fence that the engine has seen.
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
-	Loading  bool     `json:"loading"`
-	Boot     string   `json:"boot"`
+	// Loading is set while the engine is loading a model or an adapter.
+	Loading bool `json:"loading"`
+	// Boot identifies the run of the engine's process; it changes with each restart.
+	Boot string `json:"boot"`
 }
 
-// State returns the state of an engine. It returns EngineFailed if the response is
-// invalid.
+// State returns the state of an engine. It returns EngineFailed if the response cannot be
+// read or decoded, and the errors of Start if there is none. It does not check the status
+// of the response.
 func (c *Client) State(ctx context.Context, address string) (*State, error) {
 	response, err := c.http.Do(ctx, &httpcall.Request{Method: "GET", URL: "http://" + address + "/v1/state"})
 	if err != nil {
 		return nil, dispatchError(ctx, address, err)
 	}
-	body, err := response.ReadAll(maxErrorBytes)
+	body, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return nil, result.New(result.EngineFailed, "engine %s: %v", address, err)
 	}
@@ -194,7 +208,9 @@
 	statusUnavailable     = 503
 )
 
-// streamBody returns the body to send to the engine for a caller's body.
+// streamBody returns the caller's body with the settings that a stream requires: streaming,
+// the usage in the closing event, and the priority. If the caller already has a part of the
+// response, the body requests the rest of it.
 func streamBody(request *Request) ([]byte, error) {
 	body := request.Body
 	edits := []struct {
@@ -215,8 +231,9 @@
 	return continueBody(body, request)
 }
 
-// continueBody changes a body to request the rest of a response whose beginning the
-// caller already has.
+// continueBody changes a body so that the engine continues the received text: it appends
+// the text to the prompt or the messages, and reduces max_tokens, if set, by the number of
+// received tokens.
 func continueBody(body []byte, request *Request) ([]byte, error) {
 	var err error
 	if limit := gjson.GetBytes(body, "max_tokens").Int(); limit > 0 {
@@ -247,7 +264,8 @@
 	return edited, nil
 }
 
-// dispatchError maps a transport error to a result code.
+// dispatchError maps a transport error to a result code. An ended context counts as a
+// passed deadline, also if it was cancelled.
 func dispatchError(ctx context.Context, address string, err error) error {
 	var notSent *httpcall.NotSentError
 	if errors.As(err, &notSent) {
@@ -262,12 +280,13 @@
 	return result.New(result.OutcomeUnknown, "engine %s: %v", address, err)
 }
 
-// statusError maps an engine's error response to a result code. With status 400, 404,
-// 422, 429 or 503 the engine did not run the request; with others it may have.
+// statusError maps an engine's error response to a result code and closes the response.
+// With status 400, 404, 422, 429 or 503 the engine did not run the request; with another
+// status it may have run the request.
 func statusError(response *httpcall.Response) error {
 	status := response.Status
 	retryAfter := gjson.ParseBytes(response.Header.Peek("Retry-After")).Float()
-	body, err := response.ReadAll(maxErrorBytes)
+	body, err := response.ReadAll(maxResponseBytes)
 	message := gjson.GetBytes(body, "error.message").String()
 	if err != nil || message == "" {
 		message = fmt.Sprintf("engine answered status %d", status)
--- a/internal/serving/engine/stream.go
+++ b/internal/serving/engine/stream.go
@@ -14,14 +14,15 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// Event is one event of a response.
+// Event is one event of a response: a part of the text, or the closing event.
 type Event struct {
 	// Index is the event's position in the stream, from 0, without gaps.
 	Index int
 	Text  string
-	// FinishReason is set on the last event with text, for example "stop".
+	// FinishReason is why the generation ended, for example "stop"; empty for all events
+	// but the last of the text.
 	FinishReason string
-	// Usage is set on the closing event.
+	// Usage is set on the closing event; nil on the others.
 	Usage *Usage
 }
 
@@ -31,32 +32,34 @@
 	CompletionTokens int
 }
 
-// maxReorderDistance bounds how far ahead of the next expected event an event is
-// buffered. A larger gap is an error of the engine.
+// maxReorderDistance is the maximum distance between the index of a buffered event and the
+// next index. An event further ahead ends the stream with RunnerLost.
 const maxReorderDistance = 256
 
 const streamBufferBytes = 16 << 10
 
-// Stream reads the events of one generation in order. It drops repeated events and
-// events of other requests, and buffers events that arrive ahead of their turn.
+// Stream reads the events of one generation in the order of their indexes. It drops
+// repeated events and events of other requests, and buffers events that arrive early. It
+// is not safe for concurrent use.
 type Stream struct {
-	// Repeated and Foreign count the events that were dropped for these reasons.
+	// Repeated and Foreign count the dropped events: repeated events, and events of other
+	// requests.
 	Repeated, Foreign int
 
 	response     *httpcall.Response
 	reader       *bufio.Reader
 	id           string
 	surface      wirev1.Surface
-	next         int
-	buffered     map[int]Event
-	doneReceived bool
-	ended        bool
+	nextIndex    int           // of the event that Next returns next
+	buffered     map[int]Event // by index
+	doneReceived bool          // the end marker was received
+	ended        bool          // the connection ended after the end marker
 }
 
 func newStream(response *httpcall.Response, id string, surface wirev1.Surface, next int) *Stream {
 	return &Stream{
 		response: response, reader: bufio.NewReaderSize(response, streamBufferBytes),
-		id: id, surface: surface, next: next, buffered: map[int]Event{},
+		id: id, surface: surface, nextIndex: next, buffered: map[int]Event{},
 	}
 }
 
@@ -65,13 +68,13 @@
 func (s *Stream) Close() { s.response.Close() }
 
 // Next returns the next event. It returns io.EOF after the last event of a complete
-// response, EngineFailed if the engine reports an error, and RunnerLost if the stream
-// is incomplete.
+// response, EngineFailed if the engine reports an error, and RunnerLost if the connection
+// breaks or events are missing.
 func (s *Stream) Next() (Event, error) {
 	for {
-		if event, found := s.buffered[s.next]; found {
-			delete(s.buffered, s.next)
-			s.next++
+		if event, found := s.buffered[s.nextIndex]; found {
+			delete(s.buffered, s.nextIndex)
+			s.nextIndex++
 			return event, nil
 		}
 		if s.ended {
@@ -83,9 +86,10 @@
 	}
 }
 
+// endError returns the result of Next after the end of the stream.
 func (s *Stream) endError() error {
 	if len(s.buffered) > 0 {
-		return result.New(result.RunnerLost, "stream %s ended without event %d", s.id, s.next)
+		return result.New(result.RunnerLost, "stream %s ended without event %d", s.id, s.nextIndex)
 	}
 	return io.EOF
 }
@@ -96,7 +100,8 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// readEvent reads one server-sent event and stores it by its index.
+// readEvent reads one server-sent event and stores it by its index. An event without an id
+// gets the next index.
 func (s *Stream) readEvent() error {
 	index := -1
 	var data []byte
@@ -123,14 +128,18 @@
 	}
 }
 
+// readError handles an error of the connection. The end of the connection is no error if
+// the end marker was received.
 func (s *Stream) readError(err error) error {
 	if s.doneReceived && errors.Is(err, io.EOF) {
 		s.ended = true
 		return nil
 	}
-	return result.New(result.RunnerLost, "stream %s broke after %d events: %v", s.id, s.next, err)
+	return result.New(result.RunnerLost, "stream %s broke after %d events: %v", s.id, s.nextIndex, err)
 }
 
+// storeEvent handles the data of a server-sent event: it buffers an event of this request
+// that is not a repetition. An index below 0 stands for the next index.
 func (s *Stream) storeEvent(index int, data []byte) error {
 	if bytes.Equal(data, doneMarker) {
 		s.doneReceived = true
@@ -145,14 +154,14 @@
 		return nil
 	}
 	if index < 0 {
-		index = s.next
+		index = s.nextIndex
 	}
-	if _, held := s.buffered[index]; held || index < s.next {
+	if _, duplicate := s.buffered[index]; duplicate || index < s.nextIndex {
 		s.Repeated++
 		return nil
 	}
-	if index > s.next+maxReorderDistance {
-		return result.New(result.RunnerLost, "stream %s skipped from event %d to %d", s.id, s.next, index)
+	if index > s.nextIndex+maxReorderDistance {
+		return result.New(result.RunnerLost, "stream %s skipped from event %d to %d", s.id, s.nextIndex, index)
 	}
 	s.buffered[index] = decodeEvent(index, parsed, s.surface)
 	return nil
