--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -37,7 +37,7 @@
 		ID:    fmt.Sprintf("item-%s-%d-%d-%d-%08x", key.Job, key.Segment, key.Offset, grant.Attempt, uint32(m.session)^uint32(time.Now().UnixNano())),
 		Model: grant.Item.Model, Surface: surfaceOf(grant.Item.Url), Body: grant.Item.Body,
 		Once: grant.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE,
-		Started: func() {
+		StartDecided: func() {
 			m.mutex.Lock()
 			m.starting[grant.Item.Model]--
 			m.mutex.Unlock()
--- a/modules/serving/owner/dispatch.go
+++ b/modules/serving/owner/dispatch.go
@@ -14,17 +14,18 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Emit sends one event of a response to the accepting node. An error ends the
-// stream, since the accepting node is gone.
+// Emit sends one event of a response to the accepting node. Any error ends the stream
+// with CallerGone.
 type Emit func(*wirev1.DispatchEvent) error
 
-// errPreempted is the cancellation cause of preempted batch streams.
+// errPreempted is the cancellation cause of all preempted batch streams, whatever the
+// reason.
 var errPreempted = result.New(result.Preempted, "slot given back to online work")
 
 const (
-	// firstTokenTimeoutFactor bounds the wait for the first token as a multiple of
-	// its target; tokenGapTimeout bounds the wait between events. A runner that
-	// exceeds either is treated as lost.
+	// firstTokenTimeoutFactor is the factor from the model's first-token target to the
+	// timeout of an online stream's first event. tokenGapTimeout is the timeout of each
+	// later event. When either passes, the runner is treated as lost.
 	firstTokenTimeoutFactor = 4
 	tokenGapTimeout         = 2 * time.Second
 )
@@ -45,9 +46,11 @@
 	return m.Reattach(ctx, &request, func(event *wirev1.DispatchEvent) error { return stream.Send(event) })
 }
 
-// Dispatch runs an online request on an owned runner. If a runner provably did not
-// run the request, Dispatch tries another one. It returns any other failure, because
-// only the accepting node knows whether a retry is allowed.
+// Dispatch runs an online request on an owned runner and emits the events of the
+// response. If a runner provably did not run the request, Dispatch tries another runner;
+// when it can choose no other runner, it returns the error of the last attempt. It returns
+// any other error at once, and the accepting node decides whether to retry. If there is no
+// runner for the first attempt, the error is UnknownModel, NotOwner or Saturated.
 func (m *Module) Dispatch(ctx context.Context, request *wirev1.DispatchRequest, emit Emit) error {
 	excluded := append([]string(nil), request.ExcludeRunners...)
 	var refused error
@@ -68,8 +71,8 @@
 	}
 }
 
-// provablyNotRun reports whether another runner may be tried after an error, even for
-// work that must not run twice.
+// provablyNotRun reports whether an error proves that the runner did not run the
+// request, so that another runner may be tried even if the work must not run twice.
 func provablyNotRun(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NoRunner, result.EngineRefused:
@@ -79,16 +82,16 @@
 	}
 }
 
-// assignment is the runner on which a stream has taken a slot.
+// assignment is the runner that was chosen for a stream.
 type assignment struct {
 	id      string
 	address string
-	runner  *runner
+	runner  *runner // nil for a re-attached stream that takes no slot
 	model   string
 }
 
-// admitOnline chooses a runner, takes an online slot on it and preempts batch streams
-// if necessary.
+// admitOnline chooses a runner that is not excluded, takes an online slot on it and
+// preempts batch streams if necessary. The caller has to release the slot (onlineDone).
 func (m *Module) admitOnline(request *wirev1.DispatchRequest, excluded []string) (*assignment, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -129,7 +132,8 @@
 	return model.Name, true
 }
 
-// candidates lists the owned runners of a model. The caller holds the mutex.
+// candidates lists the owned runners that have loaded a model, including runners that
+// are leaving or ejected. The caller holds the mutex.
 func (m *Module) candidates(model string, prefix uint64) []framework.Candidate {
 	var candidates []framework.Candidate
 	for _, r := range m.runners {
@@ -145,7 +149,8 @@
 	return candidates
 }
 
-// runOnline runs an admitted stream to its end.
+// runOnline runs an admitted stream to its end and releases its slot. It first emits the
+// choice of the runner, together with this node's load.
 func (m *Module) runOnline(ctx context.Context, chosen *assignment, request *wirev1.DispatchRequest, emit Emit) error {
 	defer m.onlineDone(chosen.runner)
 	m.metrics.dispatched.WithLabelValues("online").Inc()
@@ -169,8 +174,8 @@
 	return m.forwardEvents(watchdog, chosen, stream, request.RequestId, started, emit)
 }
 
-// registerMovable registers a stream that may be moved off a leaving runner. It
-// returns a function that removes the registration.
+// registerMovable registers a stream that may be moved off a leaving runner, unless the
+// work must not run twice. It returns a function that removes the registration.
 func (m *Module) registerMovable(r *runner, watchdog *streamWatchdog, once bool) func() {
 	if once {
 		return func() {}
@@ -185,9 +190,11 @@
 	}
 }
 
-// Reattach continues a stream that this node or a previous owner started.
+// Reattach continues to read a stream that runs on a runner already, after the event
+// LastEvent of the request. This node or another one may have started the stream. The
+// runner has to be listed, but this node need not own it.
 func (m *Module) Reattach(ctx context.Context, request *wirev1.ReattachRequest, emit Emit) error {
-	listed, known := m.tables.Table().ByID[request.Runner]
+	listed, known := m.runnerTables.Table().ByID[request.Runner]
 	if !known {
 		return result.New(result.NoRunner, "runner %s is not listed", request.Runner)
 	}
@@ -204,9 +211,9 @@
 	return m.forwardEvents(watchdog, chosen, stream, request.RequestId, time.Now(), emit)
 }
 
-// admitReattached takes an online slot for a stream that already runs. It returns nil,
-// and the stream is not counted, if this node does not own the runner or its arbiter
-// does not admit the stream.
+// admitReattached takes an online slot for a stream that already runs and returns its
+// runner. If this node does not have the runner, or the runner's arbiter does not admit
+// the stream, it returns nil, and the stream runs without being counted.
 func (m *Module) admitReattached(id string) *runner {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -222,6 +229,7 @@
 	return r
 }
 
+// onlineDone releases the slot of an online stream; r may be nil.
 func (m *Module) onlineDone(r *runner) {
 	if r == nil {
 		return
@@ -229,14 +237,15 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r.arbiter.OnlineDone()
-	m.signalFreed()
+	m.signalFreedBatchSlots()
 }
 
-// forwardEvents forwards events until the response ends and records the latency of
-// its tokens.
+// forwardEvents forwards events until the response ends or fails. It records the outcome
+// and the latencies: the time from started to the first event with text, and the times
+// between events with text.
 func (m *Module) forwardEvents(watchdog *streamWatchdog, chosen *assignment, stream *engine.Stream, id string, started time.Time, emit Emit) error {
 	defer m.countDropped(stream)
-	last := started
+	lastTextAt := started
 	first := true
 	for {
 		event, err := stream.Next()
@@ -252,8 +261,8 @@
 		now := time.Now()
 		watchdog.eventReceived()
 		if event.Text != "" {
-			m.recordLatency(chosen.runner, first, now.Sub(last))
-			first, last = false, now
+			m.recordLatency(chosen.runner, first, now.Sub(lastTextAt))
+			first, lastTextAt = false, now
 		}
 		if err := emit(toWire(id, chosen.id, event)); err != nil {
 			gone := result.New(result.CallerGone, "accepting node is gone")
@@ -268,6 +277,7 @@
 	m.metrics.dropped.WithLabelValues("foreign").Add(float64(stream.Foreign))
 }
 
+// toWire converts an event to its wire form; id is the id of the stream.
 func toWire(id, runner string, event engine.Event) *wirev1.DispatchEvent {
 	converted := &wirev1.DispatchEvent{RequestId: id, Runner: runner, Index: uint32(event.Index), Text: event.Text, FinishReason: event.FinishReason}
 	if event.Usage != nil {
@@ -277,6 +287,7 @@
 	return converted
 }
 
+// recordLatency records the time to the first event with text, or between two of them.
 func (m *Module) recordLatency(r *runner, first bool, waited time.Duration) {
 	if r == nil {
 		return
@@ -295,10 +306,9 @@
 	m.metrics.tokenGap.Observe(waited.Seconds())
 }
 
-// abort records the outcome of a failed stream and cancels the stream at its engine
-// if no node will read it any more. Other streams keep running there: the accepting
-// node may re-attach through another owner, and the engine ends an unread stream by
-// itself.
+// abort records the outcome of a failed stream. It cancels the stream at its engine after
+// an error with which no node will read the stream any more. After other errors the
+// stream keeps running there, since the accepting node may re-attach to it.
 func (m *Module) abort(chosen *assignment, id string, err error) {
 	m.recordOutcome(chosen.runner, err)
 	switch result.CodeOf(err) {
@@ -307,7 +317,9 @@
 	}
 }
 
-// recordOutcome counts a failure and updates the runner's health.
+// recordOutcome records the outcome of a stream; err is nil for a success. It counts a
+// failure, and updates the health of the runner, unless r is nil or the error says
+// nothing about the runner.
 func (m *Module) recordOutcome(r *runner, err error) {
 	code := result.CodeOf(err)
 	if code != result.OK {
--- a/modules/serving/owner/orders.go
+++ b/modules/serving/owner/orders.go
@@ -11,23 +11,30 @@
 	"cobaltramp.example/cobaltramp/internal/serving/engine"
 )
 
-// orderState is the model that an owned runner should have loaded, and its progress.
+// orderState is the model that an owned runner should load, and the progress of the
+// load. Orders to an engine name the generation of the bundle as their fence.
 type orderState struct {
 	model      string
 	version    string
 	adapters   []string
 	generation uint64
-	loaded     bool
-	// stale is set while the runner serves an earlier version or set of adapters and
-	// waits for a load slot.
-	stale     bool
+	// loaded is set if the runner can run requests of the model: its engine confirmed
+	// the target, or stale is set.
+	loaded bool
+	// stale is set while the runner has an earlier version or set of adapters of the
+	// model loaded and waits for a load slot.
+	stale bool
+	// lastCheck is the start of the latest check; zero if the runner has to be checked
+	// at once.
 	lastCheck time.Time
-	boot      string
+	// boot identifies the run of the engine's process that last confirmed the target.
+	boot string
 }
 
-// setTarget sets what the runner should load. A change has to be confirmed by the
-// engine. A runner that has another version of the same model loaded keeps serving
-// it until it gets a load slot.
+// setTarget sets the model that the runner should load. After a change of the model, its
+// version or its adapters, the runner is not loaded until its engine confirms the
+// target. An exception is a runner with the same model loaded in another version or with
+// other adapters: it runs requests until it gets a load slot (stale).
 func (o *orderState) setTarget(model *bundle.CompiledModel, generation uint64) {
 	same := o.model == model.Name && o.version == model.Version && sameStrings(o.adapters, model.Adapters)
 	if !same {
@@ -52,18 +59,19 @@
 
 const (
 	// orderInterval is the time between two searches for runners that are due for a
-	// check.
+	// check, and between two checks of a runner that is not loaded or is stale.
 	orderInterval = 200 * time.Millisecond
-	// recheckLoaded is the time between two checks of a loaded runner, whose engine
-	// loses its model when it restarts.
+	// recheckLoaded is the time between two checks of a loaded runner that is not stale.
+	// An engine that restarts loses its model.
 	recheckLoaded = 2 * time.Second
-	// orderTimeout bounds the check of one runner.
+	// orderTimeout bounds the check of one runner, including the orders to its engine.
 	orderTimeout = 2 * time.Second
-	// maxChecks bounds the checks that start at a time.
+	// maxChecks is the maximum number of checks that one search starts.
 	maxChecks = 16
 )
 
-// orderLoop makes owned runners load the models and adapters of the bundle.
+// orderLoop checks the owned runners and orders their engines to load the models and
+// adapters of the bundle, until the context ends.
 func (m *Module) orderLoop(ctx context.Context) {
 	ticker := time.NewTicker(orderInterval)
 	defer ticker.Stop()
@@ -80,13 +88,13 @@
 	}
 }
 
-// loadingDivisor bounds the runners of a model that load at the same time at one owner
-// to a quarter of them, or one if that is more, so that the model stays available
-// during the rollout of a new version.
+// loadingDivisor limits the rollout of a new version, so that the model stays available:
+// at one owner at most 1/loadingDivisor of the model's runners, but at least one, may load
+// at the same time. Runners that are not loaded for any other reason count as well.
 const loadingDivisor = 4
 
-// freeLoadSlots returns how many more runners of each model may start to load. The
-// caller holds the mutex.
+// freeLoadSlots returns how many more stale runners of each model may start to load; 0 or
+// a negative number means none. The caller holds the mutex.
 func (m *Module) freeLoadSlots() map[string]int {
 	owned, loading := map[string]int{}, map[string]int{}
 	for _, r := range m.runners {
@@ -105,14 +113,15 @@
 	return slots
 }
 
+// dueCheck is a runner to check, and a copy of its order state.
 type dueCheck struct {
 	id      string
 	address string
 	target  orderState
 }
 
-// dueChecks returns runners that are due for a check. It bounds their number, so that
-// runners do not all load from the weight store at the same time.
+// dueChecks returns up to maxChecks owned runners that are due for a check and sets the
+// time of their latest check. A stale runner is due only if it gets a load slot.
 func (m *Module) dueChecks(now time.Time) []dueCheck {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -141,8 +150,8 @@
 	return due
 }
 
-// check compares an engine's state with the target and orders it to load what is
-// missing.
+// check compares an engine's state with the target and sends the missing orders. It sends
+// none while the engine is loading, and stops at the first order that fails.
 func (m *Module) check(ctx context.Context, due dueCheck) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -169,6 +178,9 @@
 	}
 }
 
+// missingOrders returns the orders that bring an engine to the target: the model if the
+// engine has another model or version, and otherwise each adapter that it lacks. Nothing
+// unloads adapters that the target does not contain.
 func missingOrders(target *orderState, state *engine.State) []engine.Order {
 	if state.Model != target.model || state.Version != target.version {
 		return []engine.Order{{Fence: target.generation, Kind: "load", Model: target.model, Version: target.version}}
@@ -186,6 +198,9 @@
 	return orders
 }
 
+// recordLoaded records that an engine confirmed the target, unless the model or version
+// has changed since. If the engine has restarted since the last confirmation, its
+// failures are reset.
 func (m *Module) recordLoaded(id string, target orderState, boot string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -201,9 +216,12 @@
 		r.health.RecordSuccess()
 	}
 	r.orders.loaded, r.orders.stale = true, false
-	m.signalFreed()
+	m.signalFreedBatchSlots()
 }
 
+// recordUnloaded records the result of a check that did not confirm the target. With an
+// error, the engine's state is unknown: the check counts as a failure of the runner, and
+// the runner stays loaded if it was.
 func (m *Module) recordUnloaded(id string, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/modules/serving/owner/owner.go
+++ b/modules/serving/owner/owner.go
@@ -1,12 +1,13 @@
-// Package owner schedules work on the runners that this node owns. All of their
-// traffic passes through it: online streams dispatched by accepting nodes, and batch
-// items that the node itself runs in the remaining capacity.
+// Package owner schedules work on the runners that this node owns. Two kinds of work run
+// there: online streams, which accepting nodes dispatch to this node, and batch items,
+// which this node runs itself in the remaining slots. An accepting node is the node that
+// received the caller's request (module serving.router); it may be this node.
 //
-// It keeps, in memory, the streams on each owned runner, the runner's health and its
-// orders (which model to load). The list of owned runners comes from module
-// fleet.runners, their models and policy from the active bundle, the number of streams
-// that may run from internal/serving/arbiter, and the connections to the engines from
-// internal/serving/engine. The plain node runs it.
+// For each owned runner, the package keeps in memory the running streams, the runner's
+// health and the model that its engine is ordered to load. The list of owned runners
+// comes from module fleet.runners, and their models and policy from the active bundle.
+// Package arbiter decides how many streams may run, and package engine sends the
+// requests. The plain node runs this module.
 package owner
 
 import (
@@ -33,7 +34,7 @@
 	"cobaltramp.example/cobaltramp/modules/fleet/runners"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "serving.owner"
 
 func init() {
@@ -43,8 +44,8 @@
 	})
 }
 
-// Tables is the part of module fleet.runners that this package uses.
-type Tables interface {
+// RunnerTables is the part of module fleet.runners that this package uses.
+type RunnerTables interface {
 	Table() *fleet.Runners
 	OnTable(func(*fleet.Runners))
 }
@@ -58,23 +59,23 @@
 // Module manages the owned runners. Its mutex guards the runners' state and is never
 // held during I/O.
 type Module struct {
-	settings  *settings.Settings
-	tables    Tables
-	snapshots Snapshots
-	engines   *engine.Client
-	scheduler *framework.Scheduler
-	metrics   *metrics
-
-	mutex    sync.Mutex
-	runners  map[string]*runner
-	random   *rand.Rand
-	draining bool
-	sequence uint64
-	freed    chan struct{}
-	acquired chan struct{} // a runner was acquired and has to be checked at once
-
-	// background runs the loops and the engine calls that no stream waits for.
-	// lifetime is the context of Start, which ends them.
+	settings     *settings.Settings
+	runnerTables RunnerTables
+	snapshots    Snapshots
+	engines      *engine.Client
+	scheduler    *framework.Scheduler
+	metrics      *metrics
+
+	mutex           sync.Mutex
+	runners         map[string]*runner
+	random          *rand.Rand
+	batchStopped    bool   // set by StopBatch
+	loadSequence    uint64 // of the latest load digest (Load)
+	freedBatchSlots chan struct{}
+	acquired        chan struct{} // receives a value when a runner was acquired and has to be checked at once
+
+	// background runs the loops, and the calls to engines that no stream waits for.
+	// lifetime is the context of Start; both end with it.
 	background tasks.Group
 	lifetime   context.Context
 }
@@ -91,7 +92,7 @@
 	var server *rpc.Server
 	var registry prometheus.Registerer
 	if err := ctx.Resolve(
-		kernel.Dependency(&m.settings), kernel.Dependency(&m.tables), kernel.Dependency(&m.snapshots),
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.runnerTables), kernel.Dependency(&m.snapshots),
 		kernel.Dependency(&server), kernel.Dependency(&registry),
 	); err != nil {
 		return trace.Wrap(err)
@@ -100,10 +101,10 @@
 	m.engines = engine.NewClient()
 	m.runners = map[string]*runner{}
 	m.random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	m.freed = make(chan struct{}, 1)
+	m.freedBatchSlots = make(chan struct{}, 1)
 	m.acquired = make(chan struct{}, 1)
 	m.scheduler = newScheduler()
-	m.tables.OnTable(func(*fleet.Runners) { m.refresh() })
+	m.runnerTables.OnTable(func(*fleet.Runners) { m.refresh() })
 	m.snapshots.OnSnapshot(func(*bundle.Snapshot) { m.refresh() })
 	server.Handle(wirev1.Method_METHOD_DISPATCH, m.serveDispatch)
 	server.Handle(wirev1.Method_METHOD_REATTACH, m.serveReattach)
@@ -123,7 +124,7 @@
 	}
 }
 
-// tickInterval is the time between two updates of the arbiters.
+// tickInterval is the time between two calls of tick, and between two checks by Drain.
 const tickInterval = 50 * time.Millisecond
 
 // Start implements kernel.Starter.
@@ -135,12 +136,12 @@
 	return nil
 }
 
-// viewPropagationTime is how long other members may still send requests to a leaving
-// node because they have not received its state yet.
+// viewPropagationTime is how long Drain waits for the other nodes to learn that this
+// node is leaving. Until then they may still dispatch requests to it.
 const viewPropagationTime = 2 * time.Second
 
-// Drain implements kernel.Drainer. It waits until the other members have chosen other
-// owners and the last stream on this node has ended.
+// Drain implements kernel.Drainer. It waits for viewPropagationTime and then until no
+// stream runs (Idle), or until the context ends.
 func (m *Module) Drain(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -159,8 +160,8 @@
 	}
 }
 
-// cancelAtEngine cancels a stream that is no longer read. If the call fails, the
-// engine ends the stream by itself a little later.
+// cancelAtEngine asks an engine, in the background, to cancel a stream that is no longer
+// read. If the call fails, the engine ends the unread stream after its own timeout.
 func (m *Module) cancelAtEngine(address, id string) {
 	m.background.Go(func() {
 		if err := m.engines.Cancel(m.lifetime, address, id); err != nil {
@@ -182,8 +183,9 @@
 	}
 }
 
-// tick adjusts the batch limits, preempts batch streams above them, and evicts streams
-// from runners whose drain timeout has passed.
+// tick adjusts the batch limit of each runner and preempts batch streams above it. It
+// evicts the streams of runners that have been leaving for longer than the drain
+// timeout, and updates the metrics.
 func (m *Module) tick(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -198,20 +200,22 @@
 		batch += r.arbiter.Batch()
 		limit += r.arbiter.BatchLimit()
 	}
-	m.metrics.online.Set(float64(online))
-	m.metrics.batch.Set(float64(batch))
-	m.metrics.limit.Set(float64(limit))
+	m.metrics.onlineStreams.Set(float64(online))
+	m.metrics.batchStreams.Set(float64(batch))
+	m.metrics.batchLimit.Set(float64(limit))
 	if batch < limit {
-		m.signalFreed()
+		m.signalFreedBatchSlots()
 	}
 }
 
-func (m *Module) signalFreed() {
+// signalFreedBatchSlots sends a value to the channel of Freed, unless one is pending.
+func (m *Module) signalFreedBatchSlots() {
 	select {
-	case m.freed <- struct{}{}:
+	case m.freedBatchSlots <- struct{}{}:
 	default:
 	}
 }
 
 // Freed returns a channel that receives a value when batch slots may have become free.
-func (m *Module) Freed() <-chan struct{} { return m.freed }
+// Values that are not read at once are merged into one.
+func (m *Module) Freed() <-chan struct{} { return m.freedBatchSlots }
--- a/modules/serving/owner/runners.go
+++ b/modules/serving/owner/runners.go
@@ -10,31 +10,34 @@
 	"cobaltramp.example/cobaltramp/internal/serving/health"
 )
 
-// runner is the state of an owned runner. A runner that is no longer owned stays until
-// its last stream has ended.
+// runner is the state of an owned runner. A runner that is no longer owned is removed by
+// the first refresh that finds it without streams.
 type runner struct {
 	id      string
 	address string
 	zone    string
-	model   string // name of the model it serves, from the bundle
+	model   string // name of the model that the runner should serve, from the bundle
 	leaving bool
 	// leavingSince is the time when this node first saw the runner listed as leaving.
 	leavingSince time.Time
 	owned        bool
 	arbiter      *arbiter.Arbiter
 	health       health.Failures
-	// cancels contains the functions that preempt batch streams; nil for a stream
-	// that must not be preempted.
+	// cancels contains, for each counted batch stream, the function that preempts it;
+	// nil for a stream that must not be preempted.
 	cancels map[arbiter.BatchStream]context.CancelCauseFunc
-	// movable contains the online streams that may be continued on another runner.
+	// movable contains the running online streams that may be continued on another
+	// runner.
 	movable map[*streamWatchdog]struct{}
 	orders  orderState
 }
 
+// ready reports whether the runner accepts new streams, apart from its limits.
 func (r *runner) ready(now time.Time) bool {
 	return r.owned && !r.leaving && r.orders.loaded && !r.health.EjectedUntil().After(now)
 }
 
+// stateName returns the state that Status reports.
 func (r *runner) stateName(now time.Time) string {
 	switch {
 	case !r.owned:
@@ -50,10 +53,11 @@
 	}
 }
 
-// refresh updates the owned runners from the runner table and the bundle. A runner
-// that is no longer owned keeps its running streams and gets no new ones.
+// refresh updates the owned runners from the runner table and the bundle. A runner that
+// is no longer owned, or whose service has no model in the bundle, keeps its running
+// streams and gets no new ones.
 func (m *Module) refresh() {
-	table, snapshot := m.tables.Table(), m.snapshots.Snapshot()
+	table, snapshot := m.runnerTables.Table(), m.snapshots.Snapshot()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, r := range m.runners {
@@ -72,6 +76,7 @@
 	}
 }
 
+// modelsByService returns the models of a bundle by the service of their runners.
 func modelsByService(snapshot *bundle.Snapshot) map[string]*bundle.CompiledModel {
 	models := map[string]*bundle.CompiledModel{}
 	for name, model := range snapshot.Models {
@@ -82,6 +87,8 @@
 	return models
 }
 
+// refreshRunner updates or adds one owned runner. It does nothing if the runner's service
+// has no model. The caller holds the mutex.
 func (m *Module) refreshRunner(listed *fleet.Runner, model *bundle.CompiledModel, snapshot *bundle.Snapshot) {
 	if model == nil {
 		return
@@ -127,6 +134,7 @@
 // defaultDrainTimeout applies until a bundle has been loaded.
 const defaultDrainTimeout = 30 * time.Second
 
+// drainTimeout returns how long streams may continue on a leaving runner.
 func (m *Module) drainTimeout() time.Duration {
 	if snapshot := m.snapshots.Snapshot(); snapshot != nil {
 		return snapshot.Policy.DrainTimeout.Std()
@@ -135,8 +143,9 @@
 }
 
 // evictStreams ends the streams that still run on a leaving runner after the drain
-// timeout: batch items are preempted, and online streams continue on other runners.
-// Work that must not run twice keeps running. The caller holds the mutex.
+// timeout: it preempts batch items, and ends online streams with an error with which the
+// accepting node continues them on another runner. Work that must not run twice, and
+// re-attached streams, keep running. The caller holds the mutex.
 func (m *Module) evictStreams(r *runner) {
 	for stream, cancel := range r.cancels {
 		if cancel != nil {
@@ -151,7 +160,8 @@
 	}
 }
 
-// preempt cancels batch streams. The caller holds the mutex.
+// preempt cancels batch streams that the arbiter has removed. A stream that must not be
+// preempted keeps running, but is no longer counted. The caller holds the mutex.
 func (m *Module) preempt(r *runner, streams []arbiter.BatchStream) {
 	for _, stream := range streams {
 		if cancel := r.cancels[stream]; cancel != nil {
--- a/modules/serving/owner/status.go
+++ b/modules/serving/owner/status.go
@@ -6,16 +6,17 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Load returns the load that this node advertises to accepting nodes, for one model
-// or, with an empty name, for all models.
-func (m *Module) Load(only string) *wirev1.LoadDigest {
+// Load returns the load that this node advertises to accepting nodes: the slots and
+// streams of its ready runners, for one model or, if the name is empty, for each model.
+// Each call returns a higher sequence number than the call before.
+func (m *Module) Load(modelName string) *wirev1.LoadDigest {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.sequence++
+	m.loadSequence++
 	byModel := map[string]*wirev1.ModelLoad{}
-	digest := &wirev1.LoadDigest{NodeId: m.settings.Node.ID, Sequence: m.sequence}
+	digest := &wirev1.LoadDigest{NodeId: m.settings.Node.ID, Sequence: m.loadSequence}
 	for _, r := range m.runners {
-		if !r.ready(time.Now()) || (only != "" && r.model != only) {
+		if !r.ready(time.Now()) || (modelName != "" && r.model != modelName) {
 			continue
 		}
 		load := byModel[r.model]
@@ -32,7 +33,8 @@
 	return digest
 }
 
-// Status returns the state of each runner for operators.
+// Status returns the state of each runner for operators, including runners that are no
+// longer owned but still have streams.
 func (m *Module) Status() []*wirev1.RunnerStatus {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -47,7 +49,8 @@
 	return list
 }
 
-// Idle reports whether no stream runs on any runner.
+// Idle reports whether no stream takes a slot on any runner. Streams that are not
+// counted, such as some re-attached streams, may still run.
 func (m *Module) Idle() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
