--- a/modules/serving/router/choose.go
+++ b/modules/serving/router/choose.go
@@ -11,7 +11,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/scheduling/plugins"
 )
 
-// ownerSamples is the number of owners sampled per choice, of which the best is used.
+// ownerSamples is the number of random owners that are compared per choice.
 const ownerSamples = 2
 
 func newScheduler() *framework.Scheduler {
@@ -25,14 +25,15 @@
 	}
 }
 
-// distance is how far a pool is from this node.
+// distance is how far a pool is from this node. A pool is the runners of a service in one
+// zone that have the same owner.
 type distance int
 
 const (
 	sameZone distance = iota
 	sameRegion
 	otherRegion
-	distances
+	distances // the number of distances
 )
 
 func (m *Module) distanceOf(pool *fleet.Pool) distance {
@@ -46,10 +47,11 @@
 	}
 }
 
-// choose returns the owner to dispatch to: one in this node's zone if any has free
-// slots, otherwise one in the region, otherwise one elsewhere.
+// choose returns the id of the owner to dispatch to: an owner in this node's zone if one
+// of them has free slots, otherwise one in the region, otherwise one in another region. It
+// returns false if no owner that is not excluded has free slots.
 func (m *Module) choose(model *bundle.CompiledModel, prefix uint64, excluded []string) (string, bool) {
-	pools := m.tables.Table().Pools[model.Service]
+	pools := m.runnerTables.Table().Pools[model.Service]
 	var byDistance [distances][]framework.Candidate
 	for i := range pools {
 		at := m.distanceOf(&pools[i])
@@ -68,8 +70,9 @@
 	return "", false
 }
 
-// candidate returns an owner's state: the load that it advertised, but at least the
-// requests that this node has in flight there.
+// candidate returns an owner's state for the scheduler. Its load is the load that the
+// owner advertised for the model, but at least the number of requests that this node has
+// in flight there. Without an advertised load, the capacity is that of the pool's runners.
 func (m *Module) candidate(pool *fleet.Pool, model *bundle.CompiledModel, prefix uint64) framework.Candidate {
 	state := m.owner(pool.Owner)
 	candidate := framework.Candidate{
--- a/modules/serving/router/crashes.go
+++ b/modules/serving/router/crashes.go
@@ -16,26 +16,29 @@
 	return quarantine.FingerprintOf(quarantine.RequestContent{Tenant: r.Tenant, Method: http.MethodPost, Host: r.Model.Name, URI: r.Surface.String(), Body: r.Body})
 }
 
-// checkQuarantine returns an error if the request is held because it crashes engines.
+// checkQuarantine returns an error if the request is held because it crashes engines:
+// Quarantined if no attempt has run, and otherwise the error of a broken response.
 func (g *generation) checkQuarantine() error {
 	left, held := g.module.guard.Held(g.fingerprint)
 	if !held {
 		return nil
 	}
-	if g.dispatched {
+	if g.mayHaveRun {
 		return g.brokenError(result.New(result.OutcomeUnknown, "engines end under this request (fingerprint %v)", g.fingerprint))
 	}
 	return result.New(result.Quarantined, "engines end under this request (fingerprint %v)", g.fingerprint).WithRetryAfter(left)
 }
 
-// recordBrokenRun counts a lost stream against the request if the engine has ended. A
-// lost link between nodes is not counted, since the engine may still run.
+// recordBrokenRun records that the request may have run, and counts the lost stream
+// against the request if its engine has ended. It does not count a lost link between
+// nodes, since that says nothing about the engine, or a run that was not a suspect
+// (quarantine.IsSuspectRun).
 func (g *generation) recordBrokenRun(cause error) {
-	g.dispatched = true
+	g.mayHaveRun = true
 	if errors.Is(cause, rpc.ErrLinkLost) || !quarantine.IsSuspectRun(g.firstEvent, time.Now()) {
 		return
 	}
-	if listed, known := g.module.tables.Table().ByID[g.runner]; known {
+	if listed, known := g.module.runnerTables.Table().ByID[g.runner]; known {
 		g.module.guard.RecordBrokenRun(g.request.ID, g.fingerprint, g.runner, listed.Address)
 	}
 }
--- a/modules/serving/router/generate.go
+++ b/modules/serving/router/generate.go
@@ -13,7 +13,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Request is an online request at the accepting node.
+// Request is an online request at the accepting node, which is the node that received it
+// from the caller.
 type Request struct {
 	ID      string
 	Tenant  string
@@ -40,18 +41,20 @@
 }
 
 const (
-	// maxRefusals bounds the refusals by owners for one request.
+	// maxRefusals is the number of refusals by owners after which a request is refused.
+	// The count starts again after a change of ownership.
 	maxRefusals = 6
-	// ownershipChangeTimeout bounds how long a request retries refusals that are due
-	// to a change of ownership, with ownershipChangeDelay between rounds. If all
-	// owners are merely full, the request is refused at once.
+	// ownershipChangeTimeout bounds how long a request is retried after refusals that
+	// may be due to a change of ownership, with ownershipChangeDelay between two rounds
+	// of attempts. If all refusals have other reasons, there is only one round.
 	ownershipChangeTimeout = time.Second
 	ownershipChangeDelay   = 50 * time.Millisecond
-	// maxContinuations bounds how often one response is resumed.
+	// maxContinuations is the maximum number of times that one response is resumed.
 	maxContinuations = 4
 )
 
-// generation is the state of one request across its attempts.
+// generation is the state of one request across its attempts. An attempt is one dispatch
+// to an owner.
 //
 // Invariant: text is exactly the emitted text, so a continuation starts where the
 // caller's response ends.
@@ -62,31 +65,36 @@
 	fingerprint quarantine.Fingerprint
 	emit        func(Chunk) error
 
-	text     []byte
-	tokens   int
-	usage    Usage
+	text []byte
+	// tokens is the number of emitted chunks with text. Each of them counts as one token.
+	tokens int
+	usage  Usage
+	// finished is set if a chunk with a finish reason was emitted.
 	finished bool
 
 	attempt         int
 	excludedOwners  []string
 	excludedRunners []string
-	// ownershipChanging is set if an owner refused because ownership is changing.
+	// ownershipChanging is set if an owner refused in this round of attempts for a reason
+	// that may be a change of ownership.
 	ownershipChanging bool
 
-	// The current stream: its id at the engine, its runner and owner, and the index
-	// of the next event.
+	// The current stream: its id at the engine, its runner (empty until it is known), the
+	// owner (empty if none was found), and the index of the next event.
 	streamID  string
 	runner    string
 	ownerID   string
 	nextEvent uint32
-	// dispatched is set if an attempt may have run.
-	dispatched bool
-	// firstEvent is the arrival time of the current stream's first event; zero before.
+	// mayHaveRun is set if an attempt may have run, that is, once a stream was lost.
+	mayHaveRun bool
+	// firstEvent is the arrival time of the current stream's first event; zero if there
+	// was none yet.
 	firstEvent time.Time
 }
 
-// Generate runs the request and calls emit for each chunk. It returns when the
-// response is complete or has failed.
+// Generate runs the request and calls emit for each chunk. It returns when the response
+// is complete or has failed. After a failure the usage may be incomplete. An error of
+// emit ends the response.
 func (m *Module) Generate(ctx context.Context, request *Request, emit func(Chunk) error) (Usage, error) {
 	g := &generation{module: m, request: request, fingerprint: request.fingerprint(), emit: emit}
 	if snapshot := m.snapshots.Snapshot(); snapshot != nil {
@@ -96,6 +104,7 @@
 	return g.usage, err
 }
 
+// run makes attempts until the response is complete, has failed or is refused.
 func (g *generation) run(ctx context.Context) error {
 	refusals, continuations := 0, 0
 	ownershipDeadline := time.Now().Add(ownershipChangeTimeout)
@@ -140,8 +149,8 @@
 	}
 }
 
-// awaitOwnershipChange waits for ownershipChangeDelay and clears the list of owners
-// that were tried.
+// awaitOwnershipChange waits for ownershipChangeDelay, or until the context ends, and
+// prepares a new round of attempts, in which all owners may be tried again.
 func (g *generation) awaitOwnershipChange(ctx context.Context) {
 	g.ownershipChanging = false
 	g.excludedOwners = nil
@@ -151,10 +160,12 @@
 	}
 }
 
-// resume continues a response whose stream was lost. It first re-attaches to the
-// stream at its engine, which runs nothing twice. If that fails, it prepares a new
-// dispatch that continues after the emitted text, unless the work must not run twice
-// or the retry budget is spent. It returns true if the response is complete.
+// resume continues a response whose stream was lost because of the given cause. Unless
+// the engine failed, it first re-attaches to the stream at its engine, which runs nothing
+// twice. If that fails, it prepares a new dispatch that continues after the emitted text.
+// It returns an error if the work must not run twice or the retry budget is spent. It
+// returns true if the response is complete, which includes a response that lacks only the
+// closing event.
 func (g *generation) resume(ctx context.Context, cause error) (bool, error) {
 	if g.runner != "" && result.CodeOf(cause) != result.EngineFailed {
 		err := g.reattach(ctx)
@@ -184,7 +195,7 @@
 	return false, nil
 }
 
-// dispatch makes one attempt, which continues after the text emitted so far.
+// dispatch makes one attempt, which continues after the emitted text.
 func (g *generation) dispatch(ctx context.Context) error {
 	chosen, found := g.module.choose(g.request.Model, g.request.PrefixHash, g.excludedOwners)
 	if !found {
@@ -202,6 +213,8 @@
 	return err
 }
 
+// recordAttempt counts an attempt and updates the owner's health. Errors that say nothing
+// about the owner do not change its health.
 func (m *Module) recordAttempt(state *ownerState, err error) {
 	code := result.CodeOf(err)
 	if errors.Is(err, rpc.ErrLinkLost) {
--- a/modules/serving/router/load.go
+++ b/modules/serving/router/load.go
@@ -13,54 +13,60 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
+// receiveDigest handles a notice with the load of another owner.
 func (m *Module) receiveDigest(from string, payload []byte) {
-	digest := &wirev1.LoadDigest{}
-	if err := proto.Unmarshal(payload, digest); err != nil {
+	received := &wirev1.LoadDigest{}
+	if err := proto.Unmarshal(payload, received); err != nil {
 		klog.V(1).InfoS("decoding a load digest failed", "node", m.settings.Node.ID, "peer", from, "err", err)
 		return
 	}
-	m.recordLoad(digest)
+	m.recordLoad(received)
 }
 
-// recordLoad stores a digest unless a newer one of the same owner is known.
+// recordLoad stores the load digest of an owner, unless it is outdated: the sequence
+// number is not higher than the stored one, and is less than restartSequenceGap below it.
+// It ignores nil.
 func (m *Module) recordLoad(digest *wirev1.LoadDigest) {
 	if digest == nil {
 		return
 	}
 	state := m.owner(digest.NodeId)
 	for {
-		known := state.load.Load()
-		// A restarted owner's sequence numbers start from one again.
-		outdated := known != nil && digest.Sequence <= known.Sequence && known.Sequence-digest.Sequence < restartSequenceGap
+		previous := state.load.Load()
+		outdated := previous != nil && digest.Sequence <= previous.Sequence && previous.Sequence-digest.Sequence < restartSequenceGap
 		if outdated {
 			return
 		}
-		if state.load.CompareAndSwap(known, mergeLoads(known, digest)) {
+		if state.load.CompareAndSwap(previous, mergeLoads(previous, digest)) {
 			return
 		}
 	}
 }
 
-// restartSequenceGap is the difference from which a lower sequence number is taken for
-// that of a restarted owner instead of an outdated digest.
+// restartSequenceGap is the minimum decrease of the sequence number that indicates a
+// restarted owner, whose numbers start from 1 again. After a restart with a smaller
+// decrease, digests are ignored until their numbers exceed the stored number.
 const restartSequenceGap = 1000
 
-// mergeLoads adds the models of an earlier digest to a digest with a single model,
-// since the digest in a response covers only the response's model.
-func mergeLoads(known, digest *wirev1.LoadDigest) *wirev1.LoadDigest {
-	if known == nil || len(digest.Models) != 1 {
-		return digest
+// mergeLoads returns the digest to store. A received digest with exactly one model is
+// treated as part of a response, which reports only the model of its request: the other
+// models are copied from the previous digest. Any other digest replaces the previous one,
+// which may be nil.
+func mergeLoads(previous, received *wirev1.LoadDigest) *wirev1.LoadDigest {
+	if previous == nil || len(received.Models) != 1 {
+		return received
 	}
-	merged := &wirev1.LoadDigest{NodeId: digest.NodeId, Sequence: digest.Sequence, Models: digest.Models[:1:1]}
-	for _, load := range known.Models {
-		if load.Model != digest.Models[0].Model {
+	merged := &wirev1.LoadDigest{NodeId: received.NodeId, Sequence: received.Sequence, Models: received.Models[:1:1]}
+	for _, load := range previous.Models {
+		if load.Model != received.Models[0].Model {
 			merged.Models = append(merged.Models, load)
 		}
 	}
 	return merged
 }
 
-// digestLoop periodically sends this node's load to a few random nodes of its zone.
+// digestLoop sends this node's load to a few random nodes of its zone in each
+// digestInterval, unless the node has no ready runners.
 func (m *Module) digestLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	ticker := time.NewTicker(digestInterval)
--- a/modules/serving/router/outcome.go
+++ b/modules/serving/router/outcome.go
@@ -9,8 +9,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// isOwnershipChange reports whether an owner refused because ownership is changing:
-// the owner is stopping, has just acquired the runners, or is gone.
+// isOwnershipChange reports whether a change of ownership may be the reason for a refusal:
+// the owner does not own the runners, is stopping, is not ready yet, or is unreachable.
 func isOwnershipChange(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NotOwner, result.Draining, result.PeerUnreachable, result.NotReady:
@@ -31,7 +31,8 @@
 	}
 }
 
-// isStreamLost reports whether the stream may still be running after an error.
+// isStreamLost reports whether an error means that the stream may have run, in part or to
+// its end, so that the response has to be resumed.
 func isStreamLost(err error) bool {
 	if errors.Is(err, rpc.ErrLinkLost) {
 		return true
@@ -44,12 +45,13 @@
 	}
 }
 
+// isUnreachable reports whether the connection to a node failed or was lost.
 func isUnreachable(err error) bool {
 	return errors.Is(err, rpc.ErrLinkLost) || result.Is(err, result.PeerUnreachable)
 }
 
-// refusalError returns the error of a request that all owners refused. After a
-// continuation it does not claim that the work was not run.
+// refusalError returns the final error of a request whose last attempt was refused. If a
+// stream of the request was lost before, the error does not claim that nothing was run.
 func (g *generation) refusalError(err error, continuations int) error {
 	if continuations > 0 {
 		return g.brokenError(err)
@@ -57,6 +59,7 @@
 	return err
 }
 
+// contextError returns the error of a request whose context has ended.
 func (g *generation) contextError(ctx context.Context, err error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.New(result.DeadlineExceeded, "the deadline passed while running")
@@ -67,7 +70,8 @@
 	return result.New(result.CallerGone, "the caller hung up")
 }
 
-// brokenError returns the final error of a response that cannot be resumed.
+// brokenError returns the final error of a response that cannot be resumed:
+// OutcomeUnknown if no text was emitted, and StreamBroken otherwise.
 func (g *generation) brokenError(cause error) error {
 	if errors.Is(cause, rpc.ErrLinkLost) {
 		cause = result.New(result.RunnerLost, "the owner node was lost")
@@ -79,9 +83,9 @@
 	return result.New(result.StreamBroken, "lost after %d tokens: %s", g.tokens, message)
 }
 
-// noOwnerError returns the error of a request for which no owner has a free slot.
+// noOwnerError returns the error of a request for which choose found no owner.
 func (g *generation) noOwnerError() error {
-	if len(g.module.tables.Table().Pools[g.request.Model.Service]) == 0 {
+	if len(g.module.runnerTables.Table().Pools[g.request.Model.Service]) == 0 {
 		return result.New(result.NoRunner, "no runner serves model %s", g.request.Model.Name).WithRetryAfter(time.Second)
 	}
 	return result.New(result.Saturated, "every runner of model %s is full", g.request.Model.Name).WithRetryAfter(time.Second)
--- a/modules/serving/router/router.go
+++ b/modules/serving/router/router.go
@@ -1,11 +1,13 @@
-// Package router dispatches online requests from the accepting node to the owners of
-// runners and returns their responses. It resumes a response when an owner or a runner
-// is lost, so that the caller gets it without gaps or repeats, or an error.
+// Package router dispatches online requests from the accepting node, which received them
+// from a caller, to owners, and returns the responses. An owner is a node that owns
+// runners; it may be the accepting node. If an owner or a runner is lost, the package
+// resumes the response, so that the caller receives either the text without gaps and
+// repeats, or an error.
 //
-// It keeps, in memory, the reported load of each owner, the owner's health and the
-// requests in flight there. It uses the runner table, the view of the fleet and the
-// active bundle, chooses owners with internal/serving/scheduling, and sends to module
-// serving.owner on the owner's node. The plain node runs it.
+// For each owner, the package keeps in memory the reported load, the health and the number
+// of requests in flight. It uses the runner table, the view of the fleet and the active
+// bundle, chooses owners with internal/serving/scheduling, and calls module serving.owner
+// on the owner's node. The plain node runs it.
 package router
 
 import (
@@ -32,7 +34,7 @@
 	"cobaltramp.example/cobaltramp/modules/serving/owner"
 )
 
-// ModuleName registers the module.
+// ModuleName is the name under which the module is registered.
 const ModuleName = "serving.router"
 
 func init() {
@@ -42,13 +44,13 @@
 	})
 }
 
-// Views gives the view of the fleet.
+// Views returns the view of the fleet.
 type Views interface{ View() *fleet.View }
 
-// Tables gives the runner table.
-type Tables interface{ Table() *fleet.Runners }
+// RunnerTables returns the runner table.
+type RunnerTables interface{ Table() *fleet.Runners }
 
-// Snapshots gives the active bundle.
+// Snapshots returns the active bundle; nil if none has been loaded.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
 // LocalOwner runs requests on the runners that this node owns.
@@ -58,28 +60,30 @@
 	Load(model string) *wirev1.LoadDigest
 }
 
-// Module routes online requests.
+// Module routes online requests (Generate).
 type Module struct {
-	settings  *settings.Settings
-	views     Views
-	tables    Tables
-	snapshots Snapshots
-	local     LocalOwner
-	pool      *rpc.Pool
-	scheduler *framework.Scheduler
-	budget    *retry.Budget
-	guard     quarantine.Guard
-	metrics   *metrics
+	settings     *settings.Settings
+	views        Views
+	runnerTables RunnerTables
+	snapshots    Snapshots
+	local        LocalOwner
+	pool         *rpc.Pool
+	scheduler    *framework.Scheduler
+	budget       *retry.Budget
+	guard        quarantine.Guard
+	metrics      *metrics
 
 	owners sync.Map // node id → *ownerState
 
 	background tasks.Group
 }
 
-// ownerState is this node's knowledge of one owner.
+// ownerState is the state of one owner as this node knows it.
 type ownerState struct {
+	// inFlight is the number of this node's requests that the owner is running.
 	inFlight atomic.Int64
-	load     atomic.Pointer[wirev1.LoadDigest]
+	// load is the latest load digest of the owner; nil if there was none yet.
+	load atomic.Pointer[wirev1.LoadDigest]
 
 	mutex  sync.Mutex
 	health health.Failures
@@ -96,7 +100,7 @@
 	var server *rpc.Server
 	var registry prometheus.Registerer
 	if err := ctx.Resolve(
-		kernel.Dependency(&m.settings), kernel.Dependency(&m.views), kernel.Dependency(&m.tables),
+		kernel.Dependency(&m.settings), kernel.Dependency(&m.views), kernel.Dependency(&m.runnerTables),
 		kernel.Dependency(&m.snapshots), kernel.Dependency(&m.local), kernel.Dependency(&m.pool),
 		kernel.Dependency(&server), kernel.Dependency(&registry), kernel.Dependency(&m.guard),
 	); err != nil {
@@ -116,9 +120,11 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. The loops end with the context of Start.
+// Cleanup implements kernel.Cleaner. It waits for the loop, which ends with the context of
+// Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
+// owner returns the state of an owner, which it creates if necessary.
 func (m *Module) owner(id string) *ownerState {
 	if known, found := m.owners.Load(id); found {
 		return known.(*ownerState)
--- a/modules/serving/router/stream.go
+++ b/modules/serving/router/stream.go
@@ -11,10 +11,11 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// reattach re-attaches to the current stream through the nodes that rank next as
-// owners of its runner.
+// reattach re-attaches to the current stream through one node after the other
+// (successors), and handles the events up to the end of the response. It tries the next
+// node only if a node is unreachable, and returns the error of the last attempt.
 func (g *generation) reattach(ctx context.Context) error {
-	listed, known := g.module.tables.Table().ByID[g.runner]
+	listed, known := g.module.runnerTables.Table().ByID[g.runner]
 	if !known {
 		return result.New(result.NoRunner, "runner %s is not listed", g.runner)
 	}
@@ -33,11 +34,13 @@
 	return err
 }
 
-// maxSuccessors bounds the nodes of the runner's zone that are tried for re-attaching.
+// maxSuccessors is the maximum number of nodes of the runner's zone that are tried for
+// re-attaching, in addition to this node.
 const maxSuccessors = 3
 
-// successors lists the nodes to re-attach through: those of the runner's zone by rank,
-// without the lost owner, then this node.
+// successors lists the nodes through which to re-attach: the first nodes of the runner's
+// zone in the order in which they would own the runner, without the current owner, and
+// then this node.
 func (g *generation) successors(zone string) []string {
 	view := g.module.views.View()
 	var nodes []string
@@ -49,7 +52,8 @@
 	return append(nodes, view.Self.Id)
 }
 
-// receive opens a stream to an owner, which may be this node, and handles its events.
+// receive sends a request to a node, which may be this node, and handles the events of the
+// response. It returns nil at the end of a complete response.
 func (g *generation) receive(ctx context.Context, ownerID string, method wirev1.Method, request any) error {
 	if ownerID == g.module.settings.Node.ID {
 		return g.receiveLocal(ctx, request)
@@ -77,6 +81,7 @@
 	}
 }
 
+// open opens a stream to another node.
 func (g *generation) open(ctx context.Context, address string, method wirev1.Method, request any) (*rpc.ClientStream, error) {
 	switch typed := request.(type) {
 	case *wirev1.DispatchRequest:
@@ -88,6 +93,7 @@
 	}
 }
 
+// receiveLocal runs a request on this node and handles the events of the response.
 func (g *generation) receiveLocal(ctx context.Context, request any) error {
 	switch typed := request.(type) {
 	case *wirev1.DispatchRequest:
@@ -99,9 +105,10 @@
 	}
 }
 
-// handleEvent emits an event that belongs to the current stream and is the next one.
-// It ignores repeated events and returns an error for gaps and for events of other
-// streams, such as late events of an earlier attempt.
+// handleEvent handles an event of the current stream. An event with the next index is
+// emitted if it contains text or a finish reason. An Assigned event, which has no index,
+// only names the runner. A repeated event is ignored. A gap, or an event of another
+// stream, such as a late event of an earlier attempt, is an error.
 func (g *generation) handleEvent(event *wirev1.DispatchEvent) error {
 	if event.RequestId != g.streamID {
 		return result.New(result.RunnerLost, "event of stream %s on stream %s", event.RequestId, g.streamID)
