--- a/internal/serving/quarantine/table.go
+++ b/internal/serving/quarantine/table.go
@@ -20,7 +20,7 @@
 type suspect struct {
 	// endings contains the time at which each ending was recorded, by runner.
 	endings map[string]time.Time
-	// last is the time when the latest ending was recorded.
+	// lastEnding is the time at which the latest ending was recorded.
 	lastEnding time.Time
 	// local is set if this node observed an ending of the request, even if that ending
 	// has expired since.
@@ -49,7 +49,8 @@
 	suspects map[Fingerprint]*suspect
 	holds    map[Fingerprint]Hold
 	// attributed contains the runners whose endings are attributed to a held request,
-	// and the time of the attribution. Entries are removed after endingTTL.
+	// and the time of the attribution. When a hold is decided, entries older than
+	// endingTTL are removed.
 	attributed map[string]time.Time
 	// publishedHolds is an immutable copy of holds, and suspectedFingerprints contains
 	// the keys of suspects. Checks of a request read them without locking the mutex.
@@ -230,8 +231,8 @@
 }
 
 // Holds lists the active holds and the lifted holds, the latest decided first. It omits
-// a lifted hold maxHoldDuration after it was lifted, when the original hold has expired
-// on all nodes.
+// a lifted hold maxHoldDuration after it was lifted: by then the original hold has expired
+// on nodes that did not receive the lifted hold.
 func (t *SuspectTable) Holds(now time.Time) []Hold {
 	var list []Hold
 	for _, hold := range *t.publishedHolds.Load() {
--- a/modules/serving/router/generate.go
+++ b/modules/serving/router/generate.go
@@ -42,7 +42,7 @@
 
 const (
 	// maxRefusals is the number of refusals by owners after which a request is refused.
-	// The count starts again after a change of ownership.
+	// The count starts again in each round of attempts (ownershipChangeTimeout).
 	maxRefusals = 6
 	// ownershipChangeTimeout bounds how long a request is retried after refusals that
 	// may be due to a change of ownership, with ownershipChangeDelay between two rounds
