--- a/internal/serving/online/refusal.go
+++ b/internal/serving/online/refusal.go
@@ -72,7 +72,7 @@
 	if !inputs.refused() {
 		return nil
 	}
-	caller := retryafter.Caller{TimeLeft: s.request.Deadline.Sub(now), UsualTimeout: s.usuallyStated}
+	caller := retryafter.Caller{TimeLeft: s.request.Deadline.Sub(now), FirstAttemptTimeout: s.usuallyStated}
 	return result.New(result.Saturated, "all runners of service %s are full: the first event is expected in %d ms, allowed are %d ms",
 		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).WithRetryAfter(s.planners.refuse(service, now, caller))
 }
@@ -110,5 +110,5 @@
 func (p *planners) refuse(service string, now time.Time, caller retryafter.Caller) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.of(service).Refuse(now, rand.Float64(), caller)
+	return p.of(service).PlanRetry(now, rand.Float64(), caller)
 }
--- a/internal/serving/retry/budget.go
+++ b/internal/serving/retry/budget.go
@@ -1,7 +1,7 @@
 // Package retry limits retries to a fraction of first attempts, so that retries do not
 // overload a failing fleet (a retry budget, see "Handling Overload" in the SRE book). The
 // router of a plain node keeps one budget for all its requests; the bundle's policy sets the
-// fraction.
+// fraction. A small initial amount is available in addition.
 package retry
 
 import "sync"
@@ -9,28 +9,30 @@
 const (
 	// initialRetries allows retries before the first attempts have added any.
 	initialRetries = 10
-	// maxRetries limits the retries that accumulate while nothing fails.
+	// maxRetries limits the retries that accumulate while few requests fail.
 	maxRetries = 100
 )
 
 // Budget is a retry budget. It is safe for concurrent use.
 type Budget struct {
 	mutex sync.Mutex
-	// retries is the current balance; fractions accumulate to whole retries.
+	// retries is the number of available retries. Fractions accumulate to whole retries.
 	retries float64
 }
 
-// NewBudget returns a budget with its initial retries.
+// NewBudget returns a budget with initialRetries.
 func NewBudget() *Budget { return &Budget{retries: initialRetries} }
 
-// Deposit adds a fraction of a retry for one first attempt.
+// Deposit adds a fraction of a retry, up to maxRetries in all. The router calls it for each
+// first attempt.
 func (b *Budget) Deposit(fraction float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.retries = min(maxRetries, b.retries+fraction)
 }
 
-// TryWithdraw takes one retry; it returns false if the budget is exhausted.
+// TryWithdraw takes one retry from the budget and returns true, or returns false if the
+// budget holds less than one retry.
 func (b *Budget) TryWithdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/serving/retry/budget_test.go
+++ b/internal/serving/retry/budget_test.go
@@ -6,13 +6,13 @@
 	"github.com/matryer/is"
 )
 
-// withdrawAll empties the budget and returns how many retries it held.
+// withdrawAll withdraws all whole retries and returns their number.
 func withdrawAll(budget *Budget) int {
-	spent := 0
+	count := 0
 	for budget.TryWithdraw() {
-		spent++
+		count++
 	}
-	return spent
+	return count
 }
 
 // A new budget allows its initial retries, then one retry for every eight first attempts, up
--- a/internal/serving/retryafter/stated_test.go
+++ b/internal/serving/retryafter/stated_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// The usual timeout of a route is the longest one of the last two periods.
-func TestCallerTimeoutsKeepTheLongest(t *testing.T) {
+// The timeout of first attempts on a route is the longest timeout of the last two periods.
+func TestCallerTimeoutsReturnLongestRecentTimeout(t *testing.T) {
 	is := is.New(t)
-	var stated CallerTimeouts
+	var timeouts CallerTimeouts
 	now := time.Now()
-	is.Equal(stated.Record("a", 4*time.Second, now), 4*time.Second)
-	is.Equal(stated.Record("a", time.Second, now), 4*time.Second)
-	is.Equal(stated.Record("b", time.Second, now), time.Second)
-	is.Equal(stated.Record("a", time.Second, now.Add(timeoutPeriod+1)), 4*time.Second)
-	is.Equal(stated.Record("a", time.Second, now.Add(2*timeoutPeriod+3)), time.Second) // the longer timeout has expired
+	is.Equal(timeouts.Record("a", 4*time.Second, now), 4*time.Second)
+	is.Equal(timeouts.Record("a", time.Second, now), 4*time.Second)
+	is.Equal(timeouts.Record("b", time.Second, now), time.Second)
+	is.Equal(timeouts.Record("a", time.Second, now.Add(timeoutPeriod+1)), 4*time.Second)
+	is.Equal(timeouts.Record("a", time.Second, now.Add(2*timeoutPeriod+3)), time.Second) // the longer timeout has expired
 }
