--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -1,13 +1,14 @@
 // Package admission admits tenants' requests on one node within the node's part of their
-// request rate limits (package allotment). Shares are renewed in the background. Only a
-// request for which the node holds no credit contacts the tenant's keeper; concurrent
-// requests share one call.
+// request rate limits (package allotment). Each tenant's limit is divided by its keeper, which
+// is the leader of the queue shard to which the tenant's name maps. The node renews its shares
+// of the limits in the background. It calls a keeper for a request only if it has no credit
+// for the request; concurrent requests of a tenant share one call.
 //
 // The package owns the node's allowances and its calls to keepers. It reads the limits from
-// the current configuration (package catalog) and reaches keepers, which are the leaders of
-// queue shards, through a client (package queueclient). The edge runs a Controller after
-// package authn has identified the tenant; the storage node uses LimitOf for the tenants
-// whose keeper it runs. The plain node uses packages limits and quota instead.
+// the current configuration (package catalog) and reaches keepers through a client (package
+// queueclient). The edge runs a Controller after package authn has identified the tenant; the
+// storage node uses LimitOf for the tenants whose keeper it runs. The plain node uses packages
+// limits and quota instead.
 package admission
 
 import (
@@ -29,21 +30,23 @@
 
 // KeeperClient calls the keepers of tenants' limits.
 type KeeperClient interface {
-	// Allot sends a request to the keeper of a tenant.
+	// Allot sends a request to the keeper of a tenant. The request may contain claims of
+	// other tenants that have the same keeper.
 	Allot(ctx context.Context, tenant string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error)
 	// ShardOf returns the shard whose leader is the keeper of the tenant's limit; false if
 	// it is unknown.
 	ShardOf(tenant string) (uint32, bool)
 }
 
-// LimitOf returns a function that looks up tenants' limits in the current configuration.
+// LimitOf returns a function that looks up a tenant's limit in the current configuration. The
+// function returns false if the node has no configuration or the tenant is not in it.
 func LimitOf(catalogs *catalog.Holder) func(tenant string) (allotment.RateLimit, bool) {
 	return func(name string) (allotment.RateLimit, bool) {
-		held := catalogs.Current()
-		if held == nil {
+		current := catalogs.Current()
+		if current == nil {
 			return allotment.RateLimit{}, false
 		}
-		tenant := held.Tenant(name)
+		tenant := current.Tenant(name)
 		if tenant == nil {
 			return allotment.RateLimit{}, false
 		}
@@ -57,7 +60,7 @@
 	return allotment.RateLimit{Rate: tenant.RatePerSecond, Burst: tenant.Burst}
 }
 
-// Controller admits requests on one node.
+// Controller admits requests on one node. Run has to be running for it to get shares.
 type Controller struct {
 	keepers       KeeperClient
 	limit         func(tenant string) (allotment.RateLimit, bool)
@@ -69,7 +72,7 @@
 	now      func() time.Time
 	outcomes *prometheus.CounterVec
 
-	// pausedUntil maps a shard to the time until which its leader is not called.
+	// pausedUntil maps a shard to the time until which its leader is not called for credits.
 	pausedUntil sync.Map
 
 	// keeperRequests are the goroutines that call keepers. Run cancels their context when it
@@ -86,8 +89,8 @@
 type allowance struct {
 	mutex sync.Mutex
 	*allotment.Allowance
-	// requesting reports that a credit request to the keeper is in flight. waiting are the
-	// requests that wait for the next reply.
+	// requesting reports that requestCredits is running. waiting are the requests that its
+	// next call to the keeper covers.
 	requesting bool
 	waiting    []chan creditResult
 }
@@ -98,7 +101,8 @@
 	err    error
 }
 
-// New returns the controller for one process of a node.
+// New returns the controller for one process of a node. The function limit looks up the
+// current limit of a tenant, as LimitOf does.
 func New(
 	keepers KeeperClient, limit func(string) (allotment.RateLimit, bool), tolerance allotment.Tolerance, holderID allotment.HolderID,
 	registry prometheus.Registerer,
@@ -128,7 +132,8 @@
 // sending. A nil Admission, for tenants without a limit, is always valid.
 func (a *Admission) Valid() bool { return a == nil || a.credit.Valid(a.now()) }
 
-// Return gives the credit back if the request did not run on any runner.
+// Return gives the credit back. Callers call it only if the request did not run on any
+// runner. On a nil Admission it does nothing.
 func (a *Admission) Return() {
 	if a == nil {
 		return
@@ -138,7 +143,7 @@
 	a.allowance.Allowance.Return(a.now(), a.limit, a.credit)
 }
 
-// Values of the outcome label.
+// Values of the outcome label. Spare requests count as outcomePool.
 const (
 	outcomeShare      = "share"
 	outcomePool       = "pool"
@@ -146,9 +151,10 @@
 	outcomeNoResponse = "keeper_silent"
 )
 
-// Admit acquires a credit for a request of a tenant and waits for the keeper for at most
-// maxWait. It returns nil for tenants without a limit. An error means that the request must
-// not run, and carries the retry delay.
+// Admit acquires a credit for a request of a tenant; id is the request's id for the log. If it
+// has to call the keeper, it waits for at most maxWait. If the keeper is unavailable, it uses
+// the node's spare request if there is one. It returns nil for tenants without a limit. An
+// error means that the request must not run, and carries the retry delay.
 func (c *Controller) Admit(ctx context.Context, id string, tenant *catalog.Tenant, maxWait time.Duration) (*Admission, error) {
 	if !tenant.HasRateLimit() {
 		return nil, nil
@@ -175,9 +181,10 @@
 	return admission, nil
 }
 
-// acquire returns a credit that the node holds, or requests one from the keeper; then the
-// result arrives on the channel. It refuses at once while the keeper's pool is known to be
-// empty, and while calls to the keeper are paused after a failure.
+// acquire returns a credit that the node has, or requests one from the keeper and returns a
+// channel for the result. It returns an error at once while the keeper's pool is regarded as
+// empty, while calls to the keeper are paused after a failure, if the keeper's shard is
+// unknown, and while the node is shutting down.
 func (c *Controller) acquire(a *allowance, tenant string, limit allotment.RateLimit) (allotment.Credit, <-chan creditResult, error) {
 	now := c.now()
 	a.mutex.Lock()
@@ -194,16 +201,16 @@
 	}
 	results := make(chan creditResult, 1)
 	a.waiting = append(a.waiting, results)
-	if !a.requesting && !c.startRequest(a, tenant, limit) {
-		a.waiting = nil // only this request: the node is shutting down
+	if !a.requesting && !c.startCreditRequests(a, tenant, limit) {
+		a.waiting = nil // contains only this request, since no call was in flight
 		return allotment.Credit{}, nil, keeperUnavailable()
 	}
 	return allotment.Credit{}, results, nil
 }
 
-// startRequest starts to request credits from a tenant's keeper; it returns false if the
-// node is shutting down. The caller holds the allowance's mutex.
-func (c *Controller) startRequest(a *allowance, tenant string, limit allotment.RateLimit) bool {
+// startCreditRequests starts requestCredits in the background, or returns false if the node
+// is shutting down. The caller holds the allowance's mutex.
+func (c *Controller) startCreditRequests(a *allowance, tenant string, limit allotment.RateLimit) bool {
 	a.requesting = c.keeperRequests.Go(func() { c.requestCredits(a, tenant, limit) })
 	return a.requesting
 }
@@ -218,7 +225,8 @@
 	return allotment.Credit{}, refusal
 }
 
-// awaitCredit waits for the keeper's reply for one request.
+// awaitCredit waits for the result of one request. It returns the error of an unavailable
+// keeper if maxWait passes or the context ends first.
 func awaitCredit(ctx context.Context, results <-chan creditResult, maxWait time.Duration) (allotment.Credit, error) {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -250,6 +258,7 @@
 		"shareAgeMs", age.Milliseconds(), "retryAfterMs", result.FromError(err).RetryAfter.Milliseconds())
 }
 
+// allowance returns the node's allowance of a tenant, and creates it if missing.
 func (c *Controller) allowance(tenant string) *allowance {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/serving/admission/controller_test.go
+++ b/internal/serving/admission/controller_test.go
@@ -21,7 +21,7 @@
 
 var tolerance = allotment.Tolerance{Window: 5 * time.Second, Overrun: 0.1, Slack: 20}
 
-// scriptedKeepers is a KeeperClient that responds as a test defines.
+// scriptedKeepers is a KeeperClient whose responses a test defines.
 type scriptedKeepers struct {
 	calls atomic.Int64
 	allot func(request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error)
@@ -57,8 +57,8 @@
 	is.Equal(keepers.calls.Load(), int64(0))
 }
 
-// Concurrent requests share calls to the keeper. As many are admitted as the keeper grants
-// credits; the others get a retry delay.
+// Concurrent requests share calls to the keeper. Each granted credit admits one request; the
+// other requests are refused with a retry delay.
 func TestConcurrentRequestsShareKeeperCalls(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -118,8 +118,8 @@
 	is.Equal(keepers.calls.Load(), int64(1))
 }
 
-// A request waits for an unresponsive keeper for at most maxWait; its error says that it did
-// not run and carries a retry delay.
+// A request waits for an unresponsive keeper for at most maxWait. The error says that the
+// request did not run, and carries a retry delay.
 func TestUnresponsiveKeeperIsBoundedByMaxWait(t *testing.T) {
 	is := is.New(t)
 	never := make(chan struct{})
@@ -209,8 +209,8 @@
 	is.Equal(keepers.calls.Load(), int64(2))
 }
 
-// Leases expire while the machine is suspended, since the keeper then grants them to others.
-// The monotonic clock stops during suspension.
+// Leases also expire while the machine is suspended, when the monotonic clock stops, since
+// the keeper may grant the shares to other nodes.
 func TestLeasesExpireDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	keepers := &scriptedKeepers{allot: func(request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
--- a/internal/serving/admission/questions.go
+++ b/internal/serving/admission/questions.go
@@ -10,11 +10,13 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// creditRequestTimeout limits a call to a keeper, including the search for a new leader.
-// Requests that wait for the reply may give up sooner.
+// creditRequestTimeout limits a call that requests credits from a keeper, including the search
+// for a new leader. Requests that wait for the reply may time out sooner.
 const creditRequestTimeout = 600 * time.Millisecond
 
-// requestCredits requests credits from a tenant's keeper until no request waits for one.
+// requestCredits requests credits from a tenant's keeper until no request is waiting. Each
+// call covers all requests that are waiting when it starts. While calls to the keeper are
+// paused, it refuses the waiting requests instead.
 func (c *Controller) requestCredits(a *allowance, tenant string, limit allotment.RateLimit) {
 	for {
 		a.mutex.Lock()
@@ -34,7 +36,7 @@
 		reply, err := c.requestCreditsOnce(tenant, len(waiting))
 		a.mutex.Lock()
 		if err != nil {
-			c.refuseUnanswered(tenant, sent, waiting, err)
+			c.refuseAfterFailure(tenant, sent, waiting, err)
 		} else {
 			c.distribute(a, tenant, limit, sent, waiting, reply)
 		}
@@ -50,8 +52,9 @@
 	})
 }
 
-// refuseUnanswered refuses the waiting requests after a failed call to their keeper.
-func (c *Controller) refuseUnanswered(tenant string, sent time.Time, waiting []chan creditResult, err error) {
+// refuseAfterFailure refuses the waiting requests after a failed call to their keeper, and
+// pauses calls to the keeper.
+func (c *Controller) refuseAfterFailure(tenant string, sent time.Time, waiting []chan creditResult, err error) {
 	now := c.now()
 	pause := c.pauseKeeper(tenant, now)
 	klog.InfoS("keeper of a limit did not answer", "tenant", tenant, "waiting", len(waiting),
@@ -59,8 +62,9 @@
 	refuseAll(waiting)
 }
 
-// distribute hands the credits of a reply to the waiting requests, in order of arrival. The
-// caller holds the allowance's mutex.
+// distribute gives the credits of a reply, and credits that the share has accrued meanwhile,
+// to the waiting requests in order of arrival. It refuses the remaining requests. The caller
+// holds the allowance's mutex.
 func (c *Controller) distribute(
 	a *allowance, tenant string, limit allotment.RateLimit, sent time.Time, waiting []chan creditResult, reply *wirev1.AllotmentReply,
 ) {
@@ -70,38 +74,38 @@
 	if int(reply.Credits) < len(waiting) {
 		a.RecordPoolEmpty(now, wait)
 	}
-	for _, one := range waiting {
+	for _, results := range waiting {
 		credit, ok := a.AcquireCredit(now, limit)
 		if ok {
-			one <- creditResult{credit: credit}
+			results <- creditResult{credit: credit}
 		} else {
-			one <- creditResult{err: overLimit(tenant, limit, wait)}
+			results <- creditResult{err: overLimit(tenant, limit, wait)}
 		}
 	}
 }
 
-// refuseAll refuses requests whose keeper does not respond.
+// refuseAll refuses requests whose keeper is unavailable.
 func refuseAll(waiting []chan creditResult) {
-	for _, one := range waiting {
-		one <- creditResult{err: keeperUnavailable()}
+	for _, results := range waiting {
+		results <- creditResult{err: keeperUnavailable()}
 	}
 }
 
-// pauseKeeper pauses calls to a tenant's keeper after a failure and returns the length of
-// the pause.
+// pauseKeeper pauses credit requests to a tenant's keeper after a failed call and returns the
+// length of the pause. If the keeper's shard is unknown, there is no pause to record.
 func (c *Controller) pauseKeeper(tenant string, now time.Time) time.Duration {
 	pause := keeperPause()
-	if shard, known := c.keepers.ShardOf(tenant); known {
+	if shard, found := c.keepers.ShardOf(tenant); found {
 		c.pausedUntil.Store(shard, now.Add(pause))
 	}
 	return pause
 }
 
-// keeperPaused reports whether calls to a tenant's keeper are paused or its shard is
-// unknown.
+// keeperPaused reports whether credit requests to a tenant's keeper are paused or the keeper's
+// shard is unknown.
 func (c *Controller) keeperPaused(tenant string, now time.Time) bool {
-	shard, known := c.keepers.ShardOf(tenant)
-	if !known {
+	shard, found := c.keepers.ShardOf(tenant)
+	if !found {
 		return true
 	}
 	until, paused := c.pausedUntil.Load(shard)
--- a/internal/serving/admission/renewal.go
+++ b/internal/serving/admission/renewal.go
@@ -13,11 +13,12 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// renewTimeout limits a renewal; it is shorter than the renewal interval.
+// renewTimeout limits a call that renews shares; it is shorter than the renewal interval.
 const renewTimeout = 800 * time.Millisecond
 
-// Run renews shares until the context ends, then cancels the calls to keepers and waits for
-// them. A random delay at the start spreads the renewals of nodes that started together.
+// Run renews shares until the context ends. It then cancels the calls to keepers, waits until
+// they have ended, and returns. A random delay at the start spreads the renewals of nodes that
+// started together.
 func (c *Controller) Run(ctx context.Context) {
 	var renewals tasks.Group
 	defer renewals.Wait()
@@ -40,14 +41,16 @@
 	}
 }
 
-// renewAll renews all shares, with one message to each keeper.
+// renewAll starts to renew all shares, with one message for each shard, and does not wait for
+// the replies.
 func (c *Controller) renewAll(ctx context.Context, renewals *tasks.Group) {
 	for _, tenants := range c.tenantsByShard() {
 		renewals.Go(func() { c.renewShares(ctx, tenants) })
 	}
 }
 
-// tenantsByShard groups the tenants in use by their keepers' shards, and drops idle ones.
+// tenantsByShard groups the tenants that have an allowance by their keepers' shards. It drops
+// idle allowances, and leaves out tenants whose shard is unknown.
 func (c *Controller) tenantsByShard() map[uint32][]string {
 	now := c.now()
 	groups := map[uint32][]string{}
@@ -61,26 +64,26 @@
 			delete(c.allowances, name)
 			continue
 		}
-		if shard, known := c.keepers.ShardOf(name); known {
+		if shard, found := c.keepers.ShardOf(name); found {
 			groups[shard] = append(groups[shard], name)
 		}
 	}
 	return groups
 }
 
-// renewShares renews the shares of tenants that have the same keeper. A renewal times out
-// before the next one for the same keeper starts.
+// renewShares renews the shares of tenants that have the same keeper. Tenants without a limit
+// claim no share. A renewal times out before the next renewal for the same keeper starts.
 func (c *Controller) renewShares(ctx context.Context, tenants []string) {
 	sort.Strings(tenants)
 	request := &wirev1.AllotmentRequest{Node: c.holderID.Node, Incarnation: c.holderID.Incarnation, Number: c.requestNumber.Add(1)}
 	sent := c.now()
 	for _, name := range tenants {
-		limit, known := c.limit(name)
+		limit, found := c.limit(name)
 		a := c.allowance(name)
 		a.mutex.Lock()
 		claim := a.Claim(sent, name, limit)
 		a.mutex.Unlock()
-		if !known || limit.Rate <= 0 {
+		if !found || limit.Rate <= 0 {
 			claim.Wanted = 0
 		}
 		request.Claims = append(request.Claims, &wirev1.AllotmentClaim{
@@ -100,9 +103,10 @@
 	}
 }
 
+// applyGrant applies the grant for a claim that was sent at the given time.
 func (c *Controller) applyGrant(grant *wirev1.AllotmentGrant, sent time.Time) {
-	limit, known := c.limit(grant.Tenant)
-	if !known {
+	limit, found := c.limit(grant.Tenant)
+	if !found {
 		limit = allotment.RateLimit{}
 	}
 	a := c.allowance(grant.Tenant)
--- a/internal/serving/allotment/allotment_test.go
+++ b/internal/serving/allotment/allotment_test.go
@@ -144,7 +144,7 @@
 
 // No window exceeds the limit and its tolerance, despite lost and late messages, partitions,
 // stalls, restarts and changes of the keeper.
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+func TestNoWindowExceedsLimitAndTolerance(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := RateLimit{Rate: rapid.SampledFrom([]float64{3, 40, 400}).Draw(rt, "rate")}
 		limit.Steady = rapid.Bool().Draw(rt, "steady")
@@ -185,7 +185,7 @@
 	switch {
 	case shares > maxSharedPart+1e-9:
 		return fmt.Sprintf("shares of %.3f are in use", shares)
-	case spares > tolerance.spares():
+	case spares > tolerance.maxSpares():
 		return fmt.Sprintf("%d spare requests are granted", spares)
 	}
 	return ""
@@ -269,8 +269,8 @@
 	}
 }
 
-// A tenant that requests twice its limit gets nearly all of the limit and no more.
-func TestAboveTheLimitTheLimitIsServed(t *testing.T) {
+// A tenant that sends twice its limit gets nearly the whole limit, but no more.
+func TestTenantAboveLimitGetsItsLimit(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(5, RateLimit{Rate: 40, Burst: 40})
 	f.run(5, 2, 5)
@@ -279,7 +279,7 @@
 	is.True(refused < 0.55)
 }
 
-// Traffic that moves to other nodes is served there within a second.
+// Traffic that moves to other nodes is admitted there within a second.
 func TestTrafficMovesToOtherNodes(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(6, RateLimit{Rate: 40, Burst: 40})
@@ -316,8 +316,8 @@
 	is.Equal(f.requests-f.refused, 8)
 }
 
-// A new keeper serves from its pool at once and extends existing shares.
-func TestReplacedKeeperServesAtOnce(t *testing.T) {
+// A new keeper grants credits from its pool at once and extends existing shares.
+func TestNewKeeperGrantsAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := settledFleet(3, RateLimit{Rate: 40, Burst: 40})
 	f.run(10, 0.6, 3)
@@ -424,8 +424,8 @@
 	is.Equal(allowance.bucket.level, 0.0) // not returned either
 }
 
-// A spare request that a holder gives up is not granted to another holder within the same
-// window, since the first may just have sent it.
+// A spare request that a holder returns is not granted to another holder within the same
+// window, since the first holder may just have sent it.
 func TestReturnedSpareIsNotGrantedWithinWindow(t *testing.T) {
 	is := is.New(t)
 	limit := RateLimit{Rate: 5, Burst: 5}
@@ -437,7 +437,7 @@
 		is.True(valid)
 		return grant.Spare
 	}
-	for i := range tolerance.spares() {
+	for i := range tolerance.maxSpares() {
 		is.True(claim(fmt.Sprint("n", i), false, 0.1))
 	}
 	now = now.Add(time.Second)
@@ -447,7 +447,7 @@
 	is.True(!claim("n0", false, 0))
 	is.True(!claim("other", false, 0.1))
 	now = now.Add(tolerance.Window + tolerance.CreditLife())
-	for i := 1; i < tolerance.spares(); i++ {
+	for i := 1; i < tolerance.maxSpares(); i++ {
 		is.True(claim(fmt.Sprint("n", i), true, 0.1))
 	}
 	is.True(claim("other", false, 0.1))
--- a/internal/serving/allotment/allowance.go
+++ b/internal/serving/allotment/allowance.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Credit is the right to send one request of a tenant.
+// Credit is the right to send one request of a tenant until the credit expires.
 type Credit struct {
-	// Pooled reports that the credit came from the keeper's pool, not from a share.
+	// Pooled reports that the credit does not come from a share: it comes from the keeper's
+	// pool or is a spare request.
 	Pooled  bool
 	expires time.Time
 }
@@ -23,17 +24,18 @@
 	shareExpires time.Time
 	bucket       bucket
 	// spare reports that the node may send one request in each window in addition to its
-	// share. lastSpare is when it last sent one.
+	// share. lastSpare is when it last acquired the credit for one, or else when the
+	// allowance was created.
 	spare     bool
 	lastSpare time.Time
 	// poolCredits are unused credits from the pool.
 	poolCredits []Credit
-	// requestCounts holds the number of requests in each of the last seconds, ending with
-	// the current one. currentSecond counts from start.
+	// requestCounts contains the number of requests in each of the last seconds, ending with
+	// currentSecond, which is the number of whole seconds since start.
 	requestCounts [demandWindowSeconds]float64
 	currentSecond int64
 	start         time.Time
-	// poolEmptyUntil is when the pool may have credits again.
+	// poolEmptyUntil is the time until which the pool is regarded as empty.
 	poolEmptyUntil time.Time
 }
 
@@ -75,19 +77,20 @@
 	return sum / demandWindowSeconds
 }
 
-// Idle reports whether the node has neither recent requests nor a share or spare request of
-// the tenant, so that the allowance may be dropped.
+// Idle reports whether the node has had no requests of the tenant within the demand window
+// and has neither a share nor a spare request, so that the allowance may be dropped. It does
+// not check whether the lease has expired; Claim drops an expired lease.
 func (a *Allowance) Idle(now time.Time) bool {
 	return a.Demand(now) == 0 && a.share == 0 && !a.spare
 }
 
-// Claim returns the claim that the node sends to the keeper.
+// Claim returns the claim that the node sends to the keeper. It first drops an expired lease.
 func (a *Allowance) Claim(now time.Time, tenant string, limit RateLimit) Claim {
 	a.fill(now, limit)
 	return Claim{Tenant: tenant, Held: a.share, Spare: a.spare, Wanted: wantedShare(a.Demand(now), limit)}
 }
 
-// ApplyGrant applies the keeper's reply to a claim that was sent at the given time.
+// ApplyGrant applies the keeper's reply to a claim. The lease starts when the claim was sent.
 func (a *Allowance) ApplyGrant(now, sent time.Time, limit RateLimit, grant Grant) {
 	a.fill(now, limit)
 	a.share, a.spare = grant.Share, grant.Spare
@@ -102,6 +105,8 @@
 	}
 }
 
+// fill drops an expired lease, and the share of a limit that is not leased as shares. It then
+// adds the credit that the share has accrued.
 func (a *Allowance) fill(now time.Time, limit RateLimit) {
 	a.expire(now)
 	if !limit.usesShares() {
@@ -127,8 +132,9 @@
 	return Credit{}, false
 }
 
-// AcquireSpare returns the credit for the spare request, which is for the time when the
-// keeper is unavailable. A node that has just started has none for one window.
+// AcquireSpare returns a credit for the spare request; callers use it while the keeper is
+// unavailable. It returns false if the node has no spare request, and for one window plus the
+// lifetime of a credit after the previous spare request or the creation of the allowance.
 func (a *Allowance) AcquireSpare(now time.Time) (Credit, bool) {
 	a.expire(now)
 	if !a.spare || now.Sub(a.lastSpare) < a.window+a.creditLife {
@@ -139,13 +145,14 @@
 }
 
 // AddPoolCredits adds credits from the pool that were requested at the given time.
-func (a *Allowance) AddPoolCredits(asked time.Time, count int) {
+func (a *Allowance) AddPoolCredits(requestedAt time.Time, count int) {
 	for range count {
-		a.poolCredits = append(a.poolCredits, Credit{Pooled: true, expires: asked.Add(a.creditLife)})
+		a.poolCredits = append(a.poolCredits, Credit{Pooled: true, expires: requestedAt.Add(a.creditLife)})
 	}
 }
 
-// Return puts back a credit whose request did not run on any runner.
+// Return puts back a credit whose request did not run on any runner. It drops an expired
+// credit.
 func (a *Allowance) Return(now time.Time, limit RateLimit, credit Credit) {
 	if !credit.Valid(now) {
 		return
@@ -158,13 +165,13 @@
 	a.bucket.level = min(a.bucket.level+1, a.share*limit.Burst)
 }
 
-// RecordPoolEmpty records that the pool was empty, and after which delay the keeper expects
-// credit again.
+// RecordPoolEmpty records that the pool was empty. The pool is regarded as empty for the time
+// after which the keeper expects credit again, but at most for maxPoolPause.
 func (a *Allowance) RecordPoolEmpty(now time.Time, wait time.Duration) {
 	a.poolEmptyUntil = now.Add(poolPause(wait))
 }
 
-// PoolEmpty reports whether the pool is known to be empty, and for how long.
+// PoolEmpty reports whether the pool is regarded as empty, and for how much longer.
 func (a *Allowance) PoolEmpty(now time.Time) (time.Duration, bool) {
 	return a.poolEmptyUntil.Sub(now), now.Before(a.poolEmptyUntil)
 }
@@ -178,7 +185,8 @@
 	return LeaseTTL - a.shareExpires.Sub(now)
 }
 
-// Share returns the share and the credit that it has accrued.
+// Share returns the share and the credit that it has accrued, as of the last call that
+// updated them.
 func (a *Allowance) Share() (share, level float64) { return a.share, a.bucket.level }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/serving/allotment/decision_test.go
+++ b/internal/serving/allotment/decision_test.go
@@ -8,7 +8,7 @@
 )
 
 // A holder gets the share that it claims if all claims fit, else a proportional part. It
-// never gets a share that others may be using, nor one that is too small to be useful.
+// never gets a share that others may be using, nor a share below the smallest burst.
 func TestGrantableShare(t *testing.T) {
 	large := RateLimit{Rate: 100, Burst: 100}
 	for _, one := range []struct {
@@ -46,7 +46,8 @@
 	is.Equal(queue.next(now.Add(time.Minute), 0, 2, 1), 500*time.Millisecond) // earlier callers have returned
 }
 
-// A node claims more than its demand, at most the whole limit, and nothing without demand.
+// A node claims more than its demand, but at most the whole limit. Without demand it claims
+// nothing.
 func TestWantedShare(t *testing.T) {
 	is := is.New(t)
 	is.Equal(wantedShare(8, RateLimit{Rate: 100}), (demandHeadroom*8+demandMargin)/100)
@@ -55,8 +56,8 @@
 	is.Equal(wantedShare(8, RateLimit{}), 0.0)
 }
 
-// A holder with demand keeps its spare request. Others get one only below the maximum and if
-// the keeper is settled.
+// A holder with demand keeps its spare request. A holder without a spare request gets one
+// only if the keeper is settled and fewer than the maximum are granted.
 func TestGrantsSpare(t *testing.T) {
 	is := is.New(t)
 	is.True(grantsSpare(Claim{Spare: true, Wanted: 0.1}, false, 10, 10))
