--- a/internal/serving/arbiter/arbiter_test.go
+++ b/internal/serving/arbiter/arbiter_test.go
@@ -154,7 +154,7 @@
 	now := time.Unix(0, 0)
 	a := New(testPolicy(16, 1, 0.5), now)
 	a.AdmitOnline()
-	a.limit = 0
+	a.batchLimit = 0
 	for range 100 {
 		for range 20 {
 			a.InterToken(5 * time.Millisecond)
--- a/internal/serving/limits/limits.go
+++ b/internal/serving/limits/limits.go
@@ -1,10 +1,10 @@
 // Package limits enforces tenants' request rates, concurrency and token rates on one node.
 //
 // It keeps the state of each tenant in memory. Each node enforces its share of a limit;
-// package quota divides the shares among the nodes by demand, without a message for each
+// package quota divides the limits among the nodes by demand, without a message for each
 // request. The plain node uses both packages. The edge and the storage node use packages
-// admission and allotment instead, which bound the excess over a limit by the configured
-// tolerance.
+// admission and allotment instead, which limit request rates only and bound the excess over a
+// limit by the configured tolerance.
 package limits
 
 import (
@@ -16,14 +16,15 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// TenantLimits are a tenant's limits from the bundle. A zero field means unlimited, except
-// for Burst.
+// TenantLimits are a tenant's limits on all nodes together, as the bundle sets them. A zero
+// field means unlimited, except for Burst.
 type TenantLimits struct {
 	RequestsPerSecond float64
 	// Burst is how many requests may arrive at once; 0 means the requests of one second.
 	Burst int
 	// Concurrent is how many requests may run at once.
-	Concurrent      int
+	Concurrent int
+	// TokensPerMinute limits the tokens that are charged when requests end (see Release).
 	TokensPerMinute int
 }
 
@@ -59,19 +60,22 @@
 	}
 }
 
+// apply sets the limits and the share. The caller holds the mutex, or is the only user.
 func (t *TenantLimiter) apply(limit TenantLimits, share float64) {
 	t.limit, t.share = limit, share
-	setRate(t.requests, limit.RequestsPerSecond*share, burstFor(limit, share))
+	setRate(t.requests, limit.RequestsPerSecond*share, requestBurst(limit, share))
 	setRate(t.tokens, float64(limit.TokensPerMinute)*share/secondsPerMinute, float64(limit.TokensPerMinute)*share)
 }
 
-func burstFor(limit TenantLimits, share float64) float64 {
+func requestBurst(limit TenantLimits, share float64) float64 {
 	if limit.Burst > 0 {
 		return float64(limit.Burst) * share
 	}
 	return limit.RequestsPerSecond * share
 }
 
+// setRate sets a limiter's rate and its burst, which is at least 1. A rate of 0 means
+// unlimited.
 func setRate(limiter *rate.Limiter, perSecond, burst float64) {
 	if perSecond <= 0 {
 		limiter.SetLimit(rate.Inf)
@@ -81,12 +85,12 @@
 	limiter.SetLimit(rate.Limit(perSecond))
 }
 
-// Admit admits one request, or returns an error with the retry delay. The caller has to call
-// Release for each admitted request.
+// Admit admits one request, or returns an error that names the exceeded limit and carries a
+// retry delay. The caller has to call Release for each admitted request.
 func (t *TenantLimiter) Admit(now time.Time) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if allowed := concurrencyFor(t.limit.Concurrent, t.share); allowed > 0 && t.running >= allowed {
+	if allowed := concurrencyShare(t.limit.Concurrent, t.share); allowed > 0 && t.running >= allowed {
 		return result.New(result.TenantConcurrency, "%d requests are in flight here, allowed: %d", t.running, allowed).WithRetryAfter(time.Second)
 	}
 	if !t.tokens.AllowN(now, 0) || (t.tokens.Limit() != rate.Inf && t.tokens.TokensAt(now) <= 0) {
@@ -100,6 +104,8 @@
 	return nil
 }
 
+// retryDelay returns the time until the limiter contains one token, or a millisecond if it
+// already does.
 func retryDelay(limiter *rate.Limiter, now time.Time) time.Duration {
 	missing := 1 - limiter.TokensAt(now)
 	if missing <= 0 || limiter.Limit() <= 0 {
@@ -108,16 +114,18 @@
 	return time.Duration(missing / float64(limiter.Limit()) * float64(time.Second))
 }
 
-func concurrencyFor(concurrent int, share float64) int {
+// concurrencyShare returns this node's share of a limit on concurrent requests, at least 1; 0
+// means unlimited.
+func concurrencyShare(concurrent int, share float64) int {
 	if concurrent <= 0 {
 		return 0
 	}
 	return max(1, int(float64(concurrent)*share+0.5))
 }
 
-// Release ends an admitted request and charges the tokens that it generated. Since tokens
-// are charged at the end, a tenant may exceed its limit by the tokens of its running
-// requests.
+// Release records the end of an admitted request and charges its tokens. Since tokens are
+// charged at the end, a tenant may exceed its limit by the tokens of its running requests;
+// later requests are refused until the excess is made up.
 func (t *TenantLimiter) Release(now time.Time, tokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -137,10 +145,10 @@
 	byTenant sync.Map // name → *TenantLimiter
 }
 
-// Tenant returns the tenant's limiter, updated to the given limits and share.
+// Tenant returns the tenant's limiter with the given limits and share.
 func (l *Limiters) Tenant(name string, limit TenantLimits, share float64) *TenantLimiter {
-	if known, found := l.byTenant.Load(name); found {
-		tenant := known.(*TenantLimiter)
+	if existing, found := l.byTenant.Load(name); found {
+		tenant := existing.(*TenantLimiter)
 		tenant.Update(limit, share)
 		return tenant
 	}
--- a/internal/serving/limits/limits_test.go
+++ b/internal/serving/limits/limits_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Nodes with equal shares together admit at most the whole limit, apart from rounding by one
-// request per node.
+// Nodes with equal shares together admit at most the whole limit, apart from rounding at each
+// node.
 func TestSharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 20).Draw(t, "nodes")
--- a/internal/serving/quota/quota_test.go
+++ b/internal/serving/quota/quota_test.go
@@ -11,7 +11,8 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// Once every node has reported, the shares add up to 1 and every node has one.
+// Once every node has reported, the shares in reply to the next reports add up to 1, and no
+// share is 0.
 func TestSharesAddUpToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		divider := NewDivider()
