--- a/internal/serving/limits/limits.go
+++ b/internal/serving/limits/limits.go
@@ -24,7 +24,7 @@
 	Burst int
 	// Concurrent is how many requests may run at once.
 	Concurrent int
-	// TokensPerMinute limits the tokens that are charged when requests end (see Release).
+	// TokensPerMinute limits the generated tokens, which are charged when requests end.
 	TokensPerMinute int
 }
 
@@ -123,9 +123,9 @@
 	return max(1, int(float64(concurrent)*share+0.5))
 }
 
-// Release records the end of an admitted request and charges its tokens. Since tokens are
-// charged at the end, a tenant may exceed its limit by the tokens of its running requests;
-// later requests are refused until the excess is made up.
+// Release records the end of an admitted request and charges the tokens that it generated.
+// Since tokens are charged at the end, a tenant may exceed its limit by the tokens of its
+// running requests; later requests are refused until the excess is made up.
 func (t *TenantLimiter) Release(now time.Time, tokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/serving/quota/quota.go
+++ b/internal/serving/quota/quota.go
@@ -24,7 +24,6 @@
 )
 
 // demandReport is the latest report of a node for a tenant.
-
 type demandReport struct {
 	requests   float64
 	reportedAt time.Time
