--- a/internal/serving/loadshare/audience.go
+++ b/internal/serving/loadshare/audience.go
@@ -9,16 +9,17 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// Number of nodes that receive reports of a runner.
+// Limits for the number of nodes that receive reports of a runner.
 const (
-	// minEdges and minStorageNodes are the minimum numbers of receivers. In fleets with up
-	// to maxStorageNodesForAll storage nodes, all of these receive reports of every runner,
-	// since a single storage node may run all items.
+	// minEdges and minStorageNodes are the minimum numbers of receivers, if there are that
+	// many nodes. In fleets with up to maxStorageNodesForAll storage nodes, all of these
+	// receive reports of every runner, since a single storage node may run all items.
 	minEdges              = 24
 	minStorageNodes       = 12
 	maxStorageNodesForAll = 20
-	// runnersPerEdge and runnersPerStorageNode are the minimum average number of runners of
-	// which a node receives reports; a node makes the best choices among these.
+	// runnersPerEdge and runnersPerStorageNode are the minimum numbers of runners of a
+	// service about which a node receives reports, on average over the nodes. A node needs
+	// enough such runners to choose among.
 	runnersPerEdge        = 6
 	runnersPerStorageNode = 24
 )
@@ -36,18 +37,19 @@
 // audienceSize returns how many edges and storage nodes receive reports of a runner.
 //
 // The size depends on the ratio of nodes to runners, so that each node receives reports of
-// enough runners to choose among. Since it does not depend on the size of the fleet, the
-// number of notices for a request does not grow with the fleet.
-func audienceSize(in audienceInputs) (edges, storageNodes int) {
-	edges = receiversPerRunner(in.edges, in.runnersInZone, minEdges, runnersPerEdge)
-	if in.storageNodes <= maxStorageNodesForAll {
-		return edges, in.storageNodes
+// enough runners to choose among. The number of notices for a request therefore does not grow
+// with a fleet in which this ratio stays the same.
+func audienceSize(inputs audienceInputs) (edges, storageNodes int) {
+	edges = receiversPerRunner(inputs.edges, inputs.runnersInZone, minEdges, runnersPerEdge)
+	if inputs.storageNodes <= maxStorageNodesForAll {
+		return edges, inputs.storageNodes
 	}
-	return edges, receiversPerRunner(in.storageNodes, in.runnersOfService, minStorageNodes, runnersPerStorageNode)
+	return edges, receiversPerRunner(inputs.storageNodes, inputs.runnersOfService, minStorageNodes, runnersPerStorageNode)
 }
 
-// receiversPerRunner returns how many of the nodes receive reports of each runner, so that a
-// node receives reports of at least runnersPerNode runners on average.
+// receiversPerRunner returns how many of the nodes receive reports of each runner: at least
+// minNodes, and enough for a node to receive reports of runnersPerNode runners on average, but
+// at most all nodes. Without runners it returns all nodes.
 func receiversPerRunner(nodes, runners, minNodes, runnersPerNode int) int {
 	if runners == 0 {
 		return nodes
@@ -58,26 +60,27 @@
 // nearlyFullSlots is the number of free slots up to which a runner is nearly full.
 const nearlyFullSlots = 2
 
-// nearlyFull reports whether the nodes with batch items at a runner should receive a report
-// of an online request there at once, even outside the runner's audience, so that they can
-// preempt items. running counts all requests at the runner, batch those for batch items.
+// nearlyFull reports whether a runner with batch items has at most nearlyFullSlots free slots.
+// The nodes with batch items there then receive reports at once, even outside the runner's
+// audience, so that they can preempt items. running is the number of all requests at the
+// runner, batch the number of those for batch items.
 func nearlyFull(running, batch float64, slots int) bool {
 	return batch != 0 && running >= float64(slots-nearlyFullSlots)
 }
 
-// ranking holds the ids of the nodes that may receive reports of one runner, in order. The
-// first ones are its audience.
+// ranking contains the nodes that know one runner, in the order in which they are selected for
+// its audience.
 type ranking struct {
 	edges, storage rankedNodes
 }
 
-// rankedNodes holds node ids in order, and the index of this node among them.
+// rankedNodes contains node ids in order, and the index of this node among them.
 type rankedNodes struct {
 	ids  []string
 	self int // len(ids) if this node is not in the list
 }
 
-// audience holds the ids of the nodes that receive reports of a runner, possibly including
+// audience contains the ids of the nodes that receive reports of a runner, possibly including
 // this node.
 type audience struct {
 	edges, storage []string
@@ -94,9 +97,10 @@
 	}
 }
 
-// rank orders the nodes by their rendezvous weight for the runner. This spreads the reports
-// evenly over the nodes, and a node that joins or leaves changes few audiences. Storage
-// nodes in the runner's zone come first, since items preferably run in their own zone.
+// rank orders the nodes that know a runner by their rendezvous weight for the runner, so that
+// the reports are spread evenly over the nodes, and a node that joins or leaves changes few
+// audiences. Edges are in the runner's zone only. Storage nodes in the runner's zone precede
+// those in other zones, since items preferably run in their own zone.
 func (i *nodeIndex) rank(runner *runnerset.Runner) *ranking {
 	position := subset.PositionOf(runner.ID)
 	var far []*member
@@ -126,8 +130,8 @@
 	}
 	slices.SortFunc(list, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
 	ids := make([]string, len(list))
-	for place := range list {
-		ids[place] = list[place].id
+	for rank := range list {
+		ids[rank] = list[rank].id
 	}
 	return ids
 }
--- a/internal/serving/loadshare/audience_test.go
+++ b/internal/serving/loadshare/audience_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// An audience has a minimum size, grows if many nodes share few runners, and never exceeds
+// An audience has a minimum size, is larger if many nodes use few runners, and never exceeds
 // the number of nodes.
 func TestAudienceSize(t *testing.T) {
 	for _, one := range []struct {
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadshare/loadshare.go
@@ -2,11 +2,13 @@
 // that nodes that choose among the same runners learn of each other's choices within a
 // network delay.
 //
-// The package determines which nodes receive reports of a runner (its audience, whose size
-// does not grow with the fleet) and when reports are sent: to edges at once, to storage
-// nodes, which schedule batch items, in batches. Each report contains all requests of the
-// node at the runner, so that a later report makes up for a lost one. Package runnerset uses
-// the reports to choose runners; this package passes them to its Set.
+// The package determines which nodes receive reports of a runner and when the reports are
+// sent. The receivers are called the audience of the runner; in large fleets, its size depends
+// on the ratio of nodes to runners, not on the size of the fleet. Reports are sent to edges at
+// once, and to storage nodes, which schedule batch items, in batches. Each report contains the
+// counts of all requests of the node at the runner, so that a later report makes up for a lost
+// one. Package runnerset uses the reports to choose runners; this package passes them to its
+// Set.
 //
 // The package uses package notify for batching, package subset to determine which nodes know
 // a runner, and the directory of nodes. The edge and the storage node run it. See
@@ -51,22 +53,23 @@
 	// pending holds the runners whose report to storage nodes is due with the next batch.
 	pending map[*runnerset.Runner]bool
 	batcher *notify.Batcher
-	// changedAt is when this node's use of a runner last changed, for the runners at which
-	// the node has requests.
+	// changedAt is when this node's use of a runner last changed. It contains only runners
+	// at which the node has requests.
 	changedAt map[*runnerset.Runner]time.Time
-	// incarnations holds the process incarnation of each peer's last report.
+	// incarnations maps a peer to the process incarnation in its latest report.
 	incarnations map[string]uint64
 }
 
 const (
 	// coalesceInterval is the period over which changes for storage nodes are batched.
 	coalesceInterval = 60 * time.Millisecond
-	// repeatInterval is the period after which an unchanged use is reported again, since a
+	// repeatInterval is the interval at which an unchanged use is reported again, since a
 	// notice may be lost and a node that joins an audience has no earlier reports.
 	repeatInterval = time.Second
 )
 
-// New returns a reporter and subscribes it to changes of this node's load on the runners.
+// New returns a reporter and subscribes it to changes of this node's load on the runners. Run
+// has to be running for reports to storage nodes and for repeated reports.
 func New(directory VersionedDirectory, runners *runnerset.Set, sender notify.NoticeSender, registry prometheus.Registerer) *Reporter {
 	r := &Reporter{
 		runners: runners, sender: sender, directory: directory, pending: map[*runnerset.Runner]bool{},
@@ -89,8 +92,9 @@
 // receivesReports reports whether this node receives other nodes' reports of a runner.
 func (r *Reporter) receivesReports(runner *runnerset.Runner) bool { return r.audiences.of(runner).self }
 
-// reportChange reports a change of this node's use of a runner: to edges at once, to storage
-// nodes with the next batch.
+// reportChange reports a change of this node's use of a runner: to edges and, if the runner is
+// nearly full, to nodes with batch items there at once; to storage nodes with the next batch.
+// shared contains the parts of the prompt that other requests may share.
 func (r *Reporter) reportChange(runner *runnerset.Runner, shared []runnerset.PromptPart) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -130,9 +134,9 @@
 	r.sender.NotifyAll(addresses, rpc.ClassControl, wirev1.Method_METHOD_RUNNER_USE, uses)
 }
 
-// batchHoldersIfNearlyFull returns the nodes that should preempt batch items if the runner
-// is nearly full. These are storage nodes, which would otherwise get the report with the
-// next batch.
+// batchHoldersIfNearlyFull returns the nodes with batch items at a runner if the runner is
+// nearly full, so that they can preempt items; else no nodes. These are storage nodes, which
+// may be outside the runner's audience.
 func (r *Reporter) batchHoldersIfNearlyFull(runner *runnerset.Runner) []string {
 	now := time.Now()
 	counts := runner.RequestCounts(now)
@@ -157,7 +161,7 @@
 	r.sendBatch("disks", byAddress)
 }
 
-// repeat reports unchanged uses again.
+// repeat reports the uses again that have not changed for repeatInterval.
 func (r *Reporter) repeat(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -200,18 +204,20 @@
 	}
 }
 
-// recordIncarnation drops the reports of a peer's earlier process if the peer has restarted.
+// recordIncarnation records the incarnation of a peer's process, and drops the reports of the
+// earlier process if the peer has restarted.
 func (r *Reporter) recordIncarnation(peer string, incarnation uint64) {
 	r.mutex.Lock()
-	known := r.incarnations[peer]
+	previous := r.incarnations[peer]
 	r.incarnations[peer] = incarnation
 	r.mutex.Unlock()
-	if known > 0 && known != incarnation {
+	if previous > 0 && previous != incarnation {
 		r.dropReports(peer, "started again")
 	}
 }
 
-// ReceiveNotice applies the reports in a peer's notice.
+// ReceiveNotice applies the reports in a peer's notice. It logs and ignores a notice that
+// cannot be decoded.
 func (r *Reporter) ReceiveNotice(from string, payload []byte) {
 	var uses wirev1.RunnerUses
 	if err := proto.Unmarshal(payload, &uses); err != nil {
--- a/internal/serving/loadshare/loadshare_test.go
+++ b/internal/serving/loadshare/loadshare_test.go
@@ -211,8 +211,7 @@
 	is.Equal(edges(), []string{"b2"})
 }
 
-// Changes of other runners and restarts of nodes keep a runner's cached ranking, since
-// computing one ranks all nodes of a zone.
+// A runner's ranking stays cached when other runners change or nodes restart.
 func TestAudiencesAreCached(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 100, disks: 20, runners: 40, zones: 2}
@@ -268,8 +267,8 @@
 	is.Equal(load(1), 3.0)
 }
 
-// An unchanged use is reported again, in case a notice was lost or a receiver joined later;
-// an ended use is not.
+// An unchanged use is reported again, in case a notice was lost or a receiver joined later.
+// A use that has ended is not.
 func TestUnchangedUseIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := fleet{edges: 2, disks: 1, runners: 1, zones: 1}
--- a/internal/serving/loadshare/rankings.go
+++ b/internal/serving/loadshare/rankings.go
@@ -11,13 +11,13 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// audiences computes and caches the audience of each runner: among the nodes that know the
-// runner (see package subset), the ones with the highest rendezvous weight. All nodes
+// audiences computes the audience of each runner: the nodes with the highest rendezvous weight
+// among the nodes that know the runner (see package subset and nodeIndex.rank). All nodes
 // compute the same audiences from the same node records and runner counts. While these
 // differ between nodes, some reports are missing.
 //
-// The ranking of the nodes for a runner stays cached when other runners come and go or nodes
-// restart.
+// The ranking of the nodes for a runner is cached. It stays cached when nodes restart, and when
+// other runners come and go without changing the subsets of runners that nodes know.
 type audiences struct {
 	directory  VersionedDirectory
 	runners    *runnerset.Set
@@ -40,8 +40,8 @@
 	count    atomic.Int64
 }
 
-// maxStaleRankings limits the cached rankings of removed runners, some 200 bytes each, in
-// addition to the number of current runners. Beyond the limit, the cache is cleared.
+// maxStaleRankings limits the cache of rankings, some 200 bytes each: it is cleared when it
+// contains maxStaleRankings more than twice the number of current runners.
 const maxStaleRankings = 1024
 
 // nodeIndex groups the node records by role and zone.
@@ -61,6 +61,8 @@
 	subset *subset.Subset
 }
 
+// knows reports whether the node's subset contains a runner, whose position is given by
+// subset.PositionOf.
 func (m *member) knows(runner *runnerset.Runner, position uint64) bool {
 	return m.subset == nil || m.subset.Contains(subset.ServiceZone{Service: runner.Service, Zone: runner.Zone}, position)
 }
@@ -90,8 +92,8 @@
 	i.storageCount++
 }
 
-// sameNodes reports whether two indexes contain the same nodes, regardless of their
-// addresses.
+// sameNodes reports whether two indexes contain the same node ids in the same order, by role
+// and zone. It ignores addresses and subsets.
 func (i *nodeIndex) sameNodes(other *nodeIndex) bool {
 	same := func(a, b []*member) bool {
 		return slices.EqualFunc(a, b, func(one, two *member) bool { return one.id == two.id })
@@ -107,28 +109,30 @@
 	return ranked.top(audienceSize(table.nodes.inputsFor(runner, a.runners.Counts())))
 }
 
+// ranking returns the ranking for a runner from the cache, or computes and caches it.
 func (t *audienceTable) ranking(runner *runnerset.Runner) *ranking {
-	if known, found := t.byRunner.Load(runner.ID); found {
-		return known.(*ranking)
+	if cached, found := t.byRunner.Load(runner.ID); found {
+		return cached.(*ranking)
 	}
 	next := t.nodes.rank(runner)
-	if _, held := t.byRunner.Swap(runner.ID, next); !held {
+	if _, existed := t.byRunner.Swap(runner.ID, next); !existed {
 		t.byRunner.count.Add(1)
 	}
 	return next
 }
 
-// dropStaleRankings clears the cache if most of its rankings belong to removed runners.
+// dropStaleRankings clears the cache if most of its rankings belong to removed runners (see
+// maxStaleRankings).
 func (a *audiences) dropStaleRankings(table *audienceTable) {
-	held := table.byRunner.count.Load()
-	if held <= maxStaleRankings {
+	cached := table.byRunner.count.Load()
+	if cached <= maxStaleRankings {
 		return
 	}
 	listed := 0
 	for _, count := range a.runners.Counts().ByService {
 		listed += count
 	}
-	if held > int64(2*listed+maxStaleRankings) {
+	if cached > int64(2*listed+maxStaleRankings) {
 		next := *table
 		next.byRunner = &rankings{}
 		a.current.CompareAndSwap(table, &next)
@@ -147,20 +151,22 @@
 	return addresses
 }
 
+// table returns the table for the current node records and runner counts, and builds it if they
+// have changed. The new table keeps the cached rankings if these cannot have changed.
 func (a *audiences) table() *audienceTable {
 	generation, totals := a.directory.Generation(), a.runners.Totals()
-	if held := a.current.Load(); held.matches(generation, totals) {
-		return held
+	if current := a.current.Load(); current.matches(generation, totals) {
+		return current
 	}
 	a.buildMutex.Lock()
 	defer a.buildMutex.Unlock()
-	last := a.current.Load()
-	if last.matches(generation, totals) {
-		return last
+	previous := a.current.Load()
+	if previous.matches(generation, totals) {
+		return previous
 	}
 	next := &audienceTable{generation: generation, totals: totals, nodes: newNodeIndex(a.directory, totals), byRunner: &rankings{}}
-	if last != nil && last.totals == totals && last.nodes.sameNodes(next.nodes) {
-		next.byRunner = last.byRunner
+	if previous != nil && previous.totals == totals && previous.nodes.sameNodes(next.nodes) {
+		next.byRunner = previous.byRunner
 	}
 	a.current.Store(next)
 	return next
--- a/internal/serving/scheduling/plugins/filters.go
+++ b/internal/serving/scheduling/plugins/filters.go
@@ -4,9 +4,8 @@
 
 import "cobaltramp.example/cobaltramp/internal/serving/scheduling/framework"
 
-// Available removes candidates that are leaving, excluded, or ejected after a failure. If
-// only ejected candidates remain, it keeps them, since a possible success is better than a
-// refusal.
+// Available removes candidates that are leaving, excluded, or ejected after a failure. If all
+// candidates that are neither leaving nor excluded are ejected, it keeps the ejected ones.
 type Available struct{}
 
 var _ framework.Filter = Available{}
@@ -32,8 +31,8 @@
 }
 
 func excluded(request *framework.Request, id string) bool {
-	for _, other := range request.Excluded {
-		if other == id {
+	for _, excludedID := range request.Excluded {
+		if excludedID == id {
 			return true
 		}
 	}
--- a/internal/serving/scheduling/plugins/pickers.go
+++ b/internal/serving/scheduling/plugins/pickers.go
@@ -28,11 +28,11 @@
 	return best
 }
 
-// SampledBest picks the best of a few random candidates and the candidate with the highest
-// affinity. Sampling prevents many nodes with the same outdated view from choosing the same
-// owner (Mitzenmacher 2001).
+// SampledBest picks the candidate with the highest score among the candidate with the highest
+// affinity and a few random candidates. Sampling prevents many nodes with the same outdated
+// view from choosing the same owner (Mitzenmacher 2001).
 type SampledBest struct {
-	// Samples is the number of random candidates.
+	// Samples is the number of random candidates. A candidate may be drawn more than once.
 	Samples int
 }
 
--- a/internal/serving/scheduling/plugins/scorers.go
+++ b/internal/serving/scheduling/plugins/scorers.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// LeastPreemption prefers candidates with many slots used by neither online nor batch work,
-// so that fewer batch streams are preempted.
+// LeastPreemption prefers candidates with a large fraction of free slots, used by neither
+// online nor batch work, so that fewer batch streams are preempted.
 type LeastPreemption struct{}
 
 var _ framework.Scorer = LeastPreemption{}
@@ -24,13 +24,14 @@
 func (LeastPreemption) Score(_ *framework.Request, candidates []framework.Candidate, scores []float64) {
 	for i := range candidates {
 		capacity := max(1, candidates[i].Capacity)
-		taken := float64(candidates[i].Load+candidates[i].Batch) / float64(capacity)
-		scores[i] = 1 - min(1, taken)
+		used := float64(candidates[i].Load+candidates[i].Batch) / float64(capacity)
+		scores[i] = 1 - min(1, used)
 	}
 }
 
-// PrefixAffinity prefers one candidate for all requests with the same prefix, whose cache
-// then holds the prefix, unless the utilization of that candidate exceeds the average by
+// PrefixAffinity prefers the candidate with the highest affinity, so that requests with the
+// same prefix go to the candidate that has the prefix in its cache. It prefers no candidate if
+// the request has no prefix, or if the utilization of that candidate exceeds the average by
 // more than affinitySlack (consistent hashing with bounded loads, Mirrokni, Thorup,
 // Zadimoghaddam 2016).
 type PrefixAffinity struct{}
