--- a/internal/serving/admission/controller.go
+++ b/internal/serving/admission/controller.go
@@ -262,10 +262,10 @@
 func (c *Controller) allowance(tenant string) *allowance {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.allowances[tenant]
-	if held == nil {
-		held = &allowance{Allowance: allotment.NewAllowance(c.now(), c.tolerance)}
-		c.allowances[tenant] = held
+	state := c.allowances[tenant]
+	if state == nil {
+		state = &allowance{Allowance: allotment.NewAllowance(c.now(), c.tolerance)}
+		c.allowances[tenant] = state
 	}
-	return held
+	return state
 }
--- a/internal/serving/admission/controller_test.go
+++ b/internal/serving/admission/controller_test.go
@@ -62,10 +62,10 @@
 func TestConcurrentRequestsShareKeeperCalls(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	var asked atomic.Int64
+	var requested atomic.Int64
 	keepers := &scriptedKeepers{allot: func(request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 		<-release
-		asked.Add(int64(request.Credits))
+		requested.Add(int64(request.Credits))
 		return &wirev1.AllotmentReply{Credits: min(request.Credits, 4), WaitMs: 300}, nil
 	}}
 	controller := controllerOf(keepers)
@@ -251,10 +251,10 @@
 }
 
 // unresponsiveKeepers does not respond until the context of the call ends.
-type unresponsiveKeepers struct{ asked chan struct{} }
+type unresponsiveKeepers struct{ called chan struct{} }
 
 func (k *unresponsiveKeepers) Allot(ctx context.Context, _ string, _ *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
-	k.asked <- struct{}{}
+	k.called <- struct{}{}
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -264,7 +264,7 @@
 // Shutdown cancels calls to keepers, and later requests are refused at once.
 func TestKeeperCallsEndWithTheNode(t *testing.T) {
 	is := is.New(t)
-	keepers := &unresponsiveKeepers{asked: make(chan struct{})}
+	keepers := &unresponsiveKeepers{called: make(chan struct{})}
 	controller := controllerOf(keepers)
 	ctx, cancel := context.WithCancel(context.Background())
 	refused := make(chan error, 1)
@@ -272,7 +272,7 @@
 		_, err := controller.Admit(context.Background(), "id", limited, maxWait)
 		refused <- err
 	}()
-	<-keepers.asked
+	<-keepers.called
 	cancel()
 	controller.Run(ctx) // returns once the call has ended
 	is.True(result.Is(<-refused, result.NotReady))
--- a/internal/serving/allotment/allotment.go
+++ b/internal/serving/allotment/allotment.go
@@ -22,8 +22,8 @@
 //   - An admitted request has to be sent before its credit expires, which is CreditLife
 //     after the credit was acquired from a share or requested from the pool, or earlier.
 //   - Spare requests, which nodes may send while the keeper is unavailable, count
-//     against the tolerance. A holder sends at most one in each window, and the number
-//     of holders that have one is bounded.
+//     against the tolerance. A holder sends at most one spare request in each window,
+//     and the number of holders with a spare request is bounded.
 //
 // The rules for granting shares and for the retry delays of refused callers are in
 // decision.go; Keeper and Allowance hold the state. A storage node that leads a shard runs
@@ -72,7 +72,7 @@
 	// runner if little or no overrun is allowed.
 	minCreditLife = 50 * time.Millisecond
 	// spareSlackFraction is the part of the slack that is granted as spare requests, one for
-	// each holder. poolSlackFraction is the part that the pool may hold above its burst,
+	// each holder. poolSlackFraction is the part that the pool may contain above its burst,
 	// since requests of small tenants arrive in clusters. The remainder covers requests that
 	// are being sent when a machine is suspended.
 	spareSlackFraction = 0.5
@@ -89,7 +89,7 @@
 // maxSpares returns how many holders of a tenant may have a spare request.
 func (t Tolerance) maxSpares() int { return int(spareSlackFraction * float64(t.Slack)) }
 
-// poolSlack returns how many requests the pool may hold above its burst.
+// poolSlack returns the credit, in requests, that the pool may contain above its burst.
 func (t Tolerance) poolSlack() float64 { return poolSlackFraction * float64(t.Slack) }
 
 // bucket is a token bucket for a part of a limit. Unlike in rate.Limiter, the capacity may be
--- a/internal/serving/allotment/allotment_test.go
+++ b/internal/serving/allotment/allotment_test.go
@@ -176,10 +176,10 @@
 			spares++
 		}
 		if n.allowance.share > 0 && n.allowance.shareExpires.After(f.now.Add(LeaseTTL)) {
-			return "a share is held beyond its lease"
+			return "a share lasts longer than its lease"
 		}
 		if n.allowance.bucket.level > n.allowance.share*f.limit.Burst+1e-9 {
-			return "a share holds more credit than its burst"
+			return "a share has more credit than its burst"
 		}
 	}
 	switch {
@@ -209,8 +209,8 @@
 	case 6:
 		n.stalled = !n.stalled
 	case 7:
-		for _, one := range f.nodes { // power failure of all nodes
-			f.restart(one)
+		for _, node := range f.nodes { // power failure of all nodes
+			f.restart(node)
 		}
 		f.keeper = NewKeeper(f.now, tolerance)
 	}
--- a/internal/serving/allotment/allowance.go
+++ b/internal/serving/allotment/allowance.go
@@ -24,8 +24,8 @@
 	shareExpires time.Time
 	bucket       bucket
 	// spare reports that the node may send one request in each window in addition to its
-	// share. lastSpare is when it last acquired the credit for one, or else when the
-	// allowance was created.
+	// share. lastSpare is when the node last acquired the credit for a spare request, or
+	// when the allowance was created if it has not.
 	spare     bool
 	lastSpare time.Time
 	// poolCredits are unused credits from the pool.
--- a/internal/serving/allotment/decision_test.go
+++ b/internal/serving/allotment/decision_test.go
@@ -11,7 +11,7 @@
 // never gets a share that others may be using, nor a share below the smallest burst.
 func TestGrantableShare(t *testing.T) {
 	large := RateLimit{Rate: 100, Burst: 100}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		limit   RateLimit
 		request shareRequest
@@ -25,9 +25,9 @@
 		{"too small", large, shareRequest{wanted: 0.01, wantedByAll: 0.01, settled: true}, 0},
 		{"small tenant", RateLimit{Rate: 100, Burst: 39}, shareRequest{wanted: 0.25, wantedByAll: 0.25, settled: true}, 0},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(grantableShare(one.limit, one.request), one.share)
+			is.Equal(grantableShare(test.limit, test.request), test.share)
 		})
 	}
 }
--- a/internal/serving/allotment/keeper.go
+++ b/internal/serving/allotment/keeper.go
@@ -79,12 +79,12 @@
 
 // tenant returns the state of a tenant, and creates it if missing.
 func (k *Keeper) tenant(name string, limit RateLimit) *tenantAllocation {
-	held := k.tenants[name]
-	if held == nil {
-		held = &tenantAllocation{holders: map[string]*holderLease{}, limit: limit, poolPart: initialPoolPart(limit), pool: bucket{updated: k.started}}
-		k.tenants[name] = held
+	state := k.tenants[name]
+	if state == nil {
+		state = &tenantAllocation{holders: map[string]*holderLease{}, limit: limit, poolPart: initialPoolPart(limit), pool: bucket{updated: k.started}}
+		k.tenants[name] = state
 	}
-	return held
+	return state
 }
 
 // refill adds the credit that the pool has accrued until now, then recomputes the pool's
--- a/internal/serving/limits/limits_test.go
+++ b/internal/serving/limits/limits_test.go
@@ -52,8 +52,8 @@
 				}
 			}
 		}
-		most := 2*limit.RequestsPerSecond + 2*float64(nodes) // a burst of one second, plus one second of requests
-		if float64(admitted) > most {
+		maxAdmitted := 2*limit.RequestsPerSecond + 2*float64(nodes) // a burst of one second, plus one second of requests
+		if float64(admitted) > maxAdmitted {
 			t.Fatalf("%d admitted in a second by %d nodes, limit %g", admitted, nodes, limit.RequestsPerSecond)
 		}
 	})
--- a/internal/serving/loadshare/audience_test.go
+++ b/internal/serving/loadshare/audience_test.go
@@ -9,7 +9,7 @@
 // An audience has a minimum size, is larger if many nodes use few runners, and never exceeds
 // the number of nodes.
 func TestAudienceSize(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name                string
 		in                  audienceInputs
 		edges, storageNodes int
@@ -20,11 +20,11 @@
 		{"many edges for few runners", audienceInputs{edges: 200, storageNodes: 60, runnersInZone: 40, runnersOfService: 40}, 30, 36},
 		{"capped by the number of nodes", audienceInputs{edges: 200, storageNodes: 60, runnersInZone: 2, runnersOfService: 2}, 200, 60},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			edges, storageNodes := audienceSize(one.in)
-			is.Equal(edges, one.edges)
-			is.Equal(storageNodes, one.storageNodes)
+			edges, storageNodes := audienceSize(test.in)
+			is.Equal(edges, test.edges)
+			is.Equal(storageNodes, test.storageNodes)
 		})
 	}
 }
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadshare/loadshare.go
@@ -1,6 +1,8 @@
 // Package loadshare exchanges reports of the requests that each node runs at runners, so
 // that nodes that choose among the same runners learn of each other's choices within a
-// network delay.
+// network delay. A node's use of a runner is the number of its running requests there, the
+// number of those for batch items, and the number of prompt tokens in requests whose first
+// event has not arrived.
 //
 // The package determines which nodes receive reports of a runner and when the reports are
 // sent. The receivers are called the audience of the runner; in large fleets, its size depends
--- a/internal/serving/loadshare/rankings.go
+++ b/internal/serving/loadshare/rankings.go
@@ -25,8 +25,9 @@
 	buildMutex sync.Mutex
 }
 
-// audienceTable holds the rankings for one generation of the node records and one state of
-// the runner counts.
+// audienceTable contains the rankings for one generation of the node records and one state of
+// the runner counts. totals is nil if the counts are unknown; all nodes are then assumed to know
+// all runners.
 type audienceTable struct {
 	generation uint64
 	totals     *subset.Totals
@@ -96,7 +97,7 @@
 // and zone. It ignores addresses and subsets.
 func (i *nodeIndex) sameNodes(other *nodeIndex) bool {
 	same := func(a, b []*member) bool {
-		return slices.EqualFunc(a, b, func(one, two *member) bool { return one.id == two.id })
+		return slices.EqualFunc(a, b, func(first, second *member) bool { return first.id == second.id })
 	}
 	return maps.EqualFunc(i.edges, other.edges, same) && maps.EqualFunc(i.storage, other.storage, same)
 }
