--- a/internal/serving/arbiter/arbiter.go
+++ b/internal/serving/arbiter/arbiter.go
@@ -6,10 +6,10 @@
 // does no I/O and reads no clock; module serving.owner calls it.
 //
 // In mode Managed, two mechanisms protect the tail latency of online work. With preemption, an
-// online request that finds no free slot takes the slot of the youngest batch stream. With the
-// batch limit, the number of batch streams shrinks when too many online tokens on this runner
-// are late, and grows otherwise, because batch prefills slow down other streams even if slots
-// are free.
+// online request that finds no free slot takes the slot of the youngest batch stream. The batch
+// limit is needed because batch prefills slow down other streams even if slots are free: it
+// shrinks when too many online tokens on this runner are late, and grows while they are on
+// time.
 package arbiter
 
 import (
--- a/internal/serving/loadshare/loadshare_test.go
+++ b/internal/serving/loadshare/loadshare_test.go
@@ -105,7 +105,7 @@
 			edges: rapid.IntRange(1, 120).Draw(t, "edges"), disks: rapid.IntRange(1, 40).Draw(t, "disks"),
 			runners: rapid.IntRange(5, 60).Draw(t, "runners"), zones: rapid.IntRange(1, 5).Draw(t, "zones"),
 		}
-		reporter, runners, _ := f.node(0)
+		sender, runners, _ := f.node(0)
 		received := map[int]int{}
 		for self := range f.edges + f.disks {
 			reporter, set, _ := f.node(self)
@@ -117,7 +117,7 @@
 		}
 		total := 0
 		for _, runner := range runners.Service("s") {
-			receivers := reporter.audiences.of(runner)
+			receivers := sender.audiences.of(runner)
 			total += len(receivers.edges) + len(receivers.storage)
 			if f.disks > 0 && len(receivers.storage) == 0 {
 				t.Fatalf("no storage node receives reports of %s", runner.ID)
