--- a/internal/serving/allotment/keeper.go
+++ b/internal/serving/allotment/keeper.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HolderID identifies one process of a node that holds shares. The incarnation increases with
-// each start of the node.
+// HolderID identifies one process of a node that holds shares. A lower incarnation is taken
+// to be an earlier process of the node.
 type HolderID struct {
 	Node        string
 	Incarnation uint64
