--- a/internal/serving/limits/limits_test.go
+++ b/internal/serving/limits/limits_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Nodes with equal shares together admit at most the whole limit, apart from rounding by one
-// request per node.
+// Nodes with equal shares together admit at most the whole limit, apart from rounding at each
+// node.
 func TestSharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 20).Draw(t, "nodes")
@@ -52,8 +52,8 @@
 				}
 			}
 		}
-		most := 2*limit.RequestsPerSecond + 2*float64(nodes) // a burst of one second, plus one second of requests
-		if float64(admitted) > most {
+		maxAdmitted := 2*limit.RequestsPerSecond + 2*float64(nodes) // a burst of one second, plus one second of requests
+		if float64(admitted) > maxAdmitted {
 			t.Fatalf("%d admitted in a second by %d nodes, limit %g", admitted, nodes, limit.RequestsPerSecond)
 		}
 	})
