--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -29,7 +29,7 @@
 
 func expected(text string, tokens int64) string {
 	body, _ := json.Marshal(map[string]any{"messages": []map[string]string{{"role": "user", "content": text}}, "max_tokens": tokens})
-	return engine.ExpectedAnswer(body, maxAnswer)
+	return engine.ExpectedResponse(body, maxAnswer)
 }
 
 // The published client does everything callers do.
@@ -52,7 +52,7 @@
 		})
 		is.NoErr(err)
 		body := []byte(`{"prompt":"summarise the return","max_tokens":12}`)
-		is.Equal(answer.Choices[0].Text, engine.ExpectedAnswer(body, maxAnswer))
+		is.Equal(answer.Choices[0].Text, engine.ExpectedResponse(body, maxAnswer))
 	})
 	t.Run("stream", func(t *testing.T) {
 		is := is.New(t)
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -53,7 +53,7 @@
 	running := start(t, topology(3, 2))
 	for _, disorderly := range running.Engines {
 		disorderly.SetDisorder(true)
-		disorderly.SetLate(20*time.Millisecond, 20*time.Millisecond)
+		disorderly.SetResponseDelays(20*time.Millisecond, 20*time.Millisecond)
 	}
 	recorder := under(running, running.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
 	requireWhole(t, recorder)
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -13,7 +13,8 @@
 	return &prefixCache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// match returns the number of leading blocks in the cache.
+// match returns how many leading blocks are cached, and marks them as recently
+// used.
 func (c *prefixCache) match(blocks []uint64) int {
 	for i, block := range blocks {
 		element, found := c.blocks[block]
@@ -25,6 +26,7 @@
 	return len(blocks)
 }
 
+// insert adds blocks and evicts the least recently used ones beyond the capacity.
 func (c *prefixCache) insert(blocks []uint64) {
 	for _, block := range blocks {
 		if element, found := c.blocks[block]; found {
--- a/lab/engine/emitter.go
+++ b/lab/engine/emitter.go
@@ -7,96 +7,100 @@
 	"time"
 )
 
-// emitter writes a sequence's events to one reader. Event i carries token
-// first+i; the event after the last token carries the usage.
-type emitter struct {
+// eventWriter writes the server-sent events of a sequence to one reader. Event i
+// carries token first+i; the event after the last token carries the usage.
+type eventWriter struct {
 	engine *Engine
 	source *sequence
 	writer *bufio.Writer
-	next   int
+	next   int // index of the next event to write
 }
 
-// keepAlive bounds how long a vanished reader goes unseen.
-const keepAlive = time.Second
+// keepAliveInterval is the time between comments on an idle stream; writing one
+// detects a disconnected reader.
+const keepAliveInterval = time.Second
 
-func (m *emitter) run() {
+// run writes events until the sequence ends or the reader disconnects.
+func (w *eventWriter) run() {
 	for {
-		state, produced, changed := m.source.view()
+		state, produced, changed := w.source.snapshot()
 		if state == phaseCancelled {
 			return
 		}
-		if !m.catchUp(produced, state) {
+		if !w.writeProduced(produced, state) {
 			return
 		}
 		if state == phaseFinished {
-			m.close(produced)
+			w.writeEnd(produced)
 			return
 		}
 		select {
 		case <-changed:
-		case <-time.After(keepAlive):
-			if _, err := m.writer.WriteString(": alive\n\n"); err != nil || m.writer.Flush() != nil {
+		case <-time.After(keepAliveInterval):
+			if _, err := w.writer.WriteString(": alive\n\n"); err != nil || w.writer.Flush() != nil {
 				return
 			}
 		}
 	}
 }
 
-// catchUp writes the events of all tokens produced so far.
-func (m *emitter) catchUp(produced int, state phase) bool {
-	for m.source.first+m.next < produced {
-		index := m.source.first + m.next
+// writeProduced writes the events of all tokens produced so far. It reports false
+// if the reader has disconnected.
+func (w *eventWriter) writeProduced(produced int, state phase) bool {
+	for w.source.first+w.next < produced {
+		index := w.source.first + w.next
 		finish := ""
-		if state == phaseFinished && index == m.source.length-1 {
-			finish = m.source.finishReason()
+		if state == phaseFinished && index == w.source.length-1 {
+			finish = w.source.finishReason()
 		}
-		if !m.engine.disorder(m, m.next, m.tokenEvent(index, finish)) {
+		if !w.engine.emit(w, w.next, w.tokenEvent(index, finish)) {
 			return false
 		}
-		m.next++
+		w.next++
 	}
-	return m.writer.Flush() == nil
+	return w.writer.Flush() == nil
 }
 
-func (m *emitter) write(index int, data []byte) bool {
-	_, err := fmt.Fprintf(m.writer, "id: %d\ndata: %s\n\n", index, data)
+func (w *eventWriter) writeEvent(index int, data []byte) bool {
+	_, err := fmt.Fprintf(w.writer, "id: %d\ndata: %s\n\n", index, data)
 	return err == nil
 }
 
-func (m *emitter) tokenEvent(index int, finish string) []byte {
+func (w *eventWriter) tokenEvent(index int, finish string) []byte {
 	choice := map[string]any{"index": 0, "finish_reason": nil}
 	if finish != "" {
 		choice["finish_reason"] = finish
 	}
-	text := Token(m.source.prompt.Hash, index)
-	if m.source.chat {
+	text := Token(w.source.prompt.Hash, index)
+	if w.source.chat {
 		choice["delta"] = map[string]any{"content": text}
 	} else {
 		choice["text"] = text
 	}
-	return m.encode(map[string]any{"choices": []any{choice}})
+	return w.encode(map[string]any{"choices": []any{choice}})
 }
 
-func (m *emitter) close(produced int) {
-	usage := m.encode(map[string]any{"choices": []any{}, "usage": usageOf(m.source, produced)})
-	tokens := produced - m.source.first
-	if m.next <= tokens && !m.write(tokens, usage) {
+// writeEnd writes the usage and the end marker of the stream.
+func (w *eventWriter) writeEnd(produced int) {
+	usage := w.encode(map[string]any{"choices": []any{}, "usage": usageOf(w.source, produced)})
+	tokens := produced - w.source.first
+	if w.next <= tokens && !w.writeEvent(tokens, usage) {
 		return
 	}
-	m.engine.applyLateEnd()
-	if _, err := m.writer.WriteString("data: [DONE]\n\n"); err != nil {
+	w.engine.delayEnd()
+	if _, err := w.writer.WriteString("data: [DONE]\n\n"); err != nil {
 		return
 	}
-	if m.writer.Flush() == nil {
-		m.engine.ledger.finished(m.source.prompt.Hash, m.source.id)
+	if w.writer.Flush() == nil {
+		w.engine.ledger.finished(w.source.prompt.Hash, w.source.id)
 	}
 }
 
-func (m *emitter) encode(event map[string]any) []byte {
-	event["id"] = m.source.id
-	event["model"] = m.source.model
+func (w *eventWriter) encode(event map[string]any) []byte {
+	event["id"] = w.source.id
+	event["model"] = w.source.model
 	event["object"] = "chat.completion.chunk"
-	if !m.source.chat {
+	if !w.source.chat {
 		event["object"] = "text_completion"
 	}
 	encoded, err := json.Marshal(event)
--- a/lab/engine/language.go
+++ b/lab/engine/language.go
@@ -10,34 +10,37 @@
 	"github.com/tidwall/gjson"
 )
 
-// The emulated language: a token is a space, a "q" and four hex digits.
+// A generated token is a space, a "q" and four hex digits.
 
-var generatedTail = regexp.MustCompile(`(?: q[0-9a-f]{4})+$`)
+var generatedSuffix = regexp.MustCompile(`(?: q[0-9a-f]{4})+$`)
 
 const tokenBytes = len(" q0000")
 
-// Prompt is what a request asks to be continued.
+// Prompt describes the prompt of a request, including the tokens of an earlier
+// response that the request continues.
 type Prompt struct {
-	// Hash identifies the prompt without the tokens generated already.
+	// Hash identifies the prompt without the generated tokens at its end.
 	Hash uint64
-	// Tokens is the length of the whole prompt in tokens (words).
+	// Tokens is the length of the whole prompt in tokens; each word is one token.
 	Tokens int
-	// Generated is the number of trailing tokens that were generated already.
+	// Generated is the number of generated tokens at the end of the prompt.
 	Generated int
-	// blocks are chained hashes of the prompt's blocks of words.
+	// blocks holds one hash per block of blockWords words; each hash covers the
+	// prompt up to the end of its block.
 	blocks []uint64
 }
 
+// blockWords is the number of words in a block of the prefix cache.
 const blockWords = 16
 
-// ParsePrompt reads the prompt of a chat or completion body.
+// ParsePrompt reads the prompt from the body of a chat or completion request.
 func ParsePrompt(body []byte) Prompt {
 	parsed := gjson.ParseBytes(body)
 	text := parsed.Get("prompt").String()
 	if messages := parsed.Get("messages"); messages.IsArray() {
 		text = joinMessages(messages.Array())
 	}
-	base := generatedTail.ReplaceAllString(text, "")
+	base := generatedSuffix.ReplaceAllString(text, "")
 	words := strings.Fields(text)
 	return Prompt{
 		Hash:      xxhash.Sum64String(strings.TrimRight(base, " \n")),
@@ -47,6 +50,8 @@
 	}
 }
 
+// joinMessages returns the messages as one text. An assistant message at the end has
+// no role line, so that generated tokens continue it.
 func joinMessages(messages []gjson.Result) string {
 	var joined strings.Builder
 	for i, message := range messages {
@@ -72,7 +77,7 @@
 	return blocks
 }
 
-// Token returns the generated token at an index of the answer to a prompt.
+// Token returns the generated token at an index of the response to a prompt.
 func Token(promptHash uint64, index int) string {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], promptHash)
@@ -80,16 +85,17 @@
 	return fmt.Sprintf(" q%04x", uint16(xxhash.Sum64(key[:])))
 }
 
-// naturalLength is where the model would stop by itself.
-func naturalLength(promptHash uint64, maxAnswer int) int {
-	return 1 + int(promptHash>>7)%maxAnswer
+// unlimitedLength returns the length in tokens of the response without a token limit.
+func unlimitedLength(promptHash uint64, maxAnswerTokens int) int {
+	return 1 + int(promptHash>>7)%maxAnswerTokens
 }
 
+// defaultMaxTokens is the token limit of a request that states none.
 const defaultMaxTokens = 64
 
-// AnswerLength returns the tokens of the whole answer to a body, including
-// those generated before, and whether the token limit cut it.
-func AnswerLength(body []byte, prompt Prompt, maxAnswer int) (int, bool) {
+// ResponseLength returns the number of tokens of the whole response to a request,
+// including those already in the prompt, and whether the token limit truncates it.
+func ResponseLength(body []byte, prompt Prompt, maxAnswerTokens int) (int, bool) {
 	limit := int(gjson.GetBytes(body, "max_tokens").Int())
 	if limit <= 0 {
 		limit = int(gjson.GetBytes(body, "max_completion_tokens").Int())
@@ -98,17 +104,17 @@
 		limit = defaultMaxTokens
 	}
 	limit += prompt.Generated
-	natural := naturalLength(prompt.Hash, maxAnswer)
+	natural := unlimitedLength(prompt.Hash, maxAnswerTokens)
 	if natural > limit {
 		return limit, true
 	}
 	return natural, false
 }
 
-// ExpectedAnswer returns the whole text a correct system answers to a body.
-func ExpectedAnswer(body []byte, maxAnswer int) string {
+// ExpectedResponse returns the whole text of the correct response to a request.
+func ExpectedResponse(body []byte, maxAnswerTokens int) string {
 	prompt := ParsePrompt(body)
-	length, _ := AnswerLength(body, prompt, maxAnswer)
+	length, _ := ResponseLength(body, prompt, maxAnswerTokens)
 	var text strings.Builder
 	for index := range length {
 		text.WriteString(Token(prompt.Hash, index))
--- a/lab/engine/ledger.go
+++ b/lab/engine/ledger.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// Ledger counts runs from the engines' side, across a lab's engines. The
-// product never sees it.
+// Ledger counts the runs of requests on all engines of a lab. The system under test
+// has no access to it.
 type Ledger struct {
 	mutex     sync.Mutex
-	starts    map[uint64]int // by prompt, only runs from the first token
-	continued int
+	starts    map[uint64]int // by prompt hash; excludes runs that continue a response
+	continued int            // runs that continue a response
 	finishes  map[uint64]int
 	cancels   int
 }
@@ -48,14 +48,15 @@
 	l.cancels++
 }
 
-// Starts returns how often engines began the body's prompt from its start.
+// Starts returns how often engines started a response to the body from its first
+// token.
 func (l *Ledger) Starts(body []byte) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.starts[ParsePrompt(body).Hash]
 }
 
-// Totals are sums over all prompts.
+// Totals holds sums over all prompts.
 type Totals struct {
 	Prompts   int `json:"prompts"`
 	Starts    int `json:"starts"`
@@ -64,7 +65,7 @@
 	Cancels   int `json:"cancels"`
 }
 
-// Totals returns sums over all prompts.
+// Totals returns the sums over all prompts.
 func (l *Ledger) Totals() Totals {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -9,6 +9,7 @@
 	"github.com/valyala/fasthttp"
 )
 
+// engineState is the state that an engine reports to nodes.
 type engineState struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
@@ -18,6 +19,7 @@
 	Boot     string   `json:"boot"`
 }
 
+// serves reports whether the engine has the model, or an adapter of that name, loaded.
 func (s engineState) serves(model string) bool {
 	if s.Model == model {
 		return true
@@ -30,8 +32,8 @@
 	return false
 }
 
-// order obeys a fenced order: one whose fence is below the highest seen is
-// refused, so a late owner cannot undo a newer one.
+// order executes an order of a node. An order with a fence below the highest one
+// seen is rejected, so that a former owner cannot revert the orders of its successor.
 func (e *Engine) order(c fiber.Ctx) error {
 	var order struct {
 		Fence   uint64 `json:"fence"`
@@ -41,32 +43,32 @@
 		Adapter string `json:"adapter"`
 	}
 	if err := json.Unmarshal(c.Body(), &order); err != nil {
-		return refuse(c, fiber.StatusBadRequest, "body is not an order")
+		return respondError(c, fiber.StatusBadRequest, "body is not an order")
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence < e.state.Fence {
-		return refuse(c, fiber.StatusConflict, fmt.Sprintf("fence %d is below %d", order.Fence, e.state.Fence))
+		return respondError(c, fiber.StatusConflict, fmt.Sprintf("fence %d is below %d", order.Fence, e.state.Fence))
 	}
 	e.state.Fence = order.Fence
 	switch order.Kind {
 	case "load":
 		if e.state.Model != order.Model || e.state.Version != order.Version {
-			e.beginLoad(order.Model, order.Version)
+			e.startLoad(order.Model, order.Version)
 		}
 	case "adapter":
 		if !e.state.serves(order.Adapter) {
 			e.state.Adapters = append(e.state.Adapters, order.Adapter)
 		}
 	default:
-		return refuse(c, fiber.StatusBadRequest, "unknown order kind "+order.Kind)
+		return respondError(c, fiber.StatusBadRequest, "unknown order kind "+order.Kind)
 	}
 	return c.JSON(e.state)
 }
 
-// beginLoad reads the weights from the weight store at its rate. The caller
-// holds the mutex.
-func (e *Engine) beginLoad(model, version string) {
+// startLoad loads a model from the weight store in the background; without a weight
+// store the model is loaded at once. The caller holds the mutex.
+func (e *Engine) startLoad(model, version string) {
 	if e.parameters.WeightStore == "" {
 		e.state.Model, e.state.Version = model, version
 		return
@@ -84,6 +86,8 @@
 	}()
 }
 
+// fetchWeights downloads and discards the weights of a model version, and reports
+// whether all bytes arrived.
 func (e *Engine) fetchWeights(model, version string, stop <-chan struct{}) bool {
 	client := &fasthttp.Client{StreamResponseBody: true}
 	request := fasthttp.AcquireRequest()
--- a/lab/engine/parameters.go
+++ b/lab/engine/parameters.go
@@ -1,21 +1,20 @@
-// Package engine emulates a model engine that a plain node serves, over the
-// OpenAI HTTP API. The runners of the users' platform speak another protocol;
-// package standin stands for them. The engine batches continuously, prefills in
-// chunks, honours priorities, keeps a limited prefix cache, resumes and cancels
-// streams, obeys fenced orders, and fails on request. docs/LAB.md documents the
-// model.
+// Package engine emulates a model engine with the OpenAI HTTP API, as plain nodes
+// use it; package standin emulates the runners of the users' platform, which have
+// another protocol. The engine does continuous batching and chunked prefill, schedules
+// by priority, has a bounded prefix cache, resumes and cancels streams, rejects orders
+// with an outdated fence, and injects faults. docs/LAB.md documents the emulation.
 //
-// The text an engine generates is a pure function of the prompt, so a client
-// can check every answer without asking anyone.
+// The generated text is a pure function of the prompt, so a client can verify each
+// response by itself.
 package engine
 
 import "time"
 
-// Parameters shape an emulated engine. Zero fields take the defaults.
+// Parameters configures an emulated engine. Fields that are zero get their defaults.
 type Parameters struct {
-	// Slots is the number of sequences decoded in one step (default 16).
+	// Slots is the largest number of sequences in the batch (default 16).
 	Slots int `yaml:"slots"`
-	// StepBase is the time of a step with no work in it (default 8ms).
+	// StepBase is the duration of a step without prefill and decoding (default 8ms).
 	StepBase time.Duration `yaml:"step_base"`
 	// StepPerSequence is added for each decoding sequence (default 0.4ms).
 	StepPerSequence time.Duration `yaml:"step_per_sequence"`
@@ -23,30 +22,35 @@
 	StepPerPrefillToken time.Duration `yaml:"step_per_prefill_token"`
 	// ChunkTokens bounds the prompt tokens prefilled in one step (default 256).
 	ChunkTokens int `yaml:"chunk_tokens"`
-	// QueueLimit: requests beyond this many waiting are refused (default 256).
+	// QueueLimit is the largest number of queued requests; further ones are rejected
+	// (default 256).
 	QueueLimit int `yaml:"queue_limit"`
 	// CacheBlocks is the capacity of the prefix cache in blocks of 16 tokens
 	// (default 512).
 	CacheBlocks int `yaml:"cache_blocks"`
-	// ReaderGrace is how long a stream without a reader goes on (default 2s).
-	ReaderGrace time.Duration `yaml:"orphan_grace"`
-	// KeepFinished is how long a finished stream can be resumed (default 30s).
-	KeepFinished time.Duration `yaml:"keep_finished"`
-	// MaxAnswerTokens bounds the natural length of an answer in tokens (default 512).
+	// ReaderTimeout is the time after which a sequence is cancelled once its last
+	// reader has disconnected (default 2s).
+	ReaderTimeout time.Duration `yaml:"orphan_grace"`
+	// FinishedRetention is how long an ended stream is kept so that it can be resumed
+	// (default 30s).
+	FinishedRetention time.Duration `yaml:"keep_finished"`
+	// MaxAnswerTokens is the largest number of tokens in a response without a token
+	// limit (default 512).
 	MaxAnswerTokens int `yaml:"max_answer"`
 	// WeightBytes is the size of a model's weights (default 64 MiB).
 	WeightBytes int64 `yaml:"weight_bytes"`
-	// WeightStore is the base URL weights are read from; empty loads at once.
+	// WeightStore is the base URL of the weight store; if it is empty, models load at
+	// once.
 	WeightStore string `yaml:"weight_store"`
-	// LoadLag, EventLag, EventLoss and Seed are accepted and without effect, so
-	// that scenario files that carry them still load.
+	// LoadLag, EventLag, EventLoss and Seed have no effect; they are accepted so that
+	// scenario files that set them still load.
 	LoadLag   time.Duration `yaml:"load_lag"`
 	EventLag  time.Duration `yaml:"event_lag"`
 	EventLoss float64       `yaml:"event_loss"`
 	Seed      uint64        `yaml:"seed"`
 }
 
-func (p *Parameters) complete() {
+func (p *Parameters) applyDefaults() {
 	setDefault(&p.Slots, 16)
 	setDefault(&p.StepBase, 8*time.Millisecond)
 	setDefault(&p.StepPerSequence, 400*time.Microsecond)
@@ -54,8 +58,8 @@
 	setDefault(&p.ChunkTokens, 256)
 	setDefault(&p.QueueLimit, 256)
 	setDefault(&p.CacheBlocks, 512)
-	setDefault(&p.ReaderGrace, 2*time.Second)
-	setDefault(&p.KeepFinished, 30*time.Second)
+	setDefault(&p.ReaderTimeout, 2*time.Second)
+	setDefault(&p.FinishedRetention, 30*time.Second)
 	setDefault(&p.MaxAnswerTokens, 512)
 	setDefault(&p.WeightBytes, 64<<20)
 }
--- a/lab/engine/scheduler.go
+++ b/lab/engine/scheduler.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// scheduler is the engine's continuous batch: each step prefills up to a chunk
-// of prompt tokens and decodes one token of every running sequence.
+// scheduler does the continuous batching of an engine: each step prefills at most
+// ChunkTokens prompt tokens and decodes one token of each sequence past its prefill.
 type scheduler struct {
 	parameters Parameters
 	clock      func() time.Time
 
-	mutex    sync.Mutex
-	waiting  []*sequence
-	running  []*sequence
-	byID     map[string]*sequence
-	arrivals uint64
-	slow     float64
-	stalled  time.Time // no step before this
-	wake     chan struct{}
-	cache    *prefixCache
-	usage    Usage
+	mutex        sync.Mutex
+	waiting      []*sequence
+	running      []*sequence
+	byID         map[string]*sequence
+	arrivals     uint64
+	slowFactor   float64
+	stalledUntil time.Time // no step starts before this time
+	wake         chan struct{}
+	cache        *prefixCache
+	usage        Usage
 }
 
 func newScheduler(parameters Parameters) *scheduler {
 	return &scheduler{
-		parameters: parameters, clock: time.Now, byID: map[string]*sequence{}, slow: 1,
+		parameters: parameters, clock: time.Now, byID: map[string]*sequence{}, slowFactor: 1,
 		wake: make(chan struct{}, 1), cache: newPrefixCache(parameters.CacheBlocks),
 	}
 }
 
-// submit queues a sequence; it reports false if the queue is full.
+// submit queues a sequence by priority and arrival; it reports false if the queue is
+// full.
 func (s *scheduler) submit(added *sequence) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -48,11 +49,12 @@
 		return s.waiting[i].arrival < s.waiting[j].arrival
 	})
 	s.byID[added.id] = added
-	s.signal()
+	s.notify()
 	return true
 }
 
-func (s *scheduler) signal() {
+// notify wakes the idle run loop.
+func (s *scheduler) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -65,7 +67,8 @@
 	return s.byID[id]
 }
 
-// cancel stops a sequence; it reports whether it was still unfinished.
+// cancel cancels a sequence; it reports false if the sequence is unknown or had already
+// ended.
 func (s *scheduler) cancel(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -73,8 +76,8 @@
 	if target == nil {
 		return false
 	}
-	s.waiting = without(s.waiting, target)
-	s.running = without(s.running, target)
+	s.waiting = removeSequence(s.waiting, target)
+	s.running = removeSequence(s.running, target)
 	ended := false
 	now := s.clock()
 	target.advance(func() {
@@ -87,17 +90,18 @@
 	return ended
 }
 
-func without(list []*sequence, target *sequence) []*sequence {
-	kept := list[:0]
+// removeSequence removes the target from the list in place.
+func removeSequence(list []*sequence, target *sequence) []*sequence {
+	remaining := list[:0]
 	for _, item := range list {
 		if item != target {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// run steps until stop is closed.
+// run executes steps until stop is closed.
 func (s *scheduler) run(stop <-chan struct{}) {
 	for {
 		pause := s.step()
@@ -106,7 +110,7 @@
 			case <-stop:
 				return
 			case <-s.wake:
-			case <-time.After(idlePoll):
+			case <-time.After(idlePollInterval):
 			}
 			continue
 		}
@@ -115,20 +119,21 @@
 			return
 		case <-time.After(pause):
 		}
-		s.produce()
+		s.completeStep()
 	}
 }
 
-const idlePoll = 50 * time.Millisecond
+// idlePollInterval is the longest time between two checks for work.
+const idlePollInterval = 50 * time.Millisecond
 
-// step admits waiting sequences, plans one step and returns its duration, 0
-// when there is nothing to do.
+// step admits queued sequences, prefills, and returns the duration of the step, or 0
+// if no sequence is running. During a stall it returns the rest of the stall.
 func (s *scheduler) step() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock()
-	s.collect(now)
-	if wait := s.stalled.Sub(now); wait > 0 {
+	s.expire(now)
+	if wait := s.stalledUntil.Sub(now); wait > 0 {
 		return wait
 	}
 	s.admit()
@@ -145,24 +150,26 @@
 	duration := s.parameters.StepBase +
 		time.Duration(decoding)*s.parameters.StepPerSequence +
 		time.Duration(prefilled)*s.parameters.StepPerPrefillToken
-	duration = time.Duration(float64(duration) * s.slow)
-	s.spend(duration)
+	duration = time.Duration(float64(duration) * s.slowFactor)
+	s.recordStep(duration)
 	return duration
 }
 
+// admit moves queued sequences into free slots; cached prefix blocks count as
+// prefilled.
 func (s *scheduler) admit() {
 	for len(s.running) < s.parameters.Slots && len(s.waiting) > 0 {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		hit := s.cache.match(next.prompt.blocks) * blockWords
-		next.prefilled = max(next.prefilled, min(hit, next.prompt.Tokens-1))
+		cachedTokens := s.cache.match(next.prompt.blocks) * blockWords
+		next.prefilled = max(next.prefilled, min(cachedTokens, next.prompt.Tokens-1))
 		next.advance(func() { next.phase = phasePrefill })
 		s.running = append(s.running, next)
 	}
 }
 
-// prefill spends the step's chunk on prompts, urgent ones first, and returns
-// the tokens spent.
+// prefill prefills at most ChunkTokens prompt tokens, by priority, and returns the
+// number of tokens prefilled.
 func (s *scheduler) prefill() int {
 	order := append([]*sequence(nil), s.running...)
 	sort.SliceStable(order, func(i, j int) bool { return order[i].priority < order[j].priority })
@@ -182,18 +189,19 @@
 	return s.parameters.ChunkTokens - budget
 }
 
-// produce ends a step: every decoding sequence gains a token.
-func (s *scheduler) produce() {
+// completeStep adds the decoded token to each decoding sequence and removes finished
+// sequences from the batch.
+func (s *scheduler) completeStep() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock()
-	if now.Before(s.stalled) {
+	if now.Before(s.stalledUntil) {
 		return
 	}
-	kept := s.running[:0]
+	remaining := s.running[:0]
 	for _, item := range s.running {
 		if item.phase != phaseDecode {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 			continue
 		}
 		finished := false
@@ -207,24 +215,25 @@
 			}
 		})
 		if !finished {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 		}
 	}
-	s.running = kept
+	s.running = remaining
 }
 
-// collect drops ended streams after their keeping time, and those that nobody reads.
-func (s *scheduler) collect(now time.Time) {
+// expire deletes ended sequences after FinishedRetention, and cancels sequences that
+// had no reader for ReaderTimeout.
+func (s *scheduler) expire(now time.Time) {
 	for id, item := range s.byID {
-		state, _, _ := item.view()
+		state, _, _ := item.snapshot()
 		ended := state == phaseFinished || state == phaseCancelled
-		if ended && now.Sub(item.ended) > s.parameters.KeepFinished {
+		if ended && now.Sub(item.ended) > s.parameters.FinishedRetention {
 			delete(s.byID, id)
 			continue
 		}
-		if !ended && item.unreadFor(now) > s.parameters.ReaderGrace {
-			s.waiting = without(s.waiting, item)
-			s.running = without(s.running, item)
+		if !ended && item.unreadFor(now) > s.parameters.ReaderTimeout {
+			s.waiting = removeSequence(s.waiting, item)
+			s.running = removeSequence(s.running, item)
 			item.advance(func() {
 				item.phase = phaseCancelled
 				item.ended = now
--- a/lab/engine/sequence.go
+++ b/lab/engine/sequence.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// phase is the state of a sequence.
 type phase uint8
 
 const (
@@ -15,30 +16,31 @@
 	phaseCancelled
 )
 
-// sequence is one generation at the engine. Its tokens are a function of the
-// prompt, so only counts are kept.
+// sequence is the generation of one response. Its tokens are a function of the
+// prompt, so it holds only their number.
 type sequence struct {
 	id        string
 	prompt    Prompt
 	chat      bool
 	priority  int
 	arrival   uint64
-	length    int // tokens of the whole answer
-	cut       bool
-	first     int // index of the first token this sequence generates
-	prefilled int // prompt tokens done
+	length    int // tokens of the whole response, counting those before first
+	truncated bool
+	first     int // index of the first token that this sequence generates
+	prefilled int // prompt tokens that have been prefilled
 	model     string
 
 	mutex    sync.Mutex
 	phase    phase
-	produced int // answer tokens available, counting those before first
+	produced int // available tokens of the response, counting those before first
 	changed  chan struct{}
 	readers  int
-	// unreadSince is when the last reader left.
+	// unreadSince is when a reader last disconnected.
 	unreadSince time.Time
 	ended       time.Time
 }
 
+// advance applies an update under the mutex and notifies the readers.
 func (s *sequence) advance(update func()) {
 	s.mutex.Lock()
 	update()
@@ -47,8 +49,9 @@
 	s.mutex.Unlock()
 }
 
-// view returns the state and a channel closed at the next change.
-func (s *sequence) view() (phase, int, chan struct{}) {
+// snapshot returns the phase, the number of available tokens, and a channel that is
+// closed at the next change.
+func (s *sequence) snapshot() (phase, int, chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.phase, s.produced, s.changed
@@ -67,7 +70,8 @@
 	s.mutex.Unlock()
 }
 
-// unreadFor is how long the stream has had no reader, 0 if it has one or never had.
+// unreadFor returns how long the sequence has had no reader; it is 0 while the sequence
+// has a reader or has never had one.
 func (s *sequence) unreadFor(now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,8 +81,9 @@
 	return now.Sub(s.unreadSince)
 }
 
+// finishReason returns the finish_reason of the response.
 func (s *sequence) finishReason() string {
-	if s.cut {
+	if s.truncated {
 		return "length"
 	}
 	return "stop"
--- a/lab/engine/server.go
+++ b/lab/engine/server.go
@@ -17,9 +17,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpserve"
 )
 
-// Engine is one emulated engine on a loopback address.
+// Engine is an emulated engine with an HTTP server.
 type Engine struct {
-	// ID is the runner's id in the platform's list.
+	// ID identifies the engine in the platform's list of runners.
 	ID string
 
 	parameters Parameters
@@ -30,15 +30,15 @@
 	server    *httpserve.Server
 	scheduler *scheduler
 	stop      chan struct{}
-	steps     *tasks.Group // the scheduler's loop of this boot
+	loop      *tasks.Group // runs the scheduler until the engine crashes
 	state     engineState
 	faults    faults
 }
 
-// Start starts an engine that has no model loaded yet unless preloaded names
-// one. Address may end in ":0".
+// Start starts an engine with the preloaded model, or with no model if preloaded is
+// empty. A port of 0 in the address selects a free port.
 func Start(id, address string, parameters Parameters, preloaded string, ledger *Ledger) (*Engine, error) {
-	parameters.complete()
+	parameters.applyDefaults()
 	e := &Engine{ID: id, parameters: parameters, ledger: ledger, address: address}
 	return e, e.boot(preloaded)
 }
@@ -57,9 +57,9 @@
 	e.scheduler = newScheduler(e.parameters)
 	e.stop = make(chan struct{})
 	e.state = engineState{Model: preloaded, Boot: uuid.NewString()}
-	e.steps = &tasks.Group{}
+	e.loop = &tasks.Group{}
 	scheduler, stop := e.scheduler, e.stop
-	e.steps.Go(func() { scheduler.run(stop) })
+	e.loop.Go(func() { scheduler.run(stop) })
 	server.Serve()
 	return nil
 }
@@ -73,10 +73,10 @@
 	return state.Version
 }
 
-// Crash ends the engine at once; all its state is lost.
+// Crash stops the engine at once; its queue, streams and cache are lost.
 func (e *Engine) Crash() {
 	e.mutex.Lock()
-	server, stop, steps := e.server, e.stop, e.steps
+	server, stop, loop := e.server, e.stop, e.loop
 	e.server, e.stop = nil, nil
 	e.mutex.Unlock()
 	if server == nil {
@@ -84,10 +84,11 @@
 	}
 	close(stop)
 	server.Kill()
-	steps.Wait()
+	loop.Wait()
 }
 
-// Restart boots a crashed engine on its old address with nothing cached.
+// Restart starts a crashed engine on its previous address with the model that it had
+// loaded and an empty cache.
 func (e *Engine) Restart() error {
 	e.mutex.Lock()
 	model := e.state.Model
@@ -95,7 +96,7 @@
 	return e.boot(model)
 }
 
-// Close ends the engine.
+// Close stops the engine.
 func (e *Engine) Close() { e.Crash() }
 
 func (e *Engine) routes(app *fiber.App) {
@@ -107,78 +108,81 @@
 	app.Get("/v1/state", e.describe)
 }
 
+// current returns the scheduler and the state.
 func (e *Engine) current() (*scheduler, engineState) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.scheduler, e.state
 }
 
-func refuse(c fiber.Ctx, status int, message string) error {
+// respondError responds with an error in the format of the OpenAI API.
+func respondError(c fiber.Ctx, status int, message string) error {
 	return c.Status(status).JSON(fiber.Map{"error": fiber.Map{"message": message, "type": "engine_error", "code": status}})
 }
 
+// generate serves a chat or completion request.
 func (e *Engine) generate(c fiber.Ctx, chat bool) error {
 	body := append([]byte(nil), c.Body()...)
 	if !json.Valid(body) {
-		return refuse(c, fiber.StatusBadRequest, "body is not JSON")
+		return respondError(c, fiber.StatusBadRequest, "body is not JSON")
 	}
-	steps, state := e.current()
+	scheduler, state := e.current()
 	model := gjson.GetBytes(body, "model").String()
 	if state.Loading || !state.serves(model) {
-		return refuse(c, fiber.StatusServiceUnavailable, "model "+model+" is not loaded")
+		return respondError(c, fiber.StatusServiceUnavailable, "model "+model+" is not loaded")
 	}
 	id := c.Get("X-Request-Id")
 	if id == "" {
 		id = "engine-" + uuid.NewString()
 	}
-	if e.crashes(body) {
+	if e.crashesOn(body) {
 		e.Crash()
 		return nil
 	}
-	added := e.newSequence(id, model, body, chat)
-	if steps.find(id) != nil {
-		return refuse(c, fiber.StatusConflict, "stream id "+id+" is taken")
+	submitted := e.newSequence(id, model, body, chat)
+	if scheduler.find(id) != nil {
+		return respondError(c, fiber.StatusConflict, "stream id "+id+" is taken")
 	}
-	if !steps.submit(added) {
-		return refuse(c, fiber.StatusTooManyRequests, "queue is full")
+	if !scheduler.submit(submitted) {
+		return respondError(c, fiber.StatusTooManyRequests, "queue is full")
 	}
-	e.ledger.started(added.prompt.Hash, id, added.first)
-	e.applyLateHeader()
+	e.ledger.started(submitted.prompt.Hash, id, submitted.first)
+	e.delayHeader()
 	if !gjson.GetBytes(body, "stream").Bool() {
-		return e.whole(c, added)
+		return e.respondWhole(c, submitted)
 	}
-	return e.stream(c, added, -1)
+	return e.respondStream(c, submitted, -1)
 }
 
 func (e *Engine) newSequence(id, model string, body []byte, chat bool) *sequence {
 	prompt := ParsePrompt(body)
-	length, cut := AnswerLength(body, prompt, e.parameters.MaxAnswerTokens)
+	length, truncated := ResponseLength(body, prompt, e.parameters.MaxAnswerTokens)
 	return &sequence{
-		id: id, model: model, prompt: prompt, chat: chat, length: length, cut: cut,
+		id: id, model: model, prompt: prompt, chat: chat, length: length, truncated: truncated,
 		first: prompt.Generated, produced: prompt.Generated,
 		priority: int(gjson.GetBytes(body, "priority").Int()),
 		changed:  make(chan struct{}),
 	}
 }
 
-// whole answers without streaming.
-func (e *Engine) whole(c fiber.Ctx, source *sequence) error {
+// respondWhole waits until the sequence ends and responds without streaming.
+func (e *Engine) respondWhole(c fiber.Ctx, source *sequence) error {
 	source.attach()
 	defer source.detach(time.Now())
 	for {
-		state, produced, changed := source.view()
+		state, produced, changed := source.snapshot()
 		if state == phaseCancelled {
-			return refuse(c, fiber.StatusInternalServerError, "cancelled")
+			return respondError(c, fiber.StatusInternalServerError, "cancelled")
 		}
 		if state == phaseFinished {
 			e.ledger.finished(source.prompt.Hash, source.id)
-			return c.JSON(wholeAnswer(source, produced))
+			return c.JSON(completion(source, produced))
 		}
 		<-changed
 	}
 }
 
-func wholeAnswer(source *sequence, produced int) fiber.Map {
+func completion(source *sequence, produced int) fiber.Map {
 	text := ""
 	for index := source.first; index < produced; index++ {
 		text += Token(source.prompt.Hash, index)
@@ -195,43 +199,45 @@
 	return fiber.Map{"prompt_tokens": source.prompt.Tokens, "completion_tokens": generated, "total_tokens": source.prompt.Tokens + generated}
 }
 
-// stream sends server-sent events after the event index given.
-func (e *Engine) stream(c fiber.Ctx, source *sequence, after int) error {
+// respondStream streams the server-sent events that follow the event with the index
+// after.
+func (e *Engine) respondStream(c fiber.Ctx, source *sequence, after int) error {
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set("X-Request-Id", source.id)
 	source.attach()
 	c.RequestCtx().SetBodyStreamWriter(fasthttp.StreamWriter(func(writer *bufio.Writer) {
 		defer func() { source.detach(time.Now()) }()
-		emitter := &emitter{engine: e, source: source, writer: writer, next: after + 1}
-		emitter.run()
+		eventWriter := &eventWriter{engine: e, source: source, writer: writer, next: after + 1}
+		eventWriter.run()
 	}))
 	return nil
 }
 
+// resume streams the events of a sequence that follow the one in Last-Event-ID.
 func (e *Engine) resume(c fiber.Ctx) error {
-	steps, _ := e.current()
-	source := steps.find(c.Params("id"))
+	scheduler, _ := e.current()
+	source := scheduler.find(c.Params("id"))
 	if source == nil {
-		return refuse(c, fiber.StatusNotFound, "no such stream")
+		return respondError(c, fiber.StatusNotFound, "no such stream")
 	}
-	if state, _, _ := source.view(); state == phaseCancelled {
-		return refuse(c, fiber.StatusNotFound, "stream was cancelled")
+	if state, _, _ := source.snapshot(); state == phaseCancelled {
+		return respondError(c, fiber.StatusNotFound, "stream was cancelled")
 	}
 	after := -1
 	if last := c.Get("Last-Event-ID"); last != "" {
 		parsed, err := strconv.Atoi(last)
 		if err != nil {
-			return refuse(c, fiber.StatusBadRequest, "Last-Event-ID is not a number")
+			return respondError(c, fiber.StatusBadRequest, "Last-Event-ID is not a number")
 		}
 		after = parsed
 	}
-	return e.stream(c, source, after)
+	return e.respondStream(c, source, after)
 }
 
 func (e *Engine) cancel(c fiber.Ctx) error {
-	steps, _ := e.current()
+	scheduler, _ := e.current()
 	id := c.Params("id")
-	if steps.cancel(id) {
+	if scheduler.cancel(id) {
 		e.ledger.cancelled(id)
 	}
 	return c.JSON(fiber.Map{"id": id, "cancelled": true})
--- a/lab/engine/usage.go
+++ b/lab/engine/usage.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Usage counts what an engine spent, apart for online and batch work (by
-// priority), as an outside observer of the engine would.
+// Usage counts the slot time and tokens that an engine spent on online and on batch
+// requests, and the time that it was busy.
 type Usage struct {
 	OnlineSlotSeconds float64
 	BatchSlotSeconds  float64
@@ -12,11 +12,11 @@
 	BusySeconds       float64
 }
 
-// batchPriority and above is batch work.
+// batchPriority is the lowest priority value of batch requests.
 const batchPriority = 10
 
-// spend accounts for a step of a duration.
-func (s *scheduler) spend(duration time.Duration) {
+// recordStep adds a step of a duration to the usage.
+func (s *scheduler) recordStep(duration time.Duration) {
 	seconds := duration.Seconds()
 	s.usage.BusySeconds += seconds
 	for _, item := range s.running {
@@ -28,6 +28,7 @@
 	}
 }
 
+// countToken adds a token of a sequence to the usage.
 func (s *scheduler) countToken(item *sequence) {
 	if item.priority >= batchPriority {
 		s.usage.BatchTokens++
@@ -36,20 +37,20 @@
 	s.usage.OnlineTokens++
 }
 
-// Usage returns what the engine has spent since its boot.
+// Usage returns the usage since the engine was last started.
 func (e *Engine) Usage() Usage {
-	steps, _ := e.current()
-	steps.mutex.Lock()
-	defer steps.mutex.Unlock()
-	return steps.usage
+	scheduler, _ := e.current()
+	scheduler.mutex.Lock()
+	defer scheduler.mutex.Unlock()
+	return scheduler.usage
 }
 
-// Running returns the sequences on the engine now, online and batch.
+// Running returns the numbers of online and batch sequences in the batch.
 func (e *Engine) Running() (online, batch int) {
-	steps, _ := e.current()
-	steps.mutex.Lock()
-	defer steps.mutex.Unlock()
-	for _, item := range steps.running {
+	scheduler, _ := e.current()
+	scheduler.mutex.Lock()
+	defer scheduler.mutex.Unlock()
+	for _, item := range scheduler.running {
 		if item.priority >= batchPriority {
 			batch++
 		} else {
--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -74,7 +74,7 @@
 	}
 	audit.Completed++
 	text := line.Get("response.body.choices.0.message.content").String()
-	if text != engine.ExpectedAnswer(job.Bodies[id], b.target.MaxAnswerTokens) {
+	if text != engine.ExpectedResponse(job.Bodies[id], b.target.MaxAnswerTokens) {
 		audit.Wrong++
 	}
 }
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -172,7 +172,7 @@
 }
 
 func (o *onlineRequest) check(text string) error {
-	want := engine.ExpectedAnswer(o.body, o.target.MaxAnswerTokens)
+	want := engine.ExpectedResponse(o.body, o.target.MaxAnswerTokens)
 	if text == want {
 		return nil
 	}
