--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -71,7 +71,7 @@
 		basic := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
 		texts = append(texts, strings.Replace(basic, "tail_weight: 0.6", "tail_weight: "+weight, 1))
 	}
-	running.Platform.LoseAnswers(2)
+	running.Platform.LoseResponses(2)
 	outcomes := make(chan error, len(texts))
 	for i, text := range texts {
 		go func() {
--- a/lab/platform/keyvalue.go
+++ b/lab/platform/keyvalue.go
@@ -10,6 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
+// rangeBody is the body of a range request.
 type rangeBody struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end"`
@@ -17,7 +18,7 @@
 
 func header(revision int64) fiber.Map { return fiber.Map{"revision": strconv.FormatInt(revision, 10)} }
 
-func (p *Platform) rangeKeys(c fiber.Ctx) error {
+func (p *Platform) serveRange(c fiber.Ctx) error {
 	var body rangeBody
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return c.SendStatus(fiber.StatusBadRequest)
@@ -29,6 +30,7 @@
 	return c.JSON(fiber.Map{"header": header(revision), "kvs": values, "count": strconv.Itoa(len(values))})
 }
 
+// txnBody is the body of a transaction: comparisons of revisions, and writes.
 type txnBody struct {
 	Compare []struct {
 		Key         []byte `json:"key"`
@@ -42,7 +44,7 @@
 	} `json:"success"`
 }
 
-func (p *Platform) txn(c fiber.Ctx) error {
+func (p *Platform) serveTxn(c fiber.Ctx) error {
 	var body txnBody
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return c.SendStatus(fiber.StatusBadRequest)
@@ -56,22 +58,24 @@
 		writes = append(writes, write{string(item.Put.Key), item.Put.Value})
 	}
 	succeeded, revision := p.store.commit(comparisons, writes)
-	if p.takeLoss() {
+	if p.consumeLoss() {
 		return c.RequestCtx().Conn().Close()
 	}
 	return c.JSON(fiber.Map{"header": header(revision), "succeeded": succeeded})
 }
 
-func (p *Platform) takeLoss() bool {
+// consumeLoss reports whether the response to the current transaction is to be lost.
+func (p *Platform) consumeLoss() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.loseNext == 0 {
+	if p.responsesToLose == 0 {
 		return false
 	}
-	p.loseNext--
+	p.responsesToLose--
 	return true
 }
 
+// watchBody is the body of a watch request.
 type watchBody struct {
 	Create struct {
 		Key           []byte `json:"key"`
@@ -80,29 +84,30 @@
 	} `json:"create_request"`
 }
 
-// watch streams changes as JSON messages until the client goes or an outage
+// serveWatch streams changes as JSON messages until the client disconnects or an outage
 // starts.
-func (p *Platform) watch(c fiber.Ctx) error {
+func (p *Platform) serveWatch(c fiber.Ctx) error {
 	var body watchBody
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return c.SendStatus(fiber.StatusBadRequest)
 	}
 	p.mutex.Lock()
-	outage := p.outageDone
+	outage := p.outageStarted
 	p.mutex.Unlock()
 	c.RequestCtx().SetBodyStreamWriter(fasthttp.StreamWriter(func(writer *bufio.Writer) {
-		p.stream(writer, body, outage)
+		p.streamChanges(writer, body, outage)
 	}))
 	return nil
 }
 
-const watchHeartbeat = time.Second
+// watchHeartbeatInterval is the longest time between two messages of a watch.
+const watchHeartbeatInterval = time.Second
 
-func (p *Platform) stream(writer *bufio.Writer, body watchBody, outage <-chan struct{}) {
+func (p *Platform) streamChanges(writer *bufio.Writer, body watchBody, outage <-chan struct{}) {
 	encoder := json.NewEncoder(writer)
 	next := body.Create.StartRevision
 	for {
-		values, revision, changed := p.store.since(next, string(body.Create.Key), string(body.Create.RangeEnd))
+		values, revision, changed := p.store.changesSince(next, string(body.Create.Key), string(body.Create.RangeEnd))
 		next = revision + 1
 		events := []fiber.Map{}
 		for _, value := range values {
@@ -116,7 +121,7 @@
 		case <-changed:
 		case <-outage:
 			return
-		case <-time.After(watchHeartbeat):
+		case <-time.After(watchHeartbeatInterval):
 		}
 	}
 }
--- a/lab/platform/lists.go
+++ b/lab/platform/lists.go
@@ -12,37 +12,40 @@
 	Labels  map[string]string
 }
 
-// listed is a target with the time from which the list shows it, or no longer.
-type listed struct {
+// listEntry is a target with the period in which the list contains it.
+type listEntry struct {
 	target Target
 	from   time.Time
-	until  time.Time // zero: listed for good
+	until  time.Time // zero: no end
 }
 
-// SetMachine lists a machine, in the lists after their lag.
+// SetMachine adds or replaces a machine in the list of machines, which shows the change
+// after ListLag.
 func (p *Platform) SetMachine(target Target) { p.set(&p.machines, target) }
 
-// SetRunner lists a runner, in the lists after their lag.
+// SetRunner adds or replaces a runner in the list of runners, which shows the change
+// after ListLag.
 func (p *Platform) SetRunner(target Target) { p.set(&p.runners, target) }
 
-// RemoveMachine takes a machine off the list after its lag.
+// RemoveMachine removes a machine from the list of machines after ListLag.
 func (p *Platform) RemoveMachine(address string) { p.remove(&p.machines, address) }
 
-func (p *Platform) set(list *[]listed, target Target) {
+func (p *Platform) set(list *[]listEntry, target Target) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	p.retire(*list, target.Address, now.Add(p.listLag))
-	*list = append(*list, listed{target: target, from: now.Add(p.listLag)})
+	p.endEntries(*list, target.Address, now.Add(p.listLag))
+	*list = append(*list, listEntry{target: target, from: now.Add(p.listLag)})
 }
 
-func (p *Platform) remove(list *[]listed, address string) {
+func (p *Platform) remove(list *[]listEntry, address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.retire(*list, address, time.Now().Add(p.listLag))
+	p.endEntries(*list, address, time.Now().Add(p.listLag))
 }
 
-func (p *Platform) retire(list []listed, address string, at time.Time) {
+// endEntries sets the end of the open entries of an address.
+func (p *Platform) endEntries(list []listEntry, address string, at time.Time) {
 	for i := range list {
 		if list[i].target.Address == address && list[i].until.IsZero() {
 			list[i].until = at
@@ -50,12 +53,13 @@
 	}
 }
 
+// targetGroup is an entry of a list in the format of Prometheus HTTP service discovery.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-func (p *Platform) list(c fiber.Ctx, list *[]listed) error {
+func (p *Platform) serveList(c fiber.Ctx, entries *[]listEntry) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.down {
@@ -63,7 +67,7 @@
 	}
 	now := time.Now()
 	groups := []targetGroup{}
-	for _, item := range *list {
+	for _, item := range *entries {
 		shown := !now.Before(item.from) && (item.until.IsZero() || now.Before(item.until))
 		if shown {
 			groups = append(groups, targetGroup{[]string{item.target.Address}, item.target.Labels})
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -12,45 +12,45 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpserve"
 )
 
-// Platform is one running stand-in.
+// Platform serves the emulated services on one address.
 type Platform struct {
-	// Requests counts key-value calls taken, watches included.
+	// Requests counts the key-value calls, including watches and rejected calls.
 	Requests atomic.Int64
 
-	server  *httpserve.Server
-	store   *store
-	limiter *rate.Limiter
-	weights *rate.Limiter
-
-	mutex      sync.Mutex
-	down       bool
-	slow       time.Duration
-	loseNext   int
-	machines   []listed
-	runners    []listed
-	listLag    time.Duration
-	outageDone chan struct{} // closed when an outage starts, to break watches
+	server        *httpserve.Server
+	store         *store
+	limiter       *rate.Limiter
+	weightLimiter *rate.Limiter
+
+	mutex           sync.Mutex
+	down            bool
+	responseDelay   time.Duration
+	responsesToLose int
+	machines        []listEntry
+	runners         []listEntry
+	listLag         time.Duration
+	outageStarted   chan struct{} // closed when an outage starts, to end watches
 }
 
-// Options shape the stand-in.
+// Options configures a Platform.
 type Options struct {
-	// Address to listen on, for example "127.0.0.1:0".
+	// Address is the address to listen on, for example "127.0.0.1:0".
 	Address string
-	// RequestsPerSecond is the key-value rate limit (0: 200).
+	// RequestsPerSecond is the rate limit of key-value calls (default 200).
 	RequestsPerSecond float64
-	// ListLag is how late the lists show a change.
+	// ListLag is the delay after which the lists show a change.
 	ListLag time.Duration
-	// WeightBytesPerSecond is the weight store's rate (0: 256 MiB/s).
+	// WeightBytesPerSecond is the rate limit of the weight store (default 256 MiB/s).
 	WeightBytesPerSecond int
 }
 
 const (
 	defaultRequestsPerSecond = 200
 	defaultWeightRate        = 256 << 20
-	weightChunk              = 1 << 20
+	weightChunkBytes         = 1 << 20
 )
 
-// Start starts a stand-in.
+// Start starts the emulated services.
 func Start(options Options) (*Platform, error) {
 	if options.RequestsPerSecond == 0 {
 		options.RequestsPerSecond = defaultRequestsPerSecond
@@ -59,11 +59,11 @@
 		options.WeightBytesPerSecond = defaultWeightRate
 	}
 	p := &Platform{
-		store:      newStore(),
-		limiter:    rate.NewLimiter(rate.Limit(options.RequestsPerSecond), int(options.RequestsPerSecond)+1),
-		weights:    rate.NewLimiter(rate.Limit(options.WeightBytesPerSecond), max(weightChunk, options.WeightBytesPerSecond/4)),
-		listLag:    options.ListLag,
-		outageDone: make(chan struct{}),
+		store:         newStore(),
+		limiter:       rate.NewLimiter(rate.Limit(options.RequestsPerSecond), int(options.RequestsPerSecond)+1),
+		weightLimiter: rate.NewLimiter(rate.Limit(options.WeightBytesPerSecond), max(weightChunkBytes, options.WeightBytesPerSecond/4)),
+		listLag:       options.ListLag,
+		outageStarted: make(chan struct{}),
 	}
 	app := fiber.New(fiber.Config{BodyLimit: 128 << 20, Immutable: true})
 	p.routes(app)
@@ -76,10 +76,10 @@
 	return p, nil
 }
 
-// URL returns the base URL.
+// URL returns the base URL of the services.
 func (p *Platform) URL() string { return "http://" + p.server.Address() }
 
-// Close ends the stand-in.
+// Close stops the services.
 func (p *Platform) Close() {
 	p.SetDown(true)
 	p.server.Kill()
@@ -90,41 +90,41 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if down && !p.down {
-		close(p.outageDone)
-		p.outageDone = make(chan struct{})
+		close(p.outageStarted)
+		p.outageStarted = make(chan struct{})
 	}
 	p.down = down
 }
 
-// SetSlow delays every key-value answer.
+// SetSlow sets the delay of each key-value response.
 func (p *Platform) SetSlow(delay time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.slow = delay
+	p.responseDelay = delay
 }
 
-// LoseAnswers makes the next transactions take effect without an answer.
-func (p *Platform) LoseAnswers(count int) {
+// LoseResponses makes the next count transactions take effect without a response.
+func (p *Platform) LoseResponses(count int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.loseNext = count
+	p.responsesToLose = count
 }
 
 func (p *Platform) routes(app *fiber.App) {
-	app.Post("/v3/kv/range", p.guarded(p.rangeKeys))
-	app.Post("/v3/kv/txn", p.guarded(p.txn))
-	app.Post("/v3/watch", p.guarded(p.watch))
-	app.Get("/machines", func(c fiber.Ctx) error { return p.list(c, &p.machines) })
-	app.Get("/runners", func(c fiber.Ctx) error { return p.list(c, &p.runners) })
-	app.Get("/weights/:model/:version", p.readWeights)
+	app.Post("/v3/kv/range", p.withFaults(p.serveRange))
+	app.Post("/v3/kv/txn", p.withFaults(p.serveTxn))
+	app.Post("/v3/watch", p.withFaults(p.serveWatch))
+	app.Get("/machines", func(c fiber.Ctx) error { return p.serveList(c, &p.machines) })
+	app.Get("/runners", func(c fiber.Ctx) error { return p.serveList(c, &p.runners) })
+	app.Get("/weights/:model/:version", p.serveWeights)
 }
 
-// guarded applies outage, rate limit and slowness.
-func (p *Platform) guarded(handler fiber.Handler) fiber.Handler {
+// withFaults applies the outage, the rate limit and the response delay to a handler.
+func (p *Platform) withFaults(handler fiber.Handler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		p.Requests.Add(1)
 		p.mutex.Lock()
-		down, slow := p.down, p.slow
+		down, responseDelay := p.down, p.responseDelay
 		p.mutex.Unlock()
 		if down {
 			return c.SendStatus(fiber.StatusServiceUnavailable)
@@ -132,7 +132,7 @@
 		if !p.limiter.Allow() {
 			return c.SendStatus(fiber.StatusTooManyRequests)
 		}
-		time.Sleep(slow)
+		time.Sleep(responseDelay)
 		return handler(c)
 	}
 }
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -1,9 +1,8 @@
-// Package platform is a stand-in for the services that a plain node uses: the
-// key-value service (published etcd v3 JSON gateway), the machine and runner
-// lists (published Prometheus HTTP discovery JSON, with a lag), and the
-// rate-limited weight store. It can be down, slow, or lose answers after a
-// change took effect. The roles edge and storage use another store; package
-// standin stands for that one.
+// Package platform emulates the services that a plain node uses: the key-value service
+// (the JSON gateway of etcd v3), the lists of machines and runners (the JSON format of
+// Prometheus HTTP service discovery, with a delay), and a weight store with a rate limit.
+// It can be unavailable or slow, and lose the response to a transaction that took effect.
+// Package standin emulates the other store, which the roles edge and storage use.
 package platform
 
 import (
@@ -12,7 +11,7 @@
 	"sync"
 )
 
-// keyValue is one stored key.
+// keyValue is a stored key with its value and revisions.
 type keyValue struct {
 	Key            []byte `json:"key"`
 	Value          []byte `json:"value"`
@@ -21,12 +20,13 @@
 	Version        int64  `json:"version,string"`
 }
 
+// change is the new value of a key at a revision.
 type change struct {
 	revision int64
 	kv       keyValue
 }
 
-// store is a revisioned map with a history for watches.
+// store is a map with revisions, and a history for watches.
 type store struct {
 	mutex    sync.Mutex
 	revision int64
@@ -39,8 +39,8 @@
 	return &store{values: map[string]keyValue{}, changed: make(chan struct{}), revision: 1}
 }
 
-// scan returns the values of [from, to) in key order; an empty to means the
-// single key from.
+// scan returns the entries in the range and the revision. The range is [from, to) in
+// key order; an empty to selects the key from alone, and "\x00" all keys from there on.
 func (s *store) scan(from, to string) ([]keyValue, int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -61,6 +61,7 @@
 	return key >= from && (to == "\x00" || strings.Compare(key, to) < 0)
 }
 
+// comparison requires that a key has a revision; 0 stands for an absent key.
 type comparison struct {
 	key      string
 	revision int64
@@ -71,7 +72,8 @@
 	value []byte
 }
 
-// commit makes all writes if every comparison holds.
+// commit applies all writes if all comparisons match. It reports whether they match,
+// and the revision.
 func (s *store) commit(comparisons []comparison, writes []write) (bool, int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,6 +94,7 @@
 	return true, s.revision
 }
 
+// put writes a key at the current revision. The caller holds the mutex.
 func (s *store) put(w write) {
 	kv := s.values[w.key]
 	if kv.CreateRevision == 0 {
@@ -103,9 +106,9 @@
 	s.history = append(s.history, change{s.revision, kv})
 }
 
-// since returns the changes in [from, to) at or after a revision, and a channel
-// closed at the next change.
-func (s *store) since(revision int64, from, to string) ([]keyValue, int64, chan struct{}) {
+// changesSince returns the changes in [from, to) at or after a revision, the current
+// revision, and a channel that is closed at the next change.
+func (s *store) changesSince(revision int64, from, to string) ([]keyValue, int64, chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	start := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision >= revision })
--- a/lab/platform/weights.go
+++ b/lab/platform/weights.go
@@ -9,18 +9,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// readWeights streams zero bytes at the weight store's rate, shared by all
-// readers.
-func (p *Platform) readWeights(c fiber.Ctx) error {
+// serveWeights streams zero bytes at the rate of the weight store, which all clients
+// share.
+func (p *Platform) serveWeights(c fiber.Ctx) error {
 	total, err := strconv.ParseInt(c.Query("bytes"), 10, 64)
 	if err != nil {
 		return c.SendStatus(fiber.StatusBadRequest)
 	}
 	c.RequestCtx().SetBodyStreamWriter(fasthttp.StreamWriter(func(writer *bufio.Writer) {
-		chunk := make([]byte, weightChunk)
+		chunk := make([]byte, weightChunkBytes)
 		for sent := int64(0); sent < total; {
 			size := min(int64(len(chunk)), total-sent)
-			reservation := p.weights.ReserveN(time.Now(), int(size))
+			reservation := p.weightLimiter.ReserveN(time.Now(), int(size))
 			time.Sleep(reservation.Delay())
 			if _, err := writer.Write(chunk[:size]); err != nil || writer.Flush() != nil {
 				return
