--- a/internal/transport/tlskeys/tlskeys_test.go
+++ b/internal/transport/tlskeys/tlskeys_test.go
@@ -67,7 +67,7 @@
 	mutual := func(a *keys.Authority, name string) *tlskeys.Mutual {
 		certificate, key, err := a.Issue(name)
 		is.NoErr(err)
-		loaded, err := tlskeys.LoadMutual(certificate, key, authority.File)
+		loaded, err := tlskeys.LoadMutual(certificate, key, authority.CertificateFile)
 		is.NoErr(err)
 		return loaded
 	}
--- a/lab/e2e/tls_test.go
+++ b/lab/e2e/tls_test.go
@@ -25,12 +25,12 @@
 	shape.Prepare = func(loaded *settings.Settings) error {
 		certificate, key, err := authority.Issue(loaded.Node.ID)
 		loaded.TLS.API = settings.KeyPair{Certificate: certificate, Key: key}
-		loaded.TLS.Nodes, loaded.TLS.NodesAuthority = loaded.TLS.API, authority.File
+		loaded.TLS.Nodes, loaded.TLS.NodesAuthority = loaded.TLS.API, authority.CertificateFile
 		return err
 	}
 	running := start(t, shape)
 	pool := x509.NewCertPool()
-	pem, err := os.ReadFile(authority.File)
+	pem, err := os.ReadFile(authority.CertificateFile)
 	is.NoErr(err)
 	is.True(pool.AppendCertsFromPEM(pem))
 	secure := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
--- a/lab/keys/keys.go
+++ b/lab/keys/keys.go
@@ -1,5 +1,4 @@
-// Package keys makes a certificate authority and key pairs for tests and the
-// lab.
+// Package keys creates a certificate authority and key pairs for tests and the lab.
 package keys
 
 import (
@@ -18,18 +17,19 @@
 	"github.com/gravitational/trace"
 )
 
-// Authority signs key pairs; its certificate lies at File.
+// Authority is a certificate authority. CertificateFile is the path of its certificate.
 type Authority struct {
-	File        string
-	folder      string
-	certificate *x509.Certificate
-	key         *ecdsa.PrivateKey
-	serial      int64
+	CertificateFile string
+	folder          string
+	certificate     *x509.Certificate
+	key             *ecdsa.PrivateKey
+	serial          int64
 }
 
-const lifetime = 24 * time.Hour
+// certificateLifetime is the validity period of all certificates.
+const certificateLifetime = 24 * time.Hour
 
-// NewAuthority makes an authority whose files lie in a folder.
+// NewAuthority creates an authority that writes its files to a folder.
 func NewAuthority(folder string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "lab authority"},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateLifetime),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -48,12 +48,12 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	a := &Authority{File: filepath.Join(folder, "authority.pem"), folder: folder, certificate: certificate, key: key, serial: 1}
-	return a, writePEM(a.File, "CERTIFICATE", encoded)
+	a := &Authority{CertificateFile: filepath.Join(folder, "authority.pem"), folder: folder, certificate: certificate, key: key, serial: 1}
+	return a, writePEM(a.CertificateFile, "CERTIFICATE", encoded)
 }
 
-// Issue makes a key pair for 127.0.0.1 under a name and returns its files.
-// Issuing a name again replaces the files.
+// Issue creates a key pair for 127.0.0.1 with a common name, signs it, and returns the
+// paths of the two files. A second call with the same name replaces the files.
 func (a *Authority) Issue(name string) (certificateFile, keyFile string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -62,7 +62,7 @@
 	a.serial++
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateLifetime),
 		IPAddresses: []net.IP{net.ParseIP("127.0.0.1")}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
