--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -1,6 +1,7 @@
-// Package account tells where the worth of a day was lost: from a report of the
-// users' bench and, if given, the log lines of the day's processes. Each round of
-// policy prints it again, so that rounds are compared by the same table.
+// Package account breaks down by cause the worth that a benchmark run lost. Worth is the
+// score of the users' benchmark, at most 1. The input is the report of the benchmark and,
+// optionally, the log lines of the processes in the run. The output is a set of Markdown
+// tables, so that runs can be compared.
 package account
 
 import (
@@ -16,71 +17,74 @@
 	"cobaltramp.example/cobaltramp/internal/app/explain"
 )
 
-// Part is a share of the worth: a name, its weight, and how much of it was earned.
+// Part is a component of the worth: its name, its weight, and the fraction that was
+// achieved.
 type Part struct {
 	Name          string
 	Weight, Value float64
 }
 
-// Price is what was taken off: a name, an amount in the price's own unit, and
-// the share of the worth.
-type Price struct {
+// Cost is a deduction from the worth: its name, the amount in its own unit, and the
+// worth deducted.
+type Cost struct {
 	Name          string
 	Amount, Share float64
 }
 
-// Group is a set of requests: a kind, a zone or a window of two seconds.
+// Group holds the results of a set of requests: of one kind, one zone, or one window of
+// windowSeconds.
 type Group struct {
-	Name    string  `json:"name"`
-	Asked   int     `json:"n"`
-	InAim   int     `json:"in_aim"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	NotOwed int     `json:"not_owed"`
-	Worth   float64 `json:"worth"`
+	Name     string  `json:"name"`
+	Requests int     `json:"n"`
+	OnTime   int     `json:"in_aim"`
+	Late     int     `json:"late"`
+	Refused  int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	Exempt   int     `json:"not_owed"`
+	Worth    float64 `json:"worth"`
 }
 
-// Event is a disruption or planned work, in seconds from the start of traffic.
+// Event is a disruption or a maintenance operation, with its start and end in seconds
+// since the start of traffic.
 type Event struct {
-	From float64 `json:"at_s"`
-	To   float64 `json:"to_s"`
-	Kind string  `json:"kind"`
-	What string  `json:"what"`
+	From   float64 `json:"at_s"`
+	To     float64 `json:"to_s"`
+	Kind   string  `json:"kind"`
+	Detail string  `json:"what"`
 }
 
-// Report is what is read of the bench's report.
+// Report holds the fields of the benchmark's report that this package uses.
 type Report struct {
-	Worth   float64        `json:"G"`
-	Parts   []Part         `json:"parts"`
-	Prices  []Price        `json:"prices"`
-	Breaks  map[string]int `json:"breaks"`
-	Classes []Group        `json:"classes"`
-	Zones   []Group        `json:"zones"`
-	Windows []Group        `json:"windows"`
-	Events  []Event        `json:"events"`
-	Ends    map[string]int `json:"ends"`
+	Worth      float64        `json:"G"`
+	Parts      []Part         `json:"parts"`
+	Costs      []Cost         `json:"prices"`
+	Violations map[string]int `json:"breaks"`
+	Classes    []Group        `json:"classes"`
+	Zones      []Group        `json:"zones"`
+	Windows    []Group        `json:"windows"`
+	Events     []Event        `json:"events"`
+	Outcomes   map[string]int `json:"ends"`
 }
 
-// UnmarshalJSON implements json.Unmarshaler: a part is a row of three.
+// UnmarshalJSON implements json.Unmarshaler: a part is an array of three columns.
 func (p *Part) UnmarshalJSON(text []byte) error { return row(text, &p.Name, &p.Weight, &p.Value) }
 
-// UnmarshalJSON implements json.Unmarshaler: a price is a row of three.
-func (p *Price) UnmarshalJSON(text []byte) error { return row(text, &p.Name, &p.Amount, &p.Share) }
+// UnmarshalJSON implements json.Unmarshaler: a cost is an array of three columns.
+func (p *Cost) UnmarshalJSON(text []byte) error { return row(text, &p.Name, &p.Amount, &p.Share) }
 
-// row reads a row of as many columns as there are fields.
+// row decodes a JSON array with one column for each field.
 func row(text []byte, fields ...any) error {
 	columns := append([]any{}, fields...)
 	if err := json.Unmarshal(text, &columns); err != nil {
 		return err
 	}
 	if len(columns) != len(fields) {
-		return trace.BadParameter("a row of %d columns, expected are %d", len(columns), len(fields))
+		return trace.BadParameter("row has %d columns, want %d", len(columns), len(fields))
 	}
 	return nil
 }
 
-// Read reads a report.
+// Read reads a report in JSON.
 func Read(reader io.Reader) (*Report, error) {
 	report := &Report{}
 	if err := json.NewDecoder(reader).Decode(report); err != nil {
@@ -92,52 +96,53 @@
 	return report, nil
 }
 
-// Loss is worth that was lost by one cause.
+// Loss is the worth lost by one cause.
 type Loss struct {
 	Cause string
 	Worth float64
 }
 
-// Losses lists what was lost by part and by price, the largest first.
+// Losses returns the losses of all parts and costs of at least minReportedLoss, the
+// largest first.
 func (r *Report) Losses() []Loss {
 	var losses []Loss
 	for _, part := range r.Parts {
 		losses = append(losses, Loss{part.Name, part.Weight * (1 - part.Value)})
 	}
-	for _, price := range r.Prices {
-		losses = append(losses, Loss{"price of " + price.Name, price.Share})
+	for _, cost := range r.Costs {
+		losses = append(losses, Loss{"price of " + cost.Name, cost.Share})
 	}
-	losses = slices.DeleteFunc(losses, func(loss Loss) bool { return loss.Worth < minLoss })
+	losses = slices.DeleteFunc(losses, func(loss Loss) bool { return loss.Worth < minReportedLoss })
 	sort.SliceStable(losses, func(i, j int) bool { return losses[i].Worth > losses[j].Worth })
 	return losses
 }
 
 const (
-	// minLoss is the worth below which a loss gets no row.
-	minLoss = 0.0005
-	// badWindow is the worth below which a window is listed.
-	badWindow = 0.97
-	// windowSeconds is the length of a window of the report.
+	// minReportedLoss is the smallest loss that is reported.
+	minReportedLoss = 0.0005
+	// minWindowWorth is the worth below which a window is reported.
+	minWindowWorth = 0.97
+	// windowSeconds is the length of a window in seconds.
 	windowSeconds = 2
 )
 
-// BadWindows lists the windows that earned less than badWindow, with what went
-// on meanwhile.
+// BadWindows returns a table row for each window with less worth than minWindowWorth,
+// including the kinds of events during the window.
 func (r *Report) BadWindows() []string {
 	var rows []string
 	for _, window := range r.Windows {
-		if window.Worth >= badWindow || window.Asked == window.NotOwed {
+		if window.Worth >= minWindowWorth || window.Requests == window.Exempt {
 			continue
 		}
 		rows = append(rows, fmt.Sprintf("| %s s | %d | %d | %d | %d | %.3f | %s |",
-			window.Name, window.Asked, window.Late, window.Refused, window.Failed, window.Worth, strings.Join(r.during(window.Name), ", ")))
+			window.Name, window.Requests, window.Late, window.Refused, window.Failed, window.Worth, strings.Join(r.eventKindsIn(window.Name), ", ")))
 	}
 	return rows
 }
 
-// during lists the kinds of events in a window, which is named after the second
-// that it begins with.
-func (r *Report) during(window string) []string {
+// eventKindsIn returns the kinds of events during a window. The name of a window is its
+// start in seconds.
+func (r *Report) eventKindsIn(window string) []string {
 	var from float64
 	if _, err := fmt.Sscan(window, &from); err != nil {
 		return []string{"window without a time"}
@@ -151,38 +156,39 @@
 	return kinds
 }
 
-// Count is how often something was logged.
+// Count is the number of occurrences of a label.
 type Count struct {
-	What  string
+	Label string
 	Times int
 }
 
-// Decisions counts log lines by their text and outcome, the most frequent first.
-func Decisions(lines []explain.Line) []Count {
+// CountOutcomes counts the log lines that have an outcome by message and outcome, the
+// most frequent first.
+func CountOutcomes(lines []explain.Line) []Count {
 	times := map[string]int{}
 	for _, line := range lines {
-		outcome, has := line.Fields["outcome"]
-		if !has {
+		outcome, found := line.Fields["outcome"]
+		if !found {
 			continue
 		}
-		times[line.Message+": "+fixedPart(outcome)]++
+		times[line.Message+": "+withoutVariablePart(outcome)]++
 	}
 	counts := make([]Count, 0, len(times))
-	for what, n := range times {
-		counts = append(counts, Count{what, n})
+	for label, n := range times {
+		counts = append(counts, Count{label, n})
 	}
 	sort.Slice(counts, func(i, j int) bool {
 		if counts[i].Times != counts[j].Times {
 			return counts[i].Times > counts[j].Times
 		}
-		return counts[i].What < counts[j].What
+		return counts[i].Label < counts[j].Label
 	})
 	return counts
 }
 
-// fixedPart cuts an outcome at its first figure or address: what follows differs
-// from line to line.
-func fixedPart(outcome string) string {
+// withoutVariablePart removes the variable part of an outcome, which starts at its first
+// digit. An outcome that starts with a digit is returned whole.
+func withoutVariablePart(outcome string) string {
 	if at := strings.IndexAny(outcome, "0123456789"); at > 0 {
 		return strings.TrimSpace(outcome[:at])
 	}
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -17,12 +17,12 @@
 "events": [{"at_s": 1.5, "to_s": 3, "kind": "runners slow"}, {"at_s": 9, "to_s": 10, "kind": "later"}],
 "ends": {"200": 9, "cut": 1}}`
 
-func TestAccount(t *testing.T) {
+func TestLossesAndWindowsOfReport(t *testing.T) {
 	is := is.New(t)
 	read, err := Read(strings.NewReader(report))
 	is.NoErr(err)
 	losses := read.Losses()
-	is.Equal(len(losses), 3) // what cost nothing has no row
+	is.Equal(len(losses), 3) // a part or cost without a loss has no row
 	is.Equal(losses[0].Cause, "worst windows")
 	is.Equal(losses[2], Loss{"price of machine-seconds", 0.02})
 	windows := read.BadWindows()
@@ -30,7 +30,7 @@
 	is.True(strings.Contains(windows[0], "runners slow") && !strings.Contains(windows[0], "later"))
 }
 
-func TestDecisionsAreCountedByOutcome(t *testing.T) {
+func TestLogLinesAreCountedByOutcome(t *testing.T) {
 	is := is.New(t)
 	lines, err := explain.Parse("log", strings.NewReader(`  4.2 storage-a-1 I0111 00:07:14.205575   27525 run.go:97] "item run ended" item="1" outcome="gave way" ms=3
   4.3 storage-a-1 I0111 00:07:14.305575   27525 run.go:97] "item run ended" item="2" outcome="gave way" ms=4
@@ -39,13 +39,13 @@
   4.5 edge-a-1 I0111 00:07:14.505575   27525 run.go:97] "started" id="4"
 `))
 	is.NoErr(err)
-	counts := Decisions(lines)
+	counts := CountOutcomes(lines)
 	is.Equal(len(counts), 3)
 	is.Equal(counts[0], Count{"item run ended: gave way", 2})
 	is.Equal(counts[2], Count{"attempt: lost after", 1})
 }
 
-func TestWhatIsNoReportIsRefused(t *testing.T) {
+func TestMalformedReportIsRejected(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "[]", "{}", `{"parts": [["x"]]}`, `{"parts": [["x", 1, 2, 3]]}`, `{"parts": "x"}`} {
 		_, err := Read(strings.NewReader(text))
--- a/lab/account/print.go
+++ b/lab/account/print.go
@@ -6,14 +6,15 @@
 	"sort"
 )
 
-// maxDecisions bounds the table of decisions.
-const maxDecisions = 25
+// maxOutcomeRows is the largest number of rows in the table of outcomes.
+const maxOutcomeRows = 25
 
-// Print writes the tables in Markdown. Decisions may be empty.
-func Print(writer io.Writer, report *Report, decisions []Count) error {
+// Print writes the report and the outcomes counted by CountOutcomes as Markdown tables.
+// If outcomes is empty, their table is left out.
+func Print(writer io.Writer, report *Report, outcomes []Count) error {
 	p := &printer{writer: writer}
 	p.line("worth %.3f, lost %.3f", report.Worth, 1-report.Worth)
-	for rule, times := range report.Breaks {
+	for rule, times := range report.Violations {
 		p.line("**broken: %s %d**", rule, times)
 	}
 	p.table("lost by", "worth")
@@ -26,7 +27,7 @@
 	}{{"kind of request", report.Classes}, {"callers' zone", report.Zones}} {
 		p.table(groups.name, "asked", "late", "refused", "failed", "worth")
 		for _, row := range groups.rows {
-			p.line("| %s | %d | %d | %d | %d | %.3f |", row.Name, row.Asked-row.NotOwed, row.Late, row.Refused, row.Failed, row.Worth)
+			p.line("| %s | %d | %d | %d | %d | %.3f |", row.Name, row.Requests-row.Exempt, row.Late, row.Refused, row.Failed, row.Worth)
 		}
 	}
 	p.table("window", "asked", "late", "refused", "failed", "worth", "meanwhile")
@@ -34,36 +35,37 @@
 		p.line("%s", row)
 	}
 	p.table("tries that ended", "times")
-	for _, end := range sorted(report.Ends) {
-		p.line("| %s | %d |", end.What, end.Times)
+	for _, outcome := range byFrequency(report.Outcomes) {
+		p.line("| %s | %d |", outcome.Label, outcome.Times)
 	}
-	if len(decisions) > 0 {
+	if len(outcomes) > 0 {
 		p.table("decisions logged", "times")
 	}
-	for _, count := range decisions[:min(maxDecisions, len(decisions))] {
-		p.line("| %s | %d |", count.What, count.Times)
+	for _, count := range outcomes[:min(maxOutcomeRows, len(outcomes))] {
+		p.line("| %s | %d |", count.Label, count.Times)
 	}
-	return p.failed
+	return p.err
 }
 
-func sorted(times map[string]int) []Count {
+// byFrequency returns the counts, the most frequent first.
+func byFrequency(times map[string]int) []Count {
 	counts := make([]Count, 0, len(times))
-	for what, n := range times {
-		counts = append(counts, Count{what, n})
+	for label, n := range times {
+		counts = append(counts, Count{label, n})
 	}
 	sort.Slice(counts, func(i, j int) bool { return counts[i].Times > counts[j].Times })
 	return counts
 }
 
-// printer keeps the first error of its writer.
+// printer writes lines until the first error, which it keeps.
 type printer struct {
 	writer io.Writer
-	failed error
+	err    error
 }
 
 func (p *printer) line(format string, values ...any) {
-	if p.failed == nil {
-		_, p.failed = fmt.Fprintf(p.writer, format+"\n", values...)
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.writer, format+"\n", values...)
 	}
 }
 
--- a/lab/cli/account.go
+++ b/lab/cli/account.go
@@ -35,7 +35,7 @@
 		}
 		lines = append(lines, more...)
 	}
-	return trace.Wrap(account.Print(os.Stdout, report, account.Decisions(lines)))
+	return trace.Wrap(account.Print(os.Stdout, report, account.CountOutcomes(lines)))
 }
 
 func readLines(path string) ([]explain.Line, error) {
