--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	tally, err := platformday.Play(context.Background(), platformday.Options{
+	tally, err := platformday.Run(context.Background(), platformday.Options{
 		Program: program, Folder: folder, Seed: c.Seed, Length: c.Length, PerSecond: c.PerSecond, Progress: os.Stdout,
 	})
 	if err != nil {
--- a/lab/platformday/crashing_test.go
+++ b/lab/platformday/crashing_test.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// repeats is how often a request comes again, at the edges in turn.
-	repeats = 10
-	// maxLooks is how many times a test looks before it gives up.
-	maxLooks = 300
+	// sendsPerPhase is how many times a phase sends its request.
+	sendsPerPhase = 10
+	// maxPolls is the number of polls after which a test gives up on a condition.
+	maxPolls = 300
 )
 
-var crashMark = []byte("crashes the runner")
+// crashPrefix starts the body of each request that crashes runners.
+var crashPrefix = []byte("crashes the runner")
 
-// build builds the product.
+// build builds the cobaltramp binary and returns its path.
 func build(t *testing.T, folder string) string {
 	t.Helper()
 	program := filepath.Join(folder, "cobaltramp")
@@ -36,112 +37,111 @@
 	return program
 }
 
-// at returns a client of an edge.
-func (d *Day) at(edge int) standin.Single {
-	return standin.Single{Address: d.nodes[edge].callers, Host: host}
+// client returns a client of an edge.
+func (d *Day) client(edge int) standin.NodeClient {
+	return standin.NodeClient{Address: d.nodes[edge].callerAddress, Host: host}
 }
 
-// sendAgain sends the same work several times, with a new id each time, at the
-// edges in turn, whenever other requests are served.
-func (d *Day) sendAgain(t *testing.T, phase, target string, body []byte, times int) {
-	for try := range times {
-		d.awaitServed(t, fmt.Sprint(phase, try))
-		status := d.at(try%d.Edges).Request(target, fmt.Sprintf("%s-%d", phase, try), body)
-		d.say("%s, try %d: status %d, %d runners ended so far", phase, try, status, d.ledger.Crashes(body))
+// sendRepeatedly sends the same body several times, each time with a new id, to the edges
+// in turn. Before each send it waits until other requests are served.
+func (d *Day) sendRepeatedly(t *testing.T, phase, target string, body []byte, times int) {
+	for attempt := range times {
+		d.awaitServedRequest(t, fmt.Sprint(phase, attempt))
+		status := d.client(attempt%d.Edges).Request(target, fmt.Sprintf("%s-%d", phase, attempt), body)
+		d.report("%s, send %d: status %d, %d runners crashed so far", phase, attempt, status, d.ledger.Crashes(body))
 	}
 }
 
-// await looks until something holds.
-func (d *Day) await(t *testing.T, what string, holds func(look int) bool) {
+// await polls until a condition holds, and fails the test after maxPolls polls.
+func (d *Day) await(t *testing.T, what string, holds func(poll int) bool) {
 	t.Helper()
-	for look := range maxLooks {
-		if holds(look) {
+	for poll := range maxPolls {
+		if holds(poll) {
 			return
 		}
-		time.Sleep(readyInterval)
+		time.Sleep(pollInterval)
 	}
-	t.Fatalf("%s: did not come\n%s", what, lastLines(d.Folder))
+	t.Fatalf("timed out waiting for %s\n%s", what, logTails(d.Folder))
 }
 
-// awaitServed waits until a request that crashes nothing is served.
-func (d *Day) awaitServed(t *testing.T, phase string) {
+// awaitServedRequest waits until a request that crashes no runner is served.
+func (d *Day) awaitServedRequest(t *testing.T, phase string) {
 	t.Helper()
-	d.await(t, phase+": a request served", func(look int) bool {
-		return d.at(look%d.Edges).Request(standin.EventsPrefix+"well", fmt.Sprintf("well-%s-%d", phase, look), fmt.Appendf(nil, "well %s %d", phase, look)) == http.StatusOK
+	d.await(t, phase+": a served request", func(poll int) bool {
+		return d.client(poll%d.Edges).Request(standin.EventsPrefix+"well", fmt.Sprintf("well-%s-%d", phase, poll), fmt.Appendf(nil, "well %s %d", phase, poll)) == http.StatusOK
 	})
 }
 
-// A request that crashes each runner that runs it comes again and again, at any
-// edge: it reaches few runners, however the route may be repeated, as an item of
-// a job too, and after all nodes have started anew. Others are served, the other
-// items of its job among them.
-func TestCrashingRequestsReachFewRunners(t *testing.T) {
+// A request that crashes every runner may crash at most MaxCrashes of them, on routes with
+// and without retries, as an item of a job, and across restarts of all nodes. Other
+// requests and the other items of the job must be served.
+func TestCrashingRequestEndsFewRunners(t *testing.T) {
 	folder := t.TempDir()
 	d, err := open(t.Context(), Options{
 		Program: build(t, folder), Folder: folder, Seed: 1, Progress: os.Stderr,
-		Crashes: func(body []byte) bool { return bytes.HasPrefix(body, crashMark) },
+		Crashes: func(body []byte) bool { return bytes.HasPrefix(body, crashPrefix) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.close()
-	bodyOf := func(phase string) []byte { return append(bytes.Clone(crashMark), phase...) }
+	bodyOf := func(phase string) []byte { return append(bytes.Clone(crashPrefix), phase...) }
 	phases := []struct{ name, target string }{{"repeatable", standin.EventsPrefix + "x"}, {"once", standin.OncePrefix + "x"}}
 	for _, phase := range phases {
-		d.sendAgain(t, phase.name, phase.target, bodyOf(phase.name), repeats)
+		d.sendRepeatedly(t, phase.name, phase.target, bodyOf(phase.name), sendsPerPhase)
 	}
 	bodies := [][]byte{[]byte("first"), bodyOf("item"), []byte("third")}
-	d.await(t, "job taken", func(int) bool { return d.at(0).Submit("job", bodies) })
-	d.await(t, "the two other items done", func(int) bool { return d.at(0).Completed("job") == len(bodies)-1 })
-	time.Sleep(crashTime * 4) // in which the item could be run again
+	d.await(t, "the acceptance of the job", func(int) bool { return d.client(0).Submit("job", bodies) })
+	d.await(t, "the completion of the two other items", func(int) bool { return d.client(0).CompletedItems("job") == len(bodies)-1 })
+	time.Sleep(runnerRestartDelay * 4) // time for an unwanted second run of the item
 	for _, p := range d.nodes {
 		d.restart(p, syscall.SIGKILL)
 	}
 	for _, phase := range phases {
-		d.sendAgain(t, phase.name+" again", phase.target, bodyOf(phase.name), 4)
+		d.sendRepeatedly(t, phase.name+" again", phase.target, bodyOf(phase.name), 4)
 	}
 	for _, phase := range []string{"repeatable", "once", "item"} {
-		t.Logf("%s: %d runners ended", phase, d.ledger.Crashes(bodyOf(phase)))
-		if count := d.ledger.Crashes(bodyOf(phase)); count == 0 || count > standin.CrashesAllowed {
-			t.Errorf("%s: %d runners ended under one request, allowed are %d", phase, count, standin.CrashesAllowed)
+		t.Logf("%s: %d runners crashed", phase, d.ledger.Crashes(bodyOf(phase)))
+		if count := d.ledger.Crashes(bodyOf(phase)); count == 0 || count > standin.MaxCrashes {
+			t.Errorf("%s: %d runners crashed under one request, want 1 to %d", phase, count, standin.MaxCrashes)
 		}
 	}
-	d.liftByHand(t, bodyOf("repeatable"))
+	d.liftQuarantines(t, bodyOf("repeatable"))
 	if t.Failed() {
-		t.Log(lastLines(folder))
+		t.Log(logTails(folder))
 	}
 }
 
-// liftByHand lists the holds as an operator does, and lifts them one by one at one
-// edge; the request is then sent to runners again, by the other edge too.
-func (d *Day) liftByHand(t *testing.T, body []byte) {
+// liftQuarantines lists the quarantined requests with the command line tool and lifts each
+// quarantine at one edge. The other edge must then send the request to runners again.
+func (d *Day) liftQuarantines(t *testing.T, body []byte) {
 	t.Helper()
-	var held []struct {
+	var quarantined []struct {
 		Fingerprint string `json:"fingerprint"`
 	}
-	list := func(arguments ...string) {
-		arguments = append([]string{"--output", "json", "quarantine", "--cluster", "day", "--node", d.nodes[0].peers}, arguments...)
+	runQuarantine := func(arguments ...string) {
+		arguments = append([]string{"--output", "json", "quarantine", "--cluster", "day", "--node", d.nodes[0].peerAddress}, arguments...)
 		printed, err := exec.Command(d.Program, arguments...).Output()
 		if err != nil {
 			t.Fatalf("%v: %v", arguments, err)
 		}
-		if err := json.Unmarshal(printed, &held); err != nil {
+		if err := json.Unmarshal(printed, &quarantined); err != nil {
 			t.Fatalf("%s: %v", printed, err)
 		}
 	}
-	list()
-	if len(held) != 3 {
-		t.Fatalf("%d requests are held, not 3", len(held))
+	runQuarantine()
+	if len(quarantined) != 3 {
+		t.Fatalf("%d requests are quarantined, want 3", len(quarantined))
 	}
-	for _, one := range slices.Clone(held) {
-		list("--lift", one.Fingerprint)
+	for _, request := range slices.Clone(quarantined) {
+		runQuarantine("--lift", request.Fingerprint)
 	}
-	if len(held) != 0 {
-		t.Fatalf("%d requests are still held", len(held))
+	if len(quarantined) != 0 {
+		t.Fatalf("%d requests are still quarantined", len(quarantined))
 	}
 	before := d.ledger.Crashes(body)
-	d.await(t, "the request sent again", func(look int) bool {
-		d.at(1).Request(standin.EventsPrefix+"x", fmt.Sprint("lifted-", look), body)
+	d.await(t, "another run of the lifted request", func(poll int) bool {
+		d.client(1).Request(standin.EventsPrefix+"x", fmt.Sprint("lifted-", poll), body)
 		return d.ledger.Crashes(body) > before
 	})
 }
--- a/lab/platformday/day.go
+++ b/lab/platformday/day.go
@@ -1,7 +1,8 @@
-// Package platformday plays a short day of a platform deployment on loopback, or a
-// soak: real edge and storage processes before the stand-ins of package standin,
-// with faults, and checks the promises from outside. It owns the processes and
-// what happens to them; the seed draws what happens in which order.
+// Package platformday runs end-to-end fault tests of a platform deployment on loopback
+// addresses: a day, which injects each kind of fault once, or a soak, which injects random
+// overlapping faults. It starts edge and storage processes against the emulated store and
+// runners of package standin, sends requests and jobs, and verifies the responses. The
+// seed determines the random choices, such as the order of the faults.
 package platformday
 
 import (
@@ -19,27 +20,28 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-// Options of a day.
+// Options configures a day.
 type Options struct {
-	// Program is the path of the product's binary.
+	// Program is the path of the cobaltramp binary.
 	Program string
-	// Folder holds settings, data and logs.
+	// Folder is the folder for settings, data and logs.
 	Folder string
 	Seed   uint64
-	// Length is how long callers send.
+	// Length is the duration of the traffic.
 	Length time.Duration
-	// PerSecond is how many requests a second callers send on each route.
+	// PerSecond is the number of requests per second on each route.
 	PerSecond int
-	// Progress gets a line for each thing that happens; nil for none.
+	// Progress receives a line for each event of the run; nil discards the lines.
 	Progress io.Writer
-	// Edges, Storages and Runners are how many there are; 0 takes the usual number.
+	// Edges, Storages and Runners are the numbers of nodes and runners; 0 selects the
+	// default.
 	Edges, Storages, Runners int
-	// Crashes reports whether a request, by its body, ends each runner that runs
-	// it; nil for none. The runner is back after a second as another one.
+	// Crashes reports whether a request with the body crashes each runner that runs it;
+	// nil stands for no crashes. A new runner replaces a crashed one after a delay.
 	Crashes func(body []byte) bool
 }
 
-// Day is a running day.
+// Day is a running deployment with its emulated store and runners.
 type Day struct {
 	Options
 	store   *standin.Store
@@ -49,28 +51,29 @@
 	nodes   []*process
 	mutex   sync.Mutex
 	started time.Time
-	// background watches readiness and ends the disturbances, while running.
+	// background runs the readiness probes and delayed functions until lifetime ends.
 	background tasks.Group
-	running    context.Context
-	end        context.CancelFunc
-	// processes waits for the ends of the nodes' processes.
+	lifetime   context.Context
+	cancel     context.CancelFunc
+	// processes tracks the running node processes.
 	processes tasks.Group
-	// net numbers the loopback addresses of this day's nodes.
-	net uint32
+	// subnet is the number of the loopback subnet of the nodes.
+	subnet uint32
 }
 
 const (
-	// usualEdges and the others are of a small deployment that can lose one of each.
-	usualEdges, usualStorages, usualRunners = 2, 3, 4
-	// zones is how many zones the nodes and runners lie in, in turn.
-	zones = 2
-	// host is the callers' host name.
+	// A deployment of this size tolerates the loss of one edge, one storage node and one
+	// runner.
+	defaultEdges, defaultStorages, defaultRunners = 2, 3, 4
+	// zoneCount is the number of zones; nodes and runners are assigned to them in turn.
+	zoneCount = 2
+	// host is the host name in the requests.
 	host = "day.example"
 )
 
-// Play plays a day and returns what callers saw. The error is of the play
-// itself; broken promises are in the tally.
-func Play(ctx context.Context, options Options) (*standin.Tally, error) {
+// Run runs a day and returns the tally of its requests and jobs, which includes the
+// violations. The error reports that the run itself failed.
+func Run(ctx context.Context, options Options) (*standin.Tally, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d, err := open(ctx, options)
@@ -78,19 +81,20 @@
 		return nil, err
 	}
 	defer d.close()
-	return d.tally, d.traffic(ctx)
+	return d.tally, d.runTraffic(ctx)
 }
 
-// open starts the stand-ins and the nodes, and waits until all edges are ready.
-// On an error nothing is left running.
+// open starts the store, the runners and the nodes, and waits until all edges are ready.
+// If it returns an error, everything has been stopped.
 func open(ctx context.Context, options Options) (*Day, error) {
-	options.Edges = cmp.Or(options.Edges, usualEdges)
-	options.Storages = cmp.Or(options.Storages, usualStorages)
-	options.Runners = cmp.Or(options.Runners, usualRunners)
+	options.Edges = cmp.Or(options.Edges, defaultEdges)
+	options.Storages = cmp.Or(options.Storages, defaultStorages)
+	options.Runners = cmp.Or(options.Runners, defaultRunners)
 	d := &Day{Options: options, store: standin.NewStore(), ledger: standin.NewLedger(), tally: &standin.Tally{}, started: time.Now()}
-	d.running, d.end = context.WithCancel(ctx)
-	// Days of other processes take other nets, as far as their ids differ.
-	d.net = (uint32(os.Getpid())*7 + days.Add(1)) % loopbackNets
+	d.lifetime, d.cancel = context.WithCancel(ctx)
+	// The process id is part of the number so that parallel test processes use different
+	// subnets.
+	d.subnet = (uint32(os.Getpid())*7 + startedDays.Add(1)) % loopbackSubnets
 	if err := d.startAll(); err != nil {
 		d.close()
 		return nil, trace.Wrap(err)
@@ -108,30 +112,31 @@
 	if err := d.startNodes(); err != nil {
 		return err
 	}
-	d.background.Go(d.watchReadiness)
+	d.background.Go(d.pollReadiness)
 	return d.awaitReady()
 }
 
 func (d *Day) close() {
-	d.end()
+	d.cancel()
 	d.background.Wait()
 	d.killAll()
 	d.processes.Wait()
 	d.store.Close()
 }
 
-func (d *Day) say(format string, args ...any) {
+// report writes a line with the elapsed time to Progress.
+func (d *Day) report(format string, args ...any) {
 	if d.Progress != nil {
 		fmt.Fprintf(d.Progress, "%6.2f s  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
-// later does something after a time, unless the day ends before.
-func (d *Day) later(after time.Duration, do func()) {
+// runAfter calls a function after a delay, unless the day ends before.
+func (d *Day) runAfter(delay time.Duration, do func()) {
 	d.background.Go(func() {
 		select {
-		case <-d.running.Done():
-		case <-time.After(after):
+		case <-d.lifetime.Done():
+		case <-time.After(delay):
 			do()
 		}
 	})
--- a/lab/platformday/logs_test.go
+++ b/lab/platformday/logs_test.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// lastLines returns the last lines of each node's log, for a day that went wrong.
-func lastLines(folder string) string {
+// logTails returns the last lines of each node's log, for the message of a failed test.
+func logTails(folder string) string {
 	var text strings.Builder
 	paths, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, path := range paths {
--- a/lab/platformday/nodes.go
+++ b/lab/platformday/nodes.go
@@ -13,21 +13,20 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/settings"
 )
 
-// days counts the days of this process.
-var days atomic.Uint32
+// startedDays counts the days that this process has started.
+var startedDays atomic.Uint32
 
-// loopbackNets is how many of the loopback range's nets days take in turn.
-const loopbackNets = 1 << 14
+// loopbackSubnets is the number of loopback subnets that days use in turn.
+const loopbackSubnets = 1 << 14
 
-// addressOf returns a loopback address of a node's own. Outgoing connections leave
-// from 127.0.0.1, and take ports there: a port that is reserved on another address
-// stays free while its node is down.
+// addressOf returns the loopback address of a node. Outgoing connections have ephemeral
+// ports on 127.0.0.1, so they can't occupy the ports of a node that is down.
 func (d *Day) addressOf(number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 64+d.net/256, d.net%256, 1+number)
+	return fmt.Sprintf("127.%d.%d.%d", 64+d.subnet/256, d.subnet%256, 1+number)
 }
 
-// freePorts finds ports that are free now at an address, each another one: all are
-// taken before any is let go.
+// freePorts returns distinct ports that are free at an address. It closes the listeners
+// only after it has opened all, so that no port is returned twice.
 func freePorts(address string, count int) ([]int, error) {
 	var ports []int
 	for range count {
@@ -48,7 +47,7 @@
 		if number >= d.Edges {
 			role = "storage"
 		}
-		p, err := d.prepare(role, number, &seeds)
+		p, err := d.prepareNode(role, number, &seeds)
 		if err != nil {
 			return err
 		}
@@ -62,29 +61,29 @@
 	return nil
 }
 
-// prepare writes a node's settings.
-func (d *Day) prepare(role string, number int, seeds *[]string) (*process, error) {
-	own := d.addressOf(number)
-	ports, err := freePorts(own, 5)
+// prepareNode writes the settings file of a node.
+func (d *Day) prepareNode(role string, number int, seeds *[]string) (*process, error) {
+	nodeAddress := d.addressOf(number)
+	ports, err := freePorts(nodeAddress, 5)
 	if err != nil {
 		return nil, err
 	}
 	name := fmt.Sprintf("%s-%d", role, number)
 	p := &process{name: name, role: role, settings: filepath.Join(d.Folder, name+".yaml")}
 	s := settings.Role{
-		Cluster: "day", Node: name, Zone: fmt.Sprintf("z%d", number%zones), Region: "r", Address: own, Ports: []int{ports[0], ports[0]},
+		Cluster: "day", Node: name, Zone: fmt.Sprintf("z%d", number%zoneCount), Region: "r", Address: nodeAddress, Ports: []int{ports[0], ports[0]},
 		Listen: settings.RoleListen{MetricsPort: ports[4]}, FirstStart: true, DiskLosses: 1,
 		Store:   settings.RoleStore{Address: d.store.Address()},
 		Machine: settings.RoleMachine{MemoryMegabytes: 256}, Bounds: settings.RoleBounds{StopSeconds: 8, DrainMilliseconds: 2000},
 	}
 	if role == "edge" {
-		address := func(port int) string { return fmt.Sprintf("%s:%d", own, port) }
+		address := func(port int) string { return fmt.Sprintf("%s:%d", nodeAddress, port) }
 		s.Listen.Callers, s.Listen.Readiness, s.Listen.Peers = address(ports[1]), address(ports[2]), address(ports[3])
-		p.callers, p.readiness, p.peers = s.Listen.Callers, s.Listen.Readiness, s.Listen.Peers
+		p.callerAddress, p.readinessAddress, p.peerAddress = s.Listen.Callers, s.Listen.Readiness, s.Listen.Peers
 		*seeds = append(*seeds, s.Listen.Peers)
 	} else {
 		s.DataFolder = filepath.Join(d.Folder, name+"-data")
-		p.data = s.DataFolder
+		p.dataFolder = s.DataFolder
 	}
 	s.Seeds = *seeds
 	text, err := yaml.Marshal(s)
@@ -105,7 +104,8 @@
 	}
 }
 
-func (d *Day) pick(role string) *process {
+// firstNode returns the first node of a role.
+func (d *Day) firstNode(role string) *process {
 	for _, p := range d.nodes {
 		if p.role == role {
 			return p
@@ -117,6 +117,6 @@
 func (d *Day) restart(p *process, signal syscall.Signal) {
 	d.signal(p, signal)
 	if err := d.start(p); err != nil {
-		d.say("%s does not start: %v", p.name, err)
+		d.report("%s does not start: %v", p.name, err)
 	}
 }
--- a/lab/platformday/nodeseries.go
+++ b/lab/platformday/nodeseries.go
@@ -8,93 +8,95 @@
 	"time"
 )
 
-// disturb plays series until the context ends.
-func (s *soak) disturb(ctx context.Context, random *rand.Rand) {
-	series := []func(ctx context.Context, random *rand.Rand){
-		s.stopEdges, s.stopEdges, s.hangUp, s.hangUp, s.stopInARow, s.killWhileStopping, s.freeze, s.stopStorage, s.killStorageTwice, s.wipe,
-		s.changeConfig, s.changeConfig, s.troubleStore, s.crashRunners, s.drainRunners, s.loseAnswers,
+// disrupt runs random disruptions one after the other until the context ends.
+func (s *soak) disrupt(ctx context.Context, random *rand.Rand) {
+	disruptions := []func(ctx context.Context, random *rand.Rand){
+		s.stopEdges, s.stopEdges, s.reloadEdge, s.reloadEdge, s.stopRepeatedly, s.killWhileStopping, s.suspend, s.stopStorage, s.killStorageTwice, s.wipeDisk,
+		s.changeConfig, s.changeConfig, s.injectStoreFault, s.crashRunners, s.drainRunners, s.loseResponses,
 	}
 	for ctx.Err() == nil {
-		series[random.IntN(len(series))](ctx, random)
-		wait(ctx, random, seriesPause)
+		disruptions[random.IntN(len(disruptions))](ctx, random)
+		sleepUpTo(ctx, random, maxDisruptionPause)
 	}
 }
 
-// wait waits for a drawn part of a time.
-func wait(ctx context.Context, random *rand.Rand, longest time.Duration) {
+// sleepUpTo sleeps for a random duration of at most longest, or until the context ends.
+func sleepUpTo(ctx context.Context, random *rand.Rand, longest time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(random.Float64() * float64(longest))):
 	}
 }
 
-// claimNode claims a node of a role for a series; nil if all are claimed. The result gives
-// it back.
+// claimNode claims a random free node of a role for a disruption. It returns the node
+// and a function that releases it, or nil if no node may be claimed.
 func (s *soak) claimNode(role string, random *rand.Rand) (*process, func()) {
-	s.busyMutex.Lock()
-	defer s.busyMutex.Unlock()
+	s.claimMutex.Lock()
+	defer s.claimMutex.Unlock()
 	storage := role == "storage"
-	if storage && s.diskTaken {
+	if storage && s.storageClaimed {
 		return nil, nil
 	}
 	var free []*process
 	for _, p := range s.nodes {
-		if p.role == role && !s.busy[p] {
+		if p.role == role && !s.claimedNodes[p] {
 			free = append(free, p)
 		}
 	}
-	// One edge is left alone at any time: callers need somewhere to go.
+	// One edge stays unclaimed, so that clients always have an available edge.
 	if len(free) == 0 || !storage && len(free) == 1 {
 		return nil, nil
 	}
 	chosen := free[random.IntN(len(free))]
-	s.busy[chosen] = true
-	s.diskTaken = s.diskTaken || storage
+	s.claimedNodes[chosen] = true
+	s.storageClaimed = s.storageClaimed || storage
 	return chosen, func() {
-		s.busyMutex.Lock()
-		defer s.busyMutex.Unlock()
-		delete(s.busy, chosen)
+		s.claimMutex.Lock()
+		defer s.claimMutex.Unlock()
+		delete(s.claimedNodes, chosen)
 		if storage {
-			s.diskTaken = false
+			s.storageClaimed = false
 		}
 	}
 }
 
-// onFreeNode plays a series on a node of a role, if one is free, and starts the node
-// again if it has ended.
-func (s *soak) onFreeNode(role string, random *rand.Rand, series func(p *process)) {
+// onFreeNode runs a disruption on a free node of a role, if there is one, and restarts
+// the node if its process has ended.
+func (s *soak) onFreeNode(role string, random *rand.Rand, disruption func(p *process)) {
 	p, release := s.claimNode(role, random)
 	if p == nil {
 		return
 	}
 	defer release()
-	series(p)
+	disruption(p)
 	select {
-	case <-p.life.ended:
+	case <-p.incarnation.ended:
 		if err := s.start(p); err != nil {
 			s.tally.RecordViolation("%s does not start: %v", p.name, err)
 		}
-	default: // it still runs
+	default: // the process is still running
 	}
 	if role == "storage" {
-		time.Sleep(diskTime)
+		time.Sleep(diskCatchUpTime)
 	}
 }
 
-// diskTime is how long a disk that is back has to catch up before the next is taken.
-const diskTime = 3 * time.Second
+// diskCatchUpTime is the time for a storage node to catch up before another storage node
+// is disrupted.
+const diskCatchUpTime = 3 * time.Second
 
-// stop asks a node to stop and waits until it is gone, which it has to be within
-// its time.
+// stop sends SIGTERM to a node and waits for its exit.
 func (s *soak) stop(p *process) {
-	s.awaitEnd(p, s.ask(p, syscall.SIGTERM))
+	s.awaitExit(p, s.sendSignal(p, syscall.SIGTERM))
 }
 
-func (s *soak) awaitEnd(p *process, current *life) {
+// awaitExit waits for the exit of a process that is to stop. A process that still runs
+// after stopTimeout is a violation, and is killed.
+func (s *soak) awaitExit(p *process, current *incarnation) {
 	select {
 	case <-current.ended:
-	case <-time.After(stopTime):
-		s.tally.RecordViolation("%s still runs %v after it was asked to stop", p.name, stopTime)
+	case <-time.After(stopTimeout):
+		s.tally.RecordViolation("%s still runs %v after it was asked to stop", p.name, stopTimeout)
 		s.signal(p, syscall.SIGKILL)
 	}
 }
@@ -105,66 +107,69 @@
 	s.onFreeNode("storage", random, s.stop)
 }
 
-// hangUp sends SIGHUP several times, now and then right before a stop.
-func (s *soak) hangUp(ctx context.Context, random *rand.Rand) {
+// reloadEdge sends SIGHUP to an edge one to four times. In half of the cases it then stops
+// the edge; otherwise it checks that the edge keeps running.
+func (s *soak) reloadEdge(ctx context.Context, random *rand.Rand) {
 	s.onFreeNode("edge", random, func(p *process) {
 		for range 1 + random.IntN(4) {
-			s.ask(p, syscall.SIGHUP)
-			wait(ctx, random, 100*time.Millisecond)
+			s.sendSignal(p, syscall.SIGHUP)
+			sleepUpTo(ctx, random, 100*time.Millisecond)
 		}
 		if random.IntN(2) == 0 {
 			s.stop(p)
 			return
 		}
-		// Nobody else asks the node to stop meanwhile: if it stopped, it would be by itself.
+		// The claim keeps other disruptions away: an exit in this time is a violation.
 		select {
 		case <-ctx.Done():
-		case <-time.After(stopsWithin):
+		case <-time.After(idleStopTime):
 		}
 	})
 }
 
-// stopsWithin is longer than a node takes to stop that has nothing to do.
-const stopsWithin = 4 * time.Second
+// idleStopTime is longer than a node without requests takes to stop.
+const idleStopTime = 4 * time.Second
 
-// stopInARow asks a node to stop several times, with SIGHUP between.
-func (s *soak) stopInARow(ctx context.Context, random *rand.Rand) {
+// stopRepeatedly sends SIGTERM to an edge, followed by further SIGTERM and SIGHUP signals.
+func (s *soak) stopRepeatedly(ctx context.Context, random *rand.Rand) {
 	s.onFreeNode("edge", random, func(p *process) {
-		current := s.ask(p, syscall.SIGTERM)
+		current := s.sendSignal(p, syscall.SIGTERM)
 		for range 1 + random.IntN(3) {
-			wait(ctx, random, 400*time.Millisecond)
-			s.ask(p, []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)])
+			sleepUpTo(ctx, random, 400*time.Millisecond)
+			s.sendSignal(p, []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)])
 		}
-		s.awaitEnd(p, current)
+		s.awaitExit(p, current)
 	})
 }
 
-// killWhileStopping kills a node that was asked to stop.
+// killWhileStopping kills an edge some time after it got SIGTERM.
 func (s *soak) killWhileStopping(ctx context.Context, random *rand.Rand) {
 	s.onFreeNode("edge", random, func(p *process) {
-		s.ask(p, syscall.SIGTERM)
-		wait(ctx, random, 3*time.Second)
+		s.sendSignal(p, syscall.SIGTERM)
+		sleepUpTo(ctx, random, 3*time.Second)
 		s.signal(p, syscall.SIGKILL)
 	})
 }
 
-// freeze makes a node stand still, and asks it to stop meanwhile now and then.
-func (s *soak) freeze(ctx context.Context, random *rand.Rand) {
+// suspend suspends a node for up to two seconds and resumes it. In one of three cases it
+// also sends SIGTERM while the node is suspended.
+func (s *soak) suspend(ctx context.Context, random *rand.Rand) {
 	s.onFreeNode([]string{"edge", "storage"}[random.IntN(2)], random, func(p *process) {
-		s.ask(p, syscall.SIGSTOP)
-		wait(ctx, random, 2*time.Second)
+		s.sendSignal(p, syscall.SIGSTOP)
+		sleepUpTo(ctx, random, 2*time.Second)
 		stopped := random.IntN(3) == 0
-		var current *life
+		var current *incarnation
 		if stopped {
-			current = s.ask(p, syscall.SIGTERM)
+			current = s.sendSignal(p, syscall.SIGTERM)
 		}
-		s.ask(p, syscall.SIGCONT)
+		s.sendSignal(p, syscall.SIGCONT)
 		if stopped {
-			s.awaitEnd(p, current)
+			s.awaitExit(p, current)
 		}
 	})
 }
 
+// killStorageTwice kills a storage node, and again soon after its restart.
 func (s *soak) killStorageTwice(ctx context.Context, random *rand.Rand) {
 	s.onFreeNode("storage", random, func(p *process) {
 		s.signal(p, syscall.SIGKILL)
@@ -172,17 +177,18 @@
 			s.tally.RecordViolation("%s does not start: %v", p.name, err)
 			return
 		}
-		wait(ctx, random, time.Second)
+		sleepUpTo(ctx, random, time.Second)
 		s.signal(p, syscall.SIGKILL)
 	})
 }
 
-// wipe takes a disk. It is the only one that may be lost until it has caught up.
-func (s *soak) wipe(_ context.Context, random *rand.Rand) {
+// wipeDisk kills a storage node and deletes its data. Other storage nodes are not
+// disrupted until this one has caught up.
+func (s *soak) wipeDisk(_ context.Context, random *rand.Rand) {
 	s.onFreeNode("storage", random, func(p *process) {
 		s.signal(p, syscall.SIGKILL)
-		s.say("%s loses its disk", p.name)
-		if err := os.RemoveAll(p.data); err != nil {
+		s.report("%s loses its disk", p.name)
+		if err := os.RemoveAll(p.dataFolder); err != nil {
 			s.tally.RecordViolation("%s: %v", p.name, err)
 		}
 	})
--- a/lab/platformday/platformseries.go
+++ b/lab/platformday/platformseries.go
@@ -8,78 +8,81 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-// changeConfig writes several versions of the configuration in quick succession.
+// changeConfig writes several versions of the configuration in quick succession. The
+// versions increase, also across concurrent disruptions.
 func (s *soak) changeConfig(ctx context.Context, random *rand.Rand) {
 	for range 1 + random.IntN(4) {
-		s.versions.Lock()
-		s.version += 1 + random.IntN(3)
-		s.say("configuration %d", s.version)
-		s.store.PutConfig(standin.DayConfig(host, s.version))
-		s.versions.Unlock()
-		wait(ctx, random, 300*time.Millisecond)
+		s.configMutex.Lock()
+		s.configVersion += 1 + random.IntN(3)
+		s.report("configuration %d", s.configVersion)
+		s.store.PutConfig(standin.DayConfig(host, s.configVersion))
+		s.configMutex.Unlock()
+		sleepUpTo(ctx, random, 300*time.Millisecond)
 	}
 }
 
-// troubleStore gives the store a fault for a while.
-func (s *soak) troubleStore(ctx context.Context, random *rand.Rand) {
+// injectStoreFault injects a random fault of the store for up to two seconds.
+func (s *soak) injectStoreFault(ctx context.Context, random *rand.Rand) {
 	faults := []standin.StoreFault{{Silent: true}, {Busy: true}, {Reset: true}, {Slow: 300 * time.Millisecond}, {LoseWrites: true}, {Throttle: true}}
 	fault := faults[random.IntN(len(faults))]
-	s.say("the store: %+v", fault)
+	s.report("the store: %+v", fault)
 	s.store.SetFault(fault)
-	wait(ctx, random, 2*time.Second)
+	sleepUpTo(ctx, random, 2*time.Second)
 	s.store.SetFault(standin.StoreFault{})
 }
 
-// crashRunners ends runners in a row; each is back after a while.
+// crashRunners crashes one or two runners; each is replaced after a delay.
 func (s *soak) crashRunners(ctx context.Context, random *rand.Rand) {
 	for range 1 + random.IntN(2) {
-		if runner := s.drawRunner(random); runner != nil {
+		if runner := s.claimRunner(random); runner != nil {
 			runner.Crash()
 			runner.OnCrash(runner)
 		}
-		wait(ctx, random, 500*time.Millisecond)
+		sleepUpTo(ctx, random, 500*time.Millisecond)
 	}
 }
 
-// lostShare of its answers are lost by a runner that has run the requests.
-const lostShare = 0.3
+// lostResponseShare is the fraction of responses that a faulty runner loses.
+const lostResponseShare = 0.3
 
-// loseAnswers makes some runners lose answers for a while.
-func (s *soak) loseAnswers(ctx context.Context, random *rand.Rand) {
+// loseResponses makes a random runner and the newest one lose responses for up to three
+// seconds.
+func (s *soak) loseResponses(ctx context.Context, random *rand.Rand) {
 	s.mutex.Lock()
 	chosen := []*standin.Runner{s.runners[random.IntN(len(s.runners))], s.runners[len(s.runners)-1]}
 	s.mutex.Unlock()
 	for _, runner := range chosen {
-		s.say("runner %s loses answers", runner.ID)
-		runner.SetFault(standin.RunnerFault{LoseAnswer: lostShare})
+		s.report("runner %s loses answers", runner.ID)
+		runner.SetFault(standin.RunnerFault{LoseResponse: lostResponseShare})
 	}
-	wait(ctx, random, 3*time.Second)
+	sleepUpTo(ctx, random, 3*time.Second)
 	for _, runner := range chosen {
 		runner.SetFault(standin.RunnerFault{})
 	}
 }
 
-// drainTime is how long a runner serves on after it has said that it leaves.
+// drainTime is how long a draining runner serves before it stops.
 const drainTime = 3 * time.Second
 
+// drainRunners drains, stops and replaces a runner.
 func (s *soak) drainRunners(ctx context.Context, random *rand.Rand) {
-	runner := s.drawRunner(random)
+	runner := s.claimRunner(random)
 	if runner == nil {
 		return
 	}
-	s.say("runner %s leaves", runner.ID)
+	s.report("runner %s leaves", runner.ID)
 	runner.Drain()
 	time.Sleep(drainTime)
 	runner.Stop()
 	runner.OnCrash(runner)
 }
 
-// drawRunner draws a runner that nothing has happened to yet.
-func (s *soak) drawRunner(random *rand.Rand) *standin.Runner {
+// claimRunner claims a random runner that was not claimed before, or returns nil.
+func (s *soak) claimRunner(random *rand.Rand) *standin.Runner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for range len(s.runners) {
-		if runner := s.runners[random.IntN(len(s.runners))]; runner.Claim() {
+		if runner := s.runners[random.IntN(len(s.runners))]; runner.ClaimEnd() {
 			return runner
 		}
 	}
--- a/lab/platformday/process.go
+++ b/lab/platformday/process.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// process is one node of the product, over all its lives.
+// process is a node; it outlives the restarts of its operating system process.
 type process struct {
-	name, role, settings string
-	callers, readiness   string
-	// peers is where other nodes and operators reach an edge.
-	peers string
-	data  string
-	// ready is what the node last said of itself; the day's mutex covers it.
+	name, role, settings            string
+	callerAddress, readinessAddress string
+	// peerAddress is the address of an edge for other nodes and operators.
+	peerAddress string
+	dataFolder  string
+	// ready is the result of the last readiness probe, guarded by the mutex of the Day.
 	ready bool
 
-	mutex sync.Mutex
-	life  *life
-	// harmed is when the node was last killed or stood still: what is cut then is no
-	// fault of the node's.
-	harmed time.Time
+	mutex       sync.Mutex
+	incarnation *incarnation
+	// disrupted is when the node was last killed, suspended or resumed. Interrupted
+	// responses at that time are not violations.
+	disrupted time.Time
 }
 
-// life is one start of a process.
-type life struct {
+// incarnation is one operating system process of a node.
+type incarnation struct {
 	command *exec.Cmd
 	began   time.Time
-	// ended closes when the process is gone.
+	// ended is closed when the process has exited.
 	ended chan struct{}
-	// asked: a signal was sent that ends it.
-	asked bool
+	// endRequested is true once SIGTERM or SIGKILL was sent; another exit is a violation.
+	endRequested bool
 }
 
+// start starts the process of a node.
 func (d *Day) start(p *process) error {
 	log, err := os.OpenFile(filepath.Join(d.Folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -44,24 +45,24 @@
 	command := exec.Command(d.Program, p.role, "--settings", p.settings)
 	command.Stdout, command.Stderr = log, log
 	d.mutex.Lock()
-	p.ready = false // until it says so itself
+	p.ready = false // until the next readiness probe
 	d.mutex.Unlock()
-	d.say("%s starts", p.name)
+	d.report("%s starts", p.name)
 	if err := command.Start(); err != nil {
 		_ = log.Close()
 		return err
 	}
-	next := &life{command: command, began: time.Now(), ended: make(chan struct{})}
+	next := &incarnation{command: command, began: time.Now(), ended: make(chan struct{})}
 	p.mutex.Lock()
-	p.life = next
+	p.incarnation = next
 	p.mutex.Unlock()
 	d.processes.Go(func() {
 		err := command.Wait()
 		_ = log.Close()
 		p.mutex.Lock()
-		asked := next.asked
+		endRequested := next.endRequested
 		p.mutex.Unlock()
-		if !asked {
+		if !endRequested {
 			d.tally.RecordViolation("%s ended by itself: %v", p.name, err)
 		}
 		close(next.ended)
@@ -69,42 +70,42 @@
 	return nil
 }
 
-// ask sends a signal without waiting for what comes of it.
-func (d *Day) ask(p *process, signal syscall.Signal) *life {
+// sendSignal sends a signal to a node and returns its current incarnation.
+func (d *Day) sendSignal(p *process, signal syscall.Signal) *incarnation {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	current := p.life
+	current := p.incarnation
 	if current == nil {
 		return nil
 	}
 	switch signal {
 	case syscall.SIGKILL:
-		p.harmed, current.asked = time.Now(), true
+		p.disrupted, current.endRequested = time.Now(), true
 	case syscall.SIGTERM:
-		current.asked = true
+		current.endRequested = true
 	case syscall.SIGSTOP, syscall.SIGCONT:
-		p.harmed = time.Now()
+		p.disrupted = time.Now()
 	}
 	select {
 	case <-current.ended:
 	default:
-		d.say("%s gets %v", p.name, signal)
-		_ = current.command.Process.Signal(signal) // one that has just ended needs none
+		d.report("%s gets %v", p.name, signal)
+		_ = current.command.Process.Signal(signal) // fails only if the process has just exited
 	}
 	return current
 }
 
-// signal sends a signal that ends the process, and waits until it is gone.
+// signal sends a signal that ends the process of a node, and waits for its exit.
 func (d *Day) signal(p *process, signal syscall.Signal) {
-	if current := d.ask(p, signal); current != nil {
+	if current := d.sendSignal(p, signal); current != nil {
 		<-current.ended
 	}
 }
 
-// harmedSince reports whether the node was killed or stood still after a moment, or
-// was not there.
-func (p *process) harmedSince(then time.Time) bool {
+// disruptedSince reports whether the node was killed, suspended or resumed after a point
+// in time.
+func (p *process) disruptedSince(then time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.harmed.After(then)
+	return p.disrupted.After(then)
 }
--- a/lab/platformday/readiness.go
+++ b/lab/platformday/readiness.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// readyInterval is the time between two questions to each edge.
-	readyInterval = 100 * time.Millisecond
-	startTimeout  = 30 * time.Second
+	// pollInterval is the time between two polls of a condition or readiness probe.
+	pollInterval = 100 * time.Millisecond
+	startTimeout = 30 * time.Second
 )
 
-// watchReadiness asks edges whether they take connections, as the platform's
-// ingress does.
-func (d *Day) watchReadiness() {
+// pollReadiness probes the readiness of the edges, as the ingress of the platform does,
+// until the day ends.
+func (d *Day) pollReadiness() {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for d.running.Err() == nil {
+	for d.lifetime.Err() == nil {
 		for _, p := range d.nodes {
 			if p.role != "edge" {
 				continue
 			}
-			response, err := client.Get("http://" + p.readiness + standin.ReadyPath)
+			response, err := client.Get("http://" + p.readinessAddress + standin.ReadyPath)
 			ready := err == nil && response.StatusCode == http.StatusOK
 			if err == nil {
 				_ = response.Body.Close()
@@ -33,12 +33,12 @@
 			p.ready = ready
 			d.mutex.Unlock()
 		}
-		time.Sleep(readyInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Addresses implements standin.Front: the edges that are ready, or all while
-// none is.
+// Addresses implements standin.Endpoints: it returns the addresses of the ready edges, or
+// of all edges if none is ready.
 func (d *Day) Addresses() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -47,9 +47,9 @@
 		if p.role != "edge" {
 			continue
 		}
-		all = append(all, p.callers)
+		all = append(all, p.callerAddress)
 		if p.ready {
-			ready = append(ready, p.callers)
+			ready = append(ready, p.callerAddress)
 		}
 	}
 	if len(ready) == 0 {
@@ -70,14 +70,15 @@
 	return count
 }
 
+// awaitReady waits until all edges are ready.
 func (d *Day) awaitReady() error {
 	deadline := time.Now().Add(startTimeout)
 	for d.readyCount() < d.Edges {
-		if time.Now().After(deadline) || d.running.Err() != nil {
+		if time.Now().After(deadline) || d.lifetime.Err() != nil {
 			return trace.ConnectionProblem(nil, "edges are not ready after %v; see the logs in %s", startTimeout, d.Folder)
 		}
-		time.Sleep(readyInterval)
+		time.Sleep(pollInterval)
 	}
-	d.say("all edges are ready")
+	d.report("all edges are ready")
 	return nil
 }
--- a/lab/platformday/runners.go
+++ b/lab/platformday/runners.go
@@ -7,11 +7,11 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-func (d *Day) startRunner(number, life int) error {
+func (d *Day) startRunner(number, generation int) error {
 	runner, err := standin.StartRunner(standin.RunnerOptions{
-		ID: fmt.Sprintf("r%d-%d", number, life), Service: "s", Zone: fmt.Sprintf("z%d", number%zones), Address: "127.0.0.1:0",
+		ID: fmt.Sprintf("r%d-%d", number, generation), Service: "s", Zone: fmt.Sprintf("z%d", number%zoneCount), Address: "127.0.0.1:0",
 		Slots: 8, QueueLimit: 32, EventInterval: 15 * time.Millisecond, Store: d.store, Ledger: d.ledger,
-		Crashes: d.Crashes, OnCrash: func(crashed *standin.Runner) { d.replace(crashed, number, life) },
+		Crashes: d.Crashes, OnCrash: func(crashed *standin.Runner) { d.replaceRunner(crashed, number, generation) },
 	})
 	if err != nil {
 		return err
@@ -22,16 +22,17 @@
 	return nil
 }
 
-// crashTime is how long a runner that crashed is away.
-const crashTime = time.Second
+// runnerRestartDelay is the time between the crash of a runner and the start of its
+// replacement.
+const runnerRestartDelay = time.Second
 
-// replace starts another runner in place of one that has crashed.
-func (d *Day) replace(crashed *standin.Runner, number, life int) {
-	d.say("runner %s has crashed", crashed.ID)
-	d.later(crashTime, func() {
+// replaceRunner starts a new runner in place of one that crashed, after a delay.
+func (d *Day) replaceRunner(crashed *standin.Runner, number, generation int) {
+	d.report("runner %s has crashed", crashed.ID)
+	d.runAfter(runnerRestartDelay, func() {
 		crashed.Stop()
-		if err := d.startRunner(number, life+1); err != nil {
-			d.say("runner %d does not start: %v", number, err)
+		if err := d.startRunner(number, generation+1); err != nil {
+			d.report("runner %d does not start: %v", number, err)
 		}
 	})
 }
--- a/lab/platformday/soak.go
+++ b/lab/platformday/soak.go
@@ -13,51 +13,52 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-// A soak plays a deployment whose callers keep their connections until the node
-// behind them is gone, while several disturbers at once play series of signals,
-// restarts and changes that overlap. All is drawn from the seed.
+// A soak sends requests on persistent connections while several concurrent loops run
+// random disruptions: signals to nodes, restarts, and changes of the configuration, the
+// store and the runners. The seed determines the random choices.
 
-// SoakOptions of a soak. Crashes is set by the soak itself.
+// SoakOptions configures a soak. Soak overwrites Crashes.
 type SoakOptions struct {
 	Options
-	// Kept is how many callers keep a connection of their own.
+	// Kept is the number of clients with a persistent connection.
 	Kept int
-	// Disturbers is how many series run at the same time.
+	// Disturbers is the number of concurrent loops of disruptions.
 	Disturbers int
 }
 
 const (
-	// keptPause is how long a caller rests between two requests, at the most: some
-	// are on their way whenever a node stops.
-	keptPause = 120 * time.Millisecond
-	// seriesPause is the longest pause between two series of a disturber.
-	seriesPause = 1200 * time.Millisecond
-	// stopTime is how long a stopped node has to end, a second more than its settings
-	// say (prepare).
-	stopTime = 9 * time.Second
-	// crashShare of a seed's soaks have a request that crashes runners.
+	// maxRequestPause is the longest pause between two requests of a client. It is short
+	// so that requests are in flight whenever a node stops.
+	maxRequestPause = 120 * time.Millisecond
+	// maxDisruptionPause is the longest pause between two disruptions of one loop.
+	maxDisruptionPause = 1200 * time.Millisecond
+	// stopTimeout is the time in which a node has to exit after SIGTERM: StopSeconds of
+	// its settings (prepareNode) and one second more.
+	stopTimeout = 9 * time.Second
+	// crashShare is the fraction of soaks with a request that crashes runners.
 	crashShare = 0.5
-	// crashInterval is how often such a request comes again.
+	// crashInterval is the time between two sends of that request.
 	crashInterval = 400 * time.Millisecond
 )
 
-// crashBody is of the request that crashes runners.
+// crashBody is the body of the request that crashes runners.
 var crashBody = []byte("crashes the runner that begins to run it")
 
 // soak is a running soak.
 type soak struct {
 	*Day
 	options SoakOptions
-	// busy are nodes that a disturber has claimed; disks are claimed one at a time, since
-	// the deployment bears the loss of one.
-	busyMutex sync.Mutex
-	busy      map[*process]bool
-	diskTaken bool
-	version   int
-	versions  sync.Mutex
+	// claimedNodes holds the nodes that a disruption has claimed. Only one storage node
+	// may be claimed at a time, since the deployment tolerates the loss of one disk.
+	claimMutex     sync.Mutex
+	claimedNodes   map[*process]bool
+	storageClaimed bool
+	configVersion  int
+	configMutex    sync.Mutex
 }
 
-// Soak plays one soak and returns what callers saw.
+// Soak runs a soak and returns the tally of its requests and jobs, which includes the
+// violations. The error reports that the soak itself failed.
 func Soak(ctx context.Context, options SoakOptions) (*standin.Tally, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,45 +68,48 @@
 		return nil, trace.Wrap(err)
 	}
 	defer d.close()
-	s := &soak{Day: d, options: options, busy: map[*process]bool{}, version: 3}
-	s.play(ctx)
+	s := &soak{Day: d, options: options, claimedNodes: map[*process]bool{}, configVersion: 3}
+	s.execute(ctx)
 	return d.tally, nil
 }
 
-func (s *soak) play(ctx context.Context) {
+// execute runs clients and disruptions until the soak ends, and then verifies the results.
+func (s *soak) execute(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.Seed, 2))
 	fork := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), random.Uint64())) }
 	soakContext, stop := context.WithTimeout(ctx, s.Length)
 	defer stop()
 	var group tasks.Group
 	run := func(work func(random *rand.Rand)) {
-		drawn := fork()
-		group.Go(func() { work(drawn) })
+		child := fork()
+		group.Go(func() { work(child) })
 	}
 	for number := range s.options.Kept {
-		run(func(random *rand.Rand) { s.keep(soakContext, number, random) })
+		run(func(random *rand.Rand) { s.runPersistentClient(soakContext, number, random) })
 	}
-	batch := &standin.BatchClient{Front: s, Ledger: s.ledger, Tally: s.tally, Host: host, Prefix: standin.BatchPrefix, Random: fork()}
+	batch := &standin.BatchClient{Endpoints: s, Ledger: s.ledger, Tally: s.tally, Host: host, Prefix: standin.BatchPrefix, Random: fork()}
 	run(func(*rand.Rand) { s.batch(ctx, batch) })
 	crashes := random.Float64() < crashShare
 	if crashes {
-		run(func(random *rand.Rand) { s.crashing(soakContext, random) })
+		run(func(random *rand.Rand) { s.sendCrashingRequests(soakContext, random) })
 	}
 	for range s.options.Disturbers {
-		run(func(random *rand.Rand) { s.disturb(soakContext, random) })
+		run(func(random *rand.Rand) { s.disrupt(soakContext, random) })
 	}
 	group.Wait()
 	s.check(batch, crashes)
 }
 
+// check records a violation for items without a result, for a request that crashed too
+// many runners, and for repeated runs of a request that may run only once.
 func (s *soak) check(batch *standin.BatchClient, crashes bool) {
-	if open := batch.Open(); open > 0 {
+	if open := batch.OpenItems(); open > 0 {
 		s.tally.RecordViolation("%d taken items have no result", open)
 	}
-	if ended := s.ledger.Crashes(crashBody); crashes && ended > standin.CrashesAllowed {
-		s.tally.RecordViolation("%d runners ended under one request, allowed are %d", ended, standin.CrashesAllowed)
+	if ended := s.ledger.Crashes(crashBody); crashes && ended > standin.MaxCrashes {
+		s.tally.RecordViolation("%d runners ended under one request, allowed are %d", ended, standin.MaxCrashes)
 	}
-	once := &standin.Callers{Ledger: s.ledger, Tally: s.tally, Prefix: standin.OncePrefix, Once: true}
-	once.CheckRuns()
-	s.say("%s; runners ended under one request: %d", s.tally.Summary(), s.ledger.Crashes(crashBody))
+	once := &standin.StreamClient{Ledger: s.ledger, Tally: s.tally, Prefix: standin.OncePrefix, AtMostOnce: true}
+	once.CheckRunCounts()
+	s.report("%s; runners ended under one request: %d", s.tally.Summary(), s.ledger.Crashes(crashBody))
 }
--- a/lab/platformday/soak_test.go
+++ b/lab/platformday/soak_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// Short soaks of fixed seeds; the long ones are started by hand (docs/LAB.md).
-func TestShortSoaks(t *testing.T) {
+// Overlapping disruptions must not cause violations. Longer soaks are started by hand; see
+// docs/LAB.md.
+func TestShortSoaksCauseNoViolations(t *testing.T) {
 	program := build(t, t.TempDir())
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -23,10 +24,10 @@
 			})
 			is.NoErr(err)
 			if len(tally.Violations) > 0 {
-				t.Fatalf("%v\n%s", tally.Violations, lastLines(folder))
+				t.Fatalf("%v\n%s", tally.Violations, logTails(folder))
 			}
 			is.True(tally.Served > 0)
-			is.True(tally.JobsTaken > 0)
+			is.True(tally.JobsAccepted > 0)
 		})
 	}
 }
--- a/lab/platformday/soakcallers.go
+++ b/lab/platformday/soakcallers.go
@@ -9,36 +9,38 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-// keep is one caller that keeps its connection.
-func (s *soak) keep(ctx context.Context, number int, random *rand.Rand) {
-	kept := &standin.Kept{
-		Callers: standin.Callers{Front: s, Ledger: s.ledger, Tally: s.tally, Host: host, Prefix: standin.EventsPrefix, Random: random},
-		Pause:   keptPause,
-		Excused: s.excused,
+// runPersistentClient runs a client with a persistent connection until the context ends.
+// Every third client uses the route whose requests may run only once.
+func (s *soak) runPersistentClient(ctx context.Context, number int, random *rand.Rand) {
+	client := &standin.PersistentClient{
+		StreamClient: standin.StreamClient{Endpoints: s, Ledger: s.ledger, Tally: s.tally, Host: host, Prefix: standin.EventsPrefix, Random: random},
+		MaxPause:     maxRequestPause,
+		Disrupted:    s.nodeDisrupted,
 	}
 	if number%3 == 2 {
-		kept.Prefix, kept.Once = standin.OncePrefix, true
+		client.Prefix, client.AtMostOnce = standin.OncePrefix, true
 	}
-	kept.Run(ctx, fmt.Sprintf("kept%d", number))
+	client.Run(ctx, fmt.Sprintf("kept%d", number))
 }
 
-// excused reports whether the node at an address was killed, stood still or ran out
-// of time to stop after a moment.
-func (s *soak) excused(address string, since time.Time) bool {
+// nodeDisrupted reports whether the node at an address was killed, suspended or resumed
+// after a point in time, or within the second before it. It returns true for an unknown
+// address.
+func (s *soak) nodeDisrupted(address string, since time.Time) bool {
 	for _, p := range s.nodes {
-		if p.callers == address {
-			return p.harmedSince(since.Add(-time.Second))
+		if p.callerAddress == address {
+			return p.disruptedSince(since.Add(-time.Second))
 		}
 	}
 	return true
 }
 
-// crashing sends the request that crashes runners again and again, at any edge.
-func (s *soak) crashing(ctx context.Context, random *rand.Rand) {
-	for try := 0; ctx.Err() == nil; try++ {
+// sendCrashingRequests repeatedly sends the request that crashes runners, to random edges.
+func (s *soak) sendCrashingRequests(ctx context.Context, random *rand.Rand) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if addresses := s.Addresses(); len(addresses) > 0 {
-			single := standin.Single{Address: addresses[random.IntN(len(addresses))], Host: host}
-			single.Request(standin.EventsPrefix+"x", fmt.Sprintf("crash%d", try), crashBody)
+			client := standin.NodeClient{Address: addresses[random.IntN(len(addresses))], Host: host}
+			client.Request(standin.EventsPrefix+"x", fmt.Sprintf("crash%d", attempt), crashBody)
 		}
 		select {
 		case <-ctx.Done():
--- a/lab/platformday/traffic.go
+++ b/lab/platformday/traffic.go
@@ -10,37 +10,39 @@
 	"cobaltramp.example/cobaltramp/lab/standin"
 )
 
-// finishTimeout bounds the time from the last job to the last result.
-const finishTimeout = 60 * time.Second
+// resultsTimeout is the longest time from the last job to the last result.
+const resultsTimeout = 60 * time.Second
 
-// traffic sends requests and jobs while the faults come, and waits until every
-// taken item has its result.
-func (d *Day) traffic(ctx context.Context) error {
+// runTraffic sends requests and jobs while faults are injected, waits until every
+// accepted item has a result, and verifies the results.
+func (d *Day) runTraffic(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(d.Seed, 1))
 	fork := func() *rand.Rand { return rand.New(rand.NewPCG(random.Uint64(), random.Uint64())) }
-	groups := []*standin.Callers{
-		{Front: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.EventsPrefix, Random: fork()},
-		{Front: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.OncePrefix, Once: true, Random: fork()},
+	clients := []*standin.StreamClient{
+		{Endpoints: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.EventsPrefix, Random: fork()},
+		{Endpoints: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.OncePrefix, AtMostOnce: true, Random: fork()},
 	}
 	var senders tasks.Group
-	for number, callers := range groups {
-		senders.Go(func() { d.send(ctx, callers, number) })
+	for number, client := range clients {
+		senders.Go(func() { d.sendRequests(ctx, client, number) })
 	}
-	batch := &standin.BatchClient{Front: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.BatchPrefix, Random: fork()}
+	batch := &standin.BatchClient{Endpoints: d, Ledger: d.ledger, Tally: d.tally, Host: host, Prefix: standin.BatchPrefix, Random: fork()}
 	senders.Go(func() { d.batch(ctx, batch) })
-	d.faults(ctx, fork())
+	d.injectFaults(ctx, fork())
 	senders.Wait()
-	for _, callers := range groups {
-		callers.CheckRuns()
+	for _, client := range clients {
+		client.CheckRunCounts()
 	}
-	d.say("%s", d.tally.Summary())
-	if open := batch.Open(); open > 0 {
+	d.report("%s", d.tally.Summary())
+	if open := batch.OpenItems(); open > 0 {
 		d.tally.RecordViolation("%d taken items have no result", open)
 	}
 	return nil
 }
 
-func (d *Day) send(ctx context.Context, callers *standin.Callers, number int) {
+// sendRequests sends PerSecond requests per second for the length of the day, and waits
+// until all have ended.
+func (d *Day) sendRequests(ctx context.Context, client *standin.StreamClient, number int) {
 	var requests tasks.Group
 	defer requests.Wait()
 	ticker := time.NewTicker(time.Second / time.Duration(d.PerSecond))
@@ -48,13 +50,16 @@
 	ends := time.Now().Add(d.Length)
 	for count := 0; time.Now().Before(ends); count++ {
 		<-ticker.C
-		// Draws are made one after the other; each request has its own.
-		one := *callers
-		one.Random = rand.New(rand.NewPCG(d.Seed, uint64(number*1_000_000+count)))
-		requests.Go(func() { one.One(ctx, fmt.Sprintf("%d%06d", number+1, count)) })
+		// Each request has a random generator of its own, so that its choices do not depend
+		// on concurrent requests.
+		requestClient := *client
+		requestClient.Random = rand.New(rand.NewPCG(d.Seed, uint64(number*1_000_000+count)))
+		requests.Go(func() { requestClient.SendWithRetry(ctx, fmt.Sprintf("%d%06d", number+1, count)) })
 	}
 }
 
+// batch submits jobs and reads their results for the length of the day. Then it reads
+// until all items have a result or resultsTimeout has passed.
 func (d *Day) batch(ctx context.Context, batch *standin.BatchClient) {
 	ends := time.Now().Add(d.Length)
 	for count := 0; time.Now().Before(ends); count++ {
@@ -64,8 +69,8 @@
 		batch.ReadAll(ctx)
 		time.Sleep(250 * time.Millisecond)
 	}
-	deadline := time.Now().Add(finishTimeout)
-	for batch.Open() > 0 && time.Now().Before(deadline) {
+	deadline := time.Now().Add(resultsTimeout)
+	for batch.OpenItems() > 0 && time.Now().Before(deadline) {
 		batch.ReadAll(ctx)
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/lab/standin/config.go
+++ b/lab/standin/config.go
@@ -1,29 +1,30 @@
 package standin
 
-// ReadyPath is where an edge answers whether it takes connections.
+// ReadyPath is the path of the readiness probe of an edge.
 const ReadyPath = "/-/readyz"
 
-// Prefixes of the routes of DayConfig.
+// Path prefixes of the routes of DayConfig.
 const (
 	EventsPrefix = "/events/"
 	OncePrefix   = "/once/"
 	BatchPrefix  = "/batch/"
 )
 
-// PutConfig writes the operators' configuration.
+// PutConfig writes the configuration, as an operator would.
 func (s *Store) PutConfig(config map[string]any) { s.Put("op/config", config) }
 
-// DayConfig is a configuration of one service with a stream that may be
-// resumed, one that may not, and a batch route.
+// DayConfig returns a configuration of one service with three routes: a streaming
+// route that may be retried and resumed, a streaming route without retries, and a
+// batch route.
 func DayConfig(host string, version int) map[string]any {
-	route := func(name, prefix, kind string, more map[string]any) map[string]any {
-		all := map[string]any{
+	route := func(name, prefix, kind string, extra map[string]any) map[string]any {
+		fields := map[string]any{
 			"name": name, "host": host, "path_prefix": prefix, "route_kind": kind, "timeout_ms": 4000, "target_ms": 300, "service": "s",
 		}
-		for key, value := range more {
-			all[key] = value
+		for key, value := range extra {
+			fields[key] = value
 		}
-		return all
+		return fields
 	}
 	return map[string]any{
 		"version": version,
--- a/lab/standin/jobs.go
+++ b/lab/standin/jobs.go
@@ -12,32 +12,34 @@
 	"time"
 )
 
-// Job is a batch job as its client knows it.
+// Job is a batch job, as its client sees it.
 type Job struct {
 	ID    string
 	Items []string
-	// Seen are the results by position.
-	Seen  []seenResult
-	Taken bool
-	Ended bool
+	// Results holds the results that were read, by position.
+	Results  []itemResult
+	Accepted bool
+	Ended    bool
 }
 
-type seenResult struct{ id, state, text string }
+type itemResult struct{ id, state, text string }
 
-// BatchClient hands in jobs, reads them at any node, and checks that positions
-// and contents stay.
+// BatchClient submits jobs, reads them from any node, and verifies that the position
+// and the content of each result do not change.
 type BatchClient struct {
-	Front  Front
-	Ledger *Ledger
-	Tally  *Tally
-	Host   string
-	Prefix string
-	Random *rand.Rand
-	Jobs   []*Job
+	Endpoints Endpoints
+	Ledger    *Ledger
+	Tally     *Tally
+	Host      string
+	Prefix    string
+	Random    *rand.Rand
+	Jobs      []*Job
 }
 
-func (b *BatchClient) do(ctx context.Context, method, target, id string, body []byte) (int, []byte) {
-	addresses := b.Front.Addresses()
+// call sends a request to a random node; the status is 0 if the response is missing or
+// incomplete.
+func (b *BatchClient) call(ctx context.Context, method, target, id string, body []byte) (int, []byte) {
+	addresses := b.Endpoints.Addresses()
 	if len(addresses) == 0 {
 		return 0, nil
 	}
@@ -49,9 +51,10 @@
 	if id != "" {
 		request.Header.Set(attemptHeader, id)
 	}
-	return answerOf(request)
+	return roundTrip(request)
 }
 
+// wireItem is an item of a submitted job.
 type wireItem struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -60,35 +63,36 @@
 	Tokens  int               `json:"token_count"`
 }
 
-// Submit hands a job in, and again until it is taken or the context ends.
+// Submit submits a job, and retries until the job is accepted or the context ends.
 func (b *BatchClient) Submit(ctx context.Context, id string, items int) {
 	job := &Job{ID: id}
 	b.Jobs = append(b.Jobs, job)
-	var list []wireItem
+	var wireItems []wireItem
 	for number := range items {
 		item := fmt.Sprintf("%s-i%d", id, number)
 		job.Items = append(job.Items, item)
-		list = append(list, wireItem{
+		wireItems = append(wireItems, wireItem{
 			ID: item, Path: b.Prefix + "item", Headers: map[string]string{"Cobaltramp-Model": "m", "Cobaltramp-Token-Usage": "200,100"},
 			Body: base64.StdEncoding.EncodeToString([]byte("body of " + item)), Tokens: 300,
 		})
 	}
-	body, err := json.Marshal(map[string]any{"items": list})
+	body, err := json.Marshal(map[string]any{"items": wireItems})
 	if err != nil {
 		b.Tally.RecordViolation("job %s: %v", id, err)
 		return
 	}
 	for ctx.Err() == nil {
-		status, _ := b.do(ctx, http.MethodPost, b.Prefix+id, id, body)
+		status, _ := b.call(ctx, http.MethodPost, b.Prefix+id, id, body)
 		if status == http.StatusAccepted {
-			job.Taken = true
-			b.Tally.count(&b.Tally.JobsTaken)
+			job.Accepted = true
+			b.Tally.increment(&b.Tally.JobsAccepted)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
+// wireResults is the response to a read of a job.
 type wireResults struct {
 	Total   int `json:"total"`
 	Next    int `json:"next_token"`
@@ -99,9 +103,10 @@
 	} `json:"results"`
 }
 
-// Read reads a job from a position and checks it against what was seen.
+// Read reads the results of a job from a position on and verifies them against the
+// results read before.
 func (b *BatchClient) Read(ctx context.Context, job *Job, since int) {
-	status, text := b.do(ctx, http.MethodGet, fmt.Sprintf("/-/lots/%s?since_rev=%d", job.ID, since), "", nil)
+	status, text := b.call(ctx, http.MethodGet, fmt.Sprintf("/-/lots/%s?since_rev=%d", job.ID, since), "", nil)
 	if status == http.StatusNotFound {
 		b.Tally.RecordViolation("job %s: 404 after it was taken", job.ID)
 	}
@@ -114,40 +119,42 @@
 		return
 	}
 	for i, item := range results.Results {
-		b.take(job, since+i, seenResult{item.ID, item.State, item.Message})
+		b.recordResult(job, since+i, itemResult{item.ID, item.State, item.Message})
 	}
 }
 
-func (b *BatchClient) take(job *Job, position int, result seenResult) {
-	if position < len(job.Seen) {
-		if job.Seen[position] != result {
-			b.Tally.RecordViolation("job %s position %d: %v was %v", job.ID, position, result, job.Seen[position])
+// recordResult verifies the result at a position, and stores it if it is new.
+func (b *BatchClient) recordResult(job *Job, position int, result itemResult) {
+	if position < len(job.Results) {
+		if job.Results[position] != result {
+			b.Tally.RecordViolation("job %s position %d: %v was %v", job.ID, position, result, job.Results[position])
 		}
 		return
 	}
-	for _, seen := range job.Seen {
-		if seen.id == result.id {
+	for _, previous := range job.Results {
+		if previous.id == result.id {
 			b.Tally.RecordViolation("job %s: item %s stands twice", job.ID, result.id)
 		}
 	}
 	var texts []string
-	for number := int64(1); number <= EventsOf(result.id); number++ {
+	for number := int64(1); number <= EventCount(result.id); number++ {
 		texts = append(texts, EventData(result.id, number))
 	}
 	if result.state == "completed" && result.text != strings.Join(texts, "\n") {
 		b.Tally.RecordViolation("job %s item %s: the text is not its whole output: %q", job.ID, result.id, result.text)
 	}
-	job.Seen = append(job.Seen, result)
-	b.Tally.count(&b.Tally.ItemsDone)
+	job.Results = append(job.Results, result)
+	b.Tally.increment(&b.Tally.ItemsDone)
 }
 
-// ReadAll reads each taken job, now and then from an earlier position.
+// ReadAll reads each accepted job from its first unread result, or with a probability
+// of 1/4 from an earlier position.
 func (b *BatchClient) ReadAll(ctx context.Context) {
 	for _, job := range b.Jobs {
-		if !job.Taken {
+		if !job.Accepted {
 			continue
 		}
-		since := len(job.Seen)
+		since := len(job.Results)
 		if b.Random.IntN(4) == 0 && since > 0 {
 			since = b.Random.IntN(since)
 		}
@@ -155,12 +162,12 @@
 	}
 }
 
-// Open counts the items of taken jobs that are not listed yet.
-func (b *BatchClient) Open() int {
+// OpenItems returns the number of items of accepted jobs without a result.
+func (b *BatchClient) OpenItems() int {
 	open := 0
 	for _, job := range b.Jobs {
-		if job.Taken {
-			open += len(job.Items) - len(job.Seen)
+		if job.Accepted {
+			open += len(job.Items) - len(job.Results)
 		}
 	}
 	return open
--- a/lab/standin/kept.go
+++ b/lab/standin/kept.go
@@ -13,154 +13,158 @@
 	"time"
 )
 
-// Kept is a caller that keeps one connection to one node for many requests, and
-// uses it until the node says that it closes it, or it is gone.
-type Kept struct {
-	Callers
-	// Pause is the longest time between two requests.
-	Pause time.Duration
-	// Excused reports whether the node at an address was killed or stood still after
-	// a moment: what it cuts then is not counted.
-	Excused func(address string, since time.Time) bool
+// PersistentClient sends its requests one after the other on a persistent connection,
+// until the node closes or announces to close the connection; then it opens another.
+type PersistentClient struct {
+	StreamClient
+	// MaxPause is the longest pause between two requests.
+	MaxPause time.Duration
+	// Disrupted reports whether the node at an address was killed or suspended after a
+	// point in time. Interrupted responses of such a node are not violations.
+	Disrupted func(address string, since time.Time) bool
 
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
-	// fresh: no request was sent on the connection yet.
-	fresh bool
+	// unused marks a newly opened connection.
+	unused bool
 }
 
-// dialTime bounds a new connection.
-const dialTime = time.Second
+// dialTimeout is the timeout of opening a connection.
+const dialTimeout = time.Second
 
-// Run sends requests until the context ends. Ids begin with a prefix.
-func (k *Kept) Run(ctx context.Context, prefix string) {
-	defer k.close()
+// Run sends requests until the context ends. The request ids start with the prefix.
+func (c *PersistentClient) Run(ctx context.Context, prefix string) {
+	defer c.close()
 	for number := 0; ctx.Err() == nil; number++ {
 		id := fmt.Sprintf("%s-%d", prefix, number)
-		if k.conn == nil && !k.open() {
-			pauseFor(ctx, dialTime/10)
+		if c.conn == nil && !c.connect() {
+			sleep(ctx, dialTimeout/10)
 			continue
 		}
-		k.one(id)
-		pauseFor(ctx, rand.N(k.Pause+1))
+		c.exchange(id)
+		sleep(ctx, rand.N(c.MaxPause+1))
 	}
 }
 
-func pauseFor(ctx context.Context, wait time.Duration) {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
 	}
 }
 
-func (k *Kept) open() bool {
-	addresses := k.Front.Addresses()
+// connect opens a connection to a random node.
+func (c *PersistentClient) connect() bool {
+	addresses := c.Endpoints.Addresses()
 	if len(addresses) == 0 {
 		return false
 	}
-	k.address = addresses[k.Random.IntN(len(addresses))]
-	conn, err := net.DialTimeout("tcp", k.address, dialTime)
+	c.address = addresses[c.Random.IntN(len(addresses))]
+	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
 	if err != nil {
 		return false
 	}
-	k.conn, k.reader, k.fresh = conn, bufio.NewReader(conn), true
+	c.conn, c.reader, c.unused = conn, bufio.NewReader(conn), true
 	return true
 }
 
-func (k *Kept) close() {
-	if k.conn != nil {
-		_ = k.conn.Close()
-		k.conn = nil
+func (c *PersistentClient) close() {
+	if c.conn != nil {
+		_ = c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// one sends a request on the connection and checks the answer.
-func (k *Kept) one(id string) {
+// exchange sends a request on the connection and verifies the response.
+func (c *PersistentClient) exchange(id string) {
 	began := time.Now()
-	request, err := http.NewRequest(http.MethodPost, "http://"+k.address+k.Prefix+"kept", strings.NewReader("prompt of "+id))
+	request, err := http.NewRequest(http.MethodPost, "http://"+c.address+c.Prefix+"kept", strings.NewReader("prompt of "+id))
 	if err != nil {
-		k.Tally.RecordViolation("request %s: %v", id, err)
+		c.Tally.RecordViolation("request %s: %v", id, err)
 		return
 	}
-	request.Host = k.Host
-	setCallerHeaders(request, id)
+	request.Host = c.Host
+	setRequestHeaders(request, id)
 	var wire bytes.Buffer
 	if err := request.Write(&wire); err != nil {
-		k.Tally.RecordViolation("request %s: %v", id, err)
+		c.Tally.RecordViolation("request %s: %v", id, err)
 		return
 	}
-	_ = k.conn.SetDeadline(began.Add(callerDeadline + time.Second))
-	if _, err := k.conn.Write(wire.Bytes()); err != nil {
-		k.unanswered(id, began, err)
+	_ = c.conn.SetDeadline(began.Add(requestTimeout + time.Second))
+	if _, err := c.conn.Write(wire.Bytes()); err != nil {
+		c.checkLostResponse(id, began, err)
 		return
 	}
-	response, err := http.ReadResponse(k.reader, request)
+	response, err := http.ReadResponse(c.reader, request)
 	if err != nil {
-		k.unanswered(id, began, err)
+		c.checkLostResponse(id, began, err)
 		return
 	}
 	text, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	if err != nil {
-		k.cut(id, began, response, string(text), err)
+		c.checkTruncated(id, began, response, string(text), err)
 		return
 	}
-	k.answered(id, response, string(text))
+	c.checkResponse(id, response, string(text))
 	if response.Close {
-		k.close()
+		c.close()
 	}
 }
 
-func (k *Kept) answered(id string, response *http.Response, text string) {
+// checkResponse verifies a complete response.
+func (c *PersistentClient) checkResponse(id string, response *http.Response, text string) {
 	switch response.StatusCode {
 	case http.StatusOK:
-		k.checkWhole(id, response.Header, text)
-		k.Tally.count(&k.Tally.Served)
+		c.checkStream(id, response.Header, text)
+		c.Tally.increment(&c.Tally.Served)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		if runs := k.Ledger.Runs(id); len(runs) > 0 && k.Once {
-			k.Tally.RecordViolation("request %s: refused as not run, and it ran", id)
+		if runs := c.Ledger.Runs(id); len(runs) > 0 && c.AtMostOnce {
+			c.Tally.RecordViolation("request %s: refused as not run, and it ran", id)
 		}
-		k.Tally.count(&k.Tally.Refused)
+		c.Tally.increment(&c.Tally.Refused)
 	default:
-		k.Tally.count(&k.Tally.Failed)
+		c.Tally.increment(&c.Tally.Failed)
 	}
 }
 
-// unanswered takes a connection that ended without an answer: that is right only if
-// the node had not sent the request to a runner, as when it closed an idle
-// connection in the moment of sending, or if it was killed.
-func (k *Kept) unanswered(id string, began time.Time, err error) {
-	k.close()
-	k.Tally.count(&k.Tally.Failed)
-	if runs := k.Ledger.Runs(id); len(runs) > 0 && !k.outOfTime(began) && !k.Excused(k.address, began) {
-		k.Tally.RecordViolation("request %s: passed on by %s, and its connection ended without an answer after %v: %v", id, k.address, time.Since(began).Round(time.Millisecond), err)
+// checkLostResponse handles a connection that ended without a response. That is a
+// violation if a runner ran the request, unless the node was disrupted or the deadline
+// is near: the node may close an idle connection while a request is being sent.
+func (c *PersistentClient) checkLostResponse(id string, began time.Time, err error) {
+	c.close()
+	c.Tally.increment(&c.Tally.Failed)
+	if runs := c.Ledger.Runs(id); len(runs) > 0 && !c.nearDeadline(began) && !c.Disrupted(c.address, began) {
+		c.Tally.RecordViolation("request %s: passed on by %s, and its connection ended without an answer after %v: %v", id, c.address, time.Since(began).Round(time.Millisecond), err)
 	}
 }
 
-// outOfTime reports whether the time of a request is over, or nearly: its node may
-// end it then.
-func (k *Kept) outOfTime(began time.Time) bool {
-	return time.Since(began) > callerDeadline-timeSlack
+// nearDeadline reports whether the deadline of a request has passed or is so near that
+// the node may end the request.
+func (c *PersistentClient) nearDeadline(began time.Time) bool {
+	return time.Since(began) > requestTimeout-deadlineMargin
 }
 
-// timeSlack covers what a request takes to the node and back.
-const timeSlack = 200 * time.Millisecond
+// deadlineMargin covers the network time between client and node.
+const deadlineMargin = 200 * time.Millisecond
 
-// cut takes an answer that broke off. It must be the beginning of the right one; and
-// a node that was not killed cuts no answer that a runner has finished, or was still
-// at work on when the node left it.
-func (k *Kept) cut(id string, began time.Time, response *http.Response, text string, err error) {
-	k.close()
-	k.Tally.count(&k.Tally.Failed)
-	if response.StatusCode == http.StatusOK && !strings.HasPrefix(wholeText(id), text) {
-		k.Tally.RecordViolation("request %s: %q is not the beginning of its stream", id, text)
-	}
-	runs := k.Ledger.Runs(id)
-	if len(runs) == 0 || k.outOfTime(began) || k.Excused(k.address, began) {
+// checkTruncated handles a truncated response, which must be a prefix of the expected
+// stream. Truncation is a violation if the last runner sent the whole response or the
+// node disconnected from the runner first, unless that runner has ended, the node was
+// disrupted or the deadline is near.
+func (c *PersistentClient) checkTruncated(id string, began time.Time, response *http.Response, text string, err error) {
+	c.close()
+	c.Tally.increment(&c.Tally.Failed)
+	if response.StatusCode == http.StatusOK && !strings.HasPrefix(expectedStream(id), text) {
+		c.Tally.RecordViolation("request %s: %q is not the beginning of its stream", id, text)
+	}
+	runs := c.Ledger.Runs(id)
+	if len(runs) == 0 || c.nearDeadline(began) || c.Disrupted(c.address, began) {
 		return
 	}
-	if last := runs[len(runs)-1]; (last.Whole || last.Left) && !k.Ledger.Ended(last.Runner) {
-		k.Tally.RecordViolation("request %s: %s cut an answer that runner %s had not broken (whole %v) after %d bytes: %v", id, k.address, last.Runner, last.Whole, len(text), err)
+	if last := runs[len(runs)-1]; (last.Complete || last.Disconnected) && !c.Ledger.Ended(last.Runner) {
+		c.Tally.RecordViolation("request %s: %s cut an answer that runner %s had not broken (whole %v) after %d bytes: %v", id, c.address, last.Runner, last.Complete, len(text), err)
 	}
 }
--- a/lab/standin/leases.go
+++ b/lab/standin/leases.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
+// lease is a lease with the keys attached to it.
 type lease struct {
-	ends time.Time
-	keys map[string]bool
-	ttl  time.Duration
+	expires time.Time
+	keys    map[string]bool
+	ttl     time.Duration
 }
 
-// leaseID is the lease that a call names; 0, which no lease has, if it names none.
+// leaseID returns the lease id in the path of a call, or 0, which is never a valid id,
+// if the path has none.
 func leaseID(request *http.Request) int64 {
 	id, err := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	if err != nil {
@@ -22,7 +24,7 @@
 	return id
 }
 
-func (s *Store) serveLease(writer http.ResponseWriter, request *http.Request) {
+func (s *Store) serveLeaseGrant(writer http.ResponseWriter, request *http.Request) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -35,42 +37,43 @@
 	s.revision++
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	s.leases[s.revision] = &lease{time.Now().Add(ttl), map[string]bool{}, ttl}
-	answer(writer, http.StatusOK, map[string]any{"lease": s.revision, "ttl_ms": body.TTL})
+	writeJSON(writer, http.StatusOK, map[string]any{"lease": s.revision, "ttl_ms": body.TTL})
 }
 
-func (s *Store) serveKeep(writer http.ResponseWriter, request *http.Request) {
+func (s *Store) serveLeaseKeepAlive(writer http.ResponseWriter, request *http.Request) {
 	id := leaseID(request)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := s.leases[id]
-	if l == nil || time.Now().After(l.ends) {
-		s.lapse(id)
-		answer(writer, http.StatusNotFound, struct{}{})
+	if l == nil || time.Now().After(l.expires) {
+		s.revoke(id)
+		writeJSON(writer, http.StatusNotFound, struct{}{})
 		return
 	}
-	l.ends = time.Now().Add(l.ttl)
-	answer(writer, http.StatusOK, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
+	l.expires = time.Now().Add(l.ttl)
+	writeJSON(writer, http.StatusOK, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) serveLeaseEnd(writer http.ResponseWriter, request *http.Request) {
+func (s *Store) serveLeaseRevoke(writer http.ResponseWriter, request *http.Request) {
 	id := leaseID(request)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lapse(id)
-	answer(writer, http.StatusOK, struct{}{})
+	s.revoke(id)
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// LapseLeases lets all leases run out.
-func (s *Store) LapseLeases() {
+// ExpireLeases expires all leases.
+func (s *Store) ExpireLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id := range s.leases {
-		s.lapse(id)
+		s.revoke(id)
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) lapse(id int64) {
+// revoke removes a lease and the keys attached to it. The caller holds the mutex.
+func (s *Store) revoke(id int64) {
 	l := s.leases[id]
 	if l == nil {
 		return
--- a/lab/standin/ledger.go
+++ b/lab/standin/ledger.go
@@ -10,24 +10,25 @@
 	Runner string
 	Body   [sha256.Size]byte
 	Path   string
-	// From is the event the run was asked to follow; 0 for a whole run.
-	From int64
-	// Whole: the runner has sent the whole answer. Left: its sender closed the
-	// connection before.
-	Whole, Left bool
-	// Crashed: the runner ended as it began the run.
+	// LastEventID is the event after which the run resumed; 0 for a run from the start.
+	LastEventID int64
+	// Complete is true if the runner sent the whole response. Disconnected is true if
+	// the node closed the connection before that.
+	Complete, Disconnected bool
+	// Crashed is true if the runner crashed at the start of the run.
 	Crashed bool
 }
 
-// CrashesAllowed is how many runners a request that crashes them may end, by the
-// users' rule: three, and three more sends.
-const CrashesAllowed = 6
+// MaxCrashes is the largest number of runners that one request may crash: the users'
+// rule allows three runners, and three more attempts.
+const MaxCrashes = 6
 
-// Ledger records what ran, over all runners.
+// Ledger records the runs of requests on all runners.
 type Ledger struct {
 	mutex sync.Mutex
 	runs  map[string][]*Run
-	// ended are the runners that have ended: what one had written last may be lost.
+	// ended holds the runners that have ended; the last output of such a runner may be
+	// lost.
 	ended map[string]bool
 }
 
@@ -41,7 +42,7 @@
 	return l.ended[runner]
 }
 
-func (l *Ledger) noteEnded(runner string) {
+func (l *Ledger) recordEnded(runner string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ended[runner] = true
@@ -53,13 +54,13 @@
 	l.runs[id] = append(l.runs[id], run)
 }
 
-func (l *Ledger) end(run *Run, whole, left bool) {
+func (l *Ledger) end(run *Run, complete, disconnected bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	run.Whole, run.Left = whole, left && !whole
+	run.Complete, run.Disconnected = complete, disconnected && !complete
 }
 
-// Runs returns the runs of a request, in order.
+// Runs returns the runs of a request in the order of their start.
 func (l *Ledger) Runs(id string) []Run {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -70,7 +71,7 @@
 	return list
 }
 
-// Crashes counts the runs of requests with a body under which runners ended.
+// Crashes returns the number of runs of a body that crashed a runner.
 func (l *Ledger) Crashes(body []byte) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -85,7 +86,7 @@
 	return count
 }
 
-// IDs lists every request that ran.
+// IDs returns the ids of all requests that ran.
 func (l *Ledger) IDs() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -14,39 +14,39 @@
 	"cobaltramp.example/cobaltramp/internal/app/tasks"
 )
 
-// RunnerOptions describe a runner.
+// RunnerOptions configures a runner.
 type RunnerOptions struct {
 	ID, Service, Zone string
-	// Address is IP:port; port 0 takes a free one.
+	// Address is the IP:port to listen on; port 0 selects a free port.
 	Address       string
 	Slots         int
 	QueueLimit    int
 	EventInterval time.Duration
 	Store         *Store
 	Ledger        *Ledger
-	// Crashes reports whether a request, by its body, ends the runner as it begins
-	// to run it; nil for none. OnCrash is called then, once.
+	// Crashes reports whether a request with the body crashes the runner at the start
+	// of its run; nil stands for no crashes. OnCrash is called once, after such a crash.
 	Crashes func(body []byte) bool
 	OnCrash func(crashed *Runner)
 }
 
-// Runner is a model runner: it takes requests in the order of arrival, as many
-// at once as it has slots, and answers by events.
+// Runner emulates a model runner: it runs at most as many requests at once as it has
+// slots, queues further ones, and responds with server-sent events.
 type Runner struct {
 	RunnerOptions
-	server   *http.Server
-	listener net.Listener
-	slots    chan struct{}
-	waiting  atomic.Int64
-	fault    atomic.Pointer[RunnerFault]
-	draining atomic.Bool
-	claimed  atomic.Bool
-	serving  tasks.Group
-	ended    atomic.Bool
-	sequence int
+	server        *http.Server
+	listener      net.Listener
+	slots         chan struct{}
+	waiting       atomic.Int64
+	fault         atomic.Pointer[RunnerFault]
+	draining      atomic.Bool
+	endClaimed    atomic.Bool
+	serving       tasks.Group
+	ended         atomic.Bool
+	entryRevision int
 }
 
-// StartRunner starts a runner and lists it in the store.
+// StartRunner starts a runner and registers it in the store.
 func StartRunner(options RunnerOptions) (*Runner, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -57,44 +57,45 @@
 	r.fault.Store(&RunnerFault{})
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadHeaderTimeout: 5 * time.Second}
 	r.serving.Go(func() {
-		_ = r.server.Serve(listener) // ends with the error that the server was closed
+		_ = r.server.Serve(listener) // always returns an error once the server is closed
 	})
-	r.list("ready")
+	r.publish("ready")
 	return r, nil
 }
 
-func (r *Runner) list(state string) {
-	r.sequence++
+// publish writes the entry of the runner to the store.
+func (r *Runner) publish(state string) {
+	r.entryRevision++
 	r.Store.Put("servers/"+r.ID, map[string]any{
 		"service": r.Service, "addr": r.Address, "zone": r.Zone, "version": "v1", "slots": r.Slots, "state": state,
-		"cold_left_ms": 0, "seq": r.sequence,
+		"cold_left_ms": 0, "seq": r.entryRevision,
 	})
 }
 
-// SetFault sets the runner's behaviour.
+// SetFault sets the injected fault.
 func (r *Runner) SetFault(fault RunnerFault) { r.fault.Store(&fault) }
 
-// Drain states that the runner leaves; it serves on until it is stopped.
+// Drain sets the published state to draining; the runner serves until it is stopped.
 func (r *Runner) Drain() {
 	r.draining.Store(true)
-	r.list("draining")
+	r.publish("draining")
 }
 
-// Stop ends the runner and removes its entry.
+// Stop stops the runner and removes its entry from the store.
 func (r *Runner) Stop() {
 	r.Store.Remove("servers/" + r.ID)
 	r.Crash()
 }
 
-// Claim is true for the first who wants to end the runner.
-func (r *Runner) Claim() bool { return r.claimed.CompareAndSwap(false, true) }
+// ClaimEnd returns true for its first caller only, which may then end the runner.
+func (r *Runner) ClaimEnd() bool { return r.endClaimed.CompareAndSwap(false, true) }
 
-// Crash ends the runner at once; its entry stays for a while, as with a runner
-// that falls silent.
+// Crash stops the runner at once and leaves its entry in the store, as with a real
+// crash.
 func (r *Runner) Crash() {
 	r.ended.Store(true)
-	r.Ledger.noteEnded(r.ID)
-	_ = r.server.Close() // closes all connections, whatever it returns
+	r.Ledger.recordEnded(r.ID)
+	_ = r.server.Close() // closes all connections even if it returns an error
 	r.serving.Wait()
 }
 
@@ -109,7 +110,7 @@
 		return
 	}
 	if id == "" {
-		r.notRun(writer, id, http.StatusBadRequest)
+		r.respondNotExecuted(writer, id, http.StatusBadRequest)
 		return
 	}
 	body, err := io.ReadAll(request.Body)
@@ -120,43 +121,45 @@
 		return
 	}
 	defer func() { <-r.slots }()
-	from, err := numberOrZero(request.Header.Get("Last-Event-Id"))
+	from, err := parseOptionalInt(request.Header.Get("Last-Event-Id"))
 	if err != nil {
-		r.notRun(writer, id, http.StatusBadRequest)
+		r.respondNotExecuted(writer, id, http.StatusBadRequest)
 		return
 	}
-	run := &Run{Runner: r.ID, Body: sha256.Sum256(body), Path: request.URL.RequestURI(), From: from}
+	run := &Run{Runner: r.ID, Body: sha256.Sum256(body), Path: request.URL.RequestURI(), LastEventID: from}
 	run.Crashed = r.Crashes != nil && r.Crashes(body)
 	r.Ledger.begin(id, run)
 	if run.Crashed {
-		if r.Claim() {
+		if r.ClaimEnd() {
 			r.Crash()
 			r.OnCrash(r)
 		}
 		panic(http.ErrAbortHandler)
 	}
-	whole := r.answer(writer, request, id, from)
-	r.Ledger.end(run, whole, request.Context().Err() != nil && !r.ended.Load())
+	complete := r.respond(writer, request, id, from)
+	r.Ledger.end(run, complete, request.Context().Err() != nil && !r.ended.Load())
 }
 
-// numberOrZero reads a number that may be left out.
-func numberOrZero(text string) (int64, error) {
+// parseOptionalInt parses a number; the empty text stands for 0.
+func parseOptionalInt(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	return strconv.ParseInt(text, 10, 64)
 }
 
-func (r *Runner) notRun(writer http.ResponseWriter, id string, status int) {
+// respondNotExecuted responds with an error status and states that the request did not
+// run.
+func (r *Runner) respondNotExecuted(writer http.ResponseWriter, id string, status int) {
 	writer.Header().Set("Cobaltramp-Not-Executed", "1")
 	writer.Header().Set("Cobaltramp-Attempt-Id", id)
 	writer.WriteHeader(status)
 }
 
-// admit waits for a slot, in the order of arrival as far as a channel keeps it.
+// admit waits for a slot. It reports false if the queue is full or the context ends.
 func (r *Runner) admit(ctx context.Context, writer http.ResponseWriter, id string) bool {
 	if int(r.waiting.Load()) >= r.QueueLimit {
-		r.notRun(writer, id, http.StatusServiceUnavailable)
+		r.respondNotExecuted(writer, id, http.StatusServiceUnavailable)
 		return false
 	}
 	r.waiting.Add(1)
--- a/lab/standin/runneranswer.go
+++ b/lab/standin/runneranswer.go
@@ -8,83 +8,84 @@
 	"time"
 )
 
-// RunnerFault says how a runner misbehaves; the zero value is well. Each field is
-// a fraction of its answers, 0 to 1; which ones is drawn by the request's id, so a
-// day repeats.
+// RunnerFault configures the faults of a runner; the zero value has none. Each field
+// is the fraction of responses with a fault, from 0 to 1. The request id determines
+// whether a response is affected, so that a run can be repeated.
 type RunnerFault struct {
-	// LoseAnswer: the request runs and the connection is reset.
-	LoseAnswer float64
-	// Break: the stream ends within an event.
-	Break float64
-	// Extra: a second answer follows a whole one.
-	Extra float64
-	// Fail: the runner's own 500.
-	Fail float64
+	// LoseResponse closes the connection instead of sending a response; the request
+	// counts as run.
+	LoseResponse float64
+	// TruncateStream ends the stream within an event.
+	TruncateStream float64
+	// ExtraResponse sends a second response after a complete one.
+	ExtraResponse float64
+	// ServerError responds with status 500.
+	ServerError float64
 }
 
-// chosen draws a fraction of the requests by their id.
-func chosen(id, what string, fraction float64) bool {
+// affects reports whether a fault affects the request, by a hash of its id.
+func affects(id, what string, fraction float64) bool {
 	digest := sha256.Sum256([]byte(id + what))
 	return float64(digest[0])/256 < fraction
 }
 
-// EventsOf returns how many events a request has, EventData the data of one:
-// the same at every runner.
-func EventsOf(id string) int64 {
+// EventCount returns the number of events in the response to a request, which is the
+// same at every runner.
+func EventCount(id string) int64 {
 	digest := sha256.Sum256([]byte(id))
 	return 3 + int64(digest[1]%6)
 }
 
-// EventData is the data of an event.
+// EventData returns the data of an event, which is the same at every runner.
 func EventData(id string, number int64) string { return fmt.Sprintf("%s says %d", id, number) }
 
-// send writes a piece of an answer at once. A caller that has left ends the request's
-// context, which answer looks at before the next piece.
-func send(writer http.ResponseWriter, piece string) {
+// writeAndFlush sends a part of a response. It ignores errors: if the client
+// disconnects, the context of the request ends, and respond checks it before each event.
+func writeAndFlush(writer http.ResponseWriter, piece string) {
 	_, _ = io.WriteString(writer, piece)
 	_ = http.NewResponseController(writer).Flush()
 }
 
-// answer answers a request, and reports whether it sent the whole answer.
-func (r *Runner) answer(writer http.ResponseWriter, request *http.Request, id string, from int64) bool {
+// respond sends the response to a request, and reports whether it sent all of it.
+func (r *Runner) respond(writer http.ResponseWriter, request *http.Request, id string, from int64) bool {
 	fault := *r.fault.Load()
 	header := writer.Header()
 	header.Set("Cobaltramp-Attempt-Id", id)
 	header.Set("Cobaltramp-Server-Seal", "seal-"+id)
 	header.Set("Content-Type", "text/event-stream")
 	switch {
-	case chosen(id, "lose", fault.LoseAnswer):
+	case affects(id, "lose", fault.LoseResponse):
 		panic(http.ErrAbortHandler)
-	case chosen(id, "fail", fault.Fail):
+	case affects(id, "fail", fault.ServerError):
 		writer.WriteHeader(http.StatusInternalServerError)
 		return true
 	}
-	for number := from + 1; number <= EventsOf(id); number++ {
+	for number := from + 1; number <= EventCount(id); number++ {
 		select {
 		case <-time.After(r.EventInterval):
 		case <-request.Context().Done():
 			return false
 		}
-		if number == from+2 && chosen(id+r.ID, "break", fault.Break) {
-			send(writer, fmt.Sprintf("id: %d\nda", number))
+		if number == from+2 && affects(id+r.ID, "break", fault.TruncateStream) {
+			writeAndFlush(writer, fmt.Sprintf("id: %d\nda", number))
 			panic(http.ErrAbortHandler)
 		}
-		send(writer, fmt.Sprintf("id: %d\ndata: %s\n\n", number, EventData(id, number)))
+		writeAndFlush(writer, fmt.Sprintf("id: %d\ndata: %s\n\n", number, EventData(id, number)))
 	}
-	if chosen(id, "extra", fault.Extra) {
-		r.answerAgain(writer, id)
+	if affects(id, "extra", fault.ExtraResponse) {
+		r.respondAgain(writer, id)
 	}
 	return true
 }
 
-// answerAgain sends a second answer that nobody asked for.
-func (r *Runner) answerAgain(writer http.ResponseWriter, id string) {
+// respondAgain sends an unsolicited second response on the connection.
+func (r *Runner) respondAgain(writer http.ResponseWriter, id string) {
 	connection, buffer, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		return
 	}
 	defer func() { _ = connection.Close() }()
-	// Nobody waits for it: whether it arrives does not matter.
+	// Errors are ignored: the client expects no second response.
 	_, _ = fmt.Fprintf(buffer, "0\r\n\r\nHTTP/1.1 200 OK\r\nCobaltramp-Attempt-Id: %s\r\nCobaltramp-Server-Seal: x\r\nContent-Length: 5\r\n\r\nextra", id)
 	_ = buffer.Flush()
 	time.Sleep(50 * time.Millisecond)
--- a/lab/standin/single.go
+++ b/lab/standin/single.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// Single sends single calls to one node and reads the answers whole. It checks
-// nothing: tests do.
-type Single struct {
+// NodeClient sends requests to one node and reads the whole responses. It leaves their
+// verification to the tests.
+type NodeClient struct {
 	Address, Host string
 }
 
-// singleTime bounds one call, from its head to its whole answer.
-const singleTime = 10 * time.Second
+// callTimeout is the timeout of a call, including the whole response.
+const callTimeout = 10 * time.Second
 
-// Request sends a request with an id. The status is 0 if no whole answer came.
-func (s Single) Request(target, id string, body []byte) int {
+// Request sends a request with an id and returns the status, which is 0 if the response
+// is missing or incomplete.
+func (s NodeClient) Request(target, id string, body []byte) int {
 	status, _ := s.call(http.MethodPost, target, id, body)
 	return status
 }
 
-func (s Single) call(method, target, id string, body []byte) (int, []byte) {
-	ctx, cancel := context.WithTimeout(context.Background(), singleTime)
+func (s NodeClient) call(method, target, id string, body []byte) (int, []byte) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+s.Address+target, bytes.NewReader(body))
 	if err != nil {
@@ -37,12 +38,12 @@
 		request.Header.Set(attemptHeader, id)
 	}
 	request.Header.Set("Cobaltramp-Model", "m")
-	request.Header.Set("Cobaltramp-Deadline-Ms", strconv.Itoa(int(callerDeadline.Milliseconds())))
-	return answerOf(request)
+	request.Header.Set("Cobaltramp-Deadline-Ms", strconv.Itoa(int(requestTimeout.Milliseconds())))
+	return roundTrip(request)
 }
 
-// Submit hands in a job of items with these bodies, once.
-func (s Single) Submit(job string, bodies [][]byte) (taken bool) {
+// Submit submits a job with one item for each body, without retries.
+func (s NodeClient) Submit(job string, bodies [][]byte) (accepted bool) {
 	var items []wireItem
 	for number, body := range bodies {
 		items = append(items, wireItem{
@@ -58,8 +59,8 @@
 	return status == http.StatusAccepted
 }
 
-// Completed counts the items of a job that are listed as completed.
-func (s Single) Completed(job string) int {
+// CompletedItems returns the number of completed items of a job.
+func (s NodeClient) CompletedItems(job string) int {
 	_, text := s.call(http.MethodGet, "/-/lots/"+job+"?since_rev=0", "", nil)
 	var results wireResults
 	if json.Unmarshal(text, &results) != nil {
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -1,9 +1,8 @@
-// Package standin holds this project's own stand-ins for the users' platform, on
-// which the roles edge and storage run: its store, its runners, its callers and
-// batch clients, with their faults. They are written from the platform's
-// published pages, and speak its protocol in their handlers only. The engines and
-// services of a plain node speak others; packages engine and platform stand for
-// those.
+// Package standin emulates the environment of the roles edge and storage: the store
+// and the model runners of the users' platform, with fault injection, and clients that
+// send requests and batch jobs and verify the responses. It implements the platform's
+// published protocol independently of the code under test. Packages engine and platform
+// emulate the engines and services of plain nodes, which have other protocols.
 package standin
 
 import (
@@ -14,24 +13,24 @@
 	"sync"
 )
 
-// Store is the platform's store: keys with revisions, conditions, watches, a
-// bounded history, and leases.
+// Store emulates the platform's key-value store: revisions, conditional transactions,
+// watches, a history that can be compacted, and leases.
 type Store struct {
 	server *httptest.Server
-	// doors are further listeners, by the machine that calls there.
-	doors map[string]*httptest.Server
-
-	handler  http.Handler
-	mutex    sync.Mutex
-	revision int64
-	items    map[string]storeItem
-	history  []storeItem // in order of revision; Gone marks removals
-	oldest   int64       // changes up to this revision are forgotten
-	changed  chan struct{}
-	fault    StoreFault
-	faultOf  map[string]StoreFault // by machine
-	leases   map[int64]*lease
-	calls    map[string]int
+	// listeners holds further servers, one for each machine with its own address.
+	listeners map[string]*httptest.Server
+
+	handler           http.Handler
+	mutex             sync.Mutex
+	revision          int64
+	items             map[string]storeItem
+	history           []storeItem // in order of revision; Gone marks removals
+	compactedRevision int64       // the history lacks changes up to this revision
+	changed           chan struct{}
+	fault             StoreFault
+	machineFaults     map[string]StoreFault // by machine
+	leases            map[int64]*lease
+	calls             map[string]int
 }
 
 type storeItem struct {
@@ -43,62 +42,62 @@
 	Gone    bool   `json:"gone,omitempty"`
 }
 
-// NewStore starts a store on loopback.
+// NewStore starts a store on a loopback address.
 func NewStore() *Store {
 	s := &Store{
-		items: map[string]storeItem{}, changed: make(chan struct{}), revision: 1, faultOf: map[string]StoreFault{},
-		leases: map[int64]*lease{}, calls: map[string]int{}, doors: map[string]*httptest.Server{},
+		items: map[string]storeItem{}, changed: make(chan struct{}), revision: 1, machineFaults: map[string]StoreFault{},
+		leases: map[int64]*lease{}, calls: map[string]int{}, listeners: map[string]*httptest.Server{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/kv-key", s.serveKey)
 	mux.HandleFunc("GET /-/kv-range", s.serveRange)
 	mux.HandleFunc("GET /-/kv-watch", s.serveWatch)
 	mux.HandleFunc("POST /-/kv-txn", s.serveTxn)
-	mux.HandleFunc("POST /-/kv-lease", s.serveLease)
-	mux.HandleFunc("POST /-/kv-keep/{id}", s.serveKeep)
-	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.serveLeaseEnd)
+	mux.HandleFunc("POST /-/kv-lease", s.serveLeaseGrant)
+	mux.HandleFunc("POST /-/kv-keep/{id}", s.serveLeaseKeepAlive)
+	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.serveLeaseRevoke)
 	s.handler = mux
-	s.server = httptest.NewServer(s.faulty("", mux))
+	s.server = httptest.NewServer(s.withFaults("", mux))
 	return s
 }
 
-// AddressFor is the IP:port at which one machine calls the store, so that it
-// can be treated unlike others; see SetFaultOf.
+// AddressFor returns the IP:port at which one machine calls the store, so that
+// SetMachineFault can affect that machine alone.
 func (s *Store) AddressFor(machine string) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.doors[machine] == nil {
-		s.doors[machine] = httptest.NewServer(s.faulty(machine, s.handler))
+	if s.listeners[machine] == nil {
+		s.listeners[machine] = httptest.NewServer(s.withFaults(machine, s.handler))
 	}
-	return s.doors[machine].Listener.Addr().String()
+	return s.listeners[machine].Listener.Addr().String()
 }
 
-// Address is the store's IP:port.
+// Address returns the IP:port of the store.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the store.
+// Close closes all connections and stops the store.
 func (s *Store) Close() {
 	s.mutex.Lock()
-	doors := []*httptest.Server{s.server}
-	for _, door := range s.doors {
-		doors = append(doors, door)
+	listeners := []*httptest.Server{s.server}
+	for _, listener := range s.listeners {
+		listeners = append(listeners, listener)
 	}
 	s.mutex.Unlock()
-	for _, door := range doors {
-		door.CloseClientConnections()
-		door.Close()
+	for _, listener := range listeners {
+		listener.CloseClientConnections()
+		listener.Close()
 	}
 }
 
-// ForgetHistory drops the history: watches from before get 410.
-func (s *Store) ForgetHistory() {
+// CompactHistory drops the history: watches that start at an older revision get 410.
+func (s *Store) CompactHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.oldest = nil, s.revision
-	s.wake()
+	s.history, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 }
 
-// Put writes a key as the operator or a runner would.
+// Put writes a key without conditions, as an operator or a runner would.
 func (s *Store) Put(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -108,7 +107,7 @@
 	defer s.mutex.Unlock()
 	s.revision++
 	s.put(key, base64.StdEncoding.EncodeToString(text), 0)
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Remove removes a key.
@@ -117,7 +116,7 @@
 	defer s.mutex.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Value returns a key's value, nil if it is absent.
@@ -135,22 +134,23 @@
 	return text
 }
 
-// Calls returns how many calls of a kind came (key, range, watch, txn).
+// Calls returns the number of calls of a kind, for example key, range, watch or txn.
 func (s *Store) Calls(kind string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[kind]
 }
 
-func (s *Store) wake() {
+// notifyWatchers wakes all watches. The caller holds the mutex.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) put(key, value string, leaseID int64) {
 	item := storeItem{Key: key, Value: value, Rev: s.revision, Created: s.revision, Lease: leaseID}
-	if held, found := s.items[key]; found {
-		item.Created = held.Created
+	if previous, found := s.items[key]; found {
+		item.Created = previous.Created
 	}
 	s.items[key] = item
 	s.history = append(s.history, item)
--- a/lab/standin/store_test.go
+++ b/lab/standin/store_test.go
@@ -11,9 +11,9 @@
 	"cobaltramp.example/cobaltramp/internal/app/eventually"
 )
 
-// A silent store lets go of a call whose caller leaves, so that it can be closed;
-// also of one that brought a body.
-func TestSilentStoreCloses(t *testing.T) {
+// A store with the fault Silent must end the handler of a call whose client has
+// disconnected, also if the call has a body; otherwise Close would block.
+func TestUnresponsiveStoreCloses(t *testing.T) {
 	is := is.New(t)
 	store := NewStore()
 	store.SetFault(StoreFault{Silent: true})
--- a/lab/standin/storefault.go
+++ b/lab/standin/storefault.go
@@ -8,56 +8,57 @@
 	"time"
 )
 
-// StoreFault says how the store behaves; the zero value is well.
+// StoreFault configures the faults of the store; the zero value has none.
 type StoreFault struct {
-	// Silent: connections are taken and nothing is ever answered.
+	// Silent accepts connections and never responds.
 	Silent bool
-	// Busy: every call gets 503.
+	// Busy responds to every call with status 503.
 	Busy bool
-	// Reset: connections are closed without an answer.
+	// Reset closes connections without a response.
 	Reset bool
-	// Slow delays each answer.
+	// Slow is the delay of each response.
 	Slow time.Duration
-	// LoseWrites: changes are made and their answers lost.
+	// LoseWrites applies transactions and loses the responses.
 	LoseWrites bool
-	// StaleBehind is how many revisions reads that may be stale lag.
+	// StaleBehind is the number of revisions by which stale reads lag.
 	StaleBehind int64
-	// Throttle: every call gets 429.
+	// Throttle responds to every call with status 429.
 	Throttle bool
 }
 
-// SetFault sets the behaviour towards everybody.
+// SetFault sets the fault for all machines without a fault of their own.
 func (s *Store) SetFault(fault StoreFault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
-	s.wake()
+	s.notifyWatchers()
 }
 
-// SetFaultOf sets the behaviour towards one machine that calls at its own
-// address; the zero value is well.
-func (s *Store) SetFaultOf(machine string, fault StoreFault) {
+// SetMachineFault sets the fault for one machine, which calls the store at the address
+// from AddressFor. The zero value removes the fault of the machine.
+func (s *Store) SetMachineFault(machine string, fault StoreFault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.faultOf[machine] = fault
-	s.wake()
+	s.machineFaults[machine] = fault
+	s.notifyWatchers()
 }
 
-// machineKey is where a call's context says which machine made it.
+// machineKey is the context key of the name of the calling machine.
 type machineKey struct{}
 
+// faultFor returns the fault that applies to a call.
 func (s *Store) faultFor(request *http.Request) StoreFault {
 	machine, _ := request.Context().Value(machineKey{}).(string)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if fault, found := s.faultOf[machine]; found && fault != (StoreFault{}) {
+	if fault, found := s.machineFaults[machine]; found && fault != (StoreFault{}) {
 		return fault
 	}
 	return s.fault
 }
 
-// faulty puts the present fault before every call.
-func (s *Store) faulty(machine string, next http.Handler) http.Handler {
+// withFaults counts each call and applies the current fault to it.
+func (s *Store) withFaults(machine string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		request = request.WithContext(context.WithValue(request.Context(), machineKey{}, machine))
 		fault := s.faultFor(request)
@@ -67,7 +68,7 @@
 		s.mutex.Unlock()
 		switch {
 		case fault.Silent:
-			// The end of a connection is noticed only once its request has been read.
+			// The server detects a disconnected client only once the body has been read.
 			_, _ = io.Copy(io.Discard, request.Body)
 			<-request.Context().Done()
 			return
--- a/lab/standin/storereads.go
+++ b/lab/standin/storereads.go
@@ -8,23 +8,26 @@
 	"time"
 )
 
-func answer(writer http.ResponseWriter, status int, value any) {
+// writeJSON responds with a status and a JSON body.
+func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // a caller that has left needs no answer
+	_ = json.NewEncoder(writer).Encode(value) // fails only if the client has disconnected
 }
 
-func (s *Store) view(request *http.Request) (map[string]storeItem, int64) {
+// readItems returns the items that a read sees, and their revision. The caller holds
+// the mutex.
+func (s *Store) readItems(request *http.Request) (map[string]storeItem, int64) {
 	if request.URL.Query().Get("stale") == "1" {
-		return s.staleItems(s.fault.StaleBehind)
+		return s.itemsBehind(s.fault.StaleBehind)
 	}
 	return s.items, s.revision
 }
 
-// staleItems returns the state as of a revision that lies behind, for reads that
-// may be stale, and that revision.
-func (s *Store) staleItems(behind int64) (map[string]storeItem, int64) {
-	at := max(s.oldest, s.revision-behind)
+// itemsBehind returns the items as of a revision that lags the current one by a number
+// of revisions, at the most back to the last compaction, and that revision.
+func (s *Store) itemsBehind(behind int64) (map[string]storeItem, int64) {
+	at := max(s.compactedRevision, s.revision-behind)
 	if behind == 0 || at >= s.revision {
 		return s.items, s.revision
 	}
@@ -44,26 +47,27 @@
 
 func (s *Store) serveKey(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
-	items, at := s.view(request)
+	items, at := s.readItems(request)
 	item, found := items[request.URL.Query().Get("private_key")]
 	s.mutex.Unlock()
 	if !found {
-		answer(writer, http.StatusNotFound, map[string]any{"at": at})
+		writeJSON(writer, http.StatusNotFound, map[string]any{"at": at})
 		return
 	}
-	answer(writer, http.StatusOK, struct {
+	writeJSON(writer, http.StatusOK, struct {
 		storeItem
 		At int64 `json:"at"`
 	}{item, at})
 }
 
-// pageItems is how many items a page holds; small, so that paging is tried.
-const pageItems = 5
+// pageSize is the number of items in a page; it is small so that lists span several
+// pages.
+const pageSize = 5
 
 func (s *Store) serveRange(writer http.ResponseWriter, request *http.Request) {
 	prefix, after := request.URL.Query().Get("path_prefix"), request.URL.Query().Get("since_rev")
 	s.mutex.Lock()
-	all, at := s.view(request)
+	all, at := s.readItems(request)
 	var items []storeItem
 	for key, item := range all {
 		if strings.HasPrefix(key, prefix) && key > after {
@@ -72,17 +76,17 @@
 	}
 	s.mutex.Unlock()
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
-	more := len(items) > pageItems
+	more := len(items) > pageSize
 	if more {
-		items = items[:pageItems]
+		items = items[:pageSize]
 	}
-	answer(writer, http.StatusOK, map[string]any{"items": items, "more": more, "at": at})
+	writeJSON(writer, http.StatusOK, map[string]any{"items": items, "more": more, "at": at})
 }
 
 func (s *Store) serveWatch(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
-	since, sinceErr := numberOrZero(query.Get("since_rev"))
-	wait, waitErr := numberOrZero(query.Get("wait_ms"))
+	since, sinceErr := parseOptionalInt(query.Get("since_rev"))
+	wait, waitErr := parseOptionalInt(query.Get("wait_ms"))
 	if sinceErr != nil || waitErr != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
@@ -90,20 +94,20 @@
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mutex.Lock()
-		events, gone, at, changed := s.eventsAfter(query.Get("path_prefix"), since), since < s.oldest, s.revision, s.changed
+		events, compacted, at, changed := s.eventsAfter(query.Get("path_prefix"), since), since < s.compactedRevision, s.revision, s.changed
 		s.mutex.Unlock()
-		if gone {
-			answer(writer, http.StatusGone, struct{}{})
+		if compacted {
+			writeJSON(writer, http.StatusGone, struct{}{})
 			return
 		}
 		if len(events) > 0 {
-			answer(writer, http.StatusOK, map[string]any{"events": events, "at": at})
+			writeJSON(writer, http.StatusOK, map[string]any{"events": events, "at": at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			answer(writer, http.StatusOK, map[string]any{"events": []storeItem{}, "at": at})
+			writeJSON(writer, http.StatusOK, map[string]any{"events": []storeItem{}, "at": at})
 			return
 		case <-request.Context().Done():
 			return
--- a/lab/standin/storewrites.go
+++ b/lab/standin/storewrites.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// transaction is a set of writes that apply if all expected revisions match.
 type transaction struct {
 	Expected []struct {
 		Key string `json:"private_key"`
@@ -30,9 +31,10 @@
 	if s.faultFor(request).LoseWrites {
 		panic(http.ErrAbortHandler)
 	}
-	answer(writer, status, body)
+	writeJSON(writer, status, body)
 }
 
+// apply applies a transaction and returns the status and the body of the response.
 func (s *Store) apply(change *transaction) (int, any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -40,19 +42,19 @@
 		if strings.HasPrefix(put.Key, "op/") || strings.HasPrefix(put.Key, "servers/") {
 			return http.StatusForbidden, struct{}{}
 		}
-		if l := s.leases[put.Lease]; put.Lease != 0 && (l == nil || time.Now().After(l.ends)) {
+		if l := s.leases[put.Lease]; put.Lease != 0 && (l == nil || time.Now().After(l.expires)) {
 			return http.StatusNotFound, struct{}{}
 		}
 	}
-	var held []storeItem
+	var current []storeItem
 	met := true
 	for _, expected := range change.Expected {
 		item := s.items[expected.Key]
 		met = met && item.Rev == expected.Rev
-		held = append(held, item)
+		current = append(current, item)
 	}
 	if !met {
-		return http.StatusPreconditionFailed, map[string]any{"items": held}
+		return http.StatusPreconditionFailed, map[string]any{"items": current}
 	}
 	s.revision++
 	for _, put := range change.Put {
@@ -61,6 +63,6 @@
 	for _, key := range change.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatchers()
 	return http.StatusOK, map[string]any{"rev": s.revision}
 }
--- a/lab/standin/tally.go
+++ b/lab/standin/tally.go
@@ -5,30 +5,31 @@
 	"sync"
 )
 
-// Tally counts what callers saw; Violations lists promises that were not kept.
+// Tally counts the outcomes of requests and jobs; Violations lists the guarantees that
+// were violated.
 type Tally struct {
 	mutex                   sync.Mutex
 	Served, Refused, Failed int
-	JobsTaken, ItemsDone    int
+	JobsAccepted, ItemsDone int
 	Violations              []string
 }
 
-// Summary is the tally as text.
+// Summary returns the tally as one line of text.
 func (t *Tally) Summary() string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return fmt.Sprintf("served %d, refused %d, failed %d; jobs taken %d, items done %d; broken promises %d",
-		t.Served, t.Refused, t.Failed, t.JobsTaken, t.ItemsDone, len(t.Violations))
+		t.Served, t.Refused, t.Failed, t.JobsAccepted, t.ItemsDone, len(t.Violations))
 }
 
-// RecordViolation records a promise that was not kept.
+// RecordViolation records the violation of a guarantee.
 func (t *Tally) RecordViolation(format string, args ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.Violations = append(t.Violations, fmt.Sprintf(format, args...))
 }
 
-func (t *Tally) count(counter *int) {
+func (t *Tally) increment(counter *int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	*counter++
