--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -1,5 +1,5 @@
-// Package account breaks down by cause the worth that a benchmark run lost. Worth is the
-// score of the users' benchmark, at most 1. The input is the report of the benchmark and,
+// Package account reports how much worth a benchmark run lost, by cause. Worth is the score
+// of the users' benchmark, at most 1. The input is the report of the benchmark and,
 // optionally, the log lines of the processes in the run. The output is a set of Markdown
 // tables, so that runs can be compared.
 package account
@@ -102,8 +102,8 @@
 	Worth float64
 }
 
-// Losses returns the losses of all parts and costs of at least minReportedLoss, the
-// largest first.
+// Losses returns the loss of each part and each cost, the largest first. It leaves out
+// losses below minReportedLoss.
 func (r *Report) Losses() []Loss {
 	var losses []Loss
 	for _, part := range r.Parts {
@@ -126,8 +126,8 @@
 	windowSeconds = 2
 )
 
-// BadWindows returns a table row for each window with less worth than minWindowWorth,
-// including the kinds of events during the window.
+// BadWindows returns a table row for each window with less worth than minWindowWorth. The
+// row includes the kinds of events during the window.
 func (r *Report) BadWindows() []string {
 	var rows []string
 	for _, window := range r.Windows {
@@ -162,8 +162,8 @@
 	Times int
 }
 
-// CountOutcomes counts the log lines that have an outcome by message and outcome, the
-// most frequent first.
+// CountOutcomes counts the log lines with an outcome, grouped by message and outcome. The
+// most frequent group comes first.
 func CountOutcomes(lines []explain.Line) []Count {
 	times := map[string]int{}
 	for _, line := range lines {
--- a/lab/account/print.go
+++ b/lab/account/print.go
@@ -9,8 +9,8 @@
 // maxOutcomeRows is the largest number of rows in the table of outcomes.
 const maxOutcomeRows = 25
 
-// Print writes the report and the outcomes counted by CountOutcomes as Markdown tables.
-// If outcomes is empty, their table is left out.
+// Print writes the report and the result of CountOutcomes as Markdown tables. It leaves out
+// the table of outcomes if there are none.
 func Print(writer io.Writer, report *Report, outcomes []Count) error {
 	p := &printer{writer: writer}
 	p.line("worth %.3f, lost %.3f", report.Worth, 1-report.Worth)
--- a/lab/engine/ledger.go
+++ b/lab/engine/ledger.go
@@ -48,8 +48,8 @@
 	l.cancels++
 }
 
-// Starts returns how often engines started a response to the body from its first
-// token.
+// Starts returns the number of runs of a body that started at the first token of the
+// response.
 func (l *Ledger) Starts(body []byte) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/lab/engine/server.go
+++ b/lab/engine/server.go
@@ -43,6 +43,7 @@
 	return e, e.boot(preloaded)
 }
 
+// boot starts the server and a new scheduler.
 func (e *Engine) boot(preloaded string) error {
 	app := fiber.New(fiber.Config{BodyLimit: 64 << 20, Immutable: true})
 	e.routes(app)
@@ -182,6 +183,7 @@
 	}
 }
 
+// completion returns the body of a response without streaming.
 func completion(source *sequence, produced int) fiber.Map {
 	text := ""
 	for index := source.first; index < produced; index++ {
@@ -194,6 +196,7 @@
 	return fiber.Map{"id": source.id, "model": source.model, "choices": []fiber.Map{choice}, "usage": usageOf(source, produced)}
 }
 
+// usageOf returns the token usage of a response.
 func usageOf(source *sequence, produced int) fiber.Map {
 	generated := produced - source.first
 	return fiber.Map{"prompt_tokens": source.prompt.Tokens, "completion_tokens": generated, "total_tokens": source.prompt.Tokens + generated}
@@ -234,6 +237,7 @@
 	return e.respondStream(c, source, after)
 }
 
+// cancel cancels a stream. It also reports success if the stream is unknown or has ended.
 func (e *Engine) cancel(c fiber.Ctx) error {
 	scheduler, _ := e.current()
 	id := c.Params("id")
--- a/lab/engine/usage.go
+++ b/lab/engine/usage.go
@@ -12,7 +12,7 @@
 	BusySeconds       float64
 }
 
-// batchPriority is the lowest priority value of batch requests.
+// Requests with a priority value of batchPriority or more count as batch requests.
 const batchPriority = 10
 
 // recordStep adds a step of a duration to the usage.
--- a/lab/platformday/process.go
+++ b/lab/platformday/process.go
@@ -32,7 +32,8 @@
 	began   time.Time
 	// ended is closed when the process has exited.
 	ended chan struct{}
-	// endRequested is true once SIGTERM or SIGKILL was sent; another exit is a violation.
+	// endRequested is true once SIGTERM or SIGKILL was sent. An exit without one of these
+	// signals is a violation.
 	endRequested bool
 }
 
--- a/lab/standin/jobs.go
+++ b/lab/standin/jobs.go
@@ -103,7 +103,7 @@
 	} `json:"results"`
 }
 
-// Read reads the results of a job from a position on and verifies them against the
+// Read reads the results of a job that start at a position, and verifies them against the
 // results read before.
 func (b *BatchClient) Read(ctx context.Context, job *Job, since int) {
 	status, text := b.call(ctx, http.MethodGet, fmt.Sprintf("/-/lots/%s?since_rev=%d", job.ID, since), "", nil)
--- a/lab/standin/kept.go
+++ b/lab/standin/kept.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// PersistentClient sends its requests one after the other on a persistent connection,
-// until the node closes or announces to close the connection; then it opens another.
+// PersistentClient sends its requests one after the other on a persistent connection. It
+// opens a new connection if the node has closed the connection or announced its closing.
 type PersistentClient struct {
 	StreamClient
 	// MaxPause is the longest pause between two requests.
--- a/lab/standin/leases.go
+++ b/lab/standin/leases.go
@@ -14,8 +14,8 @@
 	ttl     time.Duration
 }
 
-// leaseID returns the lease id in the path of a call, or 0, which is never a valid id,
-// if the path has none.
+// leaseID returns the lease id in the path of a call. It returns 0, which no lease has, if
+// the path has no valid id.
 func leaseID(request *http.Request) int64 {
 	id, err := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	if err != nil {
--- a/lab/standin/runneranswer.go
+++ b/lab/standin/runneranswer.go
@@ -19,13 +19,14 @@
 	TruncateStream float64
 	// ExtraResponse sends a second response after a complete one.
 	ExtraResponse float64
-	// ServerError responds with status 500.
+	// ServerError responds with status 500 instead of a stream.
 	ServerError float64
 }
 
-// affects reports whether a fault affects the request, by a hash of its id.
-func affects(id, what string, fraction float64) bool {
-	digest := sha256.Sum256([]byte(id + what))
+// affects reports whether the fault with a name affects a request, by a hash of the id of
+// the request.
+func affects(id, faultName string, fraction float64) bool {
+	digest := sha256.Sum256([]byte(id + faultName))
 	return float64(digest[0])/256 < fraction
 }
 
@@ -41,8 +42,8 @@
 
 // writeAndFlush sends a part of a response. It ignores errors: if the client
 // disconnects, the context of the request ends, and respond checks it before each event.
-func writeAndFlush(writer http.ResponseWriter, piece string) {
-	_, _ = io.WriteString(writer, piece)
+func writeAndFlush(writer http.ResponseWriter, part string) {
+	_, _ = io.WriteString(writer, part)
 	_ = http.NewResponseController(writer).Flush()
 }
 
--- a/lab/standin/single.go
+++ b/lab/standin/single.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// NodeClient sends requests to one node and reads the whole responses. It leaves their
-// verification to the tests.
+// NodeClient sends requests to one node and reads each response to its end, without
+// verifying it.
 type NodeClient struct {
 	Address, Host string
 }
@@ -21,19 +21,19 @@
 
 // Request sends a request with an id and returns the status, which is 0 if the response
 // is missing or incomplete.
-func (s NodeClient) Request(target, id string, body []byte) int {
-	status, _ := s.call(http.MethodPost, target, id, body)
+func (c NodeClient) Request(target, id string, body []byte) int {
+	status, _ := c.call(http.MethodPost, target, id, body)
 	return status
 }
 
-func (s NodeClient) call(method, target, id string, body []byte) (int, []byte) {
+func (c NodeClient) call(method, target, id string, body []byte) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+s.Address+target, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+target, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	request.Host = s.Host
+	request.Host = c.Host
 	if id != "" {
 		request.Header.Set(attemptHeader, id)
 	}
@@ -43,7 +43,7 @@
 }
 
 // Submit submits a job with one item for each body, without retries.
-func (s NodeClient) Submit(job string, bodies [][]byte) (accepted bool) {
+func (c NodeClient) Submit(job string, bodies [][]byte) (accepted bool) {
 	var items []wireItem
 	for number, body := range bodies {
 		items = append(items, wireItem{
@@ -55,13 +55,13 @@
 	if err != nil {
 		return false
 	}
-	status, _ := s.call(http.MethodPost, BatchPrefix+job, job, text)
+	status, _ := c.call(http.MethodPost, BatchPrefix+job, job, text)
 	return status == http.StatusAccepted
 }
 
 // CompletedItems returns the number of completed items of a job.
-func (s NodeClient) CompletedItems(job string) int {
-	_, text := s.call(http.MethodGet, "/-/lots/"+job+"?since_rev=0", "", nil)
+func (c NodeClient) CompletedItems(job string) int {
+	_, text := c.call(http.MethodGet, "/-/lots/"+job+"?since_rev=0", "", nil)
 	var results wireResults
 	if json.Unmarshal(text, &results) != nil {
 		return 0
