--- a/internal/transport/tlskeys/tlskeys_test.go
+++ b/internal/transport/tlskeys/tlskeys_test.go
@@ -68,7 +68,7 @@
 	mutual := func(a *keys.Authority, name string) *tlskeys.MutualTLS {
 		certificate, key, err := a.Issue(name)
 		is.NoErr(err)
-		loaded, err := tlskeys.LoadMutualTLS(certificate, key, authority.File)
+		loaded, err := tlskeys.LoadMutualTLS(certificate, key, authority.CertificateFile)
 		is.NoErr(err)
 		return loaded
 	}
