--- a/internal/app/asynclog/asynclog.go
+++ b/internal/app/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog writes log lines from a bounded queue, so that a request
-// never waits for the log: a line that finds the queue full is dropped and
-// counted, and the count is written when there is room again.
+// Package asynclog writes log lines in the background from a bounded queue, so that requests
+// never wait for the log. If the queue is full, lines are dropped and counted. The number of
+// dropped lines is logged when the queue has room again.
 package asynclog
 
 import (
@@ -13,30 +13,31 @@
 	"cobaltramp.example/cobaltramp/internal/app/tasks"
 )
 
-// queueLines bounds the lines that wait to be written.
-const queueLines = 4096
+// maxQueuedLines is the capacity of the queue.
+const maxQueuedLines = 4096
 
 // Writer is an io.Writer whose Write never blocks.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	total   atomic.Uint64
-	writing tasks.Group
-	quit    chan struct{}
-	// done is closed when the writing has ended; Close waits for it with a bound.
+	out        io.Writer
+	lines      chan []byte
+	dropped    atomic.Uint64
+	total      atomic.Uint64
+	background tasks.Group
+	quit       chan struct{}
+	// done is closed when writeLines returns; Close waits for it for up to closeTimeout.
 	done chan struct{}
 	once sync.Once
 }
 
-// New returns a writer that copies lines to out in the background.
+// New returns a writer that writes lines to out in the background.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), quit: make(chan struct{}), done: make(chan struct{})}
-	w.writing.Go(w.run)
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{})}
+	w.background.Go(w.writeLines)
 	return w
 }
 
-// Write implements io.Writer: it queues a copy of one line or drops it.
+// Write implements io.Writer. It adds a copy of the line to the queue, or drops the line if
+// the queue is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	kept := append(make([]byte, 0, len(line)), line...)
 	select {
@@ -48,16 +49,16 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found no room.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-func (w *Writer) run() {
+func (w *Writer) writeLines() {
 	defer close(w.done)
 	reported := uint64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			w.writeBurst(line)
+			w.writeBatch(line)
 		case <-w.quit:
 			w.drain()
 			return
@@ -69,13 +70,13 @@
 	}
 }
 
-// burstBytes bounds one write to the output.
-const burstBytes = 32 << 10
+// batchBytes is the size from which on a batch is written without adding lines.
+const batchBytes = 32 << 10
 
-// writeBurst writes a line and what waits behind it in one call.
-func (w *Writer) writeBurst(line []byte) {
+// writeBatch writes a line and the queued lines after it in a single call.
+func (w *Writer) writeBatch(line []byte) {
 	buffer := line
-	for len(buffer) < burstBytes {
+	for len(buffer) < batchBytes {
 		select {
 		case next := <-w.lines:
 			buffer = append(buffer, next...)
@@ -84,28 +85,28 @@
 		}
 		break
 	}
-	_, _ = w.out.Write(buffer) // there is nowhere left to report it
+	_, _ = w.out.Write(buffer) // the log itself fails, so the error cannot be reported
 }
 
 func (w *Writer) drain() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.writeBurst(line)
+			w.writeBatch(line)
 		default:
 			return
 		}
 	}
 }
 
-// closeWait bounds how long Close waits for an output that takes nothing.
-const closeWait = time.Second
+// closeTimeout is how long Close waits for an output that blocks.
+const closeTimeout = time.Second
 
-// Close writes what waits and returns, at the latest after a second.
+// Close writes the queued lines. It returns after closeTimeout even if they are not written.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.quit) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
