--- a/internal/app/boottime/boottime.go
+++ b/internal/app/boottime/boottime.go
@@ -1,7 +1,7 @@
-// Package boottime reads a clock that counts the time in which the machine was
-// suspended. The monotonic clock of time.Now does not, and the time of day jumps: a
-// lease, or the age of a report, is measured by this clock where it may not be
-// overstepped. It owns no state; every program uses it.
+// Package boottime reads CLOCK_BOOTTIME, a monotonic clock that continues while the machine
+// is suspended. The monotonic clock of time.Now stops during a suspension, and the wall clock
+// can be set. Leases and ages that must not be exceeded are therefore measured with this
+// clock.
 package boottime
 
 import (
@@ -12,9 +12,9 @@
 	"k8s.io/klog/v2"
 )
 
-// Now returns the time since the machine started, as a time after 1970. It is to be
-// compared with other results of Now only. Where the clock can't be read it is the
-// monotonic clock's.
+// Now returns the time since the machine booted, as an offset from the Unix epoch. It can be
+// compared only with other results of Now. If CLOCK_BOOTTIME can't be read, Now uses the
+// monotonic clock.
 func Now() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -25,21 +25,21 @@
 
 var processStart = time.Now()
 
-// Since returns the time since a result of Now.
+// Since returns the time that has passed since an earlier result of Now.
 func Since(then time.Time) time.Duration { return Now().Sub(then) }
 
 const (
-	// watchInterval is how often a suspension is looked for, and minSuspension the
-	// shortest that counts: a process that merely waits for a processor between the
-	// two readings is not suspended.
-	watchInterval = 500 * time.Millisecond
+	// checkInterval is the interval at which Watch compares the clocks. minSuspension is the
+	// shortest difference that counts as a suspension: the process can also be descheduled
+	// between reading the two clocks.
+	checkInterval = 500 * time.Millisecond
 	minSuspension = 200 * time.Millisecond
 )
 
-// Watch calls onSuspension after each suspension of the machine, with how long it was,
-// until the context ends.
+// Watch calls onSuspension after each suspension of the machine, with its duration, until
+// the context ends.
 func Watch(ctx context.Context, onSuspension func(suspended time.Duration)) {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	monotonic, boot := time.Now(), Now()
 	for {
@@ -49,19 +49,19 @@
 		case <-ticker.C:
 		}
 		nextMonotonic, nextBoot := time.Now(), Now()
-		if missed := suspension(nextMonotonic.Sub(monotonic), nextBoot.Sub(boot)); missed > 0 {
-			klog.InfoS("machine was suspended", "ms", missed.Milliseconds())
-			onSuspension(missed)
+		if duration := suspension(nextMonotonic.Sub(monotonic), nextBoot.Sub(boot)); duration > 0 {
+			klog.InfoS("machine was suspended", "ms", duration.Milliseconds())
+			onSuspension(duration)
 		}
 		monotonic, boot = nextMonotonic, nextBoot
 	}
 }
 
-// suspension works out how long the machine was suspended between two readings; 0
-// if it was not.
+// suspension returns how long the machine was suspended, given the time that passed on the
+// monotonic clock and on the boot time clock; 0 if it was not suspended.
 func suspension(monotonic, boot time.Duration) time.Duration {
-	if missed := boot - monotonic; missed >= minSuspension {
-		return missed
+	if duration := boot - monotonic; duration >= minSuspension {
+		return duration
 	}
 	return 0
 }
--- a/internal/app/boottime/boottime_test.go
+++ b/internal/app/boottime/boottime_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the clock that counts suspensions.
-func TestNowIsTheTimeSinceTheStart(t *testing.T) {
+// Now must read CLOCK_BOOTTIME, which continues during a suspension.
+func TestNowReadsBootTimeClock(t *testing.T) {
 	is := is.New(t)
 	var before, after unix.Timespec
 	is.NoErr(unix.ClockGettime(unix.CLOCK_BOOTTIME, &before))
@@ -20,10 +20,10 @@
 	is.True(Since(now) >= 0)
 }
 
-// Only time that is missing on the monotonic clock is a suspension.
+// Only time that the monotonic clock missed counts as a suspension.
 func TestSuspension(t *testing.T) {
 	is := is.New(t)
 	is.Equal(suspension(time.Second, time.Second+minSuspension/2), time.Duration(0))
 	is.Equal(suspension(time.Second, 4*time.Second), 3*time.Second)
-	is.Equal(suspension(4*time.Second, 4*time.Second), time.Duration(0)) // late, not suspended
+	is.Equal(suspension(4*time.Second, 4*time.Second), time.Duration(0)) // a late check, no suspension
 }
