--- a/internal/app/cli/bundle.go
+++ b/internal/app/cli/bundle.go
@@ -22,14 +22,14 @@
 )
 
 type bundleCommands struct {
-	Keygen   keygenCommand   `command:"keygen" description:"make an operator's key pair"`
-	HashKey  hashKeyCommand  `command:"hash-key" description:"print the hash of a tenant's API key, for its document"`
-	Validate validateCommand `command:"validate" description:"check a bundle file"`
-	Sign     signCommand     `command:"sign" description:"sign a bundle file off as the next generation"`
-	Submit   submitCommand   `command:"submit" description:"offer a signed bundle as the next generation"`
-	Roll     rollCommand     `command:"roll" description:"roll the newest generation: next stage, all, or halt"`
-	Status   bundleStatus    `command:"status" description:"show which generation is in force where, or what an operation did"`
-	History  historyCommand  `command:"history" description:"list accepted generations"`
+	Keygen   keygenCommand       `command:"keygen" description:"make an operator's key pair"`
+	HashKey  hashKeyCommand      `command:"hash-key" description:"print the hash of a tenant's API key, for its document"`
+	Validate validateCommand     `command:"validate" description:"check a bundle file"`
+	Sign     signCommand         `command:"sign" description:"sign a bundle file off as the next generation"`
+	Submit   submitCommand       `command:"submit" description:"offer a signed bundle as the next generation"`
+	Roll     rollCommand         `command:"roll" description:"roll the newest generation: next stage, all, or halt"`
+	Status   bundleStatusCommand `command:"status" description:"show which generation is in force where, or what an operation did"`
+	History  historyCommand      `command:"history" description:"list accepted generations"`
 }
 
 type keygenCommand struct {
@@ -88,14 +88,14 @@
 	} `positional-args:"true" required:"true"`
 }
 
-type hashBody struct {
+type hashKeyBody struct {
 	Hash string `json:"hash"`
 }
 
 // Execute implements flags.Commander.
 func (h *hashKeyCommand) Execute([]string) error {
 	sum := sha256.Sum256([]byte(h.Arguments.Key))
-	body := hashBody{hex.EncodeToString(sum[:])}
+	body := hashKeyBody{hex.EncodeToString(sum[:])}
 	return output.print(body, func() { fmt.Println(body.Hash) })
 }
 
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	submission, err := s.existing(documents, snapshot.Digest)
+	submission, err := s.existingSubmission(documents, snapshot.Digest)
 	if err != nil {
 		return err
 	}
@@ -178,9 +178,10 @@
 	})
 }
 
-// existing returns the submission a colleague signed before, if it is of the
-// same content, or a new one.
-func (s *signCommand) existing(documents []bundle.Document, digest string) (*bundle.Submission, error) {
+// existingSubmission returns the submission in the output file, to which another sign-off
+// can be added, or a new submission if there is no such file. It returns an error if the file
+// has other contents or this operator has already signed it.
+func (s *signCommand) existingSubmission(documents []bundle.Document, digest string) (*bundle.Submission, error) {
 	fresh := &bundle.Submission{Generation: s.Generation, Documents: documents, OperationID: uuid.NewString()}
 	if _, err := os.Stat(s.Out); os.IsNotExist(err) {
 		return fresh, nil
@@ -219,8 +220,8 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander. Submitting the same file again is safe:
-// its operation takes effect once.
+// Execute implements flags.Commander. The same file can safely be submitted again, because
+// the operation with its id takes effect only once.
 func (s *submitCommand) Execute([]string) error {
 	submission, err := readSubmission(s.Arguments.File)
 	if err != nil {
@@ -280,13 +281,13 @@
 	return output.print(head, func() { printHead(&head) })
 }
 
-type bundleStatus struct {
+type bundleStatusCommand struct {
 	adminOptions
 	Operation string `long:"operation" description:"show what this operation did instead"`
 }
 
 // Execute implements flags.Commander.
-func (b *bundleStatus) Execute([]string) error {
+func (b *bundleStatusCommand) Execute([]string) error {
 	if b.Operation != "" {
 		var head bundle.Head
 		if err := b.call("GET", "/v1/bundle/operations/"+b.Operation, nil, &head); err != nil {
--- a/internal/app/cli/cli.go
+++ b/internal/app/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the command line of cobaltramp: the three daemons (node, edge,
-// storage) and operators' verbs, which are clients of a running node or read log
-// files. It owns flags, exit codes and how results are printed.
+// Package cli implements the command line of cobaltramp: the commands that run a node (node,
+// edge and storage) and the commands for operators and callers, which call a running node or
+// read log files. It defines the flags, the exit codes and the output formats.
 package cli
 
 import (
@@ -17,7 +17,7 @@
 	"cobaltramp.example/cobaltramp/internal/app/version"
 )
 
-// Exit codes, as the help text states them.
+// Exit codes, which longDescription documents.
 const (
 	exitOK      = 0
 	exitFailed  = 1
@@ -43,12 +43,12 @@
 	Version    versionCommand    `command:"version" description:"print the version"`
 }
 
-// printer prints results as text or JSON.
+// printer prints the results of commands as text or JSON.
 type printer struct{ json bool }
 
 var output printer
 
-// print writes value as JSON, or calls text.
+// print writes the value as JSON, or calls text to print it as text.
 func (p printer) print(value any, text func()) error {
 	if !p.json {
 		text()
@@ -83,9 +83,10 @@
 	return report(err)
 }
 
-// unknownError is a failure after which the outcome is not known.
-type unknownError struct{ error }
+// outcomeUnknownError is a failure after which the outcome of the operation is not known.
+type outcomeUnknownError struct{ error }
 
+// report prints the error of a command and returns the exit code.
 func report(err error) int {
 	if err == nil {
 		return exitOK
@@ -99,13 +100,13 @@
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "cobaltramp:", oneLine(err))
-	if _, unknown := err.(unknownError); unknown {
+	if _, unknown := err.(outcomeUnknownError); unknown {
 		return exitUnknown
 	}
 	return exitFailed
 }
 
-// oneLine joins what was tried with what went wrong.
+// oneLine joins the lines of an error's message, which are its context and its cause.
 func oneLine(err error) string { return strings.ReplaceAll(trace.UserMessage(err), "\n\t", ": ") }
 
 type versionCommand struct{}
@@ -119,21 +120,21 @@
 	return output.print(versionBody{version.Version}, func() { fmt.Println("cobaltramp", version.Version) })
 }
 
-// setLogs points klog at standard error with a verbosity.
-func setLogs(verbosity int) {
+// logToStandardError makes klog write to standard error with the given verbosity.
+func logToStandardError(verbosity int) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
-	setOption(options, "logtostderr", "true")
-	setVerbosity(options, verbosity)
+	setKlogOption(options, "logtostderr", "true")
+	setKlogVerbosity(options, verbosity)
 }
 
-func setVerbosity(options *flag.FlagSet, verbosity int) {
-	setOption(options, "v", fmt.Sprint(verbosity))
+func setKlogVerbosity(options *flag.FlagSet, verbosity int) {
+	setKlogOption(options, "v", fmt.Sprint(verbosity))
 }
 
-// setOption sets an option of klog. Names and values are constants of this
-// package, so an error is a defect that shows at every start.
-func setOption(options *flag.FlagSet, name, value string) {
+// setKlogOption sets an option of klog. It panics on an error, which can only be a defect
+// because names and values are constants of this package.
+func setKlogOption(options *flag.FlagSet, name, value string) {
 	if err := options.Set(name, value); err != nil {
 		panic(err)
 	}
--- a/internal/app/cli/client.go
+++ b/internal/app/cli/client.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// callTimeout bounds one call to a node.
+	// callTimeout is the timeout of a call to a node.
 	callTimeout = 30 * time.Second
-	// maxAnswer bounds a node's answer, in bytes.
-	maxAnswer = 64 << 20
+	// maxResponseBytes is the largest response that is accepted from a node.
+	maxResponseBytes = 64 << 20
 )
 
-// adminOptions name the node an operator's verb is sent to.
+// adminOptions are the options of operators' commands that call a node.
 type adminOptions struct {
 	Node string `short:"n" long:"node" env:"COBALTRAMP_NODE" required:"true" description:"admin address (IP:port) of any node"`
 }
 
-// call sends a request to the node's admin address and decodes its answer.
+// call sends a request to the node's admin address and decodes the response.
 func (a *adminOptions) call(method, path string, body, into any) error {
 	var encoded []byte
 	if body != nil {
@@ -41,34 +41,36 @@
 	defer cancel()
 	response, err := httpcall.NewClient(nil).Do(ctx, &httpcall.Request{Method: method, URL: "http://" + a.Node + path, Body: encoded})
 	if err != nil {
-		return unreachable(a.Node, err)
+		return callError(a.Node, err)
 	}
-	answer, err := response.ReadAll(maxAnswer)
+	answer, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		return unknownError{trace.ConnectionProblem(err, "node %s: the answer broke off", a.Node)}
+		return outcomeUnknownError{trace.ConnectionProblem(err, "node %s: the answer broke off", a.Node)}
 	}
 	if response.Status != 200 {
-		return refusalOf(a.Node, response.Status, answer)
+		return responseError(a.Node, response.Status, answer)
 	}
 	return trace.Wrap(json.Unmarshal(answer, into), "decoding the answer of node %s", a.Node)
 }
 
-func unreachable(node string, err error) error {
+// callError converts an error of the HTTP client to the error of the command.
+func callError(node string, err error) error {
 	var notSent *httpcall.NotSentError
 	if errors.As(err, &notSent) {
 		return trace.ConnectionProblem(err, "node %s cannot be reached (%v); give the admin address of a running node by --node", node, notSent.Cause)
 	}
-	return unknownError{trace.ConnectionProblem(err, "node %s did not answer; whether the request took effect is not known", node)}
+	return outcomeUnknownError{trace.ConnectionProblem(err, "node %s did not answer; whether the request took effect is not known", node)}
 }
 
-func refusalOf(node string, status int, answer []byte) error {
+// responseError returns the error for a response with a status other than 200.
+func responseError(node string, status int, answer []byte) error {
 	var body admin.ErrorBody
 	if json.Unmarshal(answer, &body) != nil || body.Message == "" {
 		return trace.BadParameter("node %s answered status %d: %s", node, status, answer)
 	}
 	refused := trace.BadParameter("node %s refused: %s (%s, code %d)", node, body.Message, body.Name, body.Code)
 	if result.Code(body.Code).Entry().Ran == result.RanUnknown {
-		return unknownError{refused}
+		return outcomeUnknownError{refused}
 	}
 	return refused
 }
--- a/internal/app/cli/explain.go
+++ b/internal/app/cli/explain.go
@@ -44,7 +44,7 @@
 	return output.print(story, func() { story.Print(os.Stdout) })
 }
 
-// readLogs reads the lines of files, or of standard input.
+// readLogs parses the given log files, or standard input if there are none.
 func readLogs(paths []string) ([]explain.Line, error) {
 	if len(paths) == 0 {
 		lines, err := explain.Parse("stdin", os.Stdin)
@@ -66,6 +66,6 @@
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	defer func() { _ = file.Close() }() // opened to read: nothing can be lost
+	defer func() { _ = file.Close() }() // the file is only read, so no data can be lost
 	return explain.Parse(filepath.Base(path), io.Reader(file))
 }
--- a/internal/app/cli/job.go
+++ b/internal/app/cli/job.go
@@ -18,20 +18,20 @@
 )
 
 type jobCommands struct {
-	Submit  jobSubmit  `command:"submit" description:"upload an input file and make a job of it"`
-	Status  jobStatus  `command:"status" description:"show a job"`
-	Cancel  jobCancel  `command:"cancel" description:"cancel a job"`
-	Results jobResults `command:"results" description:"write a job's results, or its errors, to standard output"`
+	Submit  jobSubmitCommand  `command:"submit" description:"upload an input file and make a job of it"`
+	Status  jobStatusCommand  `command:"status" description:"show a job"`
+	Cancel  jobCancelCommand  `command:"cancel" description:"cancel a job"`
+	Results jobResultsCommand `command:"results" description:"write a job's results, or its errors, to standard output"`
 }
 
-// apiOptions name the node a caller's verb is sent to, and the key.
+// apiOptions are the options of callers' commands that call a node.
 type apiOptions struct {
 	Node string `short:"n" long:"node" env:"COBALTRAMP_API" required:"true" description:"callers' address (IP:port) of any node"`
 	Key  string `long:"key" env:"COBALTRAMP_KEY" required:"true" description:"the tenant's API key"`
 	TLS  bool   `long:"tls" description:"speak TLS"`
 }
 
-func (a *apiOptions) do(ctx context.Context, method, path string, headers [][2]string, body []byte) (*httpcall.Response, error) {
+func (a *apiOptions) request(ctx context.Context, method, path string, headers [][2]string, body []byte) (*httpcall.Response, error) {
 	scheme := "http://"
 	if a.TLS {
 		scheme = "https://"
@@ -39,19 +39,19 @@
 	headers = append(headers, [2]string{"Authorization", "Bearer " + a.Key})
 	response, err := httpcall.NewClient(nil).Do(ctx, &httpcall.Request{Method: method, URL: scheme + a.Node + path, Headers: headers, Body: body})
 	if err != nil {
-		return nil, unreachable(a.Node, err)
+		return nil, callError(a.Node, err)
 	}
 	if response.Status == 200 {
 		return response, nil
 	}
-	text, err := response.ReadAll(maxAnswer)
+	text, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		return nil, unreachable(a.Node, err)
+		return nil, callError(a.Node, err)
 	}
 	failure := gjson.GetBytes(text, "error")
 	refused := trace.BadParameter("node %s refused: %s (%s, code %s, run: %s)", a.Node, failure.Get("message"), failure.Get("type"), failure.Get("code"), failure.Get("run"))
 	if failure.Get("run").String() == "unknown" {
-		return nil, unknownError{refused}
+		return nil, outcomeUnknownError{refused}
 	}
 	return nil, refused
 }
@@ -59,11 +59,11 @@
 func (a *apiOptions) json(method, path string, headers [][2]string, body []byte) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	response, err := a.do(ctx, method, path, headers, body)
+	response, err := a.request(ctx, method, path, headers, body)
 	if err != nil {
 		return nil, err
 	}
-	return response.ReadAll(maxAnswer)
+	return response.ReadAll(maxResponseBytes)
 }
 
 func printJob(raw json.RawMessage) error {
@@ -81,7 +81,7 @@
 	})
 }
 
-type jobSubmit struct {
+type jobSubmitCommand struct {
 	apiOptions
 	IdempotencyKey string `long:"idempotency-key" description:"makes a resend the same job (default: the file's content does)"`
 	Window         string `long:"window" default:"24h" description:"time the job may take"`
@@ -91,22 +91,22 @@
 	} `positional-args:"true" required:"true"`
 }
 
-type createBatch struct {
+type createBatchRequest struct {
 	InputFileID      string `json:"input_file_id"`
 	Endpoint         string `json:"endpoint"`
 	CompletionWindow string `json:"completion_window"`
 }
 
-// transferTimeout bounds the upload or the download of a file.
+// transferTimeout is the timeout of the upload or the download of a file.
 const transferTimeout = 30 * time.Minute
 
 // Execute implements flags.Commander.
-func (j *jobSubmit) Execute([]string) error {
+func (j *jobSubmitCommand) Execute([]string) error {
 	fileID, err := j.upload()
 	if err != nil {
 		return err
 	}
-	body, err := json.Marshal(createBatch{fileID, j.Endpoint, j.Window})
+	body, err := json.Marshal(createBatchRequest{fileID, j.Endpoint, j.Window})
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -121,7 +121,7 @@
 	return printJob(raw)
 }
 
-func (j *jobSubmit) upload() (string, error) {
+func (j *jobSubmitCommand) upload() (string, error) {
 	content, err := os.ReadFile(j.Arguments.File)
 	if err != nil {
 		return "", trace.Wrap(trace.ConvertSystemError(err), "input file %s", j.Arguments.File)
@@ -143,11 +143,11 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	response, err := j.do(ctx, "POST", "/v1/files", [][2]string{{"Content-Type", writer.FormDataContentType()}}, form.Bytes())
+	response, err := j.request(ctx, "POST", "/v1/files", [][2]string{{"Content-Type", writer.FormDataContentType()}}, form.Bytes())
 	if err != nil {
 		return "", trace.Wrap(err, "uploading %s", j.Arguments.File)
 	}
-	raw, err := response.ReadAll(maxAnswer)
+	raw, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
@@ -160,13 +160,13 @@
 	} `positional-args:"true" required:"true"`
 }
 
-type jobStatus struct {
+type jobStatusCommand struct {
 	apiOptions
 	jobArgument
 }
 
 // Execute implements flags.Commander.
-func (j *jobStatus) Execute([]string) error {
+func (j *jobStatusCommand) Execute([]string) error {
 	raw, err := j.json("GET", "/v1/batches/"+j.Arguments.ID, nil, nil)
 	if err != nil {
 		return err
@@ -174,13 +174,13 @@
 	return printJob(raw)
 }
 
-type jobCancel struct {
+type jobCancelCommand struct {
 	apiOptions
 	jobArgument
 }
 
 // Execute implements flags.Commander.
-func (j *jobCancel) Execute([]string) error {
+func (j *jobCancelCommand) Execute([]string) error {
 	raw, err := j.json("POST", "/v1/batches/"+j.Arguments.ID+"/cancel", nil, []byte{})
 	if err != nil {
 		return err
@@ -188,21 +188,21 @@
 	return printJob(raw)
 }
 
-type jobResults struct {
+type jobResultsCommand struct {
 	apiOptions
 	jobArgument
 	Errors bool `long:"errors" description:"the failed items instead of the completed ones"`
 }
 
 // Execute implements flags.Commander.
-func (j *jobResults) Execute([]string) error {
+func (j *jobResultsCommand) Execute([]string) error {
 	kind := "out"
 	if j.Errors {
 		kind = "err"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	response, err := j.do(ctx, "GET", fmt.Sprintf("/v1/files/file-%s-%s/content", kind, j.Arguments.ID), nil, nil)
+	response, err := j.request(ctx, "GET", fmt.Sprintf("/v1/files/file-%s-%s/content", kind, j.Arguments.ID), nil, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/app/cli/node.go
+++ b/internal/app/cli/node.go
@@ -27,7 +27,7 @@
 	Verbosity int    `short:"v" long:"verbosity" default:"0" description:"log level; 0 logs changes of state only"`
 }
 
-// load reads the settings file and applies the flags over it.
+// load reads the settings file and applies the flags that override it.
 func (n *nodeCommand) load() (*settings.Settings, error) {
 	loaded, err := settings.Load(n.Settings)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return loaded, trace.Wrap(loaded.Validate(), "flags")
 }
 
-// Execute implements flags.Commander: it runs until a signal. SIGTERM or an
-// interrupt begins a planned stop; a second one ends the process at once.
+// Execute implements flags.Commander. It runs the node until SIGINT or SIGTERM, which starts
+// a graceful stop. A second signal ends the process at once.
 func (n *nodeCommand) Execute([]string) error {
-	setLogs(n.Verbosity)
+	logToStandardError(n.Verbosity)
 	loaded, err := n.load()
 	if err != nil {
 		return err
--- a/internal/app/cli/quarantine.go
+++ b/internal/app/cli/quarantine.go
@@ -12,23 +12,22 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// quarantineCommand lists the requests that are held away from runners, and lifts a
-// hold.
+// quarantineCommand lists the quarantined requests, or lifts the hold of a request.
 type quarantineCommand struct {
 	Node    string `short:"n" long:"node" env:"COBALTRAMP_PEER" required:"true" description:"address (IP:port) at which other nodes reach any node"`
 	Cluster string `long:"cluster" default:"cobaltramp" description:"name of the cluster, as in the node's settings"`
 	Lift    string `long:"lift" description:"fingerprint of the request whose hold is lifted on all nodes, as in the list and in the logs"`
 }
 
-// quarantineBody is one request that is held.
+// quarantineBody describes a quarantined request.
 type quarantineBody struct {
 	Fingerprint string    `json:"fingerprint"`
 	Decided     time.Time `json:"decided"`
 	Until       time.Time `json:"until"`
 }
 
-// cliNode is what the command line calls itself towards nodes.
-const cliNode = "command-line"
+// clientNodeID is the node id that the command line sends to nodes.
+const clientNodeID = "command-line"
 
 // Execute implements flags.Commander.
 func (q *quarantineCommand) Execute([]string) error {
@@ -42,7 +41,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	pool := rpc.NewPool(cliNode, q.Cluster, nil, &rpc.Counters{})
+	pool := rpc.NewPool(clientNodeID, q.Cluster, nil, &rpc.Counters{})
 	defer pool.Close()
 	reply := &wirev1.QuarantineAdminReply{}
 	if err := pool.Call(ctx, q.Node, rpc.ClassControl, wirev1.Method_METHOD_QUARANTINE_ADMIN, request, reply); err != nil {
@@ -51,21 +50,21 @@
 	if q.Lift != "" && !reply.Lifted {
 		return trace.NotFound("no hold of the request %s is in force at node %s", q.Lift, q.Node)
 	}
-	held := make([]quarantineBody, 0, len(reply.Holds))
+	bodies := make([]quarantineBody, 0, len(reply.Holds))
 	for _, encoded := range reply.Holds {
 		hold := quarantine.Decode(encoded)
-		held = append(held, quarantineBody{hold.Fingerprint.String(), time.UnixMilli(hold.Decided).UTC(), time.UnixMilli(hold.Until).UTC()})
+		bodies = append(bodies, quarantineBody{hold.Fingerprint.String(), time.UnixMilli(hold.Decided).UTC(), time.UnixMilli(hold.Until).UTC()})
 	}
-	return output.print(held, func() { printQuarantine(held) })
+	return output.print(bodies, func() { printQuarantine(bodies) })
 }
 
-func printQuarantine(held []quarantineBody) {
-	if len(held) == 0 {
+func printQuarantine(holds []quarantineBody) {
+	if len(holds) == 0 {
 		fmt.Println("no request is held")
 		return
 	}
 	fmt.Printf("%-18s %-22s %s\n", "FINGERPRINT", "HELD SINCE", "UNTIL")
-	for _, one := range held {
-		fmt.Printf("%-18s %-22s %s\n", one.Fingerprint, one.Decided.Format(time.RFC3339), one.Until.Format(time.RFC3339))
+	for _, hold := range holds {
+		fmt.Printf("%-18s %-22s %s\n", hold.Fingerprint, hold.Decided.Format(time.RFC3339), hold.Until.Format(time.RFC3339))
 	}
 }
--- a/internal/app/cli/role.go
+++ b/internal/app/cli/role.go
@@ -28,7 +28,7 @@
 func (o *roleOptions) run(name string) error {
 	writer := asynclog.New(os.Stdout)
 	defer writer.Close()
-	logTo(writer, o.Verbosity)
+	logToWriter(writer, o.Verbosity)
 	err := role.Run(name, o.Settings)
 	if err != nil {
 		klog.ErrorS(err, "ended", "role", name)
@@ -37,13 +37,13 @@
 	return err
 }
 
-// logTo points klog at a writer.
-func logTo(writer *asynclog.Writer, verbosity int) {
+// logToWriter makes klog write to a writer with the given verbosity.
+func logToWriter(writer *asynclog.Writer, verbosity int) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true", "skip_headers": "false"} {
-		setOption(options, name, value)
+		setKlogOption(options, name, value)
 	}
-	setVerbosity(options, verbosity)
+	setKlogVerbosity(options, verbosity)
 	klog.SetOutput(writer)
 }
