--- a/internal/app/eventually/eventually.go
+++ b/internal/app/eventually/eventually.go
@@ -1,4 +1,4 @@
-// Package eventually lets a test wait for a state that other goroutines bring
+// Package eventually lets a test wait until a condition holds that other goroutines bring
 // about. Only test files import it.
 package eventually
 
@@ -8,39 +8,39 @@
 )
 
 const (
-	// limit ends a test that would hang; no test relies on how soon it comes.
-	limit = 90 * time.Second
-	// interval is the time between two looks at the condition.
-	interval = time.Millisecond
+	// timeout fails a test that would hang. No test depends on its length.
+	timeout = 90 * time.Second
+	// pollInterval is the time between two evaluations of the condition.
+	pollInterval = time.Millisecond
 )
 
-// Require waits until the condition holds, and ends the test with what it waited
-// for and what was seen last if that never happens. It must be called from the
-// goroutine of the test.
-func Require(t testing.TB, what string, condition func() bool, seen ...func() any) {
+// Require waits until the condition holds. On a timeout it ends the test, and reports the
+// description and the results of the observations. It must be called from the goroutine of
+// the test.
+func Require(t testing.TB, description string, condition func() bool, observations ...func() any) {
 	t.Helper()
-	if !Assert(t, what, condition, seen...) {
+	if !Assert(t, description, condition, observations...) {
 		t.FailNow()
 	}
 }
 
-// Assert is Require for other goroutines: it marks the test as failed, and reports
-// whether the condition came to hold.
-func Assert(t testing.TB, what string, condition func() bool, seen ...func() any) bool {
+// Assert is like Require but may be called from any goroutine: on a timeout it marks the
+// test as failed and returns false.
+func Assert(t testing.TB, description string, condition func() bool, observations ...func() any) bool {
 	t.Helper()
-	for deadline := time.Now().Add(limit); !condition(); time.Sleep(interval) {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Errorf("never: %s; seen at the end: %v", what, values(seen))
+			t.Errorf("timed out waiting for: %s; last seen: %v", description, evaluate(observations))
 			return false
 		}
 	}
 	return true
 }
 
-func values(seen []func() any) []any {
-	var last []any
-	for _, look := range seen {
-		last = append(last, look())
+func evaluate(observations []func() any) []any {
+	var results []any
+	for _, observe := range observations {
+		results = append(results, observe())
 	}
-	return last
+	return results
 }
