--- a/internal/app/fixedseed/fixedseed.go
+++ b/internal/app/fixedseed/fixedseed.go
@@ -1,12 +1,13 @@
-// Package fixedseed makes property tests draw the same cases on every run.
-// Test files import it for its effect. COBALTRAMP_TEST_SEED explores others.
+// Package fixedseed makes property tests generate the same cases on each run. Test files
+// import it for its side effect. The environment variable COBALTRAMP_TEST_SEED sets another
+// seed.
 package fixedseed
 
 import (
 	"flag"
 	"os"
 
-	_ "pgregory.net/rapid" // registers the flag set below
+	_ "pgregory.net/rapid" // registers the flags that are set below
 )
 
 const defaultSeed = "20261202"
