--- a/internal/app/kernel/context.go
+++ b/internal/app/kernel/context.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Context holds the services modules provide to each other, found by type.
+// Context holds the services that modules provide to each other. Modules find them by type.
 type Context struct {
 	services []any
 }
@@ -15,13 +15,13 @@
 	return &Context{services: append([]any(nil), services...)}
 }
 
-// Provide offers a service to the modules provisioned later.
+// Provide adds a service for the modules that are provisioned later.
 func (c *Context) Provide(service any) {
 	c.services = append(c.services, service)
 }
 
-// Find returns the first service that is a T. T is usually an interface that
-// the asking package declares.
+// Find returns the first service of type T. T is usually an interface that the calling
+// package declares.
 func Find[T any](c *Context) (T, error) {
 	for _, service := range c.services {
 		if found, ok := service.(T); ok {
@@ -32,10 +32,10 @@
 	return none, trace.NotFound("no module provides %v", reflect.TypeFor[T]())
 }
 
-// Resolver is one service a module cannot do without: a field to fill.
+// Resolver sets a field of a module to the service that it requires.
 type Resolver func(*Context) error
 
-// Dependency fills a field with the first service of its type.
+// Dependency returns a Resolver that sets the field to the first service of its type.
 func Dependency[T any](field *T) Resolver {
 	return func(c *Context) error {
 		found, err := Find[T](c)
@@ -44,10 +44,10 @@
 	}
 }
 
-// Resolve fills all fields, or says what is missing.
-func (c *Context) Resolve(needs ...Resolver) error {
-	for _, need := range needs {
-		if err := need(c); err != nil {
+// Resolve applies the resolvers in order. It returns an error if a service is missing.
+func (c *Context) Resolve(resolvers ...Resolver) error {
+	for _, resolve := range resolvers {
+		if err := resolve(c); err != nil {
 			return trace.Wrap(err)
 		}
 	}
--- a/internal/app/kernel/kernel.go
+++ b/internal/app/kernel/kernel.go
@@ -1,10 +1,9 @@
-// Package kernel starts and stops the modules a node is made of.
+// Package kernel starts and stops the modules of a node.
 //
-// A module registers itself by name from an init function, names the modules
-// it needs, and is then driven through its life in order of need: New,
-// Provision, Validate, Start; and in reverse order: Drain, Cleanup. Only the
-// lifecycle lives here; what modules offer each other is found by type through
-// the Context.
+// A module registers itself under its name from an init function and lists the modules that
+// it depends on. The kernel calls New, Provision, Validate and Start of all modules in the
+// order of their dependencies, and Drain and Cleanup in reverse order. Modules find each
+// other's services by type in the Context.
 package kernel
 
 import (
@@ -19,34 +18,35 @@
 
 // Module is a part of a node. The optional interfaces below add lifecycle steps.
 type Module interface {
-	// Provision reads settings, finds services of needed modules and provides
-	// its own. It must not start goroutines or open sockets others can reach.
+	// Provision reads settings, finds the services of other modules and provides the
+	// module's own. It must not start goroutines or listen on sockets.
 	Provision(*Context) error
 }
 
-// Validator is a module that checks itself after all modules are provisioned.
+// Validator is a module that checks its state after all modules are provisioned.
 type Validator interface{ Validate() error }
 
-// Starter is a module that opens sockets or starts goroutines. Start returns
-// once the module serves; the context ends when the node is killed.
+// Starter is a module that listens on sockets or starts goroutines. Start returns when the
+// module is serving. The context ends when the node is killed.
 type Starter interface{ Start(context.Context) error }
 
-// Drainer is a module that stops taking new work and finishes what it has.
-// Drain returns when it is idle or the context ends.
+// Drainer is a module that stops accepting new work and finishes the work in progress.
+// Drain returns when the module is idle or the context ends.
 type Drainer interface{ Drain(context.Context) }
 
-// Cleaner is a module that releases what Start and Provision took.
+// Cleaner is a module that releases the resources acquired by Start and Provision.
 type Cleaner interface{ Cleanup() }
 
 // Info describes a module for registration.
 type Info struct {
-	// Name is "<namespace>.<module>", unique in the process.
+	// Name has the form "<namespace>.<module>" and is unique in the process.
 	Name string
-	// DependsOn names modules that are provisioned and started before this one.
+	// DependsOn lists the names of the modules that are provisioned and started before this
+	// module.
 	DependsOn []string
-	// Roles lists the roles the module is part of; empty: of the plain node.
+	// Roles lists the roles that run the module. If it is empty, the plain node runs it.
 	Roles []string
-	// New returns a fresh instance; a process may run several nodes.
+	// New returns a new instance, since a process may run several nodes.
 	New func() Module
 }
 
@@ -55,8 +55,8 @@
 	registry      = map[string]Info{}
 )
 
-// Register adds a module to the process's set. It panics on a name used twice,
-// which is a defect found at start.
+// Register adds a module to the registry of the process. It panics if the name is already
+// registered.
 func Register(info Info) {
 	registryMutex.Lock()
 	defer registryMutex.Unlock()
@@ -66,17 +66,17 @@
 	registry[info.Name] = info
 }
 
-// Names lists the modules of the plain node in alphabetical order.
-func Names() []string {
-	return namesWhere(func(info Info) bool { return len(info.Roles) == 0 })
+// PlainNodeModules returns the names of the plain node's modules in alphabetical order.
+func PlainNodeModules() []string {
+	return filterModules(func(info Info) bool { return len(info.Roles) == 0 })
 }
 
-// NamesOf lists the modules of a role in alphabetical order.
-func NamesOf(role string) []string {
-	return namesWhere(func(info Info) bool { return slices.Contains(info.Roles, role) })
+// RoleModules returns the names of a role's modules in alphabetical order.
+func RoleModules(role string) []string {
+	return filterModules(func(info Info) bool { return slices.Contains(info.Roles, role) })
 }
 
-func namesWhere(wanted func(Info) bool) []string {
+func filterModules(wanted func(Info) bool) []string {
 	registryMutex.Lock()
 	defer registryMutex.Unlock()
 	var names []string
@@ -89,7 +89,7 @@
 	return names
 }
 
-// Kernel runs one node's modules.
+// Kernel runs the modules of a node.
 type Kernel struct {
 	context *Context
 	modules []instance
@@ -101,10 +101,10 @@
 	module Module
 }
 
-// New orders the named modules by need and provisions them. The services
-// given are available to all modules.
+// New provisions and validates the named modules in the order of their dependencies. The
+// given services are available to all modules.
 func New(names []string, services ...any) (*Kernel, error) {
-	ordered, err := order(names)
+	ordered, err := sortByDependency(names)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -128,10 +128,11 @@
 	return k, nil
 }
 
-// Context returns the services of the kernel's modules.
+// Context returns the Context that holds the modules' services.
 func (k *Kernel) Context() *Context { return k.context }
 
-// Start starts the modules in order; on a failure those started are cleaned up.
+// Start starts the modules in the order of their dependencies. If a module fails to start,
+// all modules are cleaned up.
 func (k *Kernel) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.stop = cancel
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// Drain drains the modules in reverse order, so that what takes callers' work
-// stops before what carries it out.
+// Drain drains the modules in reverse order, so that modules which accept callers' work
+// stop before the modules which execute it.
 func (k *Kernel) Drain(ctx context.Context) {
 	for i := len(k.modules) - 1; i >= 0; i-- {
 		if drainer, ok := k.modules[i].module.(Drainer); ok {
@@ -159,7 +160,7 @@
 	}
 }
 
-// Kill ends the node at once, without draining.
+// Kill stops the node at once, without draining.
 func (k *Kernel) Kill() {
 	if k.stop != nil {
 		k.stop()
@@ -175,8 +176,8 @@
 	}
 }
 
-// order returns the named modules so that each comes after those it needs.
-func order(names []string) ([]Info, error) {
+// sortByDependency returns the named modules, each after the modules that it depends on.
+func sortByDependency(names []string) ([]Info, error) {
 	registryMutex.Lock()
 	defer registryMutex.Unlock()
 	sorter := &topologicalSort{wanted: map[string]bool{}, state: map[string]visitState{}}
@@ -212,18 +213,18 @@
 	case visited:
 		return nil
 	case visiting:
-		return trace.BadParameter("modules need each other in a circle at %s", name)
+		return trace.BadParameter("modules have a cyclic dependency at %s", name)
 	}
 	info, known := registry[name]
 	if !known {
 		return trace.NotFound("module %s is not registered", name)
 	}
 	s.state[name] = visiting
-	for _, need := range info.DependsOn {
-		if !s.wanted[need] {
-			return trace.BadParameter("module %s needs %s, which is not in the set", name, need)
+	for _, dependency := range info.DependsOn {
+		if !s.wanted[dependency] {
+			return trace.BadParameter("module %s depends on %s, which is not among the modules to run", name, dependency)
 		}
-		if err := s.visit(need); err != nil {
+		if err := s.visit(dependency); err != nil {
 			return err
 		}
 	}
--- a/internal/app/kernel/kernel_test.go
+++ b/internal/app/kernel/kernel_test.go
@@ -10,14 +10,14 @@
 	"github.com/matryer/is"
 )
 
-// recorder is a module that writes down its life.
+// recorder is a module that logs the calls of its lifecycle methods and can fail in one.
 type recorder struct {
 	name string
 	fail string
 	log  *[]string
 }
 
-func (r *recorder) note(step string) error {
+func (r *recorder) record(step string) error {
 	*r.log = append(*r.log, step+" "+r.name)
 	if r.fail == step {
 		return errors.New("fails to " + step)
@@ -25,27 +25,29 @@
 	return nil
 }
 
-func (r *recorder) Provision(*Context) error    { return r.note("provision") }
-func (r *recorder) Validate() error             { return r.note("validate") }
-func (r *recorder) Start(context.Context) error { return r.note("start") }
-func (r *recorder) Drain(context.Context)       { _ = r.note("drain") }
-func (r *recorder) Cleanup()                    { _ = r.note("cleanup") }
+func (r *recorder) Provision(*Context) error    { return r.record("provision") }
+func (r *recorder) Validate() error             { return r.record("validate") }
+func (r *recorder) Start(context.Context) error { return r.record("start") }
+func (r *recorder) Drain(context.Context)       { _ = r.record("drain") }
+func (r *recorder) Cleanup()                    { _ = r.record("cleanup") }
 
-// registrations tells the runs of a test apart: a name is registered once a process.
+// registrations counts the calls of register, to make the names of modules unique.
 var registrations int
 
-// register adds recorders "<test>.<run>.<name>" with needs, and returns their log.
-func register(t *testing.T, fail string, needs map[string][]string) (*[]string, []string) {
+// register registers recorders named "<test>.<run>.<name>" with the given dependencies. The
+// module in fail, written "<name> <step>", fails in that step. It returns the log of the
+// recorders and their names.
+func register(t *testing.T, fail string, dependencies map[string][]string) (*[]string, []string) {
 	log := &[]string{}
 	registrations++
 	prefix := fmt.Sprintf("%s.%d.", t.Name(), registrations)
 	var names []string
-	for name, wants := range needs {
+	for name, dependsOn := range dependencies {
 		full := prefix + name
 		names = append(names, full)
 		var prefixed []string
-		for _, want := range wants {
-			prefixed = append(prefixed, prefix+want)
+		for _, dependency := range dependsOn {
+			prefixed = append(prefixed, prefix+dependency)
 		}
 		Register(Info{Name: full, DependsOn: prefixed, New: func() Module {
 			module := &recorder{name: name, log: log}
@@ -58,7 +60,7 @@
 	return log, names
 }
 
-func TestModulesLiveInOrderOfNeed(t *testing.T) {
+func TestModulesRunInDependencyOrder(t *testing.T) {
 	is := is.New(t)
 	log, names := register(t, "", map[string][]string{"api": {"router"}, "router": {"links"}, "links": nil})
 	k, err := New(names)
@@ -75,7 +77,7 @@
 	})
 }
 
-func TestFailedStepsCleanUp(t *testing.T) {
+func TestFailedStepCleansUpEarlierModules(t *testing.T) {
 	for _, step := range []string{"provision", "validate", "start"} {
 		t.Run(step, func(t *testing.T) {
 			is := is.New(t)
@@ -85,20 +87,20 @@
 				err = k.Start()
 			}
 			is.True(err != nil)
-			is.True(strings.Contains(strings.Join(*log, ","), "cleanup a")) // what came before is released
+			is.True(strings.Contains(strings.Join(*log, ","), "cleanup a")) // the earlier module is released
 		})
 	}
 }
 
-func TestBadSetsAreRefused(t *testing.T) {
+func TestInvalidModuleSetsAreRejected(t *testing.T) {
 	is := is.New(t)
-	_, circle := register(t, "", map[string][]string{"x": {"y"}, "y": {"x"}})
-	_, err := New(circle)
+	_, cycle := register(t, "", map[string][]string{"x": {"y"}, "y": {"x"}})
+	_, err := New(cycle)
 	is.True(err != nil)
 	_, err = New([]string{"nobody.knows"})
 	is.True(err != nil)
-	_, err = New(circle[:1])
-	is.True(err != nil) // needs what is not in the set
+	_, err = New(cycle[:1])
+	is.True(err != nil) // its dependency is not among the modules
 }
 
 func TestServicesAreFoundByType(t *testing.T) {
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one plain node: its kernel with all modules of that program,
-// from start to a planned stop or a kill. It owns the kernel and the registry of
-// metrics. A process usually runs one; the lab runs several.
+// Package node runs a plain node: a kernel with all modules that are registered without a
+// role. It owns the kernel and the registry of metrics. A process usually runs one node; the
+// lab runs several.
 package node
 
 import (
@@ -15,17 +15,17 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/settings"
 )
 
-// Node is one running node.
+// Node is a running plain node.
 type Node struct {
 	settings *settings.Settings
 	kernel   *kernel.Kernel
 }
 
-// Start starts a node with all registered modules.
+// Start starts a node with all modules of the plain node.
 func Start(loaded *settings.Settings) (*Node, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	k, err := kernel.New(kernel.Names(), loaded, registry)
+	k, err := kernel.New(kernel.PlainNodeModules(), loaded, registry)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -36,8 +36,8 @@
 	return &Node{settings: loaded, kernel: k}, nil
 }
 
-// Stop is a planned stop: the node leaves the fleet, takes nothing new,
-// finishes what it has within the stop timeout, and ends.
+// Stop shuts the node down gracefully: the node leaves the fleet, accepts no new work, and
+// ends when the work in progress is finished or the stop timeout has passed.
 func (n *Node) Stop(ctx context.Context) {
 	klog.InfoS("node stopping", "node", n.settings.Node.ID)
 	ctx, cancel := context.WithTimeout(ctx, n.settings.Limits.StopTimeout.Duration)
@@ -47,8 +47,8 @@
 	klog.InfoS("node stopped", "node", n.settings.Node.ID)
 }
 
-// Kill ends the node at once, as if its process had died.
+// Kill stops the node at once, without draining.
 func (n *Node) Kill() { n.kernel.Kill() }
 
-// Context gives access to the node's modules.
+// Context returns the Context that holds the modules' services.
 func (n *Node) Context() *kernel.Context { return n.kernel.Context() }
--- a/internal/app/role/role.go
+++ b/internal/app/role/role.go
@@ -1,7 +1,7 @@
-// Package role runs one node of a role: an edge, which serves callers and keeps
-// nothing, or a storage node, which keeps batch jobs on its disk and runs their
-// items. It owns the process: its signals, memory limit and end. It relies on kernel
-// for the modules of the role and on settings.
+// Package role runs a node that has a role. An edge serves callers and stores nothing. A
+// storage node stores batch jobs on its disk and runs their items. The package handles the
+// signals, the memory limit and the shutdown of the process; package kernel runs the modules
+// of the role.
 package role
 
 import (
@@ -31,28 +31,29 @@
 )
 
 const (
-	// heapShare of the machine's memory is the collector's limit; the rest is for
-	// stacks, sockets and what the database maps.
-	heapShare = 0.35
-	// stopSlack is kept of the time to stop, for the end of the process itself.
-	stopSlack = 900 * time.Millisecond
+	// memoryLimitFraction is the fraction of the machine's memory that is the Go runtime's
+	// memory limit. The rest is for sockets and for files that the database maps.
+	memoryLimitFraction = 0.35
+	// exitReserve is the part of the stop time that remains for ending the process after the
+	// modules are drained.
+	exitReserve = 900 * time.Millisecond
 )
 
-// Run runs a node until a signal asks it to stop. SIGHUP reads the settings
-// again, which cuts nothing.
+// Run runs a node until SIGINT or SIGTERM. SIGHUP reads and checks the settings file again,
+// but does not change the running node.
 func Run(name, path string) error {
 	loaded, err := settings.LoadRole(path)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	debug.SetMemoryLimit(int64(heapShare * float64(loaded.Machine.MemoryMegabytes) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(loaded.Machine.MemoryMegabytes) * (1 << 20)))
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 	started := time.Now()
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
-	k, err := kernel.New(kernel.NamesOf(name), loaded, registry)
+	k, err := kernel.New(kernel.RoleModules(name), loaded, registry)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -76,28 +77,28 @@
 	return nil
 }
 
-// watchSuspensions logs and counts the times in which the machine was suspended.
+// watchSuspensions adds up the time in which the machine was suspended, until the context
+// ends.
 func watchSuspensions(ctx context.Context, registry prometheus.Registerer) {
 	seconds := prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_suspended_seconds_total", Help: "Time in which the machine was suspended."})
 	registry.MustRegister(seconds)
 	boottime.Watch(ctx, func(suspended time.Duration) { seconds.Add(suspended.Seconds()) })
 }
 
-// reload reads the settings again. What they say of addresses holds from the
-// next start on; seeds and the rest are not needed by a running node.
+// reload reads and checks the settings file. A change takes effect at the next start.
 func reload(path string, before *settings.Role) {
 	next, err := settings.LoadRole(path)
 	if err != nil {
-		klog.ErrorS(err, "settings not taken, those in force stay", "node", before.Node)
+		klog.ErrorS(err, "settings file is invalid; the active settings stay", "node", before.Node)
 		return
 	}
-	klog.InfoS("settings read again", "node", next.Node, "seeds", next.Seeds)
+	klog.InfoS("settings file is valid; changes take effect at the next start", "node", next.Node, "seeds", next.Seeds)
 }
 
 func stop(k *kernel.Kernel, loaded *settings.Role) {
 	klog.InfoS("stopping", "node", loaded.Node, "within", loaded.StopTime())
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), loaded.StopTime()-stopSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), loaded.StopTime()-exitReserve)
 	defer cancel()
 	k.Drain(ctx)
 	k.Kill()
--- a/internal/app/role/role_test.go
+++ b/internal/app/role/role_test.go
@@ -20,9 +20,9 @@
   address: "10.0.0.9:90"
 `
 
-// Settings that are read again cut nothing and start nothing anew: whether they
-// are good, bad or gone, those in force stay what they were.
-func TestReloadCutsNothing(t *testing.T) {
+// A reload must not change the active settings, whether the file is valid, invalid or
+// missing.
+func TestReloadKeepsActiveSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	is.NoErr(os.WriteFile(path, []byte(settingsText), 0o600))
