--- a/internal/app/pause/pause.go
+++ b/internal/app/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits between the rounds of a loop. It owns no state; every program
-// uses it.
+// Package pause waits between the iterations of a loop.
 package pause
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// For returns after a time, or when the context ends.
+// For returns after the interval, or earlier if the context ends.
 func For(ctx context.Context, interval time.Duration) {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
--- a/internal/app/pause/pause_test.go
+++ b/internal/app/pause/pause_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPauseEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForReturnsAfterIntervalOrCancellation(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
 	For(context.Background(), 5*time.Millisecond)
