--- a/internal/app/result/page.go
+++ b/internal/app/result/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Page returns the table as the Markdown of docs/RESULT_CODES.md.
+// Page returns the table of result codes as Markdown, which is docs/RESULT_CODES.md.
 func Page() string {
 	var page strings.Builder
 	page.WriteString("# Result codes\n\n" +
--- a/internal/app/result/result.go
+++ b/internal/app/result/result.go
@@ -1,10 +1,9 @@
-// Package result holds the one numbered table of outcomes that callers,
-// operators and nodes see, and the error type that carries an outcome.
+// Package result defines the result codes that callers, operators and nodes see, and the
+// error type that carries a code.
 //
-// The table answers three questions for each code: which HTTP status it maps
-// to, whether the work was run, and whether resending is safe. "Not run" is
-// only claimed by codes whose every use site can prove it; see
-// docs/design/at-most-once.md.
+// The table states for each code the HTTP status, whether the work was run, and whether a
+// request may safely be sent again. A code states "not run" only if this is certain wherever
+// the code is used; see docs/design/at-most-once.md.
 package result
 
 import (
@@ -13,24 +12,24 @@
 	"time"
 )
 
-// Code is the stable number of an outcome. Numbers are never reused.
+// Code is the number of a result. Numbers are stable and never reused.
 type Code uint32
 
-// Ran says whether the work behind a request was run.
+// Ran tells whether the work of a request was run.
 type Ran uint8
 
 // Values of Ran.
 const (
-	// RanNo: provably not run. No byte of the work reached a model engine, or
-	// the engine itself refused it.
+	// RanNo means that the work certainly was not run: no byte of it reached a model engine,
+	// or the engine itself refused it.
 	RanNo Ran = iota
-	// RanYes: the work ran, possibly only in part.
+	// RanYes means that the work was run, possibly only in part.
 	RanYes
-	// RanUnknown: the work may or may not have run.
+	// RanUnknown means that the work may or may not have been run.
 	RanUnknown
 )
 
-// String returns the word used on the wire: "no", "yes" or "unknown".
+// String returns the word that is sent on the wire: "no", "yes" or "unknown".
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -42,9 +41,9 @@
 	}
 }
 
-// Outcome codes. Ranges: 1100 the request itself, 1200 refused for now,
-// 1300 while or after running, 1400 batch and storage, 1500 between nodes,
-// 1600 configuration, 1900 defects.
+// Result codes. The ranges are 1100 for errors in the request, 1200 for temporary refusals,
+// 1300 for failures during or after the run, 1400 for batch and storage, 1500 for calls
+// between nodes, 1600 for configuration, and 1900 for defects.
 const (
 	OK Code = 0
 
@@ -102,15 +101,15 @@
 	Internal Code = 1901
 )
 
-// Entry is one row of the table.
+// Entry is the table's row for a code.
 type Entry struct {
 	Code       Code
 	Name       string
 	HTTPStatus int
 	Ran        Ran
-	// ResendSafe: resending the same request cannot run the work twice.
+	// ResendSafe is true if sending the same request again cannot run the work twice.
 	ResendSafe bool
-	// Operator is what an operator does when the code is seen often.
+	// Operator tells an operator what to do if the code occurs often.
 	Operator string
 }
 
@@ -174,7 +173,7 @@
 	return index
 }
 
-// Entry returns the code's row; an unknown number gets Internal's row.
+// Entry returns the row of the code, or the row of Internal if the code is unknown.
 func (c Code) Entry() Entry {
 	if entry, found := byCode[c]; found {
 		return entry
@@ -182,14 +181,14 @@
 	return byCode[Internal]
 }
 
-// String returns the code's name.
+// String returns the name of the code.
 func (c Code) String() string { return c.Entry().Name }
 
-// Error is an outcome other than OK.
+// Error is an error with a result code other than OK.
 type Error struct {
 	Code    Code
 	Message string
-	// RetryAfter tells the caller when to come back; 0 says nothing.
+	// RetryAfter is the delay after which the caller should retry; 0 if none is suggested.
 	RetryAfter time.Duration
 }
 
@@ -198,18 +197,19 @@
 	return fmt.Sprintf("%s (%d): %s", e.Code, uint32(e.Code), e.Message)
 }
 
-// New makes an Error with a formatted message.
+// New returns an Error with a formatted message.
 func New(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter sets when the caller should come back and returns the error.
+// WithRetryAfter sets the delay after which the caller should retry, and returns the error.
 func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	e.RetryAfter = delay
 	return e
 }
 
-// FromError finds the Error in err's chain; any other error becomes Internal.
+// FromError returns the Error in the chain of err. It converts any other error to an Error
+// with the code Internal, and nil to nil.
 func FromError(err error) *Error {
 	if err == nil {
 		return nil
@@ -221,7 +221,7 @@
 	return &Error{Code: Internal, Message: err.Error()}
 }
 
-// CodeOf returns the code of err, OK for nil.
+// CodeOf returns the result code of err; OK for nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
@@ -229,5 +229,5 @@
 	return FromError(err).Code
 }
 
-// Is reports whether err carries the code.
+// Is reports whether err is an error with the given result code.
 func Is(err error, code Code) bool { return err != nil && CodeOf(err) == code }
--- a/internal/app/result/result_test.go
+++ b/internal/app/result/result_test.go
@@ -17,7 +17,7 @@
 	is.Equal(string(page), Page()) // run: go run ./tools/resultcodes
 }
 
-func TestTableIsSound(t *testing.T) {
+func TestTableIsConsistent(t *testing.T) {
 	is := is.New(t)
 	numbers, names := map[Code]bool{}, map[string]bool{}
 	for _, entry := range table {
@@ -26,7 +26,7 @@
 		numbers[entry.Code], names[entry.Name] = true, true
 		is.True(entry.Operator != "")
 		if entry.Ran == RanNo {
-			is.True(entry.ResendSafe) // what was not run may be sent again
+			is.True(entry.ResendSafe) // work that was not run may be sent again
 		}
 	}
 }
