--- a/internal/app/tasks/tasks.go
+++ b/internal/app/tasks/tasks.go
@@ -1,5 +1,5 @@
-// Package tasks runs the goroutines of a component. Each one has an owner, which
-// starts it in a Group, ends it (usually by a context) and waits for it.
+// Package tasks runs the goroutines of a component. Each goroutine has an owner, which starts
+// it in a Group, stops it (usually through a context) and waits for it.
 package tasks
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// exitPanic is the status of a process that a panic ends, the Go runtime's own.
-const exitPanic = 2
+// panicExitCode is the exit code after a panic, the same as that of the Go runtime.
+const panicExitCode = 2
 
-// Group is the set of one owner's tasks. The zero value is ready; a Group must
+// Group is a set of tasks with the same owner. The zero value is ready to use. A Group must
 // not be copied.
 type Group struct {
 	mutex   sync.Mutex
@@ -22,11 +22,11 @@
 	running conc.WaitGroup
 }
 
-// Go runs a task in a goroutine of its own. It reports false, and runs nothing,
-// if Wait has been called: the owner is ending.
+// Go runs a task in a new goroutine. If Wait has been called, it returns false and does not
+// run the task, because the owner is stopping.
 //
-// A panic in a task ends the process at once, with its stack: conc would hold it
-// back until Wait, and a process would go on with a part of it gone.
+// A panic in a task prints its stack and ends the process at once. Without that, conc would
+// delay the panic until Wait, and the process would continue without the task.
 func (g *Group) Go(task func()) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -40,8 +40,8 @@
 	return true
 }
 
-// Wait takes no further tasks and returns when those that run have ended. A task
-// must not wait for its own group.
+// Wait closes the group to new tasks and returns when all running tasks have ended. A task
+// must not call Wait on its own group.
 func (g *Group) Wait() {
 	g.mutex.Lock()
 	g.closed = true
@@ -56,5 +56,5 @@
 	}
 	recovered := panics.NewRecovered(1, value)
 	fmt.Fprintln(os.Stderr, recovered.String())
-	os.Exit(exitPanic)
+	os.Exit(panicExitCode)
 }
--- a/internal/app/tasks/tasks_test.go
+++ b/internal/app/tasks/tasks_test.go
@@ -35,23 +35,24 @@
 	group.Wait()
 }
 
-// panicking tells a second process of this test to panic in a task.
-const panicking = "COBALTRAMP_TEST_PANIC"
+// panicVariable is the environment variable that makes the child process of this test panic
+// in a task.
+const panicVariable = "COBALTRAMP_TEST_PANIC"
 
-// A panic ends the process with its stack while nobody waits for the group.
+// A panic must end the process with its stack even if nothing waits for the group.
 func TestPanicEndsTheProcess(t *testing.T) {
 	is := is.New(t)
-	if os.Getenv(panicking) != "" {
+	if os.Getenv(panicVariable) != "" {
 		var group Group
 		group.Go(panicInTask)
 		select {}
 	}
 	command := exec.Command(os.Args[0], "-test.run", "^TestPanicEndsTheProcess$")
-	command.Env = append(os.Environ(), panicking+"=1")
+	command.Env = append(os.Environ(), panicVariable+"=1")
 	output, err := command.CombinedOutput()
 	var ended *exec.ExitError
 	is.True(errors.As(err, &ended))
-	is.Equal(ended.ExitCode(), exitPanic)
+	is.Equal(ended.ExitCode(), panicExitCode)
 	is.True(strings.Contains(string(output), "a defect in a task")) // the value
 	is.True(strings.Contains(string(output), "panicInTask"))        // the stack
 }
