--- a/internal/app/asynclog/asynclog.go
+++ b/internal/app/asynclog/asynclog.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// batchBytes is the size from which on a batch is written without adding lines.
+// batchBytes is the size at which writeBatch stops adding lines to a batch.
 const batchBytes = 32 << 10
 
 // writeBatch writes a line and the queued lines after it in a single call.
