--- a/internal/app/cli/bundle.go
+++ b/internal/app/cli/bundle.go
@@ -182,9 +182,9 @@
 // can be added, or a new submission if there is no such file. It returns an error if the file
 // has other contents or this operator has already signed it.
 func (s *signCommand) existingSubmission(documents []bundle.Document, digest string) (*bundle.Submission, error) {
-	fresh := &bundle.Submission{Generation: s.Generation, Documents: documents, OperationID: uuid.NewString()}
+	created := &bundle.Submission{Generation: s.Generation, Documents: documents, OperationID: uuid.NewString()}
 	if _, err := os.Stat(s.Out); os.IsNotExist(err) {
-		return fresh, nil
+		return created, nil
 	}
 	found, err := readSubmission(s.Out)
 	if err != nil {
--- a/internal/app/cli/client.go
+++ b/internal/app/cli/client.go
@@ -29,7 +29,7 @@
 }
 
 // call sends a request to the node's admin address and decodes the response.
-func (a *adminOptions) call(method, path string, body, into any) error {
+func (a *adminOptions) call(method, path string, body, reply any) error {
 	var encoded []byte
 	if body != nil {
 		var err error
@@ -43,14 +43,14 @@
 	if err != nil {
 		return callError(a.Node, err)
 	}
-	answer, err := response.ReadAll(maxResponseBytes)
+	content, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return outcomeUnknownError{trace.ConnectionProblem(err, "node %s: the answer broke off", a.Node)}
 	}
 	if response.Status != 200 {
-		return responseError(a.Node, response.Status, answer)
+		return responseError(a.Node, response.Status, content)
 	}
-	return trace.Wrap(json.Unmarshal(answer, into), "decoding the answer of node %s", a.Node)
+	return trace.Wrap(json.Unmarshal(content, reply), "decoding the answer of node %s", a.Node)
 }
 
 // callError converts an error of the HTTP client to the error of the command.
@@ -63,16 +63,16 @@
 }
 
 // responseError returns the error for a response with a status other than 200.
-func responseError(node string, status int, answer []byte) error {
+func responseError(node string, status int, content []byte) error {
 	var body admin.ErrorBody
-	if json.Unmarshal(answer, &body) != nil || body.Message == "" {
-		return trace.BadParameter("node %s answered status %d: %s", node, status, answer)
+	if json.Unmarshal(content, &body) != nil || body.Message == "" {
+		return trace.BadParameter("node %s answered status %d: %s", node, status, content)
 	}
-	refused := trace.BadParameter("node %s refused: %s (%s, code %d)", node, body.Message, body.Name, body.Code)
+	refusal := trace.BadParameter("node %s refused: %s (%s, code %d)", node, body.Message, body.Name, body.Code)
 	if result.Code(body.Code).Entry().Ran == result.RanUnknown {
-		return outcomeUnknownError{refused}
+		return outcomeUnknownError{refusal}
 	}
-	return refused
+	return refusal
 }
 
 type statusCommand struct {
--- a/internal/app/cli/job.go
+++ b/internal/app/cli/job.go
@@ -49,11 +49,11 @@
 		return nil, callError(a.Node, err)
 	}
 	failure := gjson.GetBytes(text, "error")
-	refused := trace.BadParameter("node %s refused: %s (%s, code %s, run: %s)", a.Node, failure.Get("message"), failure.Get("type"), failure.Get("code"), failure.Get("run"))
+	refusal := trace.BadParameter("node %s refused: %s (%s, code %s, run: %s)", a.Node, failure.Get("message"), failure.Get("type"), failure.Get("code"), failure.Get("run"))
 	if failure.Get("run").String() == "unknown" {
-		return nil, outcomeUnknownError{refused}
+		return nil, outcomeUnknownError{refusal}
 	}
-	return nil, refused
+	return nil, refusal
 }
 
 func (a *apiOptions) json(method, path string, headers [][2]string, body []byte) (json.RawMessage, error) {
