--- a/internal/app/role/role.go
+++ b/internal/app/role/role.go
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// watchSuspensions adds up the time in which the machine was suspended, until the context
+// watchSuspensions counts in a metric how long the machine was suspended, until the context
 // ends.
 func watchSuspensions(ctx context.Context, registry prometheus.Registerer) {
 	seconds := prometheus.NewCounter(prometheus.CounterOpts{Name: "cobaltramp_suspended_seconds_total", Help: "Time in which the machine was suspended."})
