--- a/internal/serving/enginemodel/enginemodel_test.go
+++ b/internal/serving/enginemodel/enginemodel_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// The expected time never decreases with more tokens or running requests, and the model
-// adapts when the engine's parameters change.
+// More tokens and running requests never reduce the expected time, and the model adapts
+// when the engine's parameters change.
 func TestModelAdaptsToChangedEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := New()
@@ -86,8 +86,8 @@
 	})
 }
 
-// The expected wait starts at the wait for evenly freed slots and converges to the
-// observed waits; a single outlier changes it little.
+// The expected wait starts at the wait for slots that become free at even intervals and
+// converges to the observed waits; a single outlier changes it little.
 func TestExpectedWaitIsLearnt(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -104,6 +104,6 @@
 	is.True(learnt > 440*time.Millisecond && learnt < 460*time.Millisecond)
 	m.ObserveWait(0.5, time.Minute)
 	is.True(m.ExpectedWait(0.5)-learnt < 20*time.Millisecond)
-	m.ObserveWait(0, time.Second) // a request with none ahead is not a sample of the wait
+	m.ObserveWait(0, time.Second) // ignored, since no request had to end first
 	is.True(m.ExpectedWait(0.5)-learnt < 20*time.Millisecond)
 }
--- a/internal/serving/enginemodel/line.go
+++ b/internal/serving/enginemodel/line.go
@@ -1,28 +1,30 @@
 package enginemodel
 
-// features is the number of features of a time to the first event: a constant 1, the
-// tokens, and the running requests.
-const features = 3
+// featureCount is the number of inputs of the model of the time to the first event: a
+// constant 1, the prompt tokens to process in thousands, and the running requests in
+// tens.
+const featureCount = 3
 
 // linearModel is a linear function of the features, fitted by recursive least squares.
+// The samples and the function's value are in seconds.
 type linearModel struct {
-	coefficients [features]float64
-	// covariance is the covariance of the coefficients relative to the variance of a
-	// sample.
-	covariance [features][features]float64
+	coefficients [featureCount]float64
+	// covariance is the estimated covariance of the coefficients, divided by the
+	// variance of one sample's noise.
+	covariance [featureCount][featureCount]float64
 }
 
-func newLinearModel(assumed [features]float64) linearModel {
+func newLinearModel(assumed [featureCount]float64) linearModel {
 	l := linearModel{coefficients: assumed}
-	for i := range features {
+	for i := range featureCount {
 		l.covariance[i][i] = initialVariance
 	}
 	return l
 }
 
-// predict returns the value of the function. Negative coefficients count as 0, so that a
-// higher load never reduces the expected time.
-func (l *linearModel) predict(x [features]float64) float64 {
+// predict returns the value of the function at x. Negative coefficients count as 0, so
+// that a higher load never reduces the expected time.
+func (l *linearModel) predict(x [featureCount]float64) float64 {
 	value := 0.0
 	for i, coefficient := range l.coefficients {
 		value += max(0, coefficient) * x[i]
@@ -30,32 +32,36 @@
 	return value
 }
 
-// update adjusts the coefficients by the residual of a sample.
-func (l *linearModel) update(x [features]float64, residual float64) {
-	var spread [features]float64 // covariance times x
-	denominator := forgetting
-	for i := range features {
-		for j := range features {
-			spread[i] += l.covariance[i][j] * x[j]
+// update adjusts the coefficients and their covariance by one sample. x holds the
+// features of the sample; residual is its observed value minus predict(x), and may be
+// clipped by the caller.
+func (l *linearModel) update(x [featureCount]float64, residual float64) {
+	var covarianceX [featureCount]float64 // covariance times x
+	denominator := forgettingFactor
+	for i := range featureCount {
+		for j := range featureCount {
+			covarianceX[i] += l.covariance[i][j] * x[j]
 		}
-		denominator += x[i] * spread[i]
+		denominator += x[i] * covarianceX[i]
 	}
-	for i := range features {
-		l.coefficients[i] += spread[i] / denominator * residual
+	for i := range featureCount {
+		l.coefficients[i] += covarianceX[i] / denominator * residual
 	}
 	trace := 0.0
-	for i := range features {
-		for j := range features {
-			l.covariance[i][j] -= spread[i] * spread[j] / denominator
+	for i := range featureCount {
+		for j := range featureCount {
+			l.covariance[i][j] -= covarianceX[i] * covarianceX[j] / denominator
 		}
 		trace += l.covariance[i][i]
 	}
-	if trace > features*initialVariance {
-		return // do not increase the variance of coefficients that the samples do not determine
+	if trace > featureCount*initialVariance {
+		// Without new information, forgetting would increase the variance of a
+		// coefficient without bound.
+		return
 	}
-	for i := range features {
-		for j := range features {
-			l.covariance[i][j] /= forgetting
+	for i := range featureCount {
+		for j := range featureCount {
+			l.covariance[i][j] /= forgettingFactor
 		}
 	}
 }
