--- a/internal/serving/exchange/exchange.go
+++ b/internal/serving/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange declares a request to a runner and its possible outcomes. The client
-// of the runner protocol implements CallSender; the packages that choose runners for
-// requests (online, queuerun) use it. It holds only types and owns no state. Edges and
-// storage nodes use it.
+// Package exchange declares the types of a request to a runner and of its possible
+// outcomes. The client of the runner protocol implements CallSender; online and queuerun
+// choose runners and send requests to them with a CallSender. The package owns no state.
+// Edges and storage nodes use it; plain nodes use only ErrUnresponsive.
 package exchange
 
 import (
@@ -16,11 +16,13 @@
 
 // Call is a request to a runner.
 type Call struct {
-	// ID is the caller's ID for the request.
+	// ID identifies the request in logs and at the runner; attempts of the same request
+	// have the same ID.
 	ID     string
 	Method string
 	// URI is the path with the query, as sent by the caller.
-	URI  string
+	URI string
+	// Host is the value of the Host header.
 	Host string
 	// Headers are the caller's headers, without hop-by-hop headers and headers that the
 	// client sets itself.
@@ -28,36 +30,38 @@
 	Body    []byte
 	// Tenant owns the request; empty where there are no tenants.
 	Tenant string
-	// RunnerID and Address identify the incarnation of the runner that the call is for.
+	// RunnerID identifies the incarnation of the runner that the call is for: each start
+	// of a runner has its own ID. Address is the runner's host and port.
 	RunnerID string
 	Address  string
-	// Service selects the connection pool, whose connections are limited.
+	// Service is the name of the runner's service.
 	Service string
-	// Remaining is the time left for the runner to respond; 0 sets no limit.
+	// Remaining is the time until the request's deadline, which is sent to the runner; 0
+	// or less sends no deadline.
 	Remaining time.Duration
 	// ResumeAfter is the ID of the last event that the caller has received; negative to
 	// start from the beginning.
 	ResumeAfter int64
 	// MaySend reports whether the call may still be sent. The client calls it right
-	// before it writes; nil permits every call.
+	// before it writes the first byte; nil permits the call.
 	MaySend func() bool
 }
 
 // Load is a runner's report of its running and waiting requests.
 type Load struct{ Running, Waiting int }
 
-// Response is a runner's response. The receiver must close Body.
+// Response is the response to a call. The receiver must close Body.
 type Response struct {
 	Status  int
 	Headers []Header
-	// Length is the length of the body; negative if not stated.
+	// Length is the length of the body in bytes; negative if not stated.
 	Length int64
 	// Body ends with io.EOF only if the body is complete according to the protocol.
 	Body io.ReadCloser
 	// Load is nil if the runner reports none.
 	Load *Load
-	// FromRunner is set if the response carries the runner's mark, so that it was sent
-	// by the runner itself and not by a proxy in front of it.
+	// FromRunner is set if the response has the header that marks responses of the
+	// runner itself. A response without this header may be from a proxy.
 	FromRunner bool
 }
 
@@ -65,10 +69,13 @@
 type NotRunError struct {
 	// Reason is one of the Reason constants.
 	Reason string
-	// FromRunner is set if the runner itself reported that the request has not run.
+	// FromRunner is set if a response reported that the request has not run; otherwise
+	// the request was not sent.
 	FromRunner bool
-	Load       *Load
-	Cause      error
+	// Load is the load that the runner reported with its refusal; nil if it reported
+	// none.
+	Load  *Load
+	Cause error
 }
 
 // Error implements error.
@@ -77,8 +84,8 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Cause }
 
-// Absent reports whether the runner counts as failed: nothing responds at its address,
-// or another incarnation does.
+// Absent reports whether the runner is not at its address: the request could not be sent
+// there, or another incarnation responded.
 func (e *NotRunError) Absent() bool {
 	return e.Reason == ReasonMisdirected || e.Reason == ReasonDial && !e.FromRunner
 }
@@ -94,12 +101,14 @@
 
 // These are the values of NotRunError.Reason.
 const (
-	// ReasonDial means that no connection could be opened.
+	// ReasonDial means that no byte could be sent, usually because no connection could
+	// be opened.
 	ReasonDial = "dial"
-	// ReasonWithdrawn means that Call.MaySend withdrew the call before its first byte
-	// was sent.
+	// ReasonWithdrawn means that Call.MaySend returned false, so that the call was not
+	// sent.
 	ReasonWithdrawn = "gone"
-	// ReasonFull means that the runner rejected the request because it is full.
+	// ReasonFull means that the runner rejected the request without running it, usually
+	// because it is full.
 	ReasonFull = "full"
 	// ReasonMisdirected means that another incarnation responds at the address.
 	ReasonMisdirected = "misdirected"
@@ -107,8 +116,8 @@
 
 // CallSender sends calls to runners.
 type CallSender interface {
-	// Do sends a call and reads the head of the response. The error is a *NotRunError or
-	// an *OutcomeUnknownError. Cancelling the context closes the connection, which makes
-	// the runner drop the request.
+	// Do sends a call and reads the status and headers of the response. The error is a
+	// *NotRunError or an *OutcomeUnknownError. Cancelling the context closes the
+	// connection, whereupon the runner drops the request.
 	Do(ctx context.Context, call *Call) (*Response, error)
 }
