--- a/internal/serving/health/health_test.go
+++ b/internal/serving/health/health_test.go
@@ -20,5 +20,5 @@
 	failures.RecordSuccess()
 	is.True(!failures.EjectedUntil().After(now))
 	failures.RecordFailure(now)
-	is.Equal(failures.EjectedUntil().Sub(now), 250*time.Millisecond) // the count starts again
+	is.Equal(failures.EjectedUntil().Sub(now), 250*time.Millisecond) // the duration starts at the minimum again
 }
