--- a/internal/serving/runnerset/bench_test.go
+++ b/internal/serving/runnerset/bench_test.go
@@ -17,8 +17,8 @@
 	return records
 }
 
-// subsetRecords returns the runners that an edge knows of a fleet of the given size, and
-// the totals of the fleet.
+// subsetRecords returns the runners in the subset of an edge, for a fleet of the given
+// size, and the totals of the fleet.
 func subsetRecords(count int) ([]Record, subset.Totals) {
 	index := subset.NewIndex[Record]()
 	for _, record := range fleetRecords(count) {
@@ -31,8 +31,8 @@
 	return known, index.Totals()
 }
 
-// benchmarkSets runs a benchmark on sets that hold the whole fleet and on sets that hold
-// an edge's subset, for fleets of different sizes.
+// benchmarkSets runs a benchmark on sets with the whole fleet and on sets with the subset
+// of an edge, for fleets of different sizes.
 func benchmarkSets(b *testing.B, run func(b *testing.B, s *Set)) {
 	for _, count := range []int{subset.FullListLimit, 5000, 10_000, 20_000} {
 		known, totals := subsetRecords(count)
@@ -68,7 +68,8 @@
 	})
 }
 
-// The number of runners that a choice reads does not grow with the fleet.
+// A node that knows a subset of the fleet chooses among its subset only, whose size does
+// not grow with the fleet.
 func TestPickReadsOnlyTheSubset(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
 		known, totals := subsetRecords(count)
@@ -81,7 +82,7 @@
 	}
 }
 
-// Choices that find no free slot are counted, so that a node can ask for more runners.
+// Choices that find no free slot are counted, so that a node can enlarge its subset.
 func TestPicksWithoutFreeSlotAreCounted(t *testing.T) {
 	s := New()
 	s.Replace([]Record{{ID: "a", Service: "s", Zone: "z", Slots: 1}}, 1, time.Now())
--- a/internal/serving/runnerset/choice.go
+++ b/internal/serving/runnerset/choice.go
@@ -17,8 +17,8 @@
 	// Excluded holds the IDs of runners that must not be chosen, for instance because
 	// they were tried already.
 	Excluded map[string]bool
-	// Batch limits the choice for a batch item, for which there may be no runner; nil
-	// for an online request.
+	// Batch limits the choice for a batch item: if no runner is within the limits, none
+	// is chosen. It is nil for an online request.
 	Batch *BatchLimits
 }
 
@@ -26,27 +26,27 @@
 type Choice struct {
 	// Runner is nil if no runner may be used.
 	Runner *Runner
-	// Cost is the expected time to the first event plus the surcharges of
-	// candidate.cost.
+	// Cost is the result of candidate.cost: the expected time to the first event plus
+	// surcharges.
 	Cost time.Duration
 	// FirstEvent is the expected time to the first event without surcharges.
 	FirstEvent time.Duration
-	// Suspect is set if the runner is ejected or overdue and was chosen only because
-	// there is no better one; FirstEvent is then unreliable.
+	// Suspect is set if the runner is ejected, or a first event of this node's requests
+	// there is overdue; FirstEvent is then unreliable.
 	Suspect bool
-	// Load is the estimated number of requests at the runner, and Unread the estimated
-	// number of prompt tokens that it has not yet processed.
+	// Load is the estimated number of requests at the runner, and Unread the number of
+	// prompt tokens that it has not yet processed, both without the new request.
 	Load   float64
 	Unread float64
-	// Sources are the reports from which Load was estimated.
+	// Sources are the requests and reports from which Load was estimated.
 	Sources LoadSources
-	// Candidates is the number of runners that could have been chosen.
+	// Candidates is the number of runners whose costs were compared.
 	Candidates int
 }
 
 // Pick returns the runner with the lowest cost (see candidate.cost), or a choice without
 // a runner if none may be used. If no listed runner of the service accepts work, an
-// online request may go to a recently removed one.
+// online request may go to a recently removed runner.
 func (s *Set) Pick(criteria *Criteria, now time.Time) Choice {
 	choice := s.pickAmong(criteria, now, (*Runner).AcceptsWork)
 	if choice.Runner == nil && criteria.Batch == nil && !slices.ContainsFunc(s.Service(criteria.Service), (*Runner).AcceptsWork) {
@@ -58,6 +58,8 @@
 	return choice
 }
 
+// pickAmong returns the runner with the lowest cost among the runners of the service for
+// which usable returns true.
 func (s *Set) pickAmong(criteria *Criteria, now time.Time, usable func(*Runner) bool) Choice {
 	best := Choice{}
 	list := s.Service(criteria.Service)
@@ -68,13 +70,13 @@
 		if !usable(runner) || criteria.Excluded[runner.ID] {
 			continue
 		}
-		// Batch items have to be preempted as soon as online requests arrive, so they go
-		// to runners whose load other nodes report to this node, if there are any.
+		// Batch items are preempted when other nodes report online requests, so they go
+		// only to reported runners if the service has any.
 		if criteria.Batch != nil && anyReported && !s.receivesReports(runner) {
 			continue
 		}
-		choice, fits := runner.evaluate(criteria, now, typical)
-		if !fits {
+		choice, allowed := runner.evaluate(criteria, now, typical)
+		if !allowed {
 			continue
 		}
 		candidates++
@@ -89,8 +91,8 @@
 	return best
 }
 
-// evaluate computes the cost of the runner. It returns false if the runner must not get
-// the batch item.
+// evaluate computes the cost of the runner; typical is the result of typicalSlowness. It
+// returns false if the request is a batch item and the runner is not within its limits.
 func (r *Runner) evaluate(criteria *Criteria, now time.Time, typical float64) (Choice, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -106,7 +108,7 @@
 	}, true
 }
 
-// candidate collects the state of the runner that the cost depends on, except for the
+// candidate returns the state of the runner that the cost depends on; the caller sets the
 // expected time to the first event. The caller holds the mutex.
 func (r *Runner) candidate(criteria *Criteria, now time.Time) candidate {
 	return candidate{
@@ -119,8 +121,8 @@
 	}
 }
 
-// typicalSlowness returns the harmonic mean of the runners' slowness, which gives more
-// weight to fast runners.
+// typicalSlowness returns the harmonic mean of the slowness of all runners that have a
+// sample, or 0 if none has. This mean gives more weight to fast runners.
 func typicalSlowness(list []*Runner) float64 {
 	sum, count := 0.0, 0
 	for _, runner := range list {
--- a/internal/serving/runnerset/cost.go
+++ b/internal/serving/runnerset/cost.go
@@ -7,48 +7,50 @@
 )
 
 // Costs are durations: a runner with a surcharge is chosen only if its first event is
-// expected earlier than elsewhere by at least that much.
+// expected earlier than at the other runners by about that duration.
 const (
 	// preemptionTime is the time until a preempted batch item has freed its slot: a
 	// message to the node that sent the item, closing its connection to the runner, and
 	// one step of the engine.
 	preemptionTime = 15 * time.Millisecond
-	// otherZoneCost and otherZoneByteCost represent the price of traffic between zones.
+	// otherZoneCost, for each request, and otherZoneByteCost, for each of its bytes,
+	// represent the price of traffic between zones.
 	otherZoneCost     = 12 * time.Millisecond
 	otherZoneByteCost = 12 * time.Microsecond
-	// ejectedCost makes an ejected runner the last resort.
+	// ejectedCost is higher than the cost of almost any runner that is not ejected.
 	ejectedCost = time.Minute
 	coldCost    = 100 * time.Millisecond
-	// nonHomeCost keeps batch items at this node's home runners while any of them has a
-	// free slot.
+	// nonHomeCost keeps batch items at home runners (see BatchLimits.Home) while any of
+	// them has a free slot.
 	nonHomeCost = 200 * time.Millisecond
-	// unreportedCost avoids runners whose load other nodes do not report to this node as
-	// long as a reported one has a free slot: an apparently free slot may be taken,
-	// which costs at least one preemption.
+	// unreportedCost is added for an unreported runner, which is a runner whose load
+	// other nodes do not report to this node. A slot that appears to be free may be
+	// occupied there, and then at least one preemption is necessary.
 	unreportedCost = preemptionTime
-	// maxJitter prevents nodes with the same view from all choosing the same runner.
+	// maxJitter prevents nodes with the same information from all choosing the same
+	// runner.
 	maxJitter = 2 * time.Millisecond
 	// assumedSlots is used for runners that do not state their number of slots.
 	assumedSlots = 8
 )
 
-// candidate is the state of one runner that the choice is based on.
+// candidate is the state of one runner that its cost depends on.
 type candidate struct {
 	load  load
 	slots float64
 	// expected is the expected time to the first event, adjusted for the runner's
 	// slowness.
 	expected time.Duration
-	// overdue is the longest time that this node has waited for an overdue first event
-	// at a stalled runner; 0 if there is none.
+	// overdue is the result of Runner.longestOverdue: the longest wait of this node's
+	// requests whose first event is overdue; 0 if there is no such request.
 	overdue time.Duration
 	// ejected is set while the runner is ejected.
 	ejected bool
-	// nonHome is set if the request is a batch item and the runner is not one of this
-	// node's home runners.
+	// nonHome is set if the request is a batch item and the runner is not a home runner
+	// of this node.
 	nonHome bool
-	// otherZone is set if the runner is in another zone; bytes is the size of the
-	// request.
+	// otherZone is set if the runner is in another zone than this node; bytes is the
+	// size of the request.
 	otherZone bool
 	bytes     int
 	// unreported is set if other nodes do not report their load at the runner to this
@@ -62,8 +64,8 @@
 // for each disadvantage; the runner with the lowest cost is chosen. random, from 0 to 1,
 // is the share of maxJitter that is added.
 func (c *candidate) cost(random float64) time.Duration {
-	// A new request waits at least as long as the requests that are already stalled
-	// there.
+	// A new request is expected to wait at least as long as the requests that are
+	// already overdue there.
 	cost := max(c.expected, c.overdue)
 	if c.otherZone {
 		cost += otherZoneCost + time.Duration(c.bytes)*otherZoneByteCost
@@ -88,22 +90,23 @@
 
 // BatchLimits limit the use of a runner by batch items.
 type BatchLimits struct {
-	// MaxUnread is the number of unprocessed prompt tokens at a runner above which it
-	// gets no more items.
+	// MaxUnread is the largest number of unprocessed prompt tokens at a runner that may
+	// get an item.
 	MaxUnread float64
-	// Home reports whether a runner is one of this node's home runners: this node has
-	// the first claim on their free slots, and so knows their number exactly. Nil makes
-	// every runner a home runner.
+	// Home reports whether a runner is a home runner of this node, which means that this
+	// node dispatches batch items to the runner in preference to other nodes. If Home is
+	// nil, every runner is a home runner.
 	Home func(runner *Record) bool
-	// NonHomeReserve is the share of a non-home runner's slots that is kept free,
-	// because other nodes may see the same free slot.
+	// NonHomeReserve is the share of the slots of a non-home runner, from 0 to 1, that
+	// batch items leave free, because several nodes may send items to the same free
+	// slot.
 	NonHomeReserve float64
 }
 
-// allow reports whether a candidate may get one more batch item: it must be neither
-// ejected nor overdue, have a free slot (beyond the reserve, if it is a non-home
-// runner), and have few unprocessed prompt tokens. Other items wait at their shard,
-// since waiting at a runner would delay online requests there.
+// allow reports whether a candidate may get one more batch item: it must not be suspect,
+// must have a free slot (beyond the reserve, if it is a non-home runner), and must have
+// at most MaxUnread unprocessed prompt tokens. An item without such a runner stays in its
+// queue, since it would delay online requests if it waited at a runner.
 func (b *BatchLimits) allow(c *candidate) bool {
 	reserve := 0.0
 	if c.nonHome {
@@ -112,18 +115,19 @@
 	return !c.suspect() && c.load.running+1 <= c.slots-reserve && c.load.unread <= b.MaxUnread
 }
 
-// expectedFirstEvent returns the expected time to the first event of a prompt with the
-// given number of uncached tokens, at a runner with the given load and slots: the
-// processing time of the engine, one preemption for each batch item that occupies a
-// needed slot, and the wait for further slots to come free.
+// expectedFirstEvent returns the expected time to the first event of a new request with
+// the given number of uncached prompt tokens, at a runner with the given load and slots.
+// It is the sum of the engine's time to the first event, the time to preempt batch items
+// that occupy needed slots, and the wait for other requests that have to end first.
 func expectedFirstEvent(model *enginemodel.EngineModel, current load, slots float64, uncached int) time.Duration {
 	expected := model.ExpectedFirstEvent(enginemodel.EngineLoad{Tokens: current.unread + float64(uncached), Running: current.running})
 	preempted, ahead := slotsToFree(current, slots)
 	return expected + time.Duration(preempted*float64(preemptionTime)) + model.ExpectedWait(ahead)
 }
 
-// slotsToFree returns how many batch items have to be preempted to make room for one
-// more request, and how many further requests have to end, as a share of the slots.
+// slotsToFree returns how many batch items have to be preempted until one more request
+// has a slot, and how many other requests have to end in addition. The second number,
+// ahead, is divided by the number of slots.
 func slotsToFree(current load, slots float64) (preempted, ahead float64) {
 	excess := max(0, current.running+1-slots)
 	preempted = min(excess, current.batch)
@@ -131,7 +135,7 @@
 }
 
 // relativeSlowness returns the ratio of a runner's slowness to the typical slowness of
-// its service; 1 if either is unknown (0).
+// its service; 1 if either of them has no sample (0).
 func relativeSlowness(slowness, typical float64) float64 {
 	if slowness == 0 || typical == 0 {
 		return 1
--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -13,23 +13,27 @@
 	runner *Runner
 	batch  bool
 	sent   time.Time
-	// unread is the number of its prompt tokens that the runner has yet to process; 0
-	// once the first event has arrived.
+	// unread is the number of prompt tokens of the request that the runner has yet to
+	// process; 0 once the first event has arrived or the request has ended.
 	unread int
-	// expected is the time to the first event that was expected when it was sent.
+	// expected is the time to the first event that was expected when the request was
+	// sent, without regard to the runner's slowness.
 	expected time.Duration
-	// load is the load of the runner when it was sent, this request's tokens included;
-	// queued is set if no slot was free.
-	load   enginemodel.EngineLoad
+	// load is the estimated load of the runner when the request was sent.
+	load enginemodel.EngineLoad
+	// queued is set if the requests at the runner, including batch items, were estimated
+	// to occupy all slots.
 	queued bool
-	// ahead is the number of requests that had to end first, as a share of the slots.
+	// ahead is the number of other requests that had to end first, divided by the number
+	// of slots; see slotsToFree.
 	ahead float64
 	// firstEvent is when the first event arrived; zero before.
 	firstEvent time.Time
 	once       sync.Once
 }
 
-// Begin counts a request that is about to be sent. The caller must call End.
+// Begin counts a request that is about to be sent, and records that its prompt will be in
+// the runner's prefix cache. The caller must call End.
 func (s *Set) Begin(runner *Runner, prompt Prompt, batch bool, now time.Time) *InFlight {
 	runner.mutex.Lock()
 	unread := runner.prefixes.uncached(prompt)
@@ -60,7 +64,8 @@
 func (f *InFlight) RecordEvent(now time.Time) { f.runner.lastEvent.Store(int64(now.Sub(processStart))) }
 
 // RecordFirstEvent records the arrival of the first event, or of the response if it is
-// not a stream.
+// not a stream. It adds a sample to the latency model and to the runner's slowness, and
+// ends the runner's ejection.
 func (f *InFlight) RecordFirstEvent(now time.Time) {
 	f.RecordEvent(now)
 	took := now.Sub(f.sent)
@@ -82,7 +87,9 @@
 	f.set.notifyOwnLoad(f.runner, nil)
 }
 
-// RecordDelay records that the request has waited until now without a first event.
+// RecordDelay records that the request has waited until now without a first event. The
+// wait becomes a sample of the runner's slowness if it is longer than the slowness
+// suggests.
 func (f *InFlight) RecordDelay(now time.Time) {
 	f.runner.mutex.Lock()
 	defer f.runner.mutex.Unlock()
@@ -91,9 +98,9 @@
 	}
 }
 
-// End removes the request from the counts; only the first call has an effect. A request
-// that ends without a first event although it is long overdue counts as a failure of the
-// runner.
+// End removes the request from the counts; only the first call has an effect. If the
+// request ends stalled and without a first event after failedFactor times the expected
+// time, End records a failure of the runner.
 func (f *InFlight) End() {
 	f.once.Do(func() {
 		now := time.Now()
@@ -114,16 +121,16 @@
 	})
 }
 
-// clearUnread removes the request's prompt tokens from the unprocessed ones. The caller
-// holds the runner's mutex.
+// clearUnread subtracts the request's prompt tokens from the runner's unprocessed tokens,
+// and removes the request from the waiting ones. The caller holds the runner's mutex.
 func (f *InFlight) clearUnread() {
 	f.runner.own.Unread -= f.unread
 	f.unread = 0
 	delete(f.runner.waiting, f)
 }
 
-// stalled reports whether the delay of the first event is the runner's fault. The caller
-// holds the runner's mutex.
+// stalled calls the function stalled for this request. The caller holds the runner's
+// mutex.
 func (f *InFlight) stalled() bool {
 	return stalled(f.sent, f.runner.lastEventTime(), f.runner.newestStarted)
 }
--- a/internal/serving/runnerset/kept.go
+++ b/internal/serving/runnerset/kept.go
@@ -5,24 +5,26 @@
 // prefixCache models the prefix cache of a runner as an LRU cache of prompt parts with a
 // bounded number of tokens. A part is a hit only if every part before it is a hit too.
 type prefixCache struct {
+	// tokens is the sum of the tokens of parts, whose keys are PromptPart.ID.
 	tokens int
 	parts  map[uint64]cachedPart
 }
 
 type cachedPart struct {
-	tokens int
-	used   time.Time
+	tokens   int
+	lastUsed time.Time
 }
 
 const (
-	// maxCachedTokens is the assumed capacity of a runner's prefix cache, beside the
+	// maxCachedTokens is the assumed capacity of a runner's prefix cache, without the
 	// memory for running requests.
 	maxCachedTokens = 60_000
-	// minPartTokens is the size of the smallest part that is tracked.
+	// minPartTokens is the size of the smallest part that is tracked. A smaller part,
+	// and every part after it, counts as uncached.
 	minPartTokens = 48
 )
 
-// uncached returns how many tokens of a prompt the runner has to process.
+// uncached returns how many tokens of a prompt the runner has to process, at least 1.
 func (k *prefixCache) uncached(prompt Prompt) int {
 	uncached := prompt.Tokens
 	for _, part := range prompt.SharedParts {
@@ -54,13 +56,15 @@
 	k.evict()
 }
 
+// evict removes the least recently used parts until the cache is within its capacity or
+// has only one part.
 func (k *prefixCache) evict() {
 	for k.tokens > maxCachedTokens && len(k.parts) > 1 {
 		var oldest uint64
 		var at time.Time
 		for id, part := range k.parts {
-			if at.IsZero() || part.used.Before(at) {
-				oldest, at = id, part.used
+			if at.IsZero() || part.lastUsed.Before(at) {
+				oldest, at = id, part.lastUsed
 			}
 		}
 		k.tokens -= k.parts[oldest].tokens
--- a/internal/serving/runnerset/load.go
+++ b/internal/serving/runnerset/load.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// NodeLoad is the load that one node has at a runner.
+// NodeLoad is the load of one node's requests at a runner.
 type NodeLoad struct {
+	// Running is the number of requests that the node has in flight at the runner.
 	Running int
-	// Batch is the number of Running requests that are batch items and can be preempted.
+	// Batch is how many of the Running requests are batch items, which can be preempted.
 	Batch int
-	// Unread is the number of prompt tokens in requests whose first event has not
-	// arrived.
+	// Unread is the number of uncached prompt tokens of the requests whose first event
+	// has not arrived.
 	Unread int
 }
 
 // PeerReport is another node's report of its load at a runner.
 type PeerReport struct {
 	NodeLoad
-	// SharedParts are the leading parts of the prompt that was just sent.
+	// SharedParts are the leading parts of the prompt that the node has just sent; nil
+	// if the report has another cause.
 	SharedParts []PromptPart
 }
 
@@ -24,17 +26,17 @@
 	at time.Time
 }
 
-// runnerReport is the load that the runner last reported, without this node's own
-// requests.
+// runnerReport is the load that the runner last reported. otherRequests is the number of
+// its running and waiting requests, without those of this node at that time.
 type runnerReport struct {
-	others float64
-	at     time.Time
+	otherRequests float64
+	at            time.Time
 }
 
 // load is the estimated load of a runner by the requests of all nodes.
 type load struct {
 	running, batch float64 // requests, and how many of them are batch items
-	unread         float64 // prompt tokens not yet processed
+	unread         float64 // prompt tokens that the runner has not yet processed
 }
 
 const (
@@ -42,15 +44,15 @@
 	// linearly to zero.
 	runnerReportLifetime = time.Second
 	// peerReportLifetime is how long a peer's report is used. Peers repeat their reports
-	// each second (see loadshare), so two may be lost.
+	// each second (see loadshare), so one repetition may be lost.
 	peerReportLifetime = 2500 * time.Millisecond
 	// peerUnreadLifetime is how long prompt tokens that a peer reports count as
 	// unprocessed.
 	peerUnreadLifetime = 700 * time.Millisecond
 )
 
-// countReported sums the load of this node at a runner and the loads in peers' reports
-// that have not expired.
+// countReported returns the sum of this node's load at a runner and of the loads in the
+// peers' reports that have not expired.
 func countReported(own NodeLoad, peers map[string]peerLoad, now time.Time) load {
 	var others load
 	for _, peer := range peers {
@@ -74,23 +76,25 @@
 	own NodeLoad
 	// reported is the result of countReported.
 	reported load
-	// report is the last report of the runner itself.
+	// report is the last report of the runner itself; zero if there is none.
 	report runnerReport
 	slots  float64
-	// unreported is the expected share of the slots that is held by nodes that do not
-	// report to this node; 0 at a reported runner.
-	unreported float64
+	// unreportedUtilization is the result of zoneUtilization.expected: the expected
+	// number of requests of other nodes per slot; 0 at a reported runner.
+	unreportedUtilization float64
 }
 
-// estimateLoad estimates the number of requests at a runner as the largest of three
-// values: the requests that nodes report; the runner's own report, with a weight that
-// falls with its age; and, if nodes do not report to this one, the expected share of the
-// slots. Each source can miss requests, but none overstates them for long.
+// estimateLoad estimates the load of a runner. The number of requests is the largest of
+// three values: the requests of this node and those that other nodes report; this node's
+// requests plus the other requests in the runner's own report, whose weight falls with
+// its age; and, at an unreported runner, this node's requests plus the expected requests
+// of other nodes. The largest value is used because each source can miss requests. The
+// batch items and unprocessed tokens are those that nodes report.
 func estimateLoad(inputs *loadInputs, now time.Time) load {
 	estimate := inputs.reported
-	estimate.running = max(estimate.running, float64(inputs.own.Running)+inputs.unreported*inputs.slots)
+	estimate.running = max(estimate.running, float64(inputs.own.Running)+inputs.unreportedUtilization*inputs.slots)
 	if age := now.Sub(inputs.report.at); age < runnerReportLifetime {
-		reported := float64(inputs.own.Running) + inputs.report.others*(1-float64(age)/float64(runnerReportLifetime))
+		reported := float64(inputs.own.Running) + inputs.report.otherRequests*(1-float64(age)/float64(runnerReportLifetime))
 		estimate.running = max(estimate.running, reported)
 	}
 	return estimate
--- a/internal/serving/runnerset/record.go
+++ b/internal/serving/runnerset/record.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Record is a runner as listed by the platform. Each start of a runner creates a new
-// record with a new ID.
+// record with a new ID. A Runner keeps the record with which it was first listed.
 type Record struct {
 	ID      string
 	Service string
@@ -12,15 +12,16 @@
 	// Slots is the number of requests that the runner processes concurrently; 0 if not
 	// stated.
 	Slots int
-	// Leaving is the state when the runner was first listed; see Runner.AcceptsWork for
-	// the current one.
+	// Leaving is set if the runner must get no new requests. In the record of a Runner,
+	// it may be outdated; see Runner.AcceptsWork.
 	Leaving bool
-	// ColdUntil is when the runner reaches full speed.
+	// ColdUntil is when the runner reaches full speed; a time in the past if it already
+	// has.
 	ColdUntil time.Time
 }
 
-// sameRunner reports whether two records differ only in fields that may change during a
-// runner's lifetime.
+// sameRunner reports whether two records with the same ID differ only in fields that may
+// change during a runner's lifetime: Leaving and ColdUntil.
 func (r Record) sameRunner(other Record) bool {
 	return r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone && r.Slots == other.Slots
 }
@@ -33,9 +34,9 @@
 
 // Prompt describes a request's prompt.
 type Prompt struct {
-	// Tokens is the length of the whole prompt.
+	// Tokens is the number of tokens of the whole prompt; 0 if unknown.
 	Tokens int
-	// SharedParts are the leading parts, which may be shared with the prompts of other
-	// requests.
+	// SharedParts are the leading parts of the prompt, in their order, which the prompts
+	// of other requests may share. They need not cover the whole prompt.
 	SharedParts []PromptPart
 }
--- a/internal/serving/runnerset/reports.go
+++ b/internal/serving/runnerset/reports.go
@@ -2,8 +2,10 @@
 
 import "time"
 
-// SetReporting sets the function that reports whether other nodes report their load at a
-// runner to this node. Without one, all runners count as reported.
+// SetReporting sets the function that returns whether other nodes report their load at a
+// runner to this node (a reported runner). Without this function, all runners count as
+// reported. The function may be called while
+// the runner's mutex is held, so it must not call methods that lock the mutex.
 func (s *Set) SetReporting(reporting func(runner *Runner) bool) { s.reporting.Store(&reporting) }
 
 // receivesReports reports whether other nodes report their load at a runner to this
@@ -14,22 +16,27 @@
 }
 
 // OnOwnLoad sets the callback for changes of this node's load at a runner; shared are
-// the leading parts of the prompt if one was just sent. The callback may be called
-// concurrently, so it has to read the current load with Runner.OwnLoad.
+// the leading parts of the prompt that is about to be sent, or nil if another event
+// changed the load. The callback may be called concurrently, so it has to read the
+// current load with Runner.OwnLoad.
 func (s *Set) OnOwnLoad(changed func(runner *Runner, shared []PromptPart)) {
 	s.onOwnLoad.Store(&changed)
 }
 
-// OnPeerLoad sets the callback for changes of another node's load at a runner.
+// OnPeerLoad sets the callback that RecordPeerReport calls with the runner after it has
+// recorded a report.
 func (s *Set) OnPeerLoad(changed func(runner *Runner)) { s.onPeerLoad.Store(&changed) }
 
+// notifyOwnLoad calls the callback of OnOwnLoad. The caller does not hold the runner's
+// mutex.
 func (s *Set) notifyOwnLoad(runner *Runner, shared []PromptPart) {
 	if changed := s.onOwnLoad.Load(); changed != nil {
 		(*changed)(runner, shared)
 	}
 }
 
-// RecordPeerReport records a report of another node's load at a runner.
+// RecordPeerReport records the report of another node, peer, of its load at the runner
+// with the given ID. A report about an unlisted runner is ignored.
 func (s *Set) RecordPeerReport(peer, runner string, report PeerReport, now time.Time) {
 	s.mutex.Lock()
 	known := s.byID[runner]
@@ -43,8 +50,8 @@
 	}
 }
 
-// ForgetPeer drops all reports of a node whose process has ended. It returns the number
-// of runners at which the node had requests.
+// ForgetPeer drops all reports of another node, and returns the number of listed runners
+// at which the node had requests by its last reports.
 func (s *Set) ForgetPeer(peer string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -57,6 +64,6 @@
 	return count
 }
 
-// DrainFullChoices returns the number of choices since the last call that found no free
-// slot among the listed runners.
+// DrainFullChoices returns the number of choices since the last call that found no
+// runner, or whose chosen runner had no free slot.
 func (s *Set) DrainFullChoices() int64 { return s.fullChoices.Swap(0) }
--- a/internal/serving/runnerset/rules_test.go
+++ b/internal/serving/runnerset/rules_test.go
@@ -37,8 +37,8 @@
 	is.True(stalled(sent, after, after))
 }
 
-// The estimate is the largest of the nodes' reports, the runner's own report, and the
-// expected load of nodes that do not report.
+// The estimate is the largest of the requests that nodes report, the runner's own report,
+// and the expected requests of nodes that do not report.
 func TestEstimatedLoad(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
@@ -50,7 +50,7 @@
 		{"reported by the runner", loadInputs{own: NodeLoad{Running: 1}, reported: load{running: 2}, report: runnerReport{6, now}, slots: 8}, 7},
 		{"half faded", loadInputs{own: NodeLoad{Running: 1}, reported: load{running: 2}, report: runnerReport{6, now.Add(-runnerReportLifetime / 2)}, slots: 8}, 4},
 		{"too old", loadInputs{own: NodeLoad{Running: 1}, reported: load{running: 2}, report: runnerReport{6, now.Add(-runnerReportLifetime)}, slots: 8}, 2},
-		{"not reported", loadInputs{own: NodeLoad{Running: 1}, reported: load{running: 1}, slots: 8, unreported: 0.5}, 5},
+		{"not reported", loadInputs{own: NodeLoad{Running: 1}, reported: load{running: 1}, slots: 8, unreportedUtilization: 0.5}, 5},
 	} {
 		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(estimateLoad(&test.inputs, now).running, test.want) })
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Batch items are preempted first; if that is not enough, further requests have to end.
+// Batch items are preempted first; if that is not enough, other requests have to end.
 func TestSlotsToFree(t *testing.T) {
 	for _, test := range []struct {
 		at               load
--- a/internal/serving/runnerset/runner.go
+++ b/internal/serving/runnerset/runner.go
@@ -9,9 +9,9 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// Runner is a listed runner with this node's knowledge about it: this node's own
-// requests there, the load that other nodes and the runner itself report, its failures,
-// and its speed.
+// Runner is a runner that is listed or was listed, with this node's knowledge about it:
+// this node's own requests there, the load that other nodes and the runner itself report,
+// its failures, and its speed. It is safe for concurrent use.
 type Runner struct {
 	Record
 
@@ -21,15 +21,17 @@
 	zoneUtilization *zoneUtilization
 	// refresh is shared by all runners of the service.
 	refresh      *utilizationRefresh
-	notAccepting atomic.Bool // leaving, or no longer listed
-	// removed is when the runner was removed from the list without having been marked as
-	// leaving, as the time since processStart; 0 if that has not happened.
+	notAccepting atomic.Bool // leaving, removed from the list, or replaced in it
+	// removed is when the runner was removed from the list while it accepted work, in
+	// nanoseconds since processStart; 0 if that has not happened.
 	removed atomic.Int64
 	// lastEvent is when this node last received an event of any request from the runner,
-	// as the time since processStart; 0 if it has received none.
+	// in nanoseconds since processStart; 0 if it has received none.
 	lastEvent atomic.Int64
-	mutex     sync.Mutex
-	// own is this node's load, and peers holds the loads that other nodes report.
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	// own is this node's load, and peers holds the last report of each other node that
+	// has requests at the runner, by the ID of the node.
 	own      NodeLoad
 	peers    map[string]peerLoad
 	report   runnerReport
@@ -40,38 +42,40 @@
 	// newestStarted is the latest send time of this node's requests whose first event
 	// has arrived.
 	newestStarted time.Time
-	// slowness is the moving average of the ratio of actual to expected time to the
-	// first event; 0 before the first sample.
+	// slowness is the moving average of the actual time to the first event, divided by
+	// the expected time; 0 before the first sample.
 	slowness float64
 }
 
 const (
-	// slownessWeight is the weight of a new sample, which is clamped to minSlowness and
-	// maxSlowness.
+	// slownessWeight is the weight of a new sample of slowness. Samples are clamped to
+	// minSlowness and maxSlowness.
 	slownessWeight = 0.2
 	minSlowness    = 0.5
 	maxSlowness    = 10.0
-	// removedRunnerGrace is how long a runner that was removed from the list may be used
-	// if there is no other. Live runners can drop out of the list while the store is
-	// down, until their next heartbeat. Leaving runners go on serving for longer than
-	// this.
+	// removedRunnerGrace is how long a runner that was removed from the list may still
+	// be used if no listed runner accepts work. A live runner can drop out of the list
+	// while the store is down, until its next heartbeat. A leaving runner goes on
+	// serving for longer than this.
 	removedRunnerGrace = 800 * time.Millisecond
 )
 
-// processStart is the reference for times stored in atomics, so that they use the
-// monotonic clock.
+// processStart is the reference for times that are stored in atomic integers. Differences
+// from it use the monotonic clock.
 var processStart = time.Now()
 
-// AcceptsWork reports whether new requests may be sent to the runner.
+// AcceptsWork reports whether the runner is listed and not leaving, so that new requests
+// may be sent to it.
 func (r *Runner) AcceptsWork() bool { return !r.notAccepting.Load() }
 
-// RecentlyRemoved reports whether the runner was removed from the list within
-// removedRunnerGrace without having been marked as leaving.
+// RecentlyRemoved reports whether the runner was removed from the list while it accepted
+// work, less than removedRunnerGrace ago.
 func (r *Runner) RecentlyRemoved() bool {
 	removed := r.removed.Load()
 	return removed > 0 && time.Since(processStart)-time.Duration(removed) < removedRunnerGrace
 }
 
+// slots returns the runner's number of slots, or assumedSlots if it is not stated.
 func (r *Runner) slots() float64 {
 	if r.Slots == 0 {
 		return assumedSlots
@@ -79,8 +83,8 @@
 	return float64(r.Slots)
 }
 
-// updateSlowness adds a sample: the ratio of actual to expected time to a first event.
-// The caller holds the mutex.
+// updateSlowness adds a sample: the actual time to a first event, divided by the expected
+// time. The caller holds the mutex.
 func (r *Runner) updateSlowness(sample float64) {
 	sample = min(max(sample, minSlowness), maxSlowness)
 	if r.slowness == 0 {
@@ -96,7 +100,8 @@
 	r.ejection.fail(now)
 }
 
-// RecordLoad records the load that the runner reported in a response; nil is ignored.
+// RecordLoad records the load that the runner reported in a response, without this node's
+// requests; nil is ignored.
 func (r *Runner) RecordLoad(reported *exchange.Load, now time.Time) {
 	if reported == nil {
 		return
@@ -104,10 +109,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report = runnerReport{max(0, float64(reported.Running+reported.Waiting)-float64(r.own.Running)), now}
-	r.zoneUtilization.observe(r.report.others/r.slots(), now)
+	r.zoneUtilization.observe(r.report.otherRequests/r.slots(), now)
 }
 
-// recordPeerReport records a report of another node's load at the runner.
+// recordPeerReport records the report of another node, peer, of its load at the runner.
+// It replaces the previous report of that node; a report without requests removes it.
 func (r *Runner) recordPeerReport(peer string, report PeerReport, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -122,7 +128,7 @@
 	r.peers[peer] = peerLoad{report.NodeLoad, now}
 }
 
-// forgetPeer drops the report of a node, and returns whether there was one.
+// forgetPeer drops the report of another node, and returns whether there was a report.
 func (r *Runner) forgetPeer(peer string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -135,15 +141,15 @@
 func (r *Runner) estimate(now time.Time) load {
 	inputs := loadInputs{own: r.own, reported: countReported(r.own, r.peers, now), report: r.report, slots: r.slots()}
 	if !r.set.receivesReports(r) {
-		inputs.unreported = r.zoneUtilization.expected(now)
+		inputs.unreportedUtilization = r.zoneUtilization.expected(now)
 	}
 	return estimateLoad(&inputs, now)
 }
 
-// longestOverdue returns the longest time that this node has waited for an overdue first
-// event at the stalled runner; 0 if there is none. Peers' reports can't show this: they
-// are batched, and a runner that always has some prompt to process looks the same as one
-// that never processes it. The caller holds the mutex.
+// longestOverdue returns the longest wait among this node's stalled requests whose first
+// event is overdue; 0 if there is no such request. The requests of other nodes do not
+// count, since their reports do not say how long a request has waited. The caller holds
+// the mutex.
 func (r *Runner) longestOverdue(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for request := range r.waiting {
@@ -165,16 +171,17 @@
 	return processStart.Add(time.Duration(last))
 }
 
-// LoadSources are the components of a runner's estimated load, with their ages, for the
-// log.
+// LoadSources are the numbers from which a runner's load was estimated, and the ages of
+// the reports, for the log.
 type LoadSources struct {
-	// Own is the number of this node's requests, and Peers the number that other nodes
-	// report.
+	// Own is the number of this node's requests, and Peers the sum of the numbers that
+	// other nodes report.
 	Own, Peers float64
-	// OldestPeer is the age of the oldest of the peers' reports; 0 if there is none.
+	// OldestPeer is the age of the oldest report in Peers; 0 if there is none.
 	OldestPeer time.Duration
 	// Reported is the number of other nodes' requests by the runner's own report, and
-	// ReportAge the age of that report; both are 0 if there is none or it has expired.
+	// ReportAge is the age of that report; both are 0 if there is no report or the
+	// report has expired.
 	Reported  float64
 	ReportAge time.Duration
 	// ReceivesReports is set if other nodes report their load at the runner to this
@@ -182,8 +189,8 @@
 	ReceivesReports bool
 }
 
-// LogFields returns the keys and values for a log line. The key "told" stands for the
-// runner's own report, and "heard" for ReceivesReports.
+// LogFields returns the keys and values for a log line, with numbers as integers. The key
+// "told" stands for Reported, "toldMs" for ReportAge, and "heard" for ReceivesReports.
 func (s *LoadSources) LogFields() []any {
 	return []any{
 		"own", int(s.Own), "peers", int(s.Peers), "peersMs", s.OldestPeer.Milliseconds(),
@@ -191,7 +198,8 @@
 	}
 }
 
-// loadSources returns the components of the runner's estimated load.
+// loadSources returns the numbers from which the runner's load is estimated at the given
+// time.
 func (r *Runner) loadSources(now time.Time) LoadSources {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -203,12 +211,13 @@
 		}
 	}
 	if age := now.Sub(r.report.at); age < runnerReportLifetime {
-		sources.Reported, sources.ReportAge = r.report.others, age
+		sources.Reported, sources.ReportAge = r.report.otherRequests, age
 	}
 	return sources
 }
 
-// RequestCounts are the requests at a runner by the reports of nodes.
+// RequestCounts are the numbers of requests at a runner, by this node's own counts and
+// the reports of other nodes.
 type RequestCounts struct {
 	// Running is the number of requests of all nodes, and Batch how many of them are
 	// batch items.
@@ -217,8 +226,8 @@
 	OwnBatch int
 }
 
-// RequestCounts returns the requests that this node and its peers have at the runner. It
-// ignores the runner's own report, which may still include preempted items.
+// RequestCounts returns the numbers of requests that this node and the other nodes have at
+// the runner. It ignores the runner's own report, which may still include preempted items.
 func (r *Runner) RequestCounts(now time.Time) RequestCounts {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -226,7 +235,8 @@
 	return RequestCounts{Running: reported.running, Batch: reported.batch, OwnBatch: r.own.Batch}
 }
 
-// BatchHolders returns the nodes that have batch items at the runner, by their reports.
+// BatchHolders returns the IDs of the other nodes that have batch items at the runner, by
+// their reports.
 func (r *Runner) BatchHolders(now time.Time) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/serving/runnerset/runnerset.go
+++ b/internal/serving/runnerset/runnerset.go
@@ -1,12 +1,13 @@
-// Package runnerset holds the list of runners, this node's knowledge about each of them,
-// and the choice of a runner for a request: the one with the earliest expected first
-// event. Edges and storage nodes use it.
+// Package runnerset holds the list of runners and this node's knowledge about each of
+// them, and chooses the runner for a request: the runner with the lowest cost, which is
+// the expected time to the first event plus surcharges for disadvantages. Edges and
+// storage nodes use it.
 //
-// It owns the current list, the counts of this node's requests, the reports of peers and
-// runners, and the ejections. All of it is in memory and is learnt again after a
-// restart. The package gets the list from the platform's adapter, the reports of peers
-// from loadshare, and the latency model of the engines from enginemodel. Readers of the
-// list use an atomically swapped snapshot.
+// The package owns the current list, the counts of this node's requests, the reports of
+// peers (other nodes that send to the same runners) and runners, and the ejections. All
+// of this state is in memory and is learnt again after a restart. The informer provides
+// the list, loadshare the reports of peers, and enginemodel the latency model of the
+// engines. Readers of the list use an atomically swapped snapshot.
 //
 // These files hold the rules, without I/O or clock: load.go (load estimates),
 // neighbourhood.go (utilization of runners without reports), ejection.go (outlier
@@ -25,17 +26,20 @@
 	"cobaltramp.example/cobaltramp/internal/serving/enginemodel"
 )
 
-// Set is the list of runners.
+// Set is the list of runners. It is safe for concurrent use.
 //
 // Invariant: its revision never decreases; a list of an older revision has no effect.
 type Set struct {
+	// mutex guards the fields that are not atomic. ForgetPeer locks the mutexes of
+	// runners while it holds this mutex.
 	mutex    sync.Mutex
 	revision int64
 	byID     map[string]*Runner
 	// recentlyRemoved are runners that may still be used; see Runner.RecentlyRemoved.
 	recentlyRemoved []*Runner
 	snapshot        atomic.Pointer[snapshot]
-	changed         chan struct{}
+	// changed is closed and replaced at each change of the list.
+	changed chan struct{}
 	// models holds the latency model of each service's engines.
 	models map[string]*enginemodel.EngineModel
 	// zoneUtilizations has an entry for every service and zone that a runner was ever
@@ -45,14 +49,17 @@
 	reporting        atomic.Pointer[func(runner *Runner) bool]
 	onOwnLoad        atomic.Pointer[func(runner *Runner, shared []PromptPart)]
 	onPeerLoad       atomic.Pointer[func(runner *Runner)]
-	// totals are the numbers of all runners, listed here or not; set if this node lists
-	// only a subset.
+	// totals are the rounded numbers of all runners, whether this node lists them or
+	// not; nil until the first Select.
 	totals atomic.Pointer[subset.Totals]
 	// fullChoices counts choices that found no free slot; see DrainFullChoices.
 	fullChoices atomic.Int64
 }
 
+// snapshot is an immutable copy of the list.
 type snapshot struct {
+	// services holds the runners of each service, ordered by ID, including recently
+	// removed ones.
 	services map[string][]*Runner
 	counts   *Counts
 	revision int64
@@ -83,7 +90,7 @@
 func (s *Set) Counts() *Counts { return s.snapshot.Load().counts }
 
 // Totals returns the rounded numbers of runners, including those that this node does not
-// list; nil if unknown. The pointer changes only with the totals.
+// list; nil if unknown. The pointer changes only when a number changes.
 func (s *Set) Totals() *subset.Totals { return s.totals.Load() }
 
 // Total returns the rounded number of runners of all services, including those that this
@@ -106,8 +113,9 @@
 	return current.revision, current.at
 }
 
-// Replace replaces the list by one of a newer revision. It returns false, and changes
-// nothing, if the revision is not newer.
+// Replace replaces the list by a list of a newer revision. It returns false, and changes
+// nothing, if the revision is not newer than the current one, unless the current one is
+// 0.
 func (s *Set) Replace(records []Record, revision int64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,7 +126,7 @@
 	return true
 }
 
-// Select replaces the list by this node's subset of a list, and sets the totals. The
+// Select replaces the list by this node's subset of all runners, and sets the totals. The
 // revision may equal the current one, since the subset can change within a revision.
 // Select returns false, and changes nothing, if the revision is older.
 func (s *Set) Select(records []Record, totals subset.Totals, revision int64, now time.Time) bool {
@@ -149,8 +157,8 @@
 	s.publish(revision, now)
 }
 
-// ApplyChanges adds or updates the records put and removes the runners with the given
-// IDs. It does nothing if the revision is not newer.
+// ApplyChanges adds or updates the records in put and removes the runners whose IDs are in
+// removed. It does nothing if the revision is not newer.
 func (s *Set) ApplyChanges(put []Record, removed []string, revision int64, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -166,6 +174,8 @@
 	s.publish(revision, now)
 }
 
+// put adds a record, or updates whether its runner accepts work. If the runner is listed
+// with other attributes, a new Runner replaces it. The caller holds the mutex.
 func (s *Set) put(record Record) {
 	known := s.byID[record.ID]
 	if known != nil && known.sameRunner(record) {
@@ -184,8 +194,8 @@
 	s.byID[record.ID] = next
 }
 
-// zoneUtilizationOf returns the entry of a service in a zone, and creates it if missing.
-// The caller holds the mutex.
+// zoneUtilizationOf returns the utilization of a service in a zone, and creates it if
+// missing. The caller holds the mutex.
 func (s *Set) zoneUtilizationOf(zone subset.ServiceZone) *zoneUtilization {
 	known := s.zoneUtilizations[zone]
 	if known == nil {
@@ -195,8 +205,8 @@
 	return known
 }
 
-// refreshOf returns the entry of a service, and creates it if missing. The caller holds
-// the mutex.
+// refreshOf returns the utilizationRefresh of a service, and creates it if missing. The
+// caller holds the mutex.
 func (s *Set) refreshOf(service string) *utilizationRefresh {
 	if s.refreshes[service] == nil {
 		s.refreshes[service] = &utilizationRefresh{}
@@ -215,6 +225,7 @@
 	return model
 }
 
+// remove removes a runner from the list. The caller holds the mutex.
 func (s *Set) remove(id string) {
 	known := s.byID[id]
 	if known == nil {
@@ -228,6 +239,8 @@
 	delete(s.byID, id)
 }
 
+// publish stores a new snapshot and closes the channel of Changed. The caller holds the
+// mutex.
 func (s *Set) publish(revision int64, now time.Time) {
 	s.revision = revision
 	next := &snapshot{services: map[string][]*Runner{}, counts: newCounts(), revision: revision, at: now}
@@ -255,11 +268,12 @@
 	return s.changed
 }
 
-// Service returns the runners of a service, including recently removed ones; the slice
-// must not be changed.
+// Service returns the runners of a service, ordered by ID. They include runners that were
+// recently removed at the last change of the list. The slice must not be changed.
 func (s *Set) Service(name string) []*Runner { return s.snapshot.Load().services[name] }
 
-// Count returns the number of known runners, and how many of them accept work.
+// Count returns the number of runners of all services, including recently removed ones as
+// in Service, and how many of them accept work.
 func (s *Set) Count() (listed, accepting int) {
 	for _, list := range s.snapshot.Load().services {
 		listed += len(list)
--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -71,8 +71,7 @@
 	})
 }
 
-// The choice minimizes the expected time to the first event by unprocessed tokens,
-// cached prefixes, and zone.
+// The choice depends on unprocessed tokens, cached prefixes, and the zone.
 func TestPickPrefersEarliestFirstEvent(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -136,8 +135,8 @@
 	}
 }
 
-// A failing runner is ejected, is used if there is no other, and returns after a first
-// event; a slow runner is avoided.
+// A failing runner is ejected and is used only if there is no other runner; a slow runner
+// is avoided.
 func TestFailingAndSlowRunners(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -185,7 +184,7 @@
 }
 
 // A runner that was removed without having been marked as leaving is used for a short
-// time if there is no other; a leaving runner is not.
+// time if there is no other runner; a leaving runner is not.
 func TestRecentlyRemovedRunnersAreFallback(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -236,8 +235,8 @@
 
 }
 
-// Peers that send to a runner continuously always report some unprocessed tokens. That
-// alone must not make the runner overdue or keep batch items away.
+// Peers that send to a runner continuously always report some unprocessed tokens. These
+// reports alone must not make the runner overdue or keep batch items away.
 func TestBusyPeersMakeNoRunnerOverdue(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -249,8 +248,8 @@
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{MaxUnread: 1000}}, now), "busy")
 }
 
-// A request that ends long after its first event was due ejects the runner; batch items
-// do not go there although it appears idle.
+// A request that ends without a first event, long after the event was due, ejects the
+// runner; batch items do not go there although it appears idle.
 func TestOverdueRequestEjectsRunnerWhenItEnds(t *testing.T) {
 	is := is.New(t)
 	s := setOf(record("mute", "z"))
@@ -263,8 +262,9 @@
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now.Add(maxEjection)), "mute")
 }
 
-// Unreported runners are expected to be as full as the reported runners of their zone,
-// or of all zones if theirs has none, until one of them reports its own load.
+// Unreported runners are expected to have the utilization of the reported runners of
+// their zone, or of all zones if theirs has none, until a runner of the zone reports its
+// own load.
 func TestUnreportedRunnersAreNotAssumedIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -303,8 +303,8 @@
 	}
 }
 
-// Batch items go only to reported runners, where other nodes can have them preempted; a
-// node without any reported runner uses all.
+// Batch items go only to reported runners, since they are preempted there when other
+// nodes report requests; a node without any reported runner uses all runners.
 func TestBatchItemsPreferReportedRunners(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -317,7 +317,7 @@
 	is.Equal(pick(none, criteria, now), "unreported")
 }
 
-// A choice includes the components of the load estimate with their ages.
+// A choice includes the inputs of the load estimate and the ages of the reports.
 func TestChoiceIncludesLoadSources(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
