--- a/internal/serving/online/answer.go
+++ b/internal/serving/online/answer.go
@@ -13,10 +13,13 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// maxBufferedBytes is the largest response that is read completely before it is relayed.
+// maxBufferedBytes is the number of bytes of a response that are read before the first
+// byte is relayed. While nothing has been relayed, a response that breaks off can be
+// replaced.
 const maxBufferedBytes = 256 << 10
 
-// relay relays a response to the caller. It reports whether to try another runner.
+// relay relays a response to the caller, or drops a server error that may be replaced. It
+// reports whether to try another runner.
 func (s *activeRequest) relay(ctx context.Context, response *exchange.Response) (bool, error) {
 	if s.history.mayReplace(s.request.Route, response.Status) {
 		s.current.runner.RecordFailure(time.Now())
@@ -32,17 +35,19 @@
 	return s.relayWhole(ctx, response)
 }
 
-// relayWhole relays a response that is not a stream. It reports whether to try another
-// runner.
+// relayWhole relays a response that is not a stream, which includes error responses of
+// streaming routes. A success status without the header that marks responses of the
+// runner counts as an interruption, since the response may be from a proxy. relayWhole
+// reports whether to try another runner.
 func (s *activeRequest) relayWhole(ctx context.Context, response *exchange.Response) (bool, error) {
 	if !response.FromRunner && response.Status < http.StatusMultipleChoices {
 		s.current.runner.RecordFailure(time.Now())
-		return s.interruption(ctx, errors.New("a success without the runner's mark"))
+		return s.handleInterruption(ctx, errors.New("a success without the runner's mark"))
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		s.current.runner.RecordFailure(time.Now())
-		return s.interruption(ctx, err)
+		return s.handleInterruption(ctx, err)
 	}
 	s.recordFirstEvent()
 	length := response.Length
@@ -61,6 +66,7 @@
 	return false, s.relayRest(ctx, response)
 }
 
+// relayRest relays the part of a response after its first maxBufferedBytes bytes.
 func (s *activeRequest) relayRest(ctx context.Context, response *exchange.Response) error {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -75,14 +81,14 @@
 			return nil
 		}
 		if err != nil {
-			_, interruption := s.interruption(ctx, err)
+			_, interruption := s.handleInterruption(ctx, err)
 			return interruption
 		}
 	}
 }
 
-// recordFirstEvent records the time to the first event, or to the response if it is not
-// a stream.
+// recordFirstEvent records that the runner of this attempt has sent its first event, or a
+// response that is not a stream. Only the first call for a request observes the metric.
 func (s *activeRequest) recordFirstEvent() {
 	now := time.Now()
 	s.current.firstEvent = now
@@ -93,9 +99,9 @@
 	s.current.inFlight.RecordFirstEvent(now)
 }
 
-// interruption handles a response that broke off. It reports whether to try another
-// runner.
-func (s *activeRequest) interruption(ctx context.Context, err error) (bool, error) {
+// handleInterruption handles a response that broke off or is invalid. It reports whether
+// to try another runner.
+func (s *activeRequest) handleInterruption(ctx context.Context, err error) (bool, error) {
 	s.lastCause = err.Error()
 	if ctx.Err() != nil {
 		return false, s.contextError(ctx)
--- a/internal/serving/online/attempt.go
+++ b/internal/serving/online/attempt.go
@@ -18,16 +18,19 @@
 type attempt struct {
 	runner   *runnerset.Runner
 	inFlight *runnerset.InFlight
-	// idleTimer ends the attempt when the runner has sent nothing for the idle timeout.
+	// idleTimer cancels the attempt if the route allows the request to be repeated. It
+	// runs for the idle timeout from the start of the attempt, and starts again at each
+	// event of a stream.
 	idleTimer *time.Timer
-	// firstEvent is when the first event arrived; zero before.
+	// firstEvent is when the first event, or the response if it is not a stream,
+	// arrived; zero before.
 	firstEvent time.Time
 	// idleTimedOut is set if idleTimer has ended the attempt.
 	idleTimedOut atomic.Bool
 }
 
-// send sends the request to a runner and relays the response. It reports whether to try
-// another runner.
+// send makes one attempt: it sends the request to a runner and relays the response. It
+// reports whether to try another runner.
 func (s *activeRequest) send(ctx context.Context, choice runnerset.Choice) (bool, error) {
 	runner := choice.Runner
 	started := time.Now()
@@ -46,8 +49,8 @@
 		s.logAttempt(choice, started, err, again)
 		return again, err
 	}
-	// The response was read completely or abandoned, so an error of Close does not
-	// matter.
+	// The response has been read completely or abandoned, so an error of Close has no
+	// consequence.
 	defer func() { _ = response.Body.Close() }()
 	s.recordRun()
 	runner.RecordLoad(response.Load, time.Now())
@@ -56,14 +59,14 @@
 	return again, err
 }
 
-// recordRun records that a runner may have run the request, which uses up its admission.
+// recordRun records that a runner may have run the request, and drops the admission,
+// which permits only one run.
 func (s *activeRequest) recordRun() {
 	s.history.runs++
 	s.admission = nil
 }
 
-// startIdleTimer returns a timer that cancels the attempt at the idle timeout if the
-// route allows the request to be repeated.
+// startIdleTimer returns a running timer for attempt.idleTimer.
 func (s *activeRequest) startIdleTimer(cancel context.CancelCauseFunc, current *attempt) *time.Timer {
 	return time.AfterFunc(idleTimeout(s.request.Route.Target), func() {
 		if s.request.Route.MayRepeat() {
@@ -73,18 +76,22 @@
 	})
 }
 
+// call returns the call of an attempt at a runner. It may be sent only while the runner
+// accepts work (or was recently removed, if it was chosen as such) and the admission is
+// valid. After a part of the response, the runner is asked to resume after the last event
+// that was sent to the caller.
 func (s *activeRequest) call(runner *runnerset.Runner) *exchange.Call {
-	serves := runner.AcceptsWork
+	usable := runner.AcceptsWork
 	if !runner.AcceptsWork() {
-		serves = runner.RecentlyRemoved
+		usable = runner.RecentlyRemoved
 	}
 	admitted := s.admission
-	current := func() bool { return serves() && admitted.Valid() }
+	maySend := func() bool { return usable() && admitted.Valid() }
 	call := &exchange.Call{
 		ID: s.request.ID, Method: s.request.Method, URI: s.request.URI, Host: s.request.Host,
 		Headers: s.request.Headers, Body: s.request.Body, Tenant: s.request.tenantName(),
 		RunnerID: runner.ID, Address: runner.Address, Service: runner.Service,
-		Remaining: time.Until(s.request.Deadline), ResumeAfter: s.request.ResumeAfter, MaySend: current,
+		Remaining: time.Until(s.request.Deadline), ResumeAfter: s.request.ResumeAfter, MaySend: maySend,
 	}
 	if s.history.responseStarted {
 		call.ResumeAfter = s.lastEvent
@@ -92,8 +99,8 @@
 	return call
 }
 
-// handleSendError handles an attempt that got no response. It reports whether to try
-// another runner.
+// handleSendError handles an attempt that got no response. Unless err is a NotRunError,
+// the request may have run. handleSendError reports whether to try another runner.
 func (s *activeRequest) handleSendError(ctx context.Context, err error) (bool, error) {
 	s.lastCause = err.Error()
 	var notRun *exchange.NotRunError
@@ -112,8 +119,8 @@
 	return false, result.New(result.OutcomeUnknown, "the runner was lost after the request was sent: %v", err)
 }
 
-// notRun handles an attempt that certainly did not run. It reports whether to try
-// another runner.
+// notRun handles an attempt that did not run and will not run. It reports whether
+// to try another runner.
 func (s *activeRequest) notRun(ctx context.Context, notRun *exchange.NotRunError) (bool, error) {
 	runner := s.current.runner
 	s.history.notRun++
@@ -131,12 +138,12 @@
 		s.history.notRun, notRun.Reason)
 }
 
-// movedOn is the outcome of attempts that ended without a response for the caller and
-// whose request is retried at another runner.
+// movedOn is the outcome, in the metric, of attempts that did not complete the response
+// and whose request is to be retried at another runner.
 const movedOn = "moved_on"
 
-// logAttempt counts and logs the outcome of an attempt. The cause of an attempt that is
-// retried is not an error of the request.
+// logAttempt counts and logs the outcome of an attempt. err is nil if the request is to be
+// retried (again is set); the cause is then lastCause.
 func (s *activeRequest) logAttempt(choice runnerset.Choice, started time.Time, err error, again bool) {
 	outcome, counted := "done", result.CodeOf(err).String()
 	switch {
--- a/internal/serving/online/crashes.go
+++ b/internal/serving/online/crashes.go
@@ -10,9 +10,10 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// checkQuarantine returns an error if the request is quarantined because it crashes
-// runners. The caller may retry when the quarantine ends; until then every node refuses
-// the request.
+// checkQuarantine returns an error if the request is quarantined, which means that every
+// node refuses it for a time because runners crashed while they ran it. The error says
+// whether the request may have run before, and that the caller may retry when the
+// quarantine ends.
 func (s *activeRequest) checkQuarantine() error {
 	if s.Quarantine == nil {
 		return nil
@@ -28,10 +29,10 @@
 	return result.New(result.Quarantined, "runners end under this request (fingerprint %v)", s.fingerprint).WithRetryAfter(remaining)
 }
 
-// reportBrokenRun reports an attempt that broke off, before the request is sent to
-// another runner: if the runner has crashed, the crash counts against the request.
-// Attempts that were cancelled by the caller, the deadline or the idle timeout are not
-// reported.
+// reportBrokenRun reports an attempt that broke off to the quarantine, which counts the
+// crash against the request if the runner has crashed. It does not report attempts that
+// were cancelled by the caller, the deadline or the idle timeout, nor attempts whose first
+// event arrived too long ago (see quarantine.IsSuspectRun).
 func (s *activeRequest) reportBrokenRun(ctx context.Context) {
 	endedHere := ctx.Err() != nil || s.current.idleTimedOut.Load()
 	if s.Quarantine == nil || endedHere || !quarantine.IsSuspectRun(s.current.firstEvent, time.Now()) {
@@ -40,15 +41,15 @@
 	s.Quarantine.RecordBrokenRun(s.request.ID, s.fingerprint, s.current.runner.ID, s.current.runner.Address)
 }
 
-// recordCompletion records that a runner has completed the request.
+// recordCompletion reports to the quarantine that a runner has completed the request.
 func (s *activeRequest) recordCompletion() {
 	if s.Quarantine != nil {
 		s.Quarantine.RecordCompletion(s.fingerprint)
 	}
 }
 
-// pickRunner picks a runner. A request that is suspected of crashing a runner is kept
-// away from runners with another such request, if possible.
+// pickRunner picks a runner. A request that is suspected of crashing runners avoids
+// runners with another suspect request, unless there is no other runner.
 func (s *activeRequest) pickRunner(criteria *runnerset.Criteria) runnerset.Choice {
 	now := time.Now()
 	if s.Quarantine == nil {
@@ -67,6 +68,8 @@
 	return s.Runners.Pick(criteria, now)
 }
 
+// beginTrial reports to the quarantine that an attempt at the runner begins; the returned
+// function reports its end.
 func (s *activeRequest) beginTrial(runner *runnerset.Runner) (end func()) {
 	if s.Quarantine == nil {
 		return func() {}
--- a/internal/serving/online/crashes_test.go
+++ b/internal/serving/online/crashes_test.go
@@ -15,7 +15,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// guard is an in-memory quarantine that records the reports it gets.
+// guard is an in-memory quarantine that records the reports to it.
 type guard struct {
 	held      map[quarantine.Fingerprint]time.Duration
 	avoid     map[string]bool
@@ -76,8 +76,8 @@
 	is.Equal(client.runs, 2)
 }
 
-// Each broken attempt is reported, whether the request may be repeated or not; error
-// responses of the runner and requests that did not run are not reported.
+// Each broken attempt is reported, even if the request may not be repeated; error
+// responses of the runner and attempts that did not run are not reported.
 func TestBrokenAttemptsAreReported(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -114,8 +114,8 @@
 	is.Equal(client.runs, 1)
 }
 
-// An attempt that was ended by the idle timeout or the caller, or that had run for long,
-// is not reported as broken.
+// An attempt that was ended by the idle timeout or the caller, or whose first event
+// arrived long ago, is not reported as broken.
 func TestIdleTimeoutIsNotReportedAsBrokenRun(t *testing.T) {
 	is := is.New(t)
 	g, runner := &guard{}, &runnerset.Runner{}
--- a/internal/serving/online/online.go
+++ b/internal/serving/online/online.go
@@ -1,15 +1,17 @@
 // Package online serves callers' requests on an edge: it chooses a runner, sends the
-// request, relays the response, and retries at another runner unless that could repeat
-// work that must not run twice. A request that can't be served is answered immediately.
+// request, and relays the response. A failed attempt is retried at another runner, unless
+// the request may have run and its route forbids another run. A request that can't be
+// served gets an error after a short wait at most, and is not queued.
 //
-// It owns the requests in progress, and the retry times of refused callers (see
+// The package owns the requests in progress, and the retry times of refused callers (see
 // retryafter). It uses runnerset for the choice of a runner, admission for the tenant's
 // rate limit, quarantine for requests that crash runners, and exchange for the
 // transport.
 //
-// These files hold the rules, without I/O or clock: retry.go (whether a request is
-// retried, and which error its caller gets) and refusal.go (whether a request is refused
-// because all runners are full). serving.go and attempt.go apply them.
+// Two files hold the rules, which use no I/O and get the time from their callers:
+// retry.go (whether a request is retried, and which error its caller gets) and the type
+// refusalInputs in refusal.go (whether a request is refused because all runners are
+// full). The other files apply the rules.
 package online
 
 import (
@@ -27,6 +29,7 @@
 
 // Forwarder serves requests by forwarding them to runners.
 type Forwarder struct {
+	// Zone is the zone of this node.
 	Zone    string
 	Runners *runnerset.Set
 	Client  exchange.CallSender
@@ -34,13 +37,14 @@
 	Admission *admission.Controller
 	// Quarantine tracks the requests that crash runners; nil disables the quarantine.
 	Quarantine quarantine.Guard
-	// listWait is how long a request waits for a usable runner to be listed.
-	listWait    time.Duration
-	planners    planners
-	statedTimes retryafter.CallerTimeouts
-	requests    *prometheus.CounterVec
-	attempts    *prometheus.CounterVec
-	firstEvent  prometheus.Histogram
+	// listWait is how long a request without attempts waits for a usable runner to be
+	// listed.
+	listWait       time.Duration
+	planners       planners
+	callerTimeouts retryafter.CallerTimeouts
+	requests       *prometheus.CounterVec
+	attempts       *prometheus.CounterVec
+	firstEvent     prometheus.Histogram
 }
 
 // New returns a forwarder and registers its metrics.
@@ -62,15 +66,16 @@
 	return f
 }
 
-// Serve serves a request. If it returns a *result.Error, nothing has been sent to the
-// caller yet; ErrCut means that a started response could not be finished.
+// Serve serves a request until its deadline at the latest. It returns nil if the response
+// was relayed completely, a *result.Error if nothing was sent to the caller, and ErrCut if
+// the response was started and could not be finished.
 func (f *Forwarder) Serve(ctx context.Context, request *CallerRequest, responder Responder) error {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	s := &activeRequest{
 		Forwarder: f, request: request, fingerprint: request.fingerprint(), responder: responder,
 		tried: map[string]bool{}, lastEvent: max(0, request.ResumeAfter),
-		usuallyStated: f.statedTimes.Record(request.Route.Name, request.Stated, request.Received),
+		usualTimeout: f.callerTimeouts.Record(request.Route.Name, request.StatedTimeout, request.Received),
 	}
 	err := s.serve(ctx)
 	s.admission.Return()
--- a/internal/serving/online/refusal.go
+++ b/internal/serving/online/refusal.go
@@ -10,35 +10,33 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// saturatedTargetShare is the share of the target within which a first event must be
-// expected while the service is full. The expected time is a median, so half of the
-// requests that were expected exactly at the target would be late.
-const saturatedTargetShare = 0.7
+// fullTargetShare is the share of the target within which a first event must be expected
+// while the service is full. It is below 1 because many requests take longer than
+// expected.
+const fullTargetShare = 0.7
 
 // refusalInputs are the inputs to the decision whether a request is refused because all
-// runners are full. A request whose first event would miss its target would take a slot
-// from a request that can still meet its own. It is refused immediately, as not run, and
-// its caller learns when to retry. A caller that retries gets its response late, so
-// while there are free slots only requests that would miss the target are refused.
-// Without free slots the bound is stricter, since otherwise every admitted request would
-// wait up to the limit.
+// runners are full. A request whose first event is expected after the target would take a
+// slot from a request that can still meet its target. It is refused immediately, as not
+// run, and its caller learns when to retry. While the service is full, the limit is
+// stricter (see fullTargetShare).
 //
-// A request is never refused if it was sent already, if its expected time is unreliable
-// because its best runner is suspect, or if its caller was refused before, since callers
-// retry only once.
+// A request is never refused if it may have run already, if its expected time is
+// unreliable because its best runner is suspect, or if it appears to be a retry, since
+// callers retry only once.
 type refusalInputs struct {
 	// sent is set if a runner may have worked on the request.
 	sent bool
 	// suspect is runnerset.Choice.Suspect.
 	suspect bool
-	// firstTry is set unless the request appears to be a retry of the caller.
-	firstTry bool
-	// full is set if recent requests of the service found no free slot.
+	// firstAttempt is set unless the request appears to be a retry by the caller.
+	firstAttempt bool
+	// full is set if a request of the service was refused recently.
 	full bool
 	// target is the route's target for the time to the first event; 0 if it has none.
 	target time.Duration
-	// waited is the time since the request arrived, and expected the time from now to
-	// its first event at the best runner.
+	// waited is the time since the request arrived, and expected is the expected time
+	// from now to its first event at the best runner.
 	waited, expected time.Duration
 }
 
@@ -46,39 +44,41 @@
 // first event.
 func (r *refusalInputs) allowed() time.Duration {
 	if r.full {
-		return time.Duration(saturatedTargetShare * float64(r.target))
+		return time.Duration(fullTargetShare * float64(r.target))
 	}
 	return r.target
 }
 
+// refused reports whether the request is refused. A route without a target refuses none.
 func (r *refusalInputs) refused() bool {
-	if r.sent || r.suspect || !r.firstTry {
+	if r.sent || r.suspect || !r.firstAttempt {
 		return false
 	}
 	allowed := r.allowed()
 	return allowed > 0 && r.waited+r.expected > allowed
 }
 
-// refuseIfFull refuses a request that would miss its target at the best runner, if its
-// caller can retry.
+// refuseIfFull returns an error with a retry delay if the request is to be refused (see
+// refusalInputs). choice is the best runner.
 func (s *activeRequest) refuseIfFull(service string, choice runnerset.Choice) error {
 	now := time.Now()
 	inputs := refusalInputs{
 		sent: s.history.mayHaveRun(), suspect: choice.Suspect,
-		firstTry: retryafter.IsFirstAttempt(s.request.Stated, s.usuallyStated),
-		full:     s.planners.full(service, now), target: s.request.Route.Target,
+		firstAttempt: retryafter.IsFirstAttempt(s.request.StatedTimeout, s.usualTimeout),
+		full:         s.planners.full(service, now), target: s.request.Route.Target,
 		waited: now.Sub(s.request.Received), expected: choice.FirstEvent,
 	}
 	if !inputs.refused() {
 		return nil
 	}
-	caller := retryafter.Caller{TimeLeft: s.request.Deadline.Sub(now), UsualTimeout: s.usuallyStated}
+	caller := retryafter.Caller{TimeLeft: s.request.Deadline.Sub(now), UsualTimeout: s.usualTimeout}
 	return result.New(result.Saturated, "all runners of service %s are full: the first event is expected in %d ms, allowed are %d ms",
 		service, choice.FirstEvent.Milliseconds(), inputs.allowed().Milliseconds()).WithRetryAfter(s.planners.refuse(service, now, caller))
 }
 
-// planners holds the planner of each service, which schedules the retries of refused
-// callers.
+// planners holds the planners of all services. A planner schedules the retries of the
+// callers that its service has refused. The zero value is ready to use and safe for
+// concurrent use.
 type planners struct {
 	mutex     sync.Mutex
 	byService map[string]*retryafter.Planner
@@ -98,15 +98,15 @@
 	return planner
 }
 
-// full reports whether requests of a service currently find no free slot.
+// full reports whether a request of a service was refused recently.
 func (p *planners) full(service string, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.of(service).Saturated(now)
 }
 
-// refuse records that a service has no free slot, and returns the delay after which the
-// caller should retry.
+// refuse records that a request of a service is refused, and returns the delay after
+// which its caller should retry.
 func (p *planners) refuse(service string, now time.Time, caller retryafter.Caller) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/serving/online/refusal_test.go
+++ b/internal/serving/online/refusal_test.go
@@ -35,7 +35,7 @@
 	route := routeOf(catalog.Streaming, true, 2)
 	route.Target, route.Timeout = 300*time.Millisecond, 5*time.Second
 	now := time.Now()
-	return &CallerRequest{ID: "id", Route: route, Received: now, Deadline: now.Add(held), Stated: held, ResumeAfter: -1}
+	return &CallerRequest{ID: "id", Route: route, Received: now, Deadline: now.Add(held), StatedTimeout: held, ResumeAfter: -1}
 }
 
 // A request that would be late at every runner is refused immediately as not run, with a
@@ -63,14 +63,15 @@
 		}{{0, 5 * time.Second}, {5, 3500 * time.Millisecond}} {
 			runners := &fakeRunners{}
 			forwarder := fullForwarder(runners, c.requests)
-			forwarder.statedTimes.Record("x", 5*time.Second, time.Now()) // a longer wait stated by other callers
+			forwarder.callerTimeouts.Record("x", 5*time.Second, time.Now()) // a longer wait stated by other callers
 			is.NoErr(forwarder.Serve(context.Background(), targetedRequest(c.held), &recorder{}))
 			is.Equal(runners.runs, 1)
 		}
 	})
 }
 
-// If all runners fail, their expected times are unreliable, so requests are sent anyway.
+// If all runners are ejected, their expected times are unreliable, so requests are sent
+// anyway.
 func TestFailingRunnersAreNoReasonToRefuse(t *testing.T) {
 	is := is.New(t)
 	runners := &fakeRunners{}
@@ -92,7 +93,7 @@
 				runners := &fakeRunners{}
 				forwarder := fullForwarder(runners, 5)
 				request := targetedRequest(4 * time.Second)
-				request.Route.Timeout, request.Deadline = timeout, request.Received.Add(min(timeout, request.Stated))
+				request.Route.Timeout, request.Deadline = timeout, request.Received.Add(min(timeout, request.StatedTimeout))
 				err := forwarder.Serve(context.Background(), request, &recorder{})
 				is.True(result.Is(err, result.Saturated))
 				again := targetedRequest(4*time.Second - result.FromError(err).RetryAfter)
@@ -111,15 +112,15 @@
 		is := is.New(t)
 		forwarder := fullForwarder(&fakeRunners{}, 0)
 		request := targetedRequest(5 * time.Second)
-		s := &activeRequest{Forwarder: forwarder, request: request, usuallyStated: request.Stated}
+		s := &activeRequest{Forwarder: forwarder, request: request, usualTimeout: request.StatedTimeout}
 		expected := func(share float64) error {
 			return s.refuseIfFull("s", runnerset.Choice{FirstEvent: time.Duration(share * float64(request.Route.Target))})
 		}
-		is.NoErr(expected((1 + saturatedTargetShare) / 2))
+		is.NoErr(expected((1 + fullTargetShare) / 2))
 		is.True(expected(1.1) != nil)
-		is.True(expected((1+saturatedTargetShare)/2) != nil)
-		is.NoErr(expected(saturatedTargetShare / 2))
+		is.True(expected((1+fullTargetShare)/2) != nil)
+		is.NoErr(expected(fullTargetShare / 2))
 		forwarder.planners.byService["s"] = retryafter.NewPlanner() // idle again
-		is.NoErr(expected((1 + saturatedTargetShare) / 2))
+		is.NoErr(expected((1 + fullTargetShare) / 2))
 	})
 }
--- a/internal/serving/online/request.go
+++ b/internal/serving/online/request.go
@@ -22,25 +22,28 @@
 	// Version is the version of the configuration that Route belongs to.
 	Version uint64
 	// Tenant owns the request; nil where there are no tenants.
-	Tenant   *catalog.Tenant
+	Tenant *catalog.Tenant
+	// Received is when the request arrived.
 	Received time.Time
-	// Deadline is set by the caller or by the route's timeout.
+	// Deadline is the time at which Serve gives up.
 	Deadline time.Time
-	// Stated is how long the caller has stated that it will wait; 0 if it has not.
-	Stated time.Duration
+	// StatedTimeout is the time for which the caller will wait by its own statement; 0
+	// if it states none.
+	StatedTimeout time.Duration
 	// ResumeAfter is the ID of the last event that the caller has received; negative to
 	// start from the beginning.
 	ResumeAfter int64
-	// Prompt describes the request's prompt.
+	// Prompt describes the request's prompt; zero if the caller does not describe it.
 	Prompt runnerset.Prompt
 }
 
-// fingerprint identifies the content of the request: requests for the same work have
-// equal fingerprints.
+// fingerprint returns the fingerprint of the request's content. Requests with the same
+// tenant, method, host, URI and body have equal fingerprints.
 func (r *CallerRequest) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.RequestContent{Tenant: r.tenantName(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body})
 }
 
+// tenantName returns the name of the tenant; empty where there are no tenants.
 func (r *CallerRequest) tenantName() string {
 	if r.Tenant == nil {
 		return ""
@@ -48,14 +51,17 @@
 	return r.Tenant.Name
 }
 
-// Responder sends the response to the caller. Before Head nothing is sent.
+// Responder sends the response to the caller. Head is called at most once, before the
+// first Write.
 type Responder interface {
-	// Head sends the status and headers; length is negative if unknown.
+	// Head sends the status and headers. length is the length of the body in bytes;
+	// negative if unknown.
 	Head(status int, headers []exchange.Header, length int64)
-	// Write sends data without buffering. It returns an error if the caller has left.
+	// Write sends a part of the body without buffering. It returns an error if the
+	// caller has left.
 	Write(data []byte) error
 }
 
-// ErrCut means that a started response could not be finished: the caller must see it as
-// broken.
-var ErrCut = errors.New("the answer was cut")
+// ErrCut means that a response was started and could not be finished. The connection to
+// the caller must then be ended so that the caller sees an incomplete response.
+var ErrCut = errors.New("the response was started and could not be finished")
--- a/internal/serving/online/retry.go
+++ b/internal/serving/online/retry.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// maxNotRun bounds the number of runners that are tried without one running the
-	// request.
+	// maxNotRun is the number of attempts that did not run after which no further runner
+	// is tried.
 	maxNotRun = 5
-	// retryDelay is the retry delay for a caller whose request was accepted by no
-	// runner.
+	// retryDelay is the delay after which a caller may retry if no runner has accepted
+	// its request.
 	retryDelay = 250 * time.Millisecond
-	// idleFactor, a multiple of the route's target, and minIdleTime set how long a
-	// runner may send nothing before a repeatable request is moved to another runner.
+	// idleFactor and minIdleTime determine the idle timeout; see idleTimeout.
 	idleFactor  = 5
 	minIdleTime = 900 * time.Millisecond
 )
 
 // history is the state of a request after its attempts so far. It decides whether the
-// request is retried, and which error its caller gets otherwise. A request that no
-// runner has accepted may always be retried. A request that a runner may have worked on
-// is retried only if its route allows repeated runs, and only as often as the route
-// allows. The caller gets "not run" only if no runner can have run the request.
+// request is retried, and which error its caller gets otherwise. An attempt that did not
+// run may be followed by another, up to maxNotRun in all. An attempt that may have run is
+// followed by another only if the route allows repeated runs, and only up to the route's
+// number of attempts. The caller gets an error that says "not run" only if no runner can
+// have run the request.
 type history struct {
-	// runs counts the runners that may have worked on the request, and notRun those that
-	// certainly have not.
+	// runs is the number of attempts that may have run, and notRun the number of
+	// attempts that certainly did not.
 	runs, notRun int
 	// responseStarted is set once a part of the response has been sent to the caller.
 	responseStarted bool
 }
 
-// mayHaveRun reports whether a runner may have worked on the request.
+// mayHaveRun reports whether a runner may have run the request.
 func (h *history) mayHaveRun() bool { return h.runs > 0 }
 
 // mayRunAgain reports whether the route allows one more run of the request.
@@ -47,22 +47,25 @@
 func (h *history) mayTryAnother() bool { return h.notRun < maxNotRun }
 
 // mayReplace reports whether another runner is tried instead of relaying a response with
-// this status: a server error, unless the runner reports that the deadline has passed.
+// this status. The status must be a server error other than 504, which means that the
+// deadline has passed, and the route must allow one more run.
 func (h *history) mayReplace(route *catalog.Route, status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout && h.mayRunAgain(route)
 }
 
 // mayContinue reports whether the request is retried at another runner after its
-// response broke off. If a part of the response was sent to the caller, that requires a
-// resumable route.
+// response broke off. The route must allow one more run, and must be resumable if a part
+// of the response was sent to the caller.
 func (h *history) mayContinue(route *catalog.Route) bool {
 	return h.mayRunAgain(route) && (!h.responseStarted || route.Resumable)
 }
 
-// idleTimeout returns how long a runner may send nothing, by the route's target.
+// idleTimeout returns how long the runner of a repeatable request may send nothing before
+// the request is retried at another runner. target is the route's target.
 func idleTimeout(target time.Duration) time.Duration { return max(minIdleTime, idleFactor*target) }
 
-// noRunnerError returns the caller's error if no runner is left to try.
+// noRunnerError returns the caller's error if no runner is left to try: an error with the
+// code, or OutcomeUnknown if the request may have run.
 func (h *history) noRunnerError(code result.Code, format string, args ...any) error {
 	if h.mayHaveRun() {
 		return result.New(result.OutcomeUnknown, "it may have run: "+format, args...)
@@ -79,7 +82,7 @@
 }
 
 // admissionError returns the caller's error if the tenant's rate limit admits no further
-// attempt.
+// attempt: the given refusal, or OutcomeUnknown if the request may have run.
 func (h *history) admissionError(refusal error) error {
 	if h.mayHaveRun() {
 		return result.New(result.OutcomeUnknown, "it may have run, and can't be sent again: %v", refusal)
--- a/internal/serving/online/rules_test.go
+++ b/internal/serving/online/rules_test.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// A request is refused if its first event is expected later than allowed, which is
-// earlier while the service is full; requests that a refusal can't help are sent.
+// A request is refused if its first event is expected after the allowed time, which is
+// shorter while the service is full; retries and requests that may have run, have a
+// suspect runner or have no target are not refused.
 func TestRefusalRules(t *testing.T) {
 	const target = time.Second
 	for _, test := range []struct {
@@ -61,14 +62,14 @@
 		inputs  refusalInputs
 		refused bool
 	}{
-		{"in time", refusalInputs{firstTry: true, target: target, waited: 400 * time.Millisecond, expected: 600 * time.Millisecond}, false},
-		{"late", refusalInputs{firstTry: true, target: target, waited: 401 * time.Millisecond, expected: 600 * time.Millisecond}, true},
-		{"late in the target while the service is full", refusalInputs{firstTry: true, full: true, target: target, expected: 701 * time.Millisecond}, true},
-		{"early in the target while the service is full", refusalInputs{firstTry: true, full: true, target: target, expected: 700 * time.Millisecond}, false},
-		{"already sent", refusalInputs{sent: true, firstTry: true, target: target, expected: time.Minute}, false},
-		{"suspect runner", refusalInputs{suspect: true, firstTry: true, target: target, expected: time.Minute}, false},
+		{"in time", refusalInputs{firstAttempt: true, target: target, waited: 400 * time.Millisecond, expected: 600 * time.Millisecond}, false},
+		{"late", refusalInputs{firstAttempt: true, target: target, waited: 401 * time.Millisecond, expected: 600 * time.Millisecond}, true},
+		{"late in the target while the service is full", refusalInputs{firstAttempt: true, full: true, target: target, expected: 701 * time.Millisecond}, true},
+		{"early in the target while the service is full", refusalInputs{firstAttempt: true, full: true, target: target, expected: 700 * time.Millisecond}, false},
+		{"already sent", refusalInputs{sent: true, firstAttempt: true, target: target, expected: time.Minute}, false},
+		{"suspect runner", refusalInputs{suspect: true, firstAttempt: true, target: target, expected: time.Minute}, false},
 		{"retry", refusalInputs{target: target, expected: time.Minute}, false},
-		{"no target", refusalInputs{firstTry: true, expected: time.Minute}, false},
+		{"no target", refusalInputs{firstAttempt: true, expected: time.Minute}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(test.inputs.refused(), test.refused) })
 	}
--- a/internal/serving/online/serving.go
+++ b/internal/serving/online/serving.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxListWait is how long a request waits for a usable runner to be listed.
+	// maxListWait is the value of Forwarder.listWait.
 	maxListWait = 400 * time.Millisecond
-	// admitShare is the share of a route's target that a request may wait for its
-	// tenant's rate limit, bounded by minAdmitTimeout and maxAdmitTimeout. A caller that
-	// is refused later would have no time left to retry.
+	// admitShare is the share of a route's target for which a request may wait for its
+	// admission; the wait is clamped to minAdmitTimeout and maxAdmitTimeout. A caller
+	// that is refused later would have no time left to retry.
 	admitShare      = 0.25
 	minAdmitTimeout = 40 * time.Millisecond
 	maxAdmitTimeout = 250 * time.Millisecond
@@ -30,24 +30,29 @@
 	request *CallerRequest
 	// fingerprint identifies the content of the request.
 	fingerprint quarantine.Fingerprint
-	// usuallyStated is how long callers of the route usually state that they will wait.
-	usuallyStated time.Duration
-	responder     Responder
-	history       history
-	// tried holds the IDs of the runners that the request was sent to.
+	// usualTimeout is the longest timeout that callers of the route have stated
+	// recently; see retryafter.CallerTimeouts.
+	usualTimeout time.Duration
+	responder    Responder
+	history      history
+	// tried holds the IDs of the runners of earlier attempts.
 	tried map[string]bool
-	// lastEvent is the ID of the last event that was sent to the caller.
+	// lastEvent is the ID of the last event that the caller has received, at first by
+	// CallerRequest.ResumeAfter; 0 if it has received none.
 	lastEvent int64
-	// admission permits the next attempt; nil if none was granted or none is needed.
+	// admission permits the next run; nil if it was used by a run, not yet granted, or
+	// is not needed.
 	admission *admission.Admission
-	// firstEventAfter is the time to the first event or response; 0 before.
+	// firstEventAfter is the time from the arrival of the request to the first event, or
+	// to the response if it is not a stream; 0 before.
 	firstEventAfter time.Duration
 	// lastCause is the cause of the last failure, for the log.
 	lastCause string
-	// current is the attempt in progress.
+	// current is the latest attempt; nil before the first.
 	current *attempt
 }
 
+// serve makes attempts until one of them ends the request.
 func (s *activeRequest) serve(ctx context.Context) error {
 	for {
 		if err := s.checkQuarantine(); err != nil {
@@ -71,8 +76,9 @@
 	}
 }
 
-// chooseRunner picks a runner. If there is none, it waits a short time for one to be
-// listed.
+// chooseRunner picks a runner. If there is no usable runner and the request has had no
+// attempt, it waits for up to listWait until a usable runner is listed. It returns an
+// error if no runner is left or the request is refused because all runners are full.
 func (s *activeRequest) chooseRunner(ctx context.Context) (runnerset.Choice, error) {
 	service := s.request.Route.ServiceFor(s.request.ID)
 	criteria := &runnerset.Criteria{
@@ -102,8 +108,8 @@
 	}
 }
 
-// admit acquires the admission for an attempt. An attempt that did not run leaves the
-// admission to the next.
+// admit acquires the admission for an attempt, unless an earlier attempt that did not run
+// has left an admission that is still valid.
 func (s *activeRequest) admit(ctx context.Context) error {
 	if s.Admission == nil || s.admission != nil && s.admission.Valid() {
 		return nil
@@ -122,7 +128,8 @@
 	return nil
 }
 
-// cutIfStarted returns ErrCut in place of an error if the response has been started.
+// cutIfStarted returns ErrCut in place of an error if the response has been started, and
+// err otherwise.
 func (s *activeRequest) cutIfStarted(err error) error {
 	if err != nil && s.history.responseStarted {
 		s.lastCause = err.Error()
--- a/internal/serving/online/stream.go
+++ b/internal/serving/online/stream.go
@@ -11,13 +11,15 @@
 	"cobaltramp.example/cobaltramp/internal/transport/eventstream"
 )
 
-// relayStream relays complete events in order as they arrive. It sends the head with the
-// first event, so a run that breaks before its first event can be replaced without the
-// caller noticing. The head is not sent again after a retry.
+// relayStream relays events as they arrive, each as a whole. The IDs of events
+// that have one must be consecutive; otherwise the stream counts as broken. The head of the response is
+// sent right before the first event, so that a run that breaks off before its first event
+// can be replaced; it is not sent again after a retry. relayStream reports whether to try
+// another runner.
 func (s *activeRequest) relayStream(ctx context.Context, response *exchange.Response) (bool, error) {
 	if !response.FromRunner {
 		s.current.runner.RecordFailure(time.Now())
-		return s.interruption(ctx, errors.New("a success without the runner's mark"))
+		return s.handleInterruption(ctx, errors.New("a success without the runner's mark"))
 	}
 	events := eventstream.NewDecoder(response.Body)
 	first := true
@@ -31,7 +33,7 @@
 		}
 		if err != nil {
 			s.recordStreamFailure(ctx, first)
-			return s.interruption(ctx, err)
+			return s.handleInterruption(ctx, err)
 		}
 		s.current.idleTimer.Reset(idleTimeout(s.request.Route.Target))
 		s.current.inFlight.RecordEvent(time.Now())
@@ -52,9 +54,12 @@
 	}
 }
 
-func (s *activeRequest) recordStreamFailure(ctx context.Context, first bool) {
+// recordStreamFailure records a failure of the runner when a stream breaks off. If the
+// caller left or the deadline passed, it instead records the delay, provided that no event
+// has arrived.
+func (s *activeRequest) recordStreamFailure(ctx context.Context, beforeFirstEvent bool) {
 	if ctx.Err() != nil {
-		if first {
+		if beforeFirstEvent {
 			s.current.inFlight.RecordDelay(time.Now())
 		}
 		return
@@ -62,7 +67,7 @@
 	s.current.runner.RecordFailure(time.Now())
 }
 
-// finishStream ends a complete stream.
+// finishStream ends a complete stream. It sends the head if the stream had no events.
 func (s *activeRequest) finishStream(response *exchange.Response) (bool, error) {
 	s.recordCompletion()
 	if !s.history.responseStarted {
