--- a/internal/serving/runnerset/inflight.go
+++ b/internal/serving/runnerset/inflight.go
@@ -64,8 +64,9 @@
 func (f *InFlight) RecordEvent(now time.Time) { f.runner.lastEvent.Store(int64(now.Sub(processStart))) }
 
 // RecordFirstEvent records the arrival of the first event, or of the response if it is
-// not a stream. It adds a sample to the latency model and to the runner's slowness, and
-// ends the runner's ejection.
+// not a stream. It adds a sample to the runner's slowness and ends the runner's ejection.
+// It also adds a sample to the latency model: the time to the first event if a slot was
+// free, or the wait if other requests had to end first.
 func (f *InFlight) RecordFirstEvent(now time.Time) {
 	f.RecordEvent(now)
 	took := now.Sub(f.sent)
@@ -99,8 +100,9 @@
 }
 
 // End removes the request from the counts; only the first call has an effect. If the
-// request ends stalled and without a first event after failedFactor times the expected
-// time, End records a failure of the runner.
+// request is stalled, and its first event has not arrived within failedFactor times the
+// expected time, End records a failure of the runner. After a first event, the duration
+// of an online request becomes a sample of the hold time.
 func (f *InFlight) End() {
 	f.once.Do(func() {
 		now := time.Now()
--- a/internal/serving/runnerset/reports.go
+++ b/internal/serving/runnerset/reports.go
@@ -4,8 +4,8 @@
 
 // SetReporting sets the function that returns whether other nodes report their load at a
 // runner to this node (a reported runner). Without this function, all runners count as
-// reported. The function may be called while
-// the runner's mutex is held, so it must not call methods that lock the mutex.
+// reported. The function may be called while the runner's mutex is held, so it must not
+// call methods that lock the mutex.
 func (s *Set) SetReporting(reporting func(runner *Runner) bool) { s.reporting.Store(&reporting) }
 
 // receivesReports reports whether other nodes report their load at a runner to this
