--- a/internal/serving/online/answer.go
+++ b/internal/serving/online/answer.go
@@ -13,9 +13,9 @@
 	"cobaltramp.example/cobaltramp/internal/serving/exchange"
 )
 
-// maxBufferedBytes is the number of bytes of a response that are read before the first
-// byte is relayed. While nothing has been relayed, a response that breaks off can be
-// replaced.
+// maxBufferedBytes is the number of bytes that relayWhole reads from a response before it
+// relays the first byte. Until then, a response that breaks off can be replaced
+// at another runner.
 const maxBufferedBytes = 256 << 10
 
 // relay relays a response to the caller, or drops a server error that may be replaced. It
--- a/internal/serving/online/stream.go
+++ b/internal/serving/online/stream.go
@@ -11,11 +11,11 @@
 	"cobaltramp.example/cobaltramp/internal/transport/eventstream"
 )
 
-// relayStream relays events as they arrive, each as a whole. The IDs of events
-// that have one must be consecutive; otherwise the stream counts as broken. The head of the response is
-// sent right before the first event, so that a run that breaks off before its first event
-// can be replaced; it is not sent again after a retry. relayStream reports whether to try
-// another runner.
+// relayStream relays events as they arrive, each as a whole. The IDs of the events that
+// have an ID must be consecutive; otherwise the stream counts as broken. The head of the
+// response is sent right before the first event, so that a run that breaks off before its
+// first event can be replaced; the head is not sent again after a retry. relayStream
+// reports whether to try another runner.
 func (s *activeRequest) relayStream(ctx context.Context, response *exchange.Response) (bool, error) {
 	if !response.FromRunner {
 		s.current.runner.RecordFailure(time.Now())
