--- a/internal/batch/queueclient/queueclient.go
+++ b/internal/batch/queueclient/queueclient.go
@@ -1,10 +1,10 @@
-// Package queueclient calls the leaders of queue shards from an edge. The leader of a
-// job's shard serves the job. The leader of the shard to which a tenant's name maps is
-// the keeper of the tenant's limit.
+// Package queueclient calls the leaders of queue shards from an edge. Requests for a job
+// go to the leader of the job's shard. Requests for allotments go to the leader of the
+// shard to which the tenant's name maps; this leader is the keeper of the tenant's limit.
 //
-// It keeps the last known leader of each shard and the nodes that were recently
-// unresponsive. The members of a shard come from queuestore's layout and their addresses
-// from package peers; package rpc sends the calls.
+// The client remembers the last known leader of each shard and the nodes that were
+// recently unresponsive. The members of a shard come from queuestore's layout and their
+// addresses from package peers; package rpc sends the calls.
 package queueclient
 
 import (
@@ -22,7 +22,7 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ShardClient calls queue shards.
+// ShardClient calls queue shards. It is safe for concurrent use.
 type ShardClient struct {
 	Directory *peers.Directory
 	Layouts   *queuestore.Layouts
@@ -39,20 +39,22 @@
 }
 
 const (
-	// attemptTimeout bounds a call to one node, in addition to the wait of the request.
+	// attemptTimeout bounds a call to one node. The time that the request itself may
+	// wait or transfer is added.
 	attemptTimeout = 900 * time.Millisecond
 	// hedgeDelay is how long a call to one node may take before the next node is called
-	// as well, since a dead machine never responds.
+	// as well. The wait of the request is added.
 	hedgeDelay = 150 * time.Millisecond
-	// unresponsivePenalty is how long an unresponsive node is called last.
+	// unresponsivePenalty is how long after a missing response a node is called last.
 	unresponsivePenalty = 2 * time.Second
-	// roundDelay is the pause before all nodes are called again.
+	// roundDelay is the pause before the members of a shard are called again.
 	roundDelay = 60 * time.Millisecond
-	// retryDelay is the delay after which a caller should retry a failed request.
+	// retryDelay is the delay after which a caller should retry a request that no node
+	// executed.
 	retryDelay = 300 * time.Millisecond
 )
 
-// Read reads the results of a job.
+// Read reads results of a job. The leader may wait up to request.WaitMs for new results.
 func (c *ShardClient) Read(ctx context.Context, request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	reply := &wirev1.QueueReadReply{}
 	wait := time.Duration(request.WaitMs) * time.Millisecond
@@ -72,8 +74,8 @@
 }
 
 // Allot requests an allotment from the keeper of a tenant's limit, the leader of the
-// shard to which the tenant's name maps. It calls each member of the shard once and
-// leaves retries to the caller, because all nodes of a fleet may call at the same time.
+// shard to which the tenant's name maps. It calls each member of the shard at most once
+// and leaves retries to the caller, because all nodes of a fleet may call at the same time.
 func (c *ShardClient) Allot(ctx context.Context, tenant string, request *wirev1.AllotmentRequest) (*wirev1.AllotmentReply, error) {
 	reply := &wirev1.AllotmentReply{}
 	return reply, c.round(ctx, tenant, wirev1.Method_METHOD_ALLOTMENT, 0, hedgeDelay, request, reply).err
@@ -89,11 +91,13 @@
 	return queuestore.ShardOf(tenant, len(layout.Shards)), true
 }
 
-// call calls the members of the job's shard, the last known leader first, until one
-// responds or the context ends. All methods may be repeated, because they are idempotent.
+// call calls the members of the job's shard in rounds, the last known leader first, until
+// one returns a reply or a final error, or until the context ends. The wait is how long a
+// member may take in addition to the usual timeouts. All methods that use call are
+// idempotent, so a request may be executed more than once.
 func (c *ShardClient) call(ctx context.Context, job string, method wirev1.Method, wait time.Duration, request, reply proto.Message) error {
-	unknown := false
-	var last error
+	outcomeUnknown := false
+	var lastErr error
 	for round := 0; ; round++ {
 		lastTimeout := hedgeDelay*time.Duration(round+1) + wait
 		roundResult := c.round(ctx, job, method, wait, lastTimeout, request, reply)
@@ -103,11 +107,11 @@
 		if final(roundResult.err) {
 			return roundResult.err
 		}
-		last = roundResult.err
-		unknown = unknown || roundResult.unknown
+		lastErr = roundResult.err
+		outcomeUnknown = outcomeUnknown || roundResult.outcomeUnknown
 		if !sleep(ctx, roundDelay) {
-			klog.InfoS("call to queue shard failed", "method", method.String(), "job", job, "rounds", round+1, "unknown", unknown, "last", last)
-			return c.unavailableError(unknown, last)
+			klog.InfoS("call to queue shard failed", "method", method.String(), "job", job, "rounds", round+1, "unknown", outcomeUnknown, "last", lastErr)
+			return c.unavailableError(outcomeUnknown, lastErr)
 		}
 	}
 }
@@ -117,39 +121,41 @@
 	address string
 	reply   proto.Message
 	err     error
-	// unknown reports that some node may have executed the request.
-	unknown bool
+	// outcomeUnknown reports that a node may have executed the request although err is
+	// set.
+	outcomeUnknown bool
 }
 
-// round calls each member of the shard once and uses the first response. It calls the
-// next member when the previous one has failed or has not responded within hedgeDelay.
-// After the last call it waits up to lastTimeout for the outstanding attempts and then
-// ends the round, because another member may have become the leader. It doesn't wait for
-// cancelled attempts to return, since a dial to a dead node may take seconds.
+// round calls the members of the shard, each at most once, until one returns a reply or a
+// final error. It calls the next member when any attempt has failed, or when none has
+// ended within hedgeDelay plus the wait. After the last call, the round ends when no
+// attempt ends within lastTimeout, because another member may have become the leader. The
+// round doesn't wait for cancelled attempts to return, since a dial to a dead node may
+// take seconds. It merges the received reply into reply.
 func (c *ShardClient) round(
 	ctx context.Context, job string, method wirev1.Method, wait, lastTimeout time.Duration, request, reply proto.Message,
 ) callResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waiting := c.candidates(job)
-	attempts := make(chan callResult, len(waiting))
+	uncalled := c.candidates(job)
+	attempts := make(chan callResult, len(uncalled))
 	running := map[string]bool{}
 	combined := callResult{err: result.New(result.StoreUnavailable, "no storage node is known")}
-	for len(waiting) > 0 || len(running) > 0 {
-		if len(waiting) > 0 {
-			address := waiting[0]
-			waiting = waiting[1:]
+	for len(uncalled) > 0 || len(running) > 0 {
+		if len(uncalled) > 0 {
+			address := uncalled[0]
+			uncalled = uncalled[1:]
 			running[address] = true
 			go func() { attempts <- c.attempt(ctx, address, method, wait, request, reply) }()
 		}
 		timeout := lastTimeout
-		if len(waiting) > 0 {
+		if len(uncalled) > 0 {
 			timeout = hedgeDelay + wait
 		}
 		latest, ended := await(attempts, timeout)
-		if !ended && len(waiting) == 0 {
+		if !ended && len(uncalled) == 0 {
 			c.recordUnresponsive(job, running)
-			combined.unknown = true
+			combined.outcomeUnknown = true
 			return combined
 		}
 		if !ended {
@@ -163,13 +169,13 @@
 		}
 		c.forgetLeader(job, latest.address)
 		combined.err = latest.err
-		combined.unknown = combined.unknown || latest.unknown
+		combined.outcomeUnknown = combined.outcomeUnknown || latest.outcomeUnknown
 	}
 	return combined
 }
 
-// recordUnresponsive records that nodes did not respond, so that they are called last
-// for a while.
+// recordUnresponsive records that the nodes did not respond, so that they are called last
+// during unresponsivePenalty. None of them is the known leader of the job's shard any more.
 func (c *ShardClient) recordUnresponsive(job string, addresses map[string]bool) {
 	now := time.Now()
 	for address := range addresses {
@@ -180,7 +186,7 @@
 	}
 }
 
-// await waits for the next attempt to finish. It returns false after the timeout.
+// await returns the next attempt that ends, or false if none ends before the timeout.
 func await(attempts <-chan callResult, timeout time.Duration) (callResult, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -192,30 +198,35 @@
 	}
 }
 
-func (c *ShardClient) unavailableError(unknown bool, last error) error {
-	if unknown {
-		return result.New(result.CommitUnknown, "no storage node confirmed it: %v", last)
+// unavailableError returns the error of a call that no node confirmed. The error says that
+// the request was not executed, unless the outcome is unknown.
+func (c *ShardClient) unavailableError(outcomeUnknown bool, lastErr error) error {
+	if outcomeUnknown {
+		return result.New(result.CommitUnknown, "no storage node confirmed it: %v", lastErr)
 	}
-	return result.New(result.StoreUnavailable, "no storage node could take it: %v", last).WithRetryAfter(retryDelay)
+	return result.New(result.StoreUnavailable, "no storage node could take it: %v", lastErr).WithRetryAfter(retryDelay)
 }
 
-// final reports whether any other attempt would return the same error.
+// final reports whether the error is a decision that the other members of the shard would
+// not change, so that they need not be called.
 func final(err error) bool {
 	return result.Is(err, result.TenantTokens) || result.Is(err, result.StoreFull) || result.Is(err, result.StaleEpoch)
 }
 
+// attempt calls one node. It decodes the response into a new message of the type of reply,
+// which concurrent attempts share.
 func (c *ShardClient) attempt(ctx context.Context, address string, method wirev1.Method, wait time.Duration, request, reply proto.Message) callResult {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
-	own := reply.ProtoReflect().New().Interface()
-	err := c.Pool.Call(ctx, address, rpc.ClassOnline, method, request, own)
+	attemptReply := reply.ProtoReflect().New().Interface()
+	err := c.Pool.Call(ctx, address, rpc.ClassOnline, method, request, attemptReply)
 	notExecuted := result.Is(err, result.NotLeader) || result.Is(err, result.PeerUnreachable) ||
 		result.Is(err, result.StoreUnavailable) || result.Is(err, result.NotReady)
-	return callResult{address: address, reply: own, err: err, unknown: err != nil && !notExecuted}
+	return callResult{address: address, reply: attemptReply, err: err, outcomeUnknown: err != nil && !notExecuted}
 }
 
-// candidates returns the addresses of the members of a job's shard, in the order in
-// which they are called.
+// candidates returns the known addresses of the members of a job's shard, in the order in
+// which they are called. It returns none while no layout is known.
 func (c *ShardClient) candidates(job string) []string {
 	layout := c.Layouts.Current()
 	if layout == nil {
@@ -234,8 +245,9 @@
 }
 
 // callOrder sorts the addresses of a shard's members into the order in which they are
-// called: the last known leader first and recently unresponsive nodes last, since each of
-// these may cost a hedgeDelay.
+// called: the last known leader first, even if it was recently unresponsive, and other
+// recently unresponsive nodes last, because each of them may cost a hedgeDelay. The leader
+// is empty if none is known.
 func callOrder(members []string, leader string, unresponsive map[string]time.Time, now time.Time) []string {
 	var first, last []string
 	for _, address := range members {
@@ -251,7 +263,7 @@
 	return append(first, last...)
 }
 
-// recordLeader records the node that responded as the leader of a job's shard.
+// recordLeader records the node with the address as the leader of a job's shard.
 func (c *ShardClient) recordLeader(job, address string) {
 	layout := c.Layouts.Current()
 	if layout == nil {
@@ -266,7 +278,7 @@
 	}
 }
 
-// forgetLeader forgets the leader of a job's shard if it has the address.
+// forgetLeader forgets the leader of a job's shard if the leader has the address.
 func (c *ShardClient) forgetLeader(job, address string) {
 	layout := c.Layouts.Current()
 	if layout == nil {
@@ -280,6 +292,7 @@
 	}
 }
 
+// sleep waits. It returns false if the context ended.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/batch/queueclient/queueclient_test.go
+++ b/internal/batch/queueclient/queueclient_test.go
@@ -19,7 +19,8 @@
 
 const layoutText = `{"shards":[{"generation":1,"members":["disk-a","disk-b"],"copies":2}]}`
 
-// unresponsiveAddress returns an address that accepts connections and never responds.
+// unresponsiveAddress returns an address at which connections are accepted but no request
+// gets a response.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,8 +118,8 @@
 	is.Equal(result.CodeOf(err).Entry().Ran, result.RanUnknown)
 }
 
-// An unresponsive leader does not delay the next round of calls, in which another node
-// has become the leader.
+// An unresponsive leader does not delay the following rounds of calls, in which another
+// node becomes the leader.
 func TestUnresponsiveLeaderDoesNotDelayRetries(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int64
@@ -140,8 +141,8 @@
 	is.True(!client.unresponsive[unresponsive].IsZero()) // the round ended before the attempt timed out
 }
 
-// The last known leader is called first, even if it was unresponsive, and other recently
-// unresponsive nodes are called last.
+// The last known leader is called first, even if it was recently unresponsive, and other
+// recently unresponsive nodes are called last.
 func TestCallOrder(t *testing.T) {
 	now := time.Now()
 	unresponsive := map[string]time.Time{"a": now.Add(-time.Second), "b": now.Add(-unresponsivePenalty), "c": now}
--- a/internal/batch/queueclient/submit_test.go
+++ b/internal/batch/queueclient/submit_test.go
@@ -59,7 +59,7 @@
 	return client.Submit(ctx, &wirev1.QueueSubmitRequest{Job: &wirev1.QueueJob{Id: "j", Host: "h"}})
 }
 
-// A job is sent only to the leader, and not at all if the leader already has the job.
+// A job is sent only to the leader, and is not sent if the leader already has the job.
 func TestJobsGoToTheLeaderOnly(t *testing.T) {
 	is := is.New(t)
 	follower, leader := &shardNode{}, &shardNode{}
