--- a/internal/batch/grants/grants.go
+++ b/internal/batch/grants/grants.go
@@ -1,11 +1,16 @@
-// Package grants implements the volatile state of a shard's leader: the items granted to
-// sessions of nodes, and the order in which pending items are granted. Losing this state
-// may repeat repeatable items but breaks no guarantee, because the shard's log records
-// completed items and started items of class once, which run at most once.
+// Package grants implements the volatile state of a shard's leader: the items that are
+// granted to sessions of nodes, and the order in which pending items are granted.
 //
-// Nodes pull items. A grant lasts as long as its holder renews the session. The package
-// does no I/O and reads no clock; a Loader reads the shard's applied state. The plain
-// node runs it on the leader of a shard (modules/batch/store).
+// Nodes pull items. A grant lasts until the item is completed or returned, or until its
+// session, the holder, is not renewed for the duration of the lease. Items of the
+// repeatable class may be granted again after the loss of a holder. Items of class once run
+// at most once: the caller records their start in the shard's log before it sends them to
+// the holder. An item whose holder is lost after the start is reported as unknown, because
+// it may or may not have run. When a leader is lost, repeatable items may be repeated.
+//
+// The package does no I/O and reads no clock; a Loader reads the shard's applied state, the
+// state after the committed commands of the log. The plain node runs the package on the
+// leader of a shard (modules/batch/store).
 package grants
 
 import (
@@ -16,7 +21,7 @@
 
 // Timing holds the durations by which a leader manages grants.
 type Timing struct {
-	// Lease is how long a session keeps its grants without renewal.
+	// Lease is how long a session keeps its grants without a renewal.
 	Lease time.Duration
 	// Grace is how long a new leader grants nothing, so that holders can report the
 	// items they are already running.
@@ -28,25 +33,27 @@
 	return Timing{Lease: 5 * time.Second, Grace: 1500 * time.Millisecond}
 }
 
+// job is an unfinished job. The items of segments from nextSegment on are not loaded yet.
 type job struct {
 	id          string
 	file        string
 	tenant      string
 	priority    int32
 	deadline    time.Time
-	created     int64
+	created     int64 // Unix milliseconds
 	segments    uint32
 	nextSegment uint32
 	ready       map[string][]pendingItem // by model
-	outstanding int
-	stopping    bool // cancelled or expired; no more items are granted
+	outstanding int                      // number of granted items
+	stopping    bool                     // cancelled or expired; no more items are granted
 	cancelled   bool
 }
 
 // Table is the leader's state of one shard. It is not safe for concurrent use.
 //
-// Invariant: an item is in at most one of the unloaded segments, the ready items, the
-// grants and the orphaned items. A completed item is in none of them.
+// An item starts in an unloaded segment and becomes ready when the segment is loaded. A
+// grant takes it from the ready items; a return, a retry or the end of its session may put
+// it back there. Adopt grants items from any of these states.
 type Table struct {
 	timing  Timing
 	elected time.Time
@@ -55,10 +62,11 @@
 	holders map[Session]*holder
 	tenants map[string]int // number of outstanding grants by tenant
 	// orphaned holds items of class once that may have started and have no known
-	// holder: they started under an earlier leader, or their session expired.
+	// holder: they started under an earlier leader, their session expired, or Confirm
+	// withdrew their offer.
 	orphaned map[Key]bool
-	// completed holds items that an earlier holder completed while they were waiting
-	// to be granted again.
+	// completed holds items that were completed while they were not granted, for example
+	// by an earlier holder. They are skipped instead of being granted again.
 	completed map[Key]bool
 }
 
@@ -70,7 +78,8 @@
 	}
 }
 
-// AddJob adds the items of an unfinished job, unless the table already holds the job.
+// AddJob adds an unfinished job, unless the table already contains the job. No item of a
+// job that is being cancelled is granted.
 func (t *Table) AddJob(record *wirev1.JobRecord) {
 	if t.jobs[record.Spec.JobId] != nil {
 		return
@@ -84,14 +93,14 @@
 	}
 }
 
-// RemoveJob removes a job that has ended, with its grants.
+// RemoveJob removes a job that has ended, with its items and grants.
 func (t *Table) RemoveJob(id string) {
-	known := t.jobs[id]
-	if known == nil {
+	existing := t.jobs[id]
+	if existing == nil {
 		return
 	}
 	for key, held := range t.grants {
-		if held.job == known {
+		if held.job == existing {
 			t.release(key, held)
 		}
 	}
@@ -108,14 +117,15 @@
 	delete(t.jobs, id)
 }
 
-// Stop stops granting items of a job. A cancelled job ends when none of its items is
-// granted any more.
+// Stop stops granting items of a job, because the job was cancelled or has expired. When
+// no item of the job is granted any more, Tick reports a cancelled job as due to end, and
+// removes an expired one from the table.
 func (t *Table) Stop(id string, cancelled bool) {
-	if known := t.jobs[id]; known != nil {
-		known.stopping = true
-		known.cancelled = known.cancelled || cancelled
-		known.ready = map[string][]pendingItem{}
-		known.nextSegment = known.segments
+	if existing := t.jobs[id]; existing != nil {
+		existing.stopping = true
+		existing.cancelled = existing.cancelled || cancelled
+		existing.ready = map[string][]pendingItem{}
+		existing.nextSegment = existing.segments
 	}
 }
 
@@ -126,9 +136,9 @@
 }
 
 // Pull renews a session and grants it items for its free slots, but none during the
-// grace period of a new leader. Offers of class once must be passed to Confirm after
-// their start has been recorded, or given back with Return. If the loader fails, Pull
-// returns the error together with the offers that are already granted.
+// grace period of a new leader. Before the caller sends offers that need a recorded start
+// (see Offer), it records the starts and passes the offers to Confirm. If the loader
+// fails, Pull returns the error together with the offers that are already granted.
 func (t *Table) Pull(now time.Time, session Session, free []FreeSlots, loader Loader) ([]Offer, error) {
 	h := t.renew(now, session)
 	var offers []Offer
@@ -150,9 +160,11 @@
 	return offers, nil
 }
 
-// Confirm returns the offers that may be sent to the holder. It takes the keys of the
-// offers of class once whose start was recorded now. The other offers of that class had
-// already started earlier; their grants are released and they become orphaned.
+// Confirm returns the offers that may be sent to the holder: repeatable items, restarted
+// items, and items of class once that are in started, the keys whose start was recorded
+// for these offers. The other items of class once started earlier, or recording their
+// start failed; their grants are released and they become orphaned. Confirm reuses the
+// memory of offers.
 func (t *Table) Confirm(offers []Offer, started []*wirev1.ItemKey) []Offer {
 	recorded := map[Key]bool{}
 	for _, key := range started {
@@ -176,7 +188,8 @@
 // Outstanding returns the number of granted items.
 func (t *Table) Outstanding() int { return len(t.grants) }
 
-// HasPending reports whether any job may still have items to grant.
+// HasPending reports whether a job that is not stopping has ready items or unloaded
+// segments.
 func (t *Table) HasPending() bool {
 	for _, j := range t.jobs {
 		if !j.stopping && (j.nextSegment < j.segments || j.readyCount() > 0) {
--- a/internal/batch/grants/grants_test.go
+++ b/internal/batch/grants/grants_test.go
@@ -65,7 +65,7 @@
 	state *fakeState
 	now   time.Time
 	jobs  []*wirev1.JobRecord
-	// holding is the set of items that each session assumes to hold.
+	// holding is the set of items that each session takes to be granted to it.
 	holding map[Session]map[Key]bool
 	onceRan map[Key]int
 	class   wirev1.WorkClass
@@ -208,7 +208,7 @@
 }
 
 // Every item ends in spite of lost sessions and leaders. No completed item is granted
-// again, and an item of class once is granted only once.
+// again, and no item of class once is granted again after it may have run.
 func TestEveryItemEndsAndOnceItemsAreOfferedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &simulation{state: newFakeState(), now: time.Unix(0, 0), holding: map[Session]map[Key]bool{}, onceRan: map[Key]int{}}
@@ -234,7 +234,7 @@
 	})
 }
 
-// An item that an expired session completes late is not granted again.
+// An item that a holder completes after its session expired is not granted again.
 func TestLateCompletionPreventsAnotherOffer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
--- a/internal/batch/grants/items.go
+++ b/internal/batch/grants/items.go
@@ -6,7 +6,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Key identifies an item. Unlike the wire form it is comparable.
+// Key identifies an item by its job, the segment of the job's file, and the item's index
+// in the segment. Unlike its wire form, a key can be used in maps.
 type Key struct {
 	Job     string
 	Segment uint32
@@ -23,21 +24,26 @@
 
 // Loader reads the shard's applied state.
 type Loader interface {
+	// Segment returns the items of a segment of a file.
 	Segment(file string, segment uint32) ([]*wirev1.Item, error)
+	// Progress returns which items of a segment of a job are started or done.
 	Progress(job string, segment uint32) (*wirev1.SegmentProgress, error)
 }
 
-// Offer is an item granted to a pulling node. An offer of class once must be recorded as
-// started before it is sent, unless Restarted says that the start is already recorded.
+// Offer is an item granted to a pulling node. The start of an item of class once must be
+// recorded before the offer is sent, unless Restarted is set.
 type Offer struct {
-	Key       Key
-	Item      *wirev1.Item
-	Attempt   uint32
-	Tenant    string
-	Deadline  time.Time
+	Key      Key
+	Item     *wirev1.Item
+	Attempt  uint32 // from 1
+	Tenant   string
+	Deadline time.Time
+	// Restarted reports that the item's start was recorded for an earlier holder, which
+	// returned the item without having run it.
 	Restarted bool
 }
 
+// pendingItem is an item that is ready or granted.
 type pendingItem struct {
 	key       Key
 	item      *wirev1.Item
--- a/internal/batch/grants/order.go
+++ b/internal/batch/grants/order.go
@@ -9,14 +9,13 @@
 	session Session
 	item    pendingItem
 	job     *job
-	// once reports that the item must not run again after its session expires, because
-	// it may have started. Its result is then unknown.
+	// once reports that the item is of class once. When its session expires, the item
+	// may have run, so it is not granted again and its outcome is unknown.
 	once bool
 }
 
-// nextOffer grants the first pending item of a model in the order of their jobs: by the
-// highest priority, then the tenant with the fewest granted items, then the earliest
-// deadline. It returns nil if there is no pending item.
+// nextOffer grants the next item of a model. It takes the item from the first job in the
+// order of comesFirst that has a ready item. It returns nil if no job has one.
 func (t *Table) nextOffer(session Session, h *holder, model string, loader Loader) (*Offer, error) {
 	for {
 		best, err := t.bestJob(model, loader)
@@ -40,6 +39,7 @@
 	}
 }
 
+// grant grants an item to a session. The grant's once is set only for items of class once.
 func (t *Table) grant(session Session, h *holder, owner *job, item pendingItem, once bool) {
 	t.grants[item.key] = &grant{session: session, item: item, job: owner, once: once && item.item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE}
 	h.keys[item.key] = true
@@ -47,6 +47,8 @@
 	t.tenants[owner.tenant]++
 }
 
+// bestJob returns the first job in the order of comesFirst that has a ready item of the
+// model, or nil if there is none. It loads segments of jobs in search of such items.
 func (t *Table) bestJob(model string, loader Loader) (*job, error) {
 	var best *job
 	for _, candidate := range t.jobs {
@@ -63,6 +65,9 @@
 	return best, nil
 }
 
+// comesFirst reports whether items of job a are granted before those of job b: by the
+// higher priority, then the tenant with fewer granted items, then the earlier deadline,
+// then the earlier creation, then the ID.
 func (t *Table) comesFirst(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
@@ -79,8 +84,8 @@
 	return a.id < b.id
 }
 
-// maxReady is the number of a job's ready items in memory from which no further segments
-// are loaded in search of a model.
+// maxReady is the number of ready items, of any model, from which on no further segments
+// of a job are loaded. Items in those segments wait until the number falls.
 const maxReady = 4000
 
 // loadUntilReady loads segments of a job until an item of the model is ready, no segment
@@ -103,6 +108,8 @@
 	return count
 }
 
+// loadSegment makes the items of a segment ready, except those that are done or granted.
+// Items that have started without being granted become orphaned.
 func (t *Table) loadSegment(j *job, segment uint32, loader Loader) error {
 	progress, err := loader.Progress(j.id, segment)
 	if err != nil {
--- a/internal/batch/grants/returns.go
+++ b/internal/batch/grants/returns.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// Return requeues items that a session gives back without a result: preempted items of
-// the repeatable class, and items of class once that never reached an engine.
+// Return renews a session and requeues items that it returns without a result: preempted
+// items of the repeatable class, and items of class once that never reached an engine.
+// Items that are not granted to the session are ignored.
 func (t *Table) Return(now time.Time, session Session, keys []Key) {
 	t.renew(now, session)
 	for _, key := range keys {
@@ -19,7 +20,8 @@
 	}
 }
 
-// Retry requeues an item after a failed attempt.
+// Retry requeues an item after a failed attempt, with the next attempt number. It does
+// nothing if the item is not granted to the session.
 func (t *Table) Retry(session Session, key Key) {
 	held := t.grants[key]
 	if held == nil || held.session != session {
@@ -30,8 +32,8 @@
 	t.requeue(held)
 }
 
-// Attempt returns the number of the current attempt of an item granted to the session,
-// or 0 if the session does not hold the item.
+// Attempt returns the number of the current attempt of an item, from 1 on, or 0 if the
+// item is not granted to the session.
 func (t *Table) Attempt(session Session, key Key) uint32 {
 	if held := t.grants[key]; held != nil && held.session == session {
 		return held.item.attempt
@@ -39,7 +41,8 @@
 	return 0
 }
 
-// requeue puts an item at the front of the job's ready items, unless the job is stopping.
+// requeue puts an item at the front of the job's ready items, unless the job is stopping
+// or was removed.
 func (t *Table) requeue(held *grant) {
 	if held.job.stopping || t.jobs[held.job.id] != held.job {
 		return
@@ -48,6 +51,7 @@
 	held.job.ready[model] = append([]pendingItem{held.item}, held.job.ready[model]...)
 }
 
+// release ends a grant.
 func (t *Table) release(key Key, held *grant) {
 	delete(t.grants, key)
 	if h := t.holders[held.session]; h != nil {
@@ -60,7 +64,8 @@
 	}
 }
 
-// Completed removes items whose completion is committed.
+// Completed removes items whose completion is committed. It records those that are not
+// granted, so that they are not granted later.
 func (t *Table) Completed(keys []Key) {
 	for _, key := range keys {
 		if held := t.grants[key]; held != nil {
--- a/internal/batch/grants/sessions.go
+++ b/internal/batch/grants/sessions.go
@@ -13,11 +13,13 @@
 	ID   uint64
 }
 
+// holder is a session to which items may be granted.
 type holder struct {
 	lastRenewed time.Time
-	keys        map[Key]bool
+	keys        map[Key]bool // granted items
 }
 
+// renew restarts the lease of a session, and adds the session if it is new.
 func (t *Table) renew(now time.Time, session Session) *holder {
 	h := t.holders[session]
 	if h == nil {
@@ -28,37 +30,42 @@
 	return h
 }
 
-// Adopt grants an item to a session that was already running it when this leader was
-// elected.
+// Adopt renews a session and grants it an item that an earlier leader had granted and that
+// the session is still running. It does nothing if the job is not in the table, the item is
+// nil, or the item is already granted. An adopted item counts as its first attempt.
 func (t *Table) Adopt(now time.Time, session Session, key Key, item *wirev1.Item) {
-	known := t.jobs[key.Job]
-	if known == nil || t.grants[key] != nil || item == nil {
+	existing := t.jobs[key.Job]
+	if existing == nil || t.grants[key] != nil || item == nil {
 		return
 	}
 	h := t.renew(now, session)
-	for model, list := range known.ready {
+	for model, list := range existing.ready {
 		for i, pending := range list {
 			if pending.key == key {
-				known.ready[model] = append(append([]pendingItem(nil), list[:i]...), list[i+1:]...)
+				existing.ready[model] = append(append([]pendingItem(nil), list[:i]...), list[i+1:]...)
 			}
 		}
 	}
 	delete(t.orphaned, key)
-	t.grant(session, h, known, pendingItem{key: key, item: item, attempt: 1}, true)
+	t.grant(session, h, existing, pendingItem{key: key, item: item, attempt: 1}, true)
 }
 
-// TickResult holds the items and jobs that a tick found due for a command.
+// TickResult lists the items and jobs that are due to end by a command of the log.
 type TickResult struct {
-	// Unknown holds items of class once that may have started and have lost their
-	// holder.
+	// Unknown lists items of class once that may have started and have no holder. Their
+	// outcome is unknown.
 	Unknown []Key
-	// Expired holds unfinished jobs past their deadline.
+	// Expired lists the IDs of jobs past their deadline that are not stopping yet.
 	Expired []string
-	// Cancelled holds cancelled jobs without granted items.
+	// Cancelled lists the IDs of cancelled jobs without granted items.
 	Cancelled []string
 }
 
-// Tick expires sessions, and returns the items and jobs that are due to end.
+// Tick expires sessions, removes stopped jobs without granted items that were not
+// cancelled, and returns the items and jobs that are due to end. It returns an item of class
+// once when the holder's session expires. Once a grace period and a lease have passed since
+// the election, it returns all orphaned items at each call; until then, sessions may adopt
+// them. Jobs are returned at each call until they are stopped or removed.
 func (t *Table) Tick(now time.Time) TickResult {
 	var due TickResult
 	for session, h := range t.holders {
@@ -87,8 +94,9 @@
 	return due
 }
 
-// expireSession ends a session that was not renewed in time. Repeatable items are
-// requeued; items of class once that may have started become orphaned and are returned.
+// expireSession removes a session that was not renewed in time. Its repeatable items are
+// requeued for their next attempt; its items of class once become orphaned, and their keys
+// are returned.
 func (t *Table) expireSession(session Session, h *holder) []Key {
 	var unknown []Key
 	for key := range h.keys {
@@ -106,7 +114,8 @@
 	return unknown
 }
 
-// StoppedJobs returns the stopped or removed jobs of which a session still holds items.
+// StoppedJobs returns the sorted IDs of the stopped or removed jobs of which items are
+// still granted to the session.
 func (t *Table) StoppedJobs(session Session) []string {
 	h := t.holders[session]
 	if h == nil {
@@ -114,8 +123,8 @@
 	}
 	found := map[string]bool{}
 	for key := range h.keys {
-		known := t.jobs[key.Job]
-		if known == nil || known.stopping {
+		existing := t.jobs[key.Job]
+		if existing == nil || existing.stopping {
 			found[key.Job] = true
 		}
 	}
