--- a/internal/batch/queue/ledger.go
+++ b/internal/batch/queue/ledger.go
@@ -1,14 +1,15 @@
 package queue
 
-// localAllowanceShare is the share of a limit's permitted overrun that is divided
+// localAllowanceShare is the share of a limit's permitted overrun that is divided equally
 // among the shards as their local allowances.
 const localAllowanceShare = 0.8
 
-// LocalAllowance returns how many tokens of an account each shard may hold waiting
-// without asking the limit keeper, the node that enforces the limit over all shards.
-// The overrun is the share by which the limit may be exceeded. The allowances of all
-// shards together stay within it, so small jobs are accepted even while the keeper is
-// unresponsive or another shard has no leader.
+// LocalAllowance returns up to how many waiting tokens of an account a shard accepts jobs
+// without asking the limit keeper, the node that keeps the ledger. The limit is in tokens,
+// and the overrun is the share of the limit by which all shards together may exceed it. The
+// allowances of all shards add up to less than the overrun. They let small jobs be accepted
+// while the keeper is unresponsive or another shard has no leader. The allowance is 0 if
+// there are no shards.
 func LocalAllowance(limit uint64, overrun float64, shards int) uint64 {
 	if shards < 1 {
 		return 0
@@ -16,19 +17,21 @@
 	return uint64(localAllowanceShare * overrun * float64(limit) / float64(shards))
 }
 
-// Ledger adds up the waiting tokens of all shards to enforce limits that apply across
-// shards. Before a shard leader admits a submission beyond its local allowance, it
-// reports its waiting tokens, including the submissions in progress. An outdated
-// report may therefore still count finished items, but it misses only tokens within
-// the shard's local allowance.
+// Ledger adds up the waiting tokens of all shards, to enforce limits that apply across
+// shards. Waiting tokens are the tokens of unfinished items (ItemEntry.Tokens). Before a shard's leader accepts a submission beyond its local allowance, it reports its
+// waiting tokens, including those of submissions in progress. An outdated report may still
+// count finished items. The tokens that it leaves out are within the local allowance.
 //
-// Invariant: a shard's report is replaced only by a report of a newer epoch, or by one
+// Invariant: a shard's report is replaced only by a report of a newer epoch, or by a report
 // of the same epoch with a higher number.
+//
+// A Ledger is not safe for concurrent use.
 type Ledger struct {
 	shards  int
-	reports map[uint32]shardReport
+	reports map[uint32]shardReport // last report by shard
 }
 
+// shardReport is a report of the leader of an epoch. The leader numbers its reports.
 type shardReport struct {
 	epoch, number uint64
 	waiting       map[TokenAccount]uint64
@@ -39,8 +42,9 @@
 	return &Ledger{shards: shards, reports: map[uint32]shardReport{}}
 }
 
-// Report records the waiting tokens of a shard. It returns false if a leader of a
-// newer epoch has already reported for the shard.
+// Report records the waiting tokens of a shard. It returns false if a leader of a newer
+// epoch has already reported for the shard. It ignores a report of the same epoch whose
+// number is not higher than the last, but returns true. The ledger keeps the map.
 func (l *Ledger) Report(shard uint32, epoch, number uint64, waiting map[TokenAccount]uint64) bool {
 	previous, known := l.reports[shard]
 	if known && epoch < previous.epoch {
@@ -56,7 +60,8 @@
 // only a partial sum.
 func (l *Ledger) AllReported() bool { return len(l.reports) == l.shards }
 
-// Waiting returns the waiting tokens of an account over all reported shards.
+// Waiting returns the sum of an account's waiting tokens over the shards that have
+// reported.
 func (l *Ledger) Waiting(account TokenAccount) uint64 {
 	sum := uint64(0)
 	for _, report := range l.reports {
@@ -66,7 +71,7 @@
 }
 
 // Release subtracts the tokens of a rejected submission from the report that included
-// them. It does nothing if the shard has sent another report since.
+// them. It does nothing if that report has been replaced or counts fewer tokens.
 func (l *Ledger) Release(shard uint32, epoch, number uint64, account TokenAccount, tokens uint64) {
 	report := l.reports[shard]
 	if report.epoch == epoch && report.number == number && report.waiting[account] >= tokens {
--- a/internal/batch/queue/order.go
+++ b/internal/batch/queue/order.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// rank orders waiting items; items of a lower rank are started first.
+// rank is the first criterion by which items that are not running are ordered. Items of
+// a lower rank are started first.
 type rank int
 
 const (
-	rankStarted rank = iota
-	rankUnstarted
-	rankLate
+	rankStarted   rank = iota // has output, and can be finished by its due time
+	rankUnstarted             // has no output yet, and has enough slack
+	rankLate                  // is late or likely to be late
 )
 
-// unstartedSlackRatio is the minimum slack of an item that has not started yet, as a
-// share of its remaining time. The slack absorbs interruptions of its runs.
+// unstartedSlackRatio is the slack that an item without output needs for rankUnstarted, as
+// a share of its remaining time. The slack absorbs interruptions of its runs.
 const unstartedSlackRatio = 0.35
 
-// rankOf returns the rank of an item. Started items that can still meet their due time
-// come first, so that they are finished. Unstarted items with enough slack follow. Items
-// that are late or likely to be late come last, because they would take slots from
-// others. The slack is the spare time if the item ran from now on, and remaining is the
-// time that it would then take.
+// rankOf returns the rank of an item. An item is started if it has output from earlier
+// runs. The slack is the spare time before the due time if the item ran from now on, and
+// remaining is the estimated time that the run would take.
 func rankOf(started bool, slack, remaining time.Duration) rank {
 	switch {
 	case started && slack >= 0:
@@ -46,7 +45,8 @@
 	return a.order < b.order
 }
 
-// Ready returns the items that may be started now, in starting order.
+// Ready returns the items that may be started now, in starting order: those that are not
+// running and whose NotBefore has been reached. It updates their ranks.
 func (t *ItemTable) Ready(now time.Time) []*ItemEntry {
 	var ready []*ItemEntry
 	for _, entry := range t.entries {
@@ -59,14 +59,14 @@
 	return ready
 }
 
-// Slack returns the spare time before an item's due time if the item ran from now on.
-// It is negative if the item would be late.
+// Slack returns the estimated spare time before an item's due time if the item ran from now
+// on. It is negative if the item would be late.
 func (t *ItemTable) Slack(entry *ItemEntry, now time.Time) time.Duration {
 	return entry.Due.Sub(now) - t.estimator.remaining(entry)
 }
 
-// Observe updates the estimate of run durations with a completed run of an item, which
-// produced a number of events.
-func (t *ItemTable) Observe(entry *ItemEntry, events int64, took time.Duration) {
-	t.estimator.observe(entry, events, took)
+// Observe updates the estimate of run durations with the run that completed an item's
+// output. Events is the number of events that this run produced.
+func (t *ItemTable) Observe(entry *ItemEntry, events int64, duration time.Duration) {
+	t.estimator.observe(entry, events, duration)
 }
--- a/internal/batch/queue/progress.go
+++ b/internal/batch/queue/progress.go
@@ -11,9 +11,10 @@
 
 // The output of unfinished items is saved in parts, one row per part, so that saving a
 // part writes only its own bytes. A part's key ends with the ID of its last event, which
-// keeps the parts in order. Each part continues the previous one; a part that begins
-// with the first event replaces all saved parts.
+// keeps the parts in order. Each part continues the previous part. A part that begins with
+// the first event and ends after the saved output replaces all saved parts.
 
+// progressKey returns the key of the part whose last event has the ID last.
 func progressKey(job string, number uint32, last int64) []byte {
 	return binary.BigEndian.AppendUint64(rowKey(spaceProgress, job, number), uint64(last))
 }
@@ -21,7 +22,7 @@
 // scanProgress visits the saved parts of an item in order.
 func scanProgress(reader StateReader, job string, number uint32, visit func(key []byte, part *wirev1.QueueResult)) error {
 	from := rowKey(spaceProgress, job, number)
-	to := progressKey(job, number, -1) // above every event
+	to := progressKey(job, number, -1) // above the ID of any event
 	var decodeErr error
 	err := reader.Scan(from, append(to, 0), func(key, value []byte) bool {
 		part := &wirev1.QueueResult{}
@@ -37,8 +38,8 @@
 	return trace.Wrap(err, "reading progress")
 }
 
-// Progress returns the saved output of an unfinished item. Its Last is 0 if nothing is
-// saved.
+// Progress returns the saved output of an unfinished item. Only Text and Last, the ID of
+// the last event, are set. Last is 0 if nothing is saved.
 func Progress(reader StateReader, job string, number uint32) (*wirev1.QueueResult, error) {
 	saved := &wirev1.QueueResult{}
 	err := scanProgress(reader, job, number, func(_ []byte, part *wirev1.QueueResult) {
@@ -52,8 +53,9 @@
 	return saved, err
 }
 
-// appendProgress saves a part if it continues the saved output, or if it begins with the
-// first event and extends beyond the saved output, which it then replaces.
+// appendProgress saves a part if it ends after the saved output and either continues the
+// saved output or begins with the first event. In the latter case the part replaces the
+// saved output. It returns false if the part was not saved.
 func appendProgress(store StateStore, part *wirev1.QueueResult) (contiguous bool, err error) {
 	last := int64(0)
 	err = scanProgress(store, part.JobId, part.Item, func(_ []byte, saved *wirev1.QueueResult) { last = saved.Last })
--- a/internal/batch/queue/queue.go
+++ b/internal/batch/queue/queue.go
@@ -1,15 +1,17 @@
 // Package queue implements the state of batch jobs: a deterministic state machine over
 // an ordered store, and the table from which a shard's leader schedules items on
-// runners. It does no I/O of its own and reads no clock. Storage nodes run it.
+// runners. A job consists of items, each of which is one request to a runner. The output of
+// an item is a stream of events with consecutive IDs from 1 on. The package does no I/O of
+// its own and reads no clock. Storage nodes run it.
 //
-// It defines the layout of the stored rows (rows.go, progress.go), the commands that
-// change them (queue.go), the order in which items are started (order.go, pace.go) and
-// the sum of waiting tokens over all shards (ledger.go). Package queuestore replicates
-// the commands, opens the store and runs the leader.
+// The package defines the layout of the stored rows (rows.go, progress.go), the commands
+// that change them (queue.go), the order in which items are started (order.go, pace.go) and
+// the ledger, which adds up the tokens of unfinished items over all shards (ledger.go).
+// Package queuestore replicates the commands, opens the store and runs the leader.
 //
-// The state machine guarantees that a job is accepted once, that an item gets one
-// result, that the position and content of a result never change, and that no result is
-// added after the job's end.
+// The state machine guarantees that a job is accepted once, that an item gets at most one
+// result, that no result changes its position or content until its job is dropped, and that
+// no result is added after the job's end.
 package queue
 
 import (
@@ -20,24 +22,26 @@
 
 // ApplyResult describes the changes that a command made.
 type ApplyResult struct {
-	// Record is the record of the job that an accept or end command names; nil if the
-	// job does not exist.
+	// Record is the record of the job that an accept or end command names. It is nil for
+	// other commands, and if the job to be ended does not exist.
 	Record *wirev1.QueueRecord
 	// AlreadyAccepted reports that the job had been accepted by an earlier command.
 	AlreadyAccepted bool
-	// Finished holds the results that were added to their jobs.
+	// Finished lists the results that were added to their jobs, as the command contains
+	// them: without the output that had been saved before.
 	Finished []*wirev1.QueueResult
-	// Saved holds the progress that was saved. Rejected holds the results and progress
-	// that do not continue the saved output.
+	// Saved lists the parts of output that were saved. Rejected lists the results and
+	// parts that were not stored because they do not continue the saved output.
 	Saved    []*wirev1.QueueResult
 	Rejected []*wirev1.QueueResult
 	// Ended reports that the command ended the job.
 	Ended bool
-	// Dropped holds the IDs of the jobs that were deleted.
+	// Dropped lists the IDs that a drop command names, including those of missing jobs.
 	Dropped []string
 }
 
-// Apply applies one command of the log. It returns an error only if the store fails.
+// Apply applies the command at an index of the log. A command of an unknown kind changes
+// nothing. Apply returns an error only if the store fails or a stored row is unreadable.
 func Apply(store StateStore, index uint64, command *wirev1.QueueCommand) (*ApplyResult, error) {
 	switch kind := command.Kind.(type) {
 	case *wirev1.QueueCommand_Accept:
@@ -55,10 +59,11 @@
 	}
 }
 
+// accept stores a job and its items, unless the job was accepted before.
 func accept(store StateStore, index uint64, job *wirev1.QueueJob) (*ApplyResult, error) {
-	known, err := Record(store, job.Id)
-	if err != nil || known != nil {
-		return &ApplyResult{Record: known, AlreadyAccepted: known != nil}, err
+	existing, err := Record(store, job.Id)
+	if err != nil || existing != nil {
+		return &ApplyResult{Record: existing, AlreadyAccepted: existing != nil}, err
 	}
 	record := &wirev1.QueueRecord{
 		Id: job.Id, Host: job.Host, Path: job.Path, Route: job.Route, AcceptedUnixMs: job.AcceptedUnixMs,
@@ -73,6 +78,7 @@
 	return &ApplyResult{Record: record}, save(store, recordKey(job.Id), record)
 }
 
+// finish adds results to their jobs.
 func finish(store StateStore, results *wirev1.QueueResults) (*ApplyResult, error) {
 	applied := &ApplyResult{}
 	for _, result := range results.Results {
@@ -90,8 +96,9 @@
 	return applied, nil
 }
 
-// unfinishedRecord returns the record of a result's job if the item has no result yet,
-// and nil otherwise.
+// unfinishedRecord returns the record of a result's job if the item has no result yet. It
+// returns nil if the item has a result, the job or the item does not exist, or the job has
+// ended.
 func unfinishedRecord(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueRecord, error) {
 	record, err := Record(store, result.JobId)
 	if err != nil || record == nil || record.Ended || int(result.Item) >= len(record.Items) {
@@ -103,8 +110,9 @@
 	return record, nil
 }
 
-// addResult adds a result at the job's next position, unless the item already has a
-// result. It also reports whether the result continues the saved output.
+// addResult adds a result at the job's next position, unless unfinishedRecord excludes the
+// item or the result does not continue the saved output. Contiguous is false only in the
+// last case.
 func addResult(store StateStore, result *wirev1.QueueResult) (added, contiguous bool, err error) {
 	record, err := unfinishedRecord(store, result)
 	if err != nil || record == nil {
@@ -129,7 +137,8 @@
 }
 
 // completeResult prepends the item's saved output to a result. A result whose From is 0
-// is already complete.
+// already has the whole output, and a dead result needs none. It returns false if the
+// result does not continue the saved output.
 func completeResult(store StateStore, result *wirev1.QueueResult) (*wirev1.QueueResult, bool, error) {
 	whole := &wirev1.QueueResult{
 		JobId: result.JobId, Item: result.Item, ItemId: result.ItemId, Dead: result.Dead, Last: result.Last, Text: result.Text,
@@ -148,8 +157,8 @@
 	return whole, true, nil
 }
 
-// JoinTexts joins the texts of consecutive events. Each text must hold at least one
-// event.
+// JoinTexts joins two texts of consecutive events with a line feed. Each text must contain
+// the data of at least one event, which may be empty.
 func JoinTexts(before, after []byte) []byte {
 	joined := make([]byte, 0, len(before)+len(after)+1)
 	joined = append(joined, before...)
@@ -157,7 +166,8 @@
 	return append(joined, after...)
 }
 
-// progress saves the new output of runs that continues the saved output.
+// progress saves the parts of output that continue or replace the saved output of their
+// items, as described at appendProgress.
 func progress(store StateStore, results *wirev1.QueueResults) (*ApplyResult, error) {
 	applied := &ApplyResult{}
 	for _, result := range results.Results {
@@ -181,6 +191,7 @@
 	return applied, nil
 }
 
+// end ends a job. Its results stay; its unfinished items and their output are deleted.
 func end(store StateStore, job string) (*ApplyResult, error) {
 	record, err := Record(store, job)
 	if err != nil || record == nil || record.Ended {
@@ -193,6 +204,7 @@
 	return &ApplyResult{Record: record, Ended: true}, save(store, recordKey(job), record)
 }
 
+// drop deletes jobs with all of their rows.
 func drop(store StateStore, command *wirev1.QueueDrop) (*ApplyResult, error) {
 	for _, job := range command.JobIds {
 		if err := deleteRows(store, job, spaceItem, spaceProgress, spaceResult); err != nil {
--- a/internal/batch/queue/queue_test.go
+++ b/internal/batch/queue/queue_test.go
@@ -69,8 +69,8 @@
 	ended  map[string]bool
 }
 
-// textUpTo returns the text of an item's events up to an event. Some events are empty,
-// which must not be lost either.
+// textUpTo returns the text of an item's events up to and including an event. The data of
+// some events is empty.
 func textUpTo(item string, upTo int64) []byte {
 	var output ItemOutput
 	for id := int64(1); id <= upTo; id++ {
@@ -276,8 +276,8 @@
 	is.Equal(len(table.Expired(now.Add(61*time.Second))), 1)
 }
 
-// The parts that are appended to the log join to the whole output, also if some are
-// lost.
+// The parts that are appended to the log join to the whole output, even if some of them
+// are lost.
 func TestUnsavedPartsJoinToTheOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
--- a/internal/batch/queue/read.go
+++ b/internal/batch/queue/read.go
@@ -17,7 +17,8 @@
 	return record, nil
 }
 
-// Item returns an item that has no result yet, or nil if there is no such item.
+// Item returns an unfinished item. It returns nil if the item has a result, its job has
+// ended, or there is no such item.
 func Item(reader StateReader, job string, number uint32) (*wirev1.QueueItem, error) {
 	item := &wirev1.QueueItem{}
 	found, err := load(reader, rowKey(spaceItem, job, number), item)
@@ -27,8 +28,9 @@
 	return item, nil
 }
 
-// Results returns the results of a job from a position on, up to maxBytes in total. It
-// returns at least one result if there is any, even if that exceeds maxBytes.
+// Results returns the results of a job in the order in which they were added, without the
+// first since results. It returns up to maxBytes of stored results, but always the first
+// one, whatever its size.
 func Results(reader StateReader, job string, since uint32, maxBytes int) ([]*wirev1.QueueResult, error) {
 	var results []*wirev1.QueueResult
 	var decodeErr error
@@ -52,7 +54,7 @@
 	return results, trace.Wrap(err)
 }
 
-// Records visits the records of all jobs.
+// Records visits the records of all jobs, in the order of their IDs.
 func Records(reader StateReader, visit func(*wirev1.QueueRecord)) error {
 	var decodeErr error
 	err := reader.Scan([]byte{spaceRecord}, []byte{spaceRecord + 1}, func(_, value []byte) bool {
--- a/internal/batch/queue/rows.go
+++ b/internal/batch/queue/rows.go
@@ -11,8 +11,8 @@
 type StateReader interface {
 	// Get returns the value of a key, or nil if the key is absent.
 	Get(key []byte) ([]byte, error)
-	// Scan visits the keys in the half-open range from, to in order, until visit
-	// returns false.
+	// Scan visits the rows whose keys are at least from and less than to, in the order
+	// of the keys, until visit returns false.
 	Scan(from, to []byte, visit func(key, value []byte) bool) error
 }
 
@@ -21,6 +21,7 @@
 	StateReader
 	Set(key, value []byte) error
 	Delete(key []byte) error
+	// DeleteRange deletes the keys that are at least from and less than to.
 	DeleteRange(from, to []byte) error
 }
 
@@ -43,6 +44,8 @@
 	return binary.BigEndian.AppendUint32(key, number)
 }
 
+// rowRange returns the bounds of the keys of a job's rows in a key space. The last key of
+// the range is less than to.
 func rowRange(space byte, job string) (from, to []byte) {
 	return rowKey(space, job, 0), append(rowKey(space, job, ^uint32(0)), 0)
 }
@@ -65,6 +68,7 @@
 	return trace.Wrap(store.Set(key, value))
 }
 
+// load reads a row into message. It returns false if the key is absent.
 func load[T proto.Message](reader StateReader, key []byte, message T) (bool, error) {
 	value, err := reader.Get(key)
 	if err != nil || value == nil {
--- a/internal/batch/queue/saves.go
+++ b/internal/batch/queue/saves.go
@@ -6,26 +6,25 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// saveBatchDelay is how long the progress of runs is collected before it is appended to
-// the log as one command, which costs one write and one message per replica for all runs
-// of a shard. The runs of a node save at the same moments (see queuerun), at an interval
-// several times as long.
+// saveBatchDelay is how long the progress of a shard's runs is collected before it is
+// proposed to the log as one command. The runs of a node save their output at the same
+// moments (see queuerun), so one command usually contains the progress of all of them.
 const saveBatchDelay = 80 * time.Millisecond
 
-// ProgressBatch collects the progress of a shard's runs. Only the leader's goroutine
-// uses it.
+// ProgressBatch collects the progress of a shard's runs. Its zero value is an empty batch.
+// Only the leader's goroutine uses it.
 type ProgressBatch struct {
-	since time.Time
+	since time.Time // time of the first addition to the batch
 	byKey map[ItemKey]pendingOutput
 }
 
 type pendingOutput struct {
-	item   string
-	output ItemOutput
+	item   string     // item ID
+	output ItemOutput // whole output so far
 }
 
-// Add adds the output of a run so far, unless the batch holds a longer output of the
-// item.
+// Add adds the whole output of an item so far, unless the batch contains a longer output
+// of the item.
 func (s *ProgressBatch) Add(key ItemKey, item string, output ItemOutput, now time.Time) {
 	if s.byKey == nil {
 		s.byKey = map[ItemKey]pendingOutput{}
@@ -33,16 +32,17 @@
 	if len(s.byKey) == 0 {
 		s.since = now
 	}
-	if known, found := s.byKey[key]; !found || output.LastEventID >= known.output.LastEventID {
+	if collected, found := s.byKey[key]; !found || output.LastEventID >= collected.output.LastEventID {
 		s.byKey[key] = pendingOutput{item, output}
 	}
 }
 
-// Remove removes an item from the batch, because its result has been proposed.
+// Remove removes an item from the batch. It is called when the item's result is proposed.
 func (s *ProgressBatch) Remove(key ItemKey) { delete(s.byKey, key) }
 
-// Flush returns the unsaved parts of the collected outputs and clears the batch. It
-// returns nil until saveBatchDelay has passed, or if all output is already saved.
+// Flush returns the unsaved parts of the collected outputs, marks them as proposed in the
+// table, and clears the batch. It returns nil and keeps the batch until saveBatchDelay has
+// passed since the first addition. It also returns nil if there is nothing to save.
 func (s *ProgressBatch) Flush(table *ItemTable, now time.Time) *wirev1.QueueResults {
 	if len(s.byKey) == 0 || now.Sub(s.since) < saveBatchDelay {
 		return nil
@@ -60,7 +60,8 @@
 	return due
 }
 
-// unsaved returns the part of an output that is neither in the log nor proposed.
+// unsaved returns the part of an output that is neither in the log nor proposed, and marks
+// the part as proposed. It returns nil if there is none or the item is finished.
 func (s *pendingOutput) unsaved(table *ItemTable, key ItemKey) *wirev1.QueueResult {
 	if table.Entry(key) == nil {
 		return nil
--- a/internal/batch/queue/table.go
+++ b/internal/batch/queue/table.go
@@ -13,37 +13,41 @@
 }
 
 // TokenAccount identifies the jobs whose waiting tokens count against the same limit:
-// the jobs of one tenant on one route. The tenant is empty where there are no tenants,
-// so that all jobs on the route share an account.
+// the jobs of one tenant on one route. The tenant is empty in a deployment without tenants,
+// in which all jobs on a route share an account.
 type TokenAccount struct{ Tenant, Route string }
 
 // ItemEntry is an unfinished item in the leader's table.
 type ItemEntry struct {
-	Key    ItemKey
-	ID     string
+	Key ItemKey
+	ID  string
+	// Tokens is the number of prompt tokens plus the maximum number of output tokens. It
+	// counts against the account's limit.
 	Tokens uint64
 	// Account is the account that the item's tokens count against until it finishes.
 	Account TokenAccount
-	// Due is when the result should be readable. From ExpiresAt on the item may be
-	// finished without one.
+	// Due is when the result should be readable. After ExpiresAt the item may be ended
+	// with a dead result, which has no output (see Expired).
 	Due       time.Time
 	ExpiresAt time.Time
 	// Failures counts the runs in which the runner reported a failure.
 	Failures int
-	// NotBefore is the earliest time of the next run.
+	// NotBefore is the earliest time of the next run; zero means at once.
 	NotBefore time.Time
-	// ExpectedTokens is the submitter's estimate of the output tokens.
+	// ExpectedTokens is the submitter's estimate of the output tokens; 0 if there is none.
 	ExpectedTokens uint32
-	// Service is the service that had no free slot at the last attempt to start the
-	// item; empty if there was no such attempt.
+	// Service is the service that had no free slot at the last failed attempt to start
+	// the item. It is empty if there was no such attempt, or if that attempt failed for
+	// another reason.
 	Service string
 	// Output is the output of earlier runs.
 	Output ItemOutput
-	// saved is the end of the output that is in the log or proposed to it.
+	// saved is the end of the output that is in the log or proposed to it; zero if there
+	// is none.
 	saved   outputOffset
 	running bool
-	order   uint64
-	rank    rank // as of the last call of Ready
+	order   uint64 // order of addition to the table
+	rank    rank   // as of the last call of Ready
 }
 
 // ItemOutput is an item's output up to an event.
@@ -68,8 +72,8 @@
 type ItemTable struct {
 	entries   map[ItemKey]*ItemEntry
 	jobs      map[string]map[uint32]*ItemEntry
-	waiting   map[TokenAccount]uint64
-	order     uint64
+	waiting   map[TokenAccount]uint64 // tokens of unfinished items
+	order     uint64                  // order of the last item added
 	estimator durationEstimator
 }
 
@@ -78,7 +82,9 @@
 	return &ItemTable{entries: map[ItemKey]*ItemEntry{}, jobs: map[string]map[uint32]*ItemEntry{}, waiting: map[TokenAccount]uint64{}}
 }
 
-// Add adds the unfinished items of a job, unless the job has ended or was added before.
+// Add adds the unfinished items of a job, unless the job has ended or is in the table. Wall
+// is the wall clock time, from which the job's age is computed; now is the time that the
+// other methods are called with, and the due times are relative to it.
 func (t *ItemTable) Add(record *wirev1.QueueRecord, now time.Time, wall time.Time) {
 	if record.Ended || t.jobs[record.Id] != nil {
 		return
@@ -106,17 +112,18 @@
 	}
 }
 
-// age returns the time since a job was accepted, by the wall clock. It is never
-// negative, because clocks differ between machines and may jump. It affects only when
-// items are started or expire.
+// age returns the time since a job was accepted, by the wall clock. It returns 0 if the
+// acceptance appears to lie in the future, because clocks differ between machines and may
+// jump.
 func age(record *wirev1.QueueRecord, wall time.Time) time.Duration {
 	return max(0, wall.Sub(time.UnixMilli(record.AcceptedUnixMs)))
 }
 
-// Waiting returns the tokens of an account's unfinished items.
+// Waiting returns the sum of the tokens of an account's unfinished items.
 func (t *ItemTable) Waiting(account TokenAccount) uint64 { return t.waiting[account] }
 
-// WaitingByAccount returns the tokens of unfinished items for each account that has any.
+// WaitingByAccount returns the sum of the tokens of unfinished items, for each account
+// whose sum is not 0.
 func (t *ItemTable) WaitingByAccount() map[TokenAccount]uint64 {
 	waiting := make(map[TokenAccount]uint64, len(t.waiting))
 	for account, tokens := range t.waiting {
@@ -141,7 +148,8 @@
 	return count
 }
 
-// Finish removes an item after its result was added.
+// Finish removes an item that needs no more runs. It does nothing if the table does not
+// contain the item.
 func (t *ItemTable) Finish(key ItemKey) {
 	entry := t.entries[key]
 	if entry == nil {
@@ -155,24 +163,26 @@
 	}
 }
 
-// End removes all items of a job.
+// End removes the unfinished items of a job.
 func (t *ItemTable) End(job string) {
 	for number := range t.jobs[job] {
 		t.Finish(ItemKey{job, number})
 	}
 }
 
-// Entry returns an unfinished item, or nil if the table does not hold the item.
+// Entry returns an unfinished item, or nil if the table does not contain the item.
 func (t *ItemTable) Entry(key ItemKey) *ItemEntry { return t.entries[key] }
 
-// Start marks an item as running.
+// Start marks an item as running, so that Ready leaves it out.
 func (t *ItemTable) Start(key ItemKey) {
 	if entry := t.entries[key]; entry != nil {
 		entry.running = true
 	}
 }
 
-// Requeue makes an item available again after its run ended without a result.
+// Requeue makes an item available again from notBefore on, after its run ended without a
+// result. Output is the item's whole output so far. Failed means that the runner reported a
+// failure, which is counted.
 func (t *ItemTable) Requeue(key ItemKey, output ItemOutput, failed bool, notBefore time.Time) {
 	entry := t.entries[key]
 	if entry == nil {
@@ -186,8 +196,8 @@
 	}
 }
 
-// Expired returns the items whose expiry time has passed. Items that expire no later
-// than they are due never expire.
+// Expired returns the items whose ExpiresAt has passed, also those that are running. An item
+// whose ExpiresAt is not after Due never expires.
 func (t *ItemTable) Expired(now time.Time) []*ItemEntry {
 	var expired []*ItemEntry
 	for _, entry := range t.entries {
@@ -212,8 +222,10 @@
 	}
 }
 
-// Unsaved returns the part of an output that is neither in the log nor proposed: the ID
-// of the event before it, and its text. It marks the part as proposed.
+// Unsaved returns the part of an item's output that is neither in the log nor proposed: the
+// ID of the event before the part, and the text of the part. It returns 0 and the whole
+// output if nothing is saved, if the output is shorter than the saved output, or if the
+// table does not contain the item. It marks the output as proposed.
 func (t *ItemTable) Unsaved(key ItemKey, output ItemOutput) (from int64, text []byte) {
 	entry := t.entries[key]
 	if entry == nil || entry.saved.lastEventID == 0 || entry.saved.lastEventID > output.LastEventID || entry.saved.bytes > len(output.Text) {
@@ -231,8 +243,8 @@
 	return from, text
 }
 
-// ResetSaved records that a proposed part did not reach the log, so that the next call
-// of Unsaved returns the whole output.
+// ResetSaved records that a proposed part may not have reached the log, so that the next
+// call of Unsaved returns the whole output.
 func (t *ItemTable) ResetSaved(key ItemKey) {
 	if entry := t.entries[key]; entry != nil {
 		entry.saved = outputOffset{}
