--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -1,10 +1,10 @@
 // Package queuerun runs batch items on runners, in the slots that online requests leave
-// free. Runners have no priorities and serve requests in order of arrival. An item is
+// free. Runners have no priorities and process requests in order of arrival. An item is
 // therefore sent only to a runner with a free slot, and is preempted when online
 // requests need the slot. Storage nodes run it.
 //
-// It keeps the runs in progress and the runners that are paused for items after a
-// preemption. Package queuestore supplies the items and receives their outcomes,
+// The package keeps the runs in progress, and the runners that get no items for a while
+// after a preemption. Package queuestore supplies the items and receives their outcomes,
 // runnerset selects a runner, quarantine detects items that crash runners, and exchange
 // sends the calls.
 //
@@ -37,26 +37,28 @@
 	Catalogs *catalog.Holder
 	Runners  *runnerset.Set
 	Client   exchange.CallSender
-	// Home reports whether this node is the preferred one to send items to a runner;
-	// nil means that this node is preferred for all runners.
+	// Home reports whether a runner is one of this node's home runners: this node is
+	// preferred over other nodes for sending items to it. If Home is nil, all runners
+	// are home runners.
 	Home func(runner *runnerset.Record) bool
 	// Quarantine tracks the items that crash runners; nil disables the tracking.
 	Quarantine quarantine.Guard
 
-	// tasks holds the goroutines of runs and of their reports. They end with the
-	// contexts of their items.
+	// tasks runs the goroutines of runs, of saves and of outcomes without a run. They
+	// end with the contexts of their items.
 	tasks tasks.Group
 
-	mutex sync.Mutex
+	mutex sync.Mutex // guards runs and pauses
 	// runs holds the runs in progress by runner ID; the value is true for a preempted
 	// run.
 	runs map[string]map[*run]bool
-	// pauses holds the times until which runners get no items after a preemption.
+	// pauses holds the times until which runners get no items after a preemption, by
+	// runner ID.
 	pauses map[string]time.Time
 }
 
-// New returns an executor that preempts items when online requests of other nodes need
-// their slots.
+// New returns an executor, and registers it to preempt items when changes of other nodes'
+// load at a runner leave too few slots. It replaces the set's callback for such changes.
 func New(zone string, catalogs *catalog.Holder, runners *runnerset.Set, client exchange.CallSender) *ItemExecutor {
 	e := &ItemExecutor{
 		Zone: zone, Catalogs: catalogs, Runners: runners, Client: client,
@@ -68,27 +70,30 @@
 
 var _ queuestore.Executor = (*ItemExecutor)(nil)
 
-// Wait waits until all runs have ended; no new run can start. The contexts of the items
-// must have ended before the call.
+// Wait waits until all tasks have ended. From the call on, no new run starts. The contexts
+// of the items must have ended before the call.
 func (e *ItemExecutor) Wait() { e.tasks.Wait() }
 
 const (
-	// awayReserve is the share of slots that this node leaves free at runners for which
-	// another node is preferred, because both nodes may see the same free slot.
-	awayReserve = 0.2
-	// maxUnreadTokens is the maximum number of prompt tokens still to be read at a
-	// runner that gets an item.
+	// nonHomeReserve is the share of slots that this node leaves free at runners that are
+	// not its home runners, because several nodes may see the same free slot.
+	nonHomeReserve = 0.2
+	// maxUnreadTokens is the number of unprocessed prompt tokens at a runner above which
+	// the runner gets no items.
 	maxUnreadTokens = 1500
-	// missingRouteGrace is how long the item's route must be missing from the active
-	// configuration before the item fails for good.
+	// missingRouteGrace is how long a configuration without the item's route must have
+	// been active before the item fails for good.
 	missingRouteGrace = 4 * time.Second
 	// maxQuarantineWait is the longest wait before a quarantined item is checked again,
-	// so that the item notices the end of its quarantine and its own expiry.
+	// because the quarantine may end early.
 	maxQuarantineWait = 5 * time.Second
 )
 
-// TryStart implements queuestore.Executor. The goroutine that receives outcomes also
-// calls TryStart, so done is always called from a task.
+// TryStart implements queuestore.Executor. It also returns false, without setting
+// work.FullService, if no configuration is active, if the item's route has been missing for
+// less than missingRouteGrace, or after Wait was called. It returns true and reports an
+// outcome without a run if the route is missing for longer or the item is quarantined.
+// TryStart never calls done itself, because its caller also receives the outcomes.
 func (e *ItemExecutor) TryStart(ctx context.Context, work *queuestore.Work, done func(queuestore.Outcome)) bool {
 	held := e.Catalogs.Current()
 	if held == nil {
@@ -121,7 +126,8 @@
 	return e.start(ctx, itemRun, &choice, held.Version, done)
 }
 
-// start runs an item as a task. It returns false if the executor is ending.
+// start starts a run as a task, which logs the outcome and passes it to done. It returns
+// false after Wait was called.
 func (e *ItemExecutor) start(
 	ctx context.Context, itemRun *run, choice *runnerset.Choice, catalogVersion uint64, done func(queuestore.Outcome),
 ) bool {
@@ -143,6 +149,7 @@
 	return started
 }
 
+// held reports whether an item is quarantined, and for how much longer.
 func (e *ItemExecutor) held(fingerprint quarantine.Fingerprint) (time.Duration, bool) {
 	if e.Quarantine == nil {
 		return 0, false
@@ -150,6 +157,8 @@
 	return e.Quarantine.Held(fingerprint)
 }
 
+// trackRun reports the start of a run to the quarantine. The caller calls end when the run
+// has ended.
 func (e *ItemExecutor) trackRun(fingerprint quarantine.Fingerprint, runner *runnerset.Runner) (end func()) {
 	if e.Quarantine == nil {
 		return func() {}
@@ -163,6 +172,8 @@
 	return quarantine.FingerprintOf(quarantine.RequestContent{Tenant: work.Tenant, Method: http.MethodPost, Host: work.Host, URI: work.Item.Path, Body: work.Item.Body})
 }
 
+// promptOf returns the number of tokens of an item's prompt, and all parts of the prompt but
+// the last as the parts that other prompts may share.
 func promptOf(item *wirev1.QueueItem) runnerset.Prompt {
 	prompt := runnerset.Prompt{}
 	for i, part := range item.Prompt {
@@ -174,6 +185,8 @@
 	return prompt
 }
 
+// pick selects a runner for an item. It leaves out the runners that are paused and those
+// that the quarantine excludes.
 func (e *ItemExecutor) pick(route *catalog.Route, work *queuestore.Work, fingerprint quarantine.Fingerprint, now time.Time) runnerset.Choice {
 	excluded := e.paused(now)
 	if e.Quarantine != nil {
@@ -181,6 +194,6 @@
 	}
 	return e.Runners.Pick(&runnerset.Criteria{
 		Service: route.ServiceFor(work.Item.Id), Zone: e.Zone, Prompt: promptOf(work.Item), Bytes: len(work.Item.Body),
-		Excluded: excluded, Batch: &runnerset.BatchLimits{MaxUnread: maxUnreadTokens, Home: e.Home, NonHomeReserve: awayReserve},
+		Excluded: excluded, Batch: &runnerset.BatchLimits{MaxUnread: maxUnreadTokens, Home: e.Home, NonHomeReserve: nonHomeReserve},
 	}, now)
 }
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// retryDelay is the delay after a run that got no response or an error.
+	// retryDelay is the delay before the next run after a run that got no response, or a
+	// response with a status other than 200.
 	retryDelay = 150 * time.Millisecond
-	// interruptedDelay is the delay after a run that the runner did not accept, or whose
+	// interruptedDelay is the delay after a run that the runner did not start, or whose
 	// stream broke.
 	interruptedDelay = 100 * time.Millisecond
 	// preemptedDelay is the delay after a preemption.
@@ -26,9 +27,10 @@
 	reasonPreempted = "gave way"
 )
 
-// statusOutcome returns the outcome of a response with a status other than 200. Only a
-// response from the runner itself ends the item for good or counts as a failed attempt.
-// Any other response does not concern the item and counts as a failure of the runner.
+// statusOutcome returns the outcome of a response with a status other than 200. Status 422
+// from the runner itself ends the item for good, and status 500 from the runner itself
+// counts as a failed attempt of the item. Any other response does not count against the
+// item: runnerFailed is true, and the response counts as a failure of the runner.
 func statusOutcome(status int, fromRunner bool) (outcome queuestore.Outcome, runnerFailed bool) {
 	outcome.RetryDelay = retryDelay
 	switch {
@@ -43,7 +45,8 @@
 	return outcome, runnerFailed
 }
 
-// errorStatusOutcome handles a response with a status other than 200.
+// errorStatusOutcome returns the outcome of a response with a status other than 200, and
+// records a failure of the runner if the response counts as one.
 func (r *run) errorStatusOutcome(response *exchange.Response) queuestore.Outcome {
 	outcome, runnerFailed := statusOutcome(response.Status, response.FromRunner)
 	outcome.Output = r.output
@@ -53,7 +56,10 @@
 	return outcome
 }
 
-// callErrorOutcome handles a call that got no response.
+// callErrorOutcome returns the outcome of a call that got no response. Unless the item's
+// context has ended or the run was preempted, it records a failure of the runner, except
+// when a working runner did not start the run. It reports the run to the quarantine if the
+// runner may have started it and the error is not a cancellation.
 func (r *run) callErrorOutcome(parent context.Context, err error) queuestore.Outcome {
 	outcome := queuestore.Outcome{Output: r.output, RetryDelay: retryDelay, Reason: "unanswered"}
 	var notRun *exchange.NotRunError
@@ -77,7 +83,9 @@
 	return outcome
 }
 
-// streamErrorOutcome handles a response stream that broke.
+// streamErrorOutcome returns the outcome of a response stream that broke. Unless the run was
+// cancelled or preempted, it records a failure of the runner and reports the run to the
+// quarantine.
 func (r *run) streamErrorOutcome(parent context.Context, err error) queuestore.Outcome {
 	outcome := queuestore.Outcome{Output: r.output, RetryDelay: interruptedDelay, Reason: "stream broken"}
 	if parent.Err() != nil {
--- a/internal/batch/queuerun/preemption.go
+++ b/internal/batch/queuerun/preemption.go
@@ -15,14 +15,15 @@
 const (
 	// preemptionPause is how long a runner gets no items after a preemption.
 	preemptionPause = 250 * time.Millisecond
-	// lateDiscount is longer than the slack of any item.
+	// lateDiscount is subtracted from the cost of preempting late items, so that they are
+	// preempted before others. It is longer than the slack of any item.
 	lateDiscount = time.Hour
 )
 
-// itemsToPreempt returns how many of this node's items must free their slots at a
-// runner, so that no online request waits for an item. It is the number of requests of
-// all nodes beyond the runner's slots, or 0 if this node has no items there or the
-// number of slots is unknown.
+// itemsToPreempt returns how many items must free their slots at a runner, so that no
+// online request waits for a slot. This is the number by which the requests of all nodes,
+// online and batch, exceed the runner's slots. It may be more than this node's items. It
+// is 0 if this node has no items at the runner or the number of slots is unknown.
 func itemsToPreempt(counts runnerset.RequestCounts, slots int) int {
 	if counts.OwnBatch == 0 || slots == 0 {
 		return 0
@@ -32,8 +33,9 @@
 
 // preemptionCost returns the cost of preempting a run; the run with the lowest cost is
 // preempted first. The slack is the item's spare time when the run started, and elapsed
-// is the duration of the run so far. A late item loses only its run so far, so the
-// shortest of these runs cost least. Among the others, the cost falls with the slack.
+// is the duration of the run so far. Runs of late items, whose slack is negative, cost
+// least, and a shorter run costs less than a longer run. Among the runs of other items, more
+// slack means a lower cost.
 func preemptionCost(slack, elapsed time.Duration) time.Duration {
 	if slack < 0 {
 		return -lateDiscount + elapsed
@@ -41,7 +43,8 @@
 	return -slack
 }
 
-// preempt cancels runs at a runner to free the slots that online requests need.
+// preempt cancels as many of this node's runs at a runner as are needed to free slots for
+// online requests, and pauses the runner for items if it cancelled any.
 func (e *ItemExecutor) preempt(runner *runnerset.Runner) {
 	now := time.Now()
 	counts := runner.RequestCounts(now)
@@ -66,8 +69,8 @@
 	}
 }
 
-// cheapestRun returns the run at a runner with the lowest preemption cost, or nil if all
-// runs are already preempted. The caller holds the mutex.
+// cheapestRun returns the run at a runner with the lowest preemption cost among those that
+// are not preempted yet, or nil if there is none. The caller holds the mutex.
 func (e *ItemExecutor) cheapestRun(runner string, now time.Time) *run {
 	var chosen *run
 	for candidate, preempted := range e.runs[runner] {
@@ -100,14 +103,15 @@
 	}
 }
 
-// wasPreempted reports whether a run was cancelled to free its slot.
+// wasPreempted reports whether a registered run was cancelled to free its slot.
 func (e *ItemExecutor) wasPreempted(r *run) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.runs[r.runner.ID][r]
 }
 
-// paused returns the runners that currently get no items, and deletes expired pauses.
+// paused returns the IDs of the runners that get no items after a preemption, and deletes
+// expired pauses. The caller may change the map.
 func (e *ItemExecutor) paused(now time.Time) map[string]bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/batch/queuerun/preemption_test.go
+++ b/internal/batch/queuerun/preemption_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Late items are preempted first, the shortest run before longer ones; then the items
+// Late items are preempted first, shorter runs before longer runs. Then come the items
 // with the most slack.
 func TestPreemptionCost(t *testing.T) {
 	costs := []time.Duration{
--- a/internal/batch/queuerun/queuerun_test.go
+++ b/internal/batch/queuerun/queuerun_test.go
@@ -142,8 +142,8 @@
 	is.True(!executor.TryStart(context.Background(), work, func(queuestore.Outcome) { t.Error("failed at once") }))
 }
 
-// The run with the lowest cost is preempted: a late one first, then the one with the
-// most slack. The output so far is kept, and the runner is not ejected.
+// The run with the lowest cost is preempted: first the run of a late item, then the run
+// of the item with the most slack. The output so far is kept, and the runner is not ejected.
 func TestPreemption(t *testing.T) {
 	is := is.New(t)
 	unresponsive := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
--- a/internal/batch/queuerun/run.go
+++ b/internal/batch/queuerun/run.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// responseTimeout and eventTimeout bound the waits for a runner's response header
-	// and for its next event.
+	// responseTimeout bounds the wait for the header of a runner's response, and
+	// eventTimeout the wait for its next event.
 	responseTimeout = 6 * time.Second
 	eventTimeout    = 4 * time.Second
-	// saveInterval is the interval at which a run's output is saved, and so the bound on
-	// the work that is repeated after the loss of the leader. All runs of a node save at
-	// the same moments, so that a shard can write their output in one batch.
+	// saveInterval is the interval at which a run's output is saved. It limits the work
+	// that is repeated after the loss of the leader. All runs of a node save in the same
+	// rounds, so that a shard can write their output in one batch.
 	saveInterval = 400 * time.Millisecond
 )
 
@@ -38,17 +38,20 @@
 	fingerprint quarantine.Fingerprint
 	route       *catalog.Route
 	runner      *runnerset.Runner
-	inFlight    *runnerset.InFlight
+	inFlight    *runnerset.InFlight // the run's share of the load at the runner
 	startedAt   time.Time
 	cancel      context.CancelCauseFunc
-	// output is the output of this run and of earlier ones.
+	// output is the output of this run and of earlier runs.
 	output queue.ItemOutput
-	// savedRound is the round in which the output was last saved.
+	// savedRound is the save round in which the output was last saved, or in which the
+	// run started if it was not saved yet.
 	savedRound int64
-	// firstEvent is the time of this run's first event; zero before.
+	// firstEvent is the time of this run's first event; zero before the event.
 	firstEvent time.Time
 }
 
+// run calls the runner and reads its response. Parent is the context of the item, which ends
+// when the item needs no run by this node any more.
 func (r *run) run(parent context.Context) queuestore.Outcome {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
@@ -61,7 +64,7 @@
 	if err != nil {
 		return preemptedOutcome(ctx, r.callErrorOutcome(parent, err))
 	}
-	// The error of Close is irrelevant: the body is read to its end or abandoned.
+	// An error of Close has no effect: the body was read to its end or is abandoned.
 	defer func() { _ = response.Body.Close() }()
 	r.runner.RecordLoad(response.Load, time.Now())
 	if response.Status != http.StatusOK {
@@ -70,6 +73,8 @@
 	return preemptedOutcome(ctx, r.readEvents(parent, response, idleTimer))
 }
 
+// call returns the call to the runner. If there is output of earlier runs, the call asks the
+// runner to resume after its last event.
 func (r *run) call() *exchange.Call {
 	call := &exchange.Call{
 		ID: r.work.Item.Id, Method: http.MethodPost, URI: r.work.Item.Path, Host: r.work.Host, Body: r.work.Item.Body,
@@ -85,7 +90,9 @@
 	return call
 }
 
-// readEvents reads events until the stream ends or breaks.
+// readEvents adds events to the output until the stream ends or breaks. A stream that ends
+// makes the item done if there is any output. A stream is broken if it ends without any
+// output, if an event does not have the next ID, or if reading fails.
 func (r *run) readEvents(parent context.Context, response *exchange.Response, idleTimer *time.Timer) queuestore.Outcome {
 	events := eventstream.NewDecoder(response.Body)
 	for {
@@ -105,7 +112,8 @@
 	}
 }
 
-// addEvent appends an event to the output, and saves the output once per round.
+// addEvent appends an event to the output, and saves the output with the first event in
+// each save round after the round in which the run started.
 func (r *run) addEvent(event *eventstream.StreamEvent) {
 	now := time.Now()
 	if r.output.LastEventID == r.work.Output.LastEventID {
@@ -124,32 +132,33 @@
 // processStart is the time from which save rounds are counted.
 var processStart = time.Now()
 
-// saveRound returns the number of the save round at a time.
+// saveRound returns the number of the save round, of length saveInterval, at a time.
 func saveRound(now time.Time) int64 { return int64(now.Sub(processStart) / saveInterval) }
 
-// save saves a copy of the output without blocking the run. Nothing is saved while the
-// executor is ending, because the shard that would store the output has stopped.
+// save saves a copy of the output in a task, without blocking the run. It saves nothing
+// after the executor's Wait was called.
 func (r *run) save() {
 	output := queue.ItemOutput{LastEventID: r.output.LastEventID, Text: append([]byte(nil), r.output.Text...)}
 	r.executor.tasks.Go(func() { r.work.Save(output) })
 }
 
-// recordBrokenRun reports a broken run to the quarantine, which counts the run against
-// the item if the runner has ended.
+// recordBrokenRun reports a broken run to the quarantine if the run may have crashed the
+// runner (see quarantine.IsSuspectRun). The quarantine counts the run against the item if
+// the runner has ended.
 func (r *run) recordBrokenRun() {
 	if r.executor.Quarantine != nil && quarantine.IsSuspectRun(r.firstEvent, time.Now()) {
 		r.executor.Quarantine.RecordBrokenRun(r.work.Item.Id, r.fingerprint, r.runner.ID, r.runner.Address)
 	}
 }
 
-// recordCompletion reports to the quarantine that a runner completed the item.
+// recordCompletion reports to the quarantine that the runner completed the item.
 func (r *run) recordCompletion() {
 	if r.executor.Quarantine != nil {
 		r.executor.Quarantine.RecordCompletion(r.fingerprint)
 	}
 }
 
-// logEnd logs the run's outcome.
+// logEnd logs the end of a run with its outcome, whether the item was completed or not.
 func (r *run) logEnd(choice *runnerset.Choice, catalogVersion uint64, outcome string) {
 	klog.InfoS("item run ended", slices.Concat(
 		[]any{
