--- a/internal/batch/grants/grants.go
+++ b/internal/batch/grants/grants.go
@@ -5,8 +5,9 @@
 // session, the holder, is not renewed for the duration of the lease. Items of the
 // repeatable class may be granted again after the loss of a holder. Items of class once run
 // at most once: the caller records their start in the shard's log before it sends them to
-// the holder. An item whose holder is lost after the start is reported as unknown, because
-// it may or may not have run. When a leader is lost, repeatable items may be repeated.
+// the holder. If the holder of such an item is lost after the start, the outcome of the item
+// is unknown, because the item may or may not have run. When a leader is lost, repeatable
+// items may be granted again although they are still running.
 //
 // The package does no I/O and reads no clock; a Loader reads the shard's applied state, the
 // state after the committed commands of the log. The plain node runs the package on the
--- a/internal/batch/grants/items.go
+++ b/internal/batch/grants/items.go
@@ -38,7 +38,7 @@
 	Attempt  uint32 // from 1
 	Tenant   string
 	Deadline time.Time
-	// Restarted reports that the item's start was recorded for an earlier holder, which
+	// Restarted reports that the item's start was already recorded for a holder that
 	// returned the item without having run it.
 	Restarted bool
 }
--- a/internal/batch/grants/order.go
+++ b/internal/batch/grants/order.go
@@ -72,8 +72,8 @@
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
-	if outA, outB := t.tenants[a.tenant], t.tenants[b.tenant]; outA != outB {
-		return outA < outB
+	if grantedA, grantedB := t.tenants[a.tenant], t.tenants[b.tenant]; grantedA != grantedB {
+		return grantedA < grantedB
 	}
 	if !a.deadline.Equal(b.deadline) {
 		return a.deadline.Before(b.deadline)
--- a/internal/batch/grants/sessions.go
+++ b/internal/batch/grants/sessions.go
@@ -121,15 +121,15 @@
 	if h == nil {
 		return nil
 	}
-	found := map[string]bool{}
+	stopped := map[string]bool{}
 	for key := range h.keys {
 		existing := t.jobs[key.Job]
 		if existing == nil || existing.stopping {
-			found[key.Job] = true
+			stopped[key.Job] = true
 		}
 	}
-	list := make([]string, 0, len(found))
-	for id := range found {
+	list := make([]string, 0, len(stopped))
+	for id := range stopped {
 		list = append(list, id)
 	}
 	sort.Strings(list)
--- a/internal/batch/queue/ledger.go
+++ b/internal/batch/queue/ledger.go
@@ -4,12 +4,12 @@
 // among the shards as their local allowances.
 const localAllowanceShare = 0.8
 
-// LocalAllowance returns up to how many waiting tokens of an account a shard accepts jobs
-// without asking the limit keeper, the node that keeps the ledger. The limit is in tokens,
-// and the overrun is the share of the limit by which all shards together may exceed it. The
-// allowances of all shards add up to less than the overrun. They let small jobs be accepted
-// while the keeper is unresponsive or another shard has no leader. The allowance is 0 if
-// there are no shards.
+// LocalAllowance returns the number of waiting tokens of an account up to which a shard
+// accepts jobs without asking the limit keeper, the node that keeps the ledger. With the
+// allowance, a shard accepts small jobs even while the keeper is unresponsive or another
+// shard has no leader. The limit is in tokens. The overrun is the share of the limit by
+// which all shards together may exceed the limit; the sum of their allowances stays within
+// it. The allowance is 0 if there are no shards.
 func LocalAllowance(limit uint64, overrun float64, shards int) uint64 {
 	if shards < 1 {
 		return 0
@@ -18,9 +18,10 @@
 }
 
 // Ledger adds up the waiting tokens of all shards, to enforce limits that apply across
-// shards. Waiting tokens are the tokens of unfinished items (ItemEntry.Tokens). Before a shard's leader accepts a submission beyond its local allowance, it reports its
-// waiting tokens, including those of submissions in progress. An outdated report may still
-// count finished items. The tokens that it leaves out are within the local allowance.
+// shards. Waiting tokens are the tokens of unfinished items (ItemEntry.Tokens). Before a
+// shard's leader accepts a submission beyond its local allowance, it reports its waiting
+// tokens, including those of submissions in progress. An outdated report may still count
+// finished items. The tokens that it leaves out are within the local allowance.
 //
 // Invariant: a shard's report is replaced only by a report of a newer epoch, or by a report
 // of the same epoch with a higher number.
@@ -46,11 +47,11 @@
 // epoch has already reported for the shard. It ignores a report of the same epoch whose
 // number is not higher than the last, but returns true. The ledger keeps the map.
 func (l *Ledger) Report(shard uint32, epoch, number uint64, waiting map[TokenAccount]uint64) bool {
-	previous, known := l.reports[shard]
-	if known && epoch < previous.epoch {
+	previous, found := l.reports[shard]
+	if found && epoch < previous.epoch {
 		return false
 	}
-	if !known || epoch > previous.epoch || number > previous.number {
+	if !found || epoch > previous.epoch || number > previous.number {
 		l.reports[shard] = shardReport{epoch, number, waiting}
 	}
 	return true
--- a/internal/batch/queue/saves.go
+++ b/internal/batch/queue/saves.go
@@ -48,8 +48,8 @@
 		return nil
 	}
 	due := &wirev1.QueueResults{}
-	for key, saved := range s.byKey {
-		if part := saved.unsaved(table, key); part != nil {
+	for key, pending := range s.byKey {
+		if part := pending.unsaved(table, key); part != nil {
 			due.Results = append(due.Results, part)
 		}
 	}
--- a/internal/batch/queueclient/queueclient.go
+++ b/internal/batch/queueclient/queueclient.go
@@ -175,7 +175,8 @@
 }
 
 // recordUnresponsive records that the nodes did not respond, so that they are called last
-// during unresponsivePenalty. None of them is the known leader of the job's shard any more.
+// during unresponsivePenalty. It also forgets the leader of the job's shard if the leader is
+// one of them.
 func (c *ShardClient) recordUnresponsive(job string, addresses map[string]bool) {
 	now := time.Now()
 	for address := range addresses {
@@ -214,7 +215,7 @@
 }
 
 // attempt calls one node. It decodes the response into a new message of the type of reply,
-// which concurrent attempts share.
+// because concurrent attempts share reply.
 func (c *ShardClient) attempt(ctx context.Context, address string, method wirev1.Method, wait time.Duration, request, reply proto.Message) callResult {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
@@ -232,16 +233,16 @@
 	if layout == nil {
 		return nil
 	}
-	id := queuestore.ShardOf(job, len(layout.Shards))
+	shard := queuestore.ShardOf(job, len(layout.Shards))
 	var members []string
-	for _, member := range layout.Shards[id].Members {
-		if record, known := c.Directory.Disk(member); known {
+	for _, member := range layout.Shards[shard].Members {
+		if record, found := c.Directory.Disk(member); found {
 			members = append(members, record.Address)
 		}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return callOrder(members, c.leaders[id], c.unresponsive, time.Now())
+	return callOrder(members, c.leaders[shard], c.unresponsive, time.Now())
 }
 
 // callOrder sorts the addresses of a shard's members into the order in which they are
@@ -269,12 +270,12 @@
 	if layout == nil {
 		return
 	}
-	id := queuestore.ShardOf(job, len(layout.Shards))
+	shard := queuestore.ShardOf(job, len(layout.Shards))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.leaders[id] != address {
-		klog.InfoS("leader of queue shard found", "shard", id, "address", address, "before", c.leaders[id])
-		c.leaders[id] = address
+	if c.leaders[shard] != address {
+		klog.InfoS("leader of queue shard found", "shard", shard, "address", address, "before", c.leaders[shard])
+		c.leaders[shard] = address
 	}
 }
 
@@ -284,11 +285,11 @@
 	if layout == nil {
 		return
 	}
-	id := queuestore.ShardOf(job, len(layout.Shards))
+	shard := queuestore.ShardOf(job, len(layout.Shards))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.leaders[id] == address {
-		delete(c.leaders, id)
+	if c.leaders[shard] == address {
+		delete(c.leaders, shard)
 	}
 }
 
--- a/internal/batch/queuerun/outcome.go
+++ b/internal/batch/queuerun/outcome.go
@@ -17,10 +17,10 @@
 	// retryDelay is the delay before the next run after a run that got no response, or a
 	// response with a status other than 200.
 	retryDelay = 150 * time.Millisecond
-	// interruptedDelay is the delay after a run that the runner did not start, or whose
-	// stream broke.
+	// interruptedDelay is the delay before the next run after a run that the runner did
+	// not start, or whose stream broke.
 	interruptedDelay = 100 * time.Millisecond
-	// preemptedDelay is the delay after a preemption.
+	// preemptedDelay is the delay before the next run after a preemption.
 	preemptedDelay = 120 * time.Millisecond
 	// reasonPreempted is the logged outcome of a preempted run; explain and account
 	// match it.
--- a/internal/batch/queuerun/preemption.go
+++ b/internal/batch/queuerun/preemption.go
@@ -48,14 +48,14 @@
 func (e *ItemExecutor) preempt(runner *runnerset.Runner) {
 	now := time.Now()
 	counts := runner.RequestCounts(now)
-	wanted := itemsToPreempt(counts, runner.Slots)
-	if wanted == 0 {
+	needed := itemsToPreempt(counts, runner.Slots)
+	if needed == 0 {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	ended := 0
-	for ; wanted > ended; ended++ {
+	preempted := 0
+	for ; needed > preempted; preempted++ {
 		chosen := e.cheapestRun(runner.ID, now)
 		if chosen == nil {
 			break
@@ -63,9 +63,9 @@
 		e.runs[runner.ID][chosen] = true
 		chosen.cancel(errPreempted)
 	}
-	if ended > 0 {
+	if preempted > 0 {
 		e.pauses[runner.ID] = now.Add(preemptionPause)
-		klog.InfoS("items preempted", "runner", runner.ID, "running", int(counts.Running), "slots", runner.Slots, "items", ended)
+		klog.InfoS("items preempted", "runner", runner.ID, "running", int(counts.Running), "slots", runner.Slots, "items", preempted)
 	}
 }
 
--- a/internal/batch/queuerun/save_test.go
+++ b/internal/batch/queuerun/save_test.go
@@ -53,11 +53,11 @@
 		}
 		outcome := runOnce(t, executor, work)
 		is.True(outcome.Done)
-		executor.Wait() // waits for the last saves
-		const most = 20 // events, produced in half a second
+		executor.Wait()        // waits for the last saves
+		const maxRepeated = 20 // events, produced in half a second
 		last := int64(0)
 		for _, event := range append(saved, body.events) {
-			is.True(event-last <= most)
+			is.True(event-last <= maxRepeated)
 			last = event
 		}
 	})
