--- a/internal/app/cli/explain.go
+++ b/internal/app/cli/explain.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.StoryOf(c.Arguments.ID, lines)
+	story := explain.TimelineOf(c.Arguments.ID, lines)
 	return output.print(story, func() { story.Print(os.Stdout) })
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.TenantStoryOf(c.Arguments.Name, lines)
+	story := explain.TenantSummaryOf(c.Arguments.Name, lines)
 	return output.print(story, func() { story.Print(os.Stdout) })
 }
 
--- a/internal/app/explain/explain.go
+++ b/internal/app/explain/explain.go
@@ -70,7 +70,7 @@
 // idFields are the fields that name a request, an item or a job.
 var idFields = []string{"id", "item", "job"}
 
-func (l *Line) about(id string) bool {
+func (l *Line) refersTo(id string) bool {
 	for _, field := range idFields {
 		if value := l.Fields[field]; value == id || id != "" && strings.HasSuffix(value, "/"+id) {
 			return true // a job is named by its tenant and its own id
@@ -80,7 +80,7 @@
 }
 
 // Story is what the lines say of one id.
-type Story struct {
+type Timeline struct {
 	ID    string
 	Lines []Line
 	// Decisive is the line that made the end certain; nil if none did.
@@ -90,54 +90,54 @@
 }
 
 // StoryOf collects the story of a request, item or job by its id.
-func StoryOf(id string, lines []Line) *Story {
-	story := &Story{ID: id}
+func TimelineOf(id string, lines []Line) *Timeline {
+	timeline := &Timeline{ID: id}
 	for _, line := range lines {
-		if line.about(id) {
-			story.Lines = append(story.Lines, line)
+		if line.refersTo(id) {
+			timeline.Lines = append(timeline.Lines, line)
 		}
 	}
-	sort.SliceStable(story.Lines, func(i, j int) bool {
-		a, b := &story.Lines[i], &story.Lines[j]
+	sort.SliceStable(timeline.Lines, func(i, j int) bool {
+		a, b := &timeline.Lines[i], &timeline.Lines[j]
 		if a.Source == b.Source {
 			return a.order < b.order
 		}
 		return a.Stamp < b.Stamp
 	})
-	story.decide()
-	story.findMissing()
-	return story
+	timeline.findDecisive()
+	timeline.findMissing()
+	return timeline
 }
 
 // Messages that the story's end is read from.
 const (
-	messageAttempt = "attempt"
-	messageEnded   = "request ended"
-	messageRefused = "request refused"
+	messageAttempt        = "attempt"
+	messageRequestEnded   = "request ended"
+	messageRequestRefused = "request refused"
 	// messageNotAdmitted is of a request beyond its tenant's limit.
-	messageNotAdmitted = "request not admitted"
-	messageHandedIn    = "job handed in"
-	messageTaken       = "job submission"
-	messageItemEnded   = "item run ended"
-	messageDecided     = "item decided"
-	messageGivenUp     = "item given up"
-	messageJobEnd      = "job end"
+	messageNotAdmitted        = "request not admitted"
+	messageJobSubmitted       = "job handed in"
+	messageSubmissionReceived = "job submission"
+	messageItemEnded          = "item run ended"
+	messageItemDecided        = "item decided"
+	messageItemExpired        = "item given up"
+	messageJobEnded           = "job end"
 )
 
 // decide finds the line that made the end certain: a refusal, the last attempt
 // that was not tried again, the decision on an item, the end of a job.
-func (s *Story) decide() {
+func (s *Timeline) findDecisive() {
 	for i := range s.Lines {
 		line := &s.Lines[i]
-		final := line.Message == messageRefused || line.Message == messageNotAdmitted || line.Message == messageDecided || line.Message == messageGivenUp ||
-			line.Message == messageJobEnd || line.Message == messageAttempt && line.Fields["again"] == "false"
+		final := line.Message == messageRequestRefused || line.Message == messageNotAdmitted || line.Message == messageItemDecided || line.Message == messageItemExpired ||
+			line.Message == messageJobEnded || line.Message == messageAttempt && line.Fields["again"] == "false"
 		if final && s.Decisive == nil {
 			s.Decisive = line
 		}
 	}
 	if s.Decisive == nil {
 		for i := range s.Lines {
-			if m := s.Lines[i].Message; m == messageEnded || m == messageHandedIn && s.Lines[i].Fields["err"] != "null" {
+			if m := s.Lines[i].Message; m == messageRequestEnded || m == messageJobSubmitted && s.Lines[i].Fields["err"] != "null" {
 				s.Decisive = &s.Lines[i]
 				return
 			}
@@ -146,7 +146,7 @@
 }
 
 // findMissing names what a whole record of its kind would have.
-func (s *Story) findMissing() {
+func (s *Timeline) findMissing() {
 	has := map[string]bool{}
 	for _, line := range s.Lines {
 		has[line.Message] = true
@@ -154,19 +154,19 @@
 	switch {
 	case len(s.Lines) == 0:
 		s.Missing = append(s.Missing, "any line with this id: the process that took it was killed, its lines were dropped, or it came nowhere")
-	case has[messageAttempt] && !has[messageEnded]:
+	case has[messageAttempt] && !has[messageRequestEnded]:
 		s.Missing = append(s.Missing, "the end of the request: the edge was stopped or killed before it")
-	case has[messageEnded] && !has[messageAttempt] && !has[messageNotAdmitted]:
+	case has[messageRequestEnded] && !has[messageAttempt] && !has[messageNotAdmitted]:
 		s.Missing = append(s.Missing, "an attempt: no runner was found to try")
-	case has[messageHandedIn] && !has[messageTaken]:
+	case has[messageJobSubmitted] && !has[messageSubmissionReceived]:
 		s.Missing = append(s.Missing, "the storage node that answered the submission")
-	case has[messageItemEnded] && !has[messageDecided]:
+	case has[messageItemEnded] && !has[messageItemDecided]:
 		s.Missing = append(s.Missing, "the decision on the item: it has no result yet, its job was ended, or another leader took over")
 	}
 }
 
 // Print writes the story as text.
-func (s *Story) Print(writer io.Writer) {
+func (s *Timeline) Print(writer io.Writer) {
 	fmt.Fprintf(writer, "%s: %d lines\n", s.ID, len(s.Lines))
 	for i := range s.Lines {
 		line := &s.Lines[i]
@@ -174,17 +174,17 @@
 		if line == s.Decisive {
 			mark = "*"
 		}
-		fmt.Fprintf(writer, "%s %s %-24s %s%s\n", mark, line.Stamp, line.Source, line.Message, line.values())
+		fmt.Fprintf(writer, "%s %s %-24s %s%s\n", mark, line.Stamp, line.Source, line.Message, line.formatFields())
 	}
 	if s.Decisive != nil {
-		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", s.Decisive.Message, s.Decisive.Source, s.Decisive.values())
+		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", s.Decisive.Message, s.Decisive.Source, s.Decisive.formatFields())
 	}
 	for _, missing := range s.Missing {
 		fmt.Fprintf(writer, "missing: %s\n", missing)
 	}
 }
 
-func (l *Line) values() string {
+func (l *Line) formatFields() string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
 		names = append(names, name)
--- a/internal/app/explain/explain_test.go
+++ b/internal/app/explain/explain_test.go
@@ -15,26 +15,26 @@
 not a line
 `
 
-func TestStoryOfARequest(t *testing.T) {
+func TestTimelineOfRequest(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(mixedLog))
 	is.NoErr(err)
 	is.Equal(len(lines), 4)
-	story := StoryOf("x1", lines)
-	is.Equal(len(story.Lines), 3)
-	is.Equal(story.Lines[0].Source, "edge-a-1")
-	is.Equal(story.Decisive.Fields["runner"], "r2") // the first that was not tried again
-	is.Equal(len(story.Missing), 0)
+	timeline := TimelineOf("x1", lines)
+	is.Equal(len(timeline.Lines), 3)
+	is.Equal(timeline.Lines[0].Source, "edge-a-1")
+	is.Equal(timeline.Decisive.Fields["runner"], "r2") // the first that was not tried again
+	is.Equal(len(timeline.Missing), 0)
 	var text strings.Builder
-	story.Print(&text)
+	timeline.Print(&text)
 	is.True(strings.Contains(text.String(), "made certain by"))
 }
 
-func TestStoryOfAnItemAndOfNothing(t *testing.T) {
+func TestTimelineOfItemAndUnknownID(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(mixedLog))
 	is.NoErr(err)
-	is.Equal(len(StoryOf("i1", lines).Missing), 1) // no decision yet
-	is.Equal(len(StoryOf("j1", lines).Lines), 1)
-	is.Equal(len(StoryOf("unknown", lines).Missing), 1)
+	is.Equal(len(TimelineOf("i1", lines).Missing), 1) // no decision yet
+	is.Equal(len(TimelineOf("j1", lines).Lines), 1)
+	is.Equal(len(TimelineOf("unknown", lines).Missing), 1)
 }
--- a/internal/app/explain/tenant.go
+++ b/internal/app/explain/tenant.go
@@ -9,7 +9,7 @@
 
 // TenantStory is what the lines say of one tenant: what came of its requests,
 // where, and what the keeper of its limit had lent when it refused.
-type TenantStory struct {
+type TenantSummary struct {
 	Tenant string
 	// Outcomes counts ended and refused requests by source and outcome.
 	Outcomes map[string]map[string]int
@@ -19,29 +19,29 @@
 }
 
 // messageCredits is what the keeper of a limit says when it refuses.
-const messageCredits = "tenant's credits refused"
+const messageCreditsRefused = "tenant's credits refused"
 
 // TenantStoryOf collects what the lines say of a tenant.
-func TenantStoryOf(tenant string, lines []Line) *TenantStory {
-	story := &TenantStory{Tenant: tenant, Outcomes: map[string]map[string]int{}}
+func TenantSummaryOf(tenant string, lines []Line) *TenantSummary {
+	summary := &TenantSummary{Tenant: tenant, Outcomes: map[string]map[string]int{}}
 	for i := range lines {
 		line := &lines[i]
 		if line.Fields["tenant"] != tenant {
 			continue
 		}
 		switch line.Message {
-		case messageEnded:
-			story.count(line.Source, line.Fields["outcome"])
+		case messageRequestEnded:
+			summary.count(line.Source, line.Fields["outcome"])
 		case messageNotAdmitted:
-			story.Refusal = line
-		case messageCredits:
-			story.Keeper = line
+			summary.Refusal = line
+		case messageCreditsRefused:
+			summary.Keeper = line
 		}
 	}
-	return story
+	return summary
 }
 
-func (s *TenantStory) count(source, outcome string) {
+func (s *TenantSummary) count(source, outcome string) {
 	if s.Outcomes[source] == nil {
 		s.Outcomes[source] = map[string]int{}
 	}
@@ -49,29 +49,29 @@
 }
 
 // Print writes the story as text.
-func (s *TenantStory) Print(writer io.Writer) {
+func (s *TenantSummary) Print(writer io.Writer) {
 	total := map[string]int{}
-	for _, source := range sorted(s.Outcomes) {
-		fmt.Fprintf(writer, "  %-24s %s\n", source, counts(s.Outcomes[source]))
+	for _, source := range sortedKeys(s.Outcomes) {
+		fmt.Fprintf(writer, "  %-24s %s\n", source, formatCounts(s.Outcomes[source]))
 		for outcome, count := range s.Outcomes[source] {
 			total[outcome] += count
 		}
 	}
-	fmt.Fprintf(writer, "tenant %s: %s\n", s.Tenant, counts(total))
+	fmt.Fprintf(writer, "tenant %s: %s\n", s.Tenant, formatCounts(total))
 	if s.Refusal != nil {
-		fmt.Fprintf(writer, "last refusal at %s %s:%s\n", s.Refusal.Stamp, s.Refusal.Source, s.Refusal.values())
+		fmt.Fprintf(writer, "last refusal at %s %s:%s\n", s.Refusal.Stamp, s.Refusal.Source, s.Refusal.formatFields())
 	}
 	if s.Keeper != nil {
-		fmt.Fprintf(writer, "its keeper then, %s %s:%s\n", s.Keeper.Stamp, s.Keeper.Source, s.Keeper.values())
+		fmt.Fprintf(writer, "its keeper then, %s %s:%s\n", s.Keeper.Stamp, s.Keeper.Source, s.Keeper.formatFields())
 	}
 	if s.Refusal == nil && s.Keeper == nil {
 		fmt.Fprintln(writer, "none was refused for its limit in these lines")
 	}
 }
 
-func counts(of map[string]int) string {
+func formatCounts(of map[string]int) string {
 	var parts []string
-	for _, name := range sorted(of) {
+	for _, name := range sortedKeys(of) {
 		parts = append(parts, fmt.Sprintf("%s %d", name, of[name]))
 	}
 	if len(parts) == 0 {
@@ -80,7 +80,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func sorted[V any](of map[string]V) []string {
+func sortedKeys[V any](of map[string]V) []string {
 	names := make([]string, 0, len(of))
 	for name := range of {
 		names = append(names, name)
--- a/internal/app/explain/tenant_test.go
+++ b/internal/app/explain/tenant_test.go
@@ -18,30 +18,30 @@
 
 // A tenant's story counts its own requests, and says the limit, what was lent
 // and who refused last.
-func TestStoryOfATenant(t *testing.T) {
+func TestTenantSummary(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
 	is.NoErr(err)
-	story := TenantStoryOf("small", lines)
-	is.Equal(story.Outcomes["edge-a-1"]["served"], 1)
-	is.Equal(story.Outcomes["edge-a-11"]["tenant_rate_limited"], 1)
-	is.Equal(story.Refusal.Fields["rate"], "5")
-	is.Equal(story.Keeper.Source, "storage-a-1")
+	summary := TenantSummaryOf("small", lines)
+	is.Equal(summary.Outcomes["edge-a-1"]["served"], 1)
+	is.Equal(summary.Outcomes["edge-a-11"]["tenant_rate_limited"], 1)
+	is.Equal(summary.Refusal.Fields["rate"], "5")
+	is.Equal(summary.Keeper.Source, "storage-a-1")
 	var text strings.Builder
-	story.Print(&text)
+	summary.Print(&text)
 	is.True(strings.Contains(text.String(), "served 1, tenant_rate_limited 1"))
-	is.Equal(TenantStoryOf("none", lines).Refusal, nil)
+	is.Equal(TenantSummaryOf("none", lines).Refusal, nil)
 }
 
 // The refusal for a limit makes the end of a request certain; a job is found by
 // its id alone.
-func TestStoriesOfTenantsRequestsAndJobs(t *testing.T) {
+func TestTimelineOfRefusedRequestAndJob(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
 	is.NoErr(err)
-	story := StoryOf("r2", lines)
-	is.Equal(story.Decisive.Message, messageNotAdmitted)
-	is.Equal(len(story.Missing), 0)
-	is.Equal(len(StoryOf("j1", lines).Lines), 1)
-	is.Equal(len(StoryOf("1", lines).Lines), 0)
+	timeline := TimelineOf("r2", lines)
+	is.Equal(timeline.Decisive.Message, messageNotAdmitted)
+	is.Equal(len(timeline.Missing), 0)
+	is.Equal(len(TimelineOf("j1", lines).Lines), 1)
+	is.Equal(len(TimelineOf("1", lines).Lines), 0)
 }
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -25,7 +25,7 @@
 	// slots of an engine: more than the streams that are open at a time.
 	slots = 256
 	// disks is how many nodes with a disk the log and its recovery are measured on.
-	disks = 5
+	diskNodes = 5
 	// readyTimeout bounds the start of a deployment.
 	readyTimeout = 30 * time.Second
 )
@@ -65,15 +65,15 @@
 }
 
 // maxMicros is the longest time that is told from longer ones, a minute.
-const maxMicros = 60_000_000
+const maxMicroseconds = 60_000_000
 
 // newHistogram is of times in microseconds, to three digits.
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicroseconds, 3) }
 
 // record records a time; one beyond the range counts as its end, so that no value
 // is refused.
 func record(histogram *hdrhistogram.Histogram, waited time.Duration) {
-	_ = histogram.RecordValue(min(maxMicros, max(1, waited.Microseconds())))
+	_ = histogram.RecordValue(min(maxMicroseconds, max(1, waited.Microseconds())))
 }
 
 // milliseconds returns a quantile (0 to 100) of a histogram of microseconds.
--- a/lab/bench/commands.go
+++ b/lab/bench/commands.go
@@ -19,7 +19,7 @@
 
 // makeJobs makes one job per worker on its shard, with more items than the
 // worker will complete.
-func makeJobs(ctx context.Context, access *directory.Module, shards, count int) ([]string, error) {
+func createJobs(ctx context.Context, jobDirectory *directory.Module, shards, count int) ([]string, error) {
 	jobs := make([]string, count)
 	for worker := range count {
 		shard := uint32(worker % shards)
@@ -32,7 +32,7 @@
 			{Kind: &wirev1.Command_CreateJob{CreateJob: &wirev1.CreateJob{JobId: jobs[worker], Tenant: tenant.Tenant, InputFileId: file, DeadlineUnixMs: 1 << 50}}},
 		}
 		for _, command := range commands {
-			if _, err := access.Propose(ctx, shard, command); err != nil {
+			if _, err := jobDirectory.Propose(ctx, shard, command); err != nil {
 				return nil, trace.Wrap(err)
 			}
 		}
@@ -42,7 +42,7 @@
 
 var itemBody = bytes.Repeat([]byte("x"), itemBytes)
 
-func completion(job string, number int) *wirev1.Command {
+func completeItemsCommand(job string, number int) *wirev1.Command {
 	command := &wirev1.CompleteItems{}
 	for i := range itemsPerCommand {
 		offset := uint32(number*itemsPerCommand + i)
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -34,7 +34,7 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(disks, 8))
+	running, err := start(folder, topology(diskNodes, 8))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -42,7 +42,7 @@
 	target := load.Target{Addresses: running.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
 	var reports []IntakeReport
 	for number, count := range counts {
-		report, err := intakeAt(load.NewBatchClient(target), count, uint64(number))
+		report, err := measureUpload(load.NewBatchClient(target), count, uint64(number))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -51,16 +51,16 @@
 	return reports, nil
 }
 
-func intakeAt(client *load.BatchClient, count int, seed uint64) (*IntakeReport, error) {
+func measureUpload(client *load.BatchClient, count int, seed uint64) (*IntakeReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
 	file, _ := load.Items(model, load.BatchWorkload{Items: count, PromptWords: 20, AnswerTokens: 20, Seed: seed})
-	form, contentType, err := load.Form(file)
+	form, contentType, err := load.MultipartForm(file)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	before := heapNow(true)
-	peak, stopWatch := watchHeap()
+	before := heapBytes(true)
+	peak, stopWatch := trackPeakHeap()
 	began := time.Now()
 	_, err = client.UploadForm(ctx, form, contentType)
 	elapsed := time.Since(began).Seconds()
@@ -74,7 +74,7 @@
 	}, nil
 }
 
-func heapNow(collect bool) uint64 {
+func heapBytes(collect bool) uint64 {
 	if collect {
 		runtime.GC()
 	}
@@ -85,7 +85,7 @@
 
 // watchHeap records the highest heap until it is stopped; stop returns after the
 // last record.
-func watchHeap() (peak *atomic.Uint64, stop func()) {
+func trackPeakHeap() (peak *atomic.Uint64, stop func()) {
 	peak = &atomic.Uint64{}
 	done := make(chan struct{})
 	var watch tasks.Group
@@ -97,7 +97,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				peak.Store(max(peak.Load(), heapNow(false)))
+				peak.Store(max(peak.Load(), heapBytes(false)))
 			}
 		}
 	})
--- a/lab/bench/log.go
+++ b/lab/bench/log.go
@@ -28,7 +28,7 @@
 }
 
 // logTime is how long completions are sent at one concurrency.
-const logTime = 3 * time.Second
+const logDuration = 3 * time.Second
 
 // Log measures completions of items: commands of 50 results of 600 bytes,
 // proposed through the directory to shards of five disks, each counted when it
@@ -39,18 +39,18 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(disks, shards))
+	running, err := start(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer running.Close()
-	access, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
+	jobDirectory, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	var reports []LogReport
 	for _, concurrency := range concurrencies {
-		report, err := logAt(access, shards, concurrency)
+		report, err := measureLog(jobDirectory, shards, concurrency)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -59,10 +59,10 @@
 	return reports, nil
 }
 
-func logAt(access *directory.Module, shards, concurrency int) (*LogReport, error) {
+func measureLog(jobDirectory *directory.Module, shards, concurrency int) (*LogReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	jobs, err := makeJobs(ctx, access, shards, concurrency)
+	jobs, err := createJobs(ctx, jobDirectory, shards, concurrency)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -70,14 +70,14 @@
 	var mutex sync.Mutex
 	var items atomic.Int64
 	var workers tasks.Group
-	before, cpu, began := writtenBytes(), processCPU(), time.Now()
-	deadline := began.Add(logTime)
+	before, cpuBefore, began := writtenBytes(), processCPU(), time.Now()
+	deadline := began.Add(logDuration)
 	for worker := range concurrency {
 		workers.Go(func() {
 			for number := 0; time.Now().Before(deadline); number++ {
-				command := completion(jobs[worker], number)
+				command := completeItemsCommand(jobs[worker], number)
 				sent := time.Now()
-				if _, err := access.Propose(ctx, uint32(worker%shards), command); err != nil {
+				if _, err := jobDirectory.Propose(ctx, uint32(worker%shards), command); err != nil {
 					continue
 				}
 				items.Add(itemsPerCommand)
@@ -93,8 +93,8 @@
 	return &LogReport{
 		Shards: shards, Concurrency: concurrency, ItemsPerSecond: total / elapsed,
 		P50Ms: milliseconds(histogram, 50), P99Ms: milliseconds(histogram, 99),
-		BytesPerItem:     float64(writtenBytes()-before) / total / disks,
-		CPUMicrosPerItem: float64((processCPU() - cpu).Microseconds()) / total,
+		BytesPerItem:     float64(writtenBytes()-before) / total / diskNodes,
+		CPUMicrosPerItem: float64((processCPU() - cpuBefore).Microseconds()) / total,
 	}, nil
 }
 
--- a/lab/bench/path.go
+++ b/lab/bench/path.go
@@ -22,17 +22,17 @@
 
 // PathReport compares the node's path with the engine called directly.
 type PathReport struct {
-	Requests         int     `json:"requests"`
-	DirectP50Ms      float64 `json:"direct_first_token_p50_ms"`
-	DirectP95Ms      float64 `json:"direct_first_token_p95_ms"`
-	OneNodeP50Ms     float64 `json:"one_node_first_token_p50_ms"`
-	OneNodeP95Ms     float64 `json:"one_node_first_token_p95_ms"`
-	TwoNodesP50Ms    float64 `json:"two_nodes_first_token_p50_ms"`
-	TwoNodesP95Ms    float64 `json:"two_nodes_first_token_p95_ms"`
-	DirectCPUMicros  float64 `json:"direct_cpu_us_per_request"`
-	NodeCPUMicros    float64 `json:"one_node_cpu_us_per_request"`
-	TwoCPUMicros     float64 `json:"two_nodes_cpu_us_per_request"`
-	TokensPerRequest int     `json:"tokens_per_request"`
+	Requests          int     `json:"requests"`
+	DirectP50Ms       float64 `json:"direct_first_token_p50_ms"`
+	DirectP95Ms       float64 `json:"direct_first_token_p95_ms"`
+	OneNodeP50Ms      float64 `json:"one_node_first_token_p50_ms"`
+	OneNodeP95Ms      float64 `json:"one_node_first_token_p95_ms"`
+	TwoNodesP50Ms     float64 `json:"two_nodes_first_token_p50_ms"`
+	TwoNodesP95Ms     float64 `json:"two_nodes_first_token_p95_ms"`
+	DirectCPUMicros   float64 `json:"direct_cpu_us_per_request"`
+	OneNodeCPUMicros  float64 `json:"one_node_cpu_us_per_request"`
+	TwoNodesCPUMicros float64 `json:"two_nodes_cpu_us_per_request"`
+	TokensPerRequest  int     `json:"tokens_per_request"`
 }
 
 const tokensPerRequest = 32
@@ -54,15 +54,15 @@
 	}
 	report := &PathReport{Requests: requests, TokensPerRequest: tokensPerRequest}
 	direct := one.Engines[0].Address()
-	report.DirectP50Ms, report.DirectP95Ms, report.DirectCPUMicros = drive(direct, requests)
-	report.OneNodeP50Ms, report.OneNodeP95Ms, report.NodeCPUMicros = drive(one.APIAddresses()[0], requests)
+	report.DirectP50Ms, report.DirectP95Ms, report.DirectCPUMicros = measureRequests(direct, requests)
+	report.OneNodeP50Ms, report.OneNodeP95Ms, report.OneNodeCPUMicros = measureRequests(one.APIAddresses()[0], requests)
 	one.Close()
 	two, err := startRemote(filepath.Join(folder, "two"))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer two.Close()
-	report.TwoNodesP50Ms, report.TwoNodesP95Ms, report.TwoCPUMicros = drive(two.APIAddresses()[0], requests)
+	report.TwoNodesP50Ms, report.TwoNodesP95Ms, report.TwoNodesCPUMicros = measureRequests(two.APIAddresses()[0], requests)
 	return report, nil
 }
 
@@ -76,7 +76,7 @@
 
 // drive sends requests to an address and returns quantiles of the time to the
 // first token in milliseconds, and the process's CPU time a request.
-func drive(address string, requests int) (p50, p95, cpuMicros float64) {
+func measureRequests(address string, requests int) (p50, p95, cpuMicros float64) {
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
 	histogram := newHistogram()
--- a/lab/bench/recovery.go
+++ b/lab/bench/recovery.go
@@ -18,7 +18,7 @@
 type RecoveryReport struct {
 	LogMB        float64 `json:"log_mb"`
 	Items        int     `json:"items"`
-	ReopenMs     float64 `json:"node_start_ms"`
+	NodeStartMs  float64 `json:"node_start_ms"`
 	LeaderlessMs float64 `json:"shards_without_leader_ms"`
 }
 
@@ -27,7 +27,7 @@
 func Recovery(commandCounts []int) ([]RecoveryReport, error) {
 	var reports []RecoveryReport
 	for _, count := range commandCounts {
-		report, err := recoverAt(count)
+		report, err := measureRecovery(count)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -36,19 +36,19 @@
 	return reports, nil
 }
 
-func recoverAt(commands int) (*RecoveryReport, error) {
+func measureRecovery(commands int) (*RecoveryReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	const shards = 4
-	running, err := start(folder, topology(disks, shards))
+	running, err := start(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer running.Close()
-	if err := fill(running, shards, commands); err != nil {
+	if err := fillShards(running, shards, commands); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	for index := range running.Nodes() {
@@ -71,19 +71,19 @@
 	}
 	return &RecoveryReport{
 		LogMB: float64(commands*itemsPerCommand*itemBytes) / (1 << 20), Items: commands * itemsPerCommand,
-		ReopenMs: float64(reopened.Milliseconds()), LeaderlessMs: float64(time.Since(began).Milliseconds()),
+		NodeStartMs: float64(reopened.Milliseconds()), LeaderlessMs: float64(time.Since(began).Milliseconds()),
 	}, nil
 }
 
-func fill(running *fleet.Fleet, shards, commands int) error {
-	access, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
+func fillShards(running *fleet.Fleet, shards, commands int) error {
+	jobDirectory, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	const workers = 32
-	jobs, err := makeJobs(ctx, access, shards, workers)
+	jobs, err := createJobs(ctx, jobDirectory, shards, workers)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -92,7 +92,7 @@
 	for worker := range workers {
 		senders.Go(func() {
 			for number := range commands / workers {
-				if _, err := access.Propose(ctx, uint32(worker%shards), completion(jobs[worker], number)); err != nil {
+				if _, err := jobDirectory.Propose(ctx, uint32(worker%shards), completeItemsCommand(jobs[worker], number)); err != nil {
 					failed.Add(1)
 				}
 			}
--- a/lab/cli/bench.go
+++ b/lab/cli/bench.go
@@ -49,7 +49,7 @@
 // Execute implements flags.Commander.
 func (b *benchLog) Execute([]string) error {
 	reports, err := bench.Log(b.Shards, b.Concurrency)
-	return writeAll(reports, err)
+	return writeReports(reports, err)
 }
 
 type benchRecovery struct {
@@ -59,7 +59,7 @@
 // Execute implements flags.Commander.
 func (b *benchRecovery) Execute([]string) error {
 	reports, err := bench.Recovery(b.Commands)
-	return writeAll(reports, err)
+	return writeReports(reports, err)
 }
 
 type benchIntake struct {
@@ -69,11 +69,11 @@
 // Execute implements flags.Commander.
 func (b *benchIntake) Execute([]string) error {
 	reports, err := bench.Intake(b.Items)
-	return writeAll(reports, err)
+	return writeReports(reports, err)
 }
 
 // writeAll writes reports as JSON lines, unless measuring them failed.
-func writeAll[Report any](reports []Report, err error) error {
+func writeReports[Report any](reports []Report, err error) error {
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/lab/cli/cli.go
+++ b/lab/cli/cli.go
@@ -13,9 +13,9 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitBroken = 1
-	exitUsage  = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 type commands struct {
@@ -37,10 +37,10 @@
 	var root commands
 	parser := flags.NewNamedParser("cobaltramp-lab", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &root); err != nil {
-		return fail(err)
+		return printError(err)
 	}
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
-		quietLogs(root.Verbose)
+		configureLogs(root.Verbose)
 		return command.Execute(rest)
 	}
 	_, err := parser.ParseArgs(arguments)
@@ -59,16 +59,16 @@
 		fmt.Fprintln(os.Stderr, usage.Message)
 		return exitUsage
 	}
-	return fail(err)
+	return printError(err)
 }
 
-func fail(err error) int {
+func printError(err error) int {
 	fmt.Fprintln(os.Stderr, "cobaltramp-lab:", trace.UserMessage(err))
-	return exitBroken
+	return exitFailure
 }
 
 // quietLogs sends the nodes' logs to standard error, or nowhere.
-func quietLogs(verbosity int) {
+func configureLogs(verbosity int) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
 	settings := map[string]string{"logtostderr": "true"}
--- a/lab/cli/demo.go
+++ b/lab/cli/demo.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if !report.Whole() {
+	if !report.Passed() {
 		return trace.BadParameter("a promise was broken")
 	}
 	return nil
@@ -45,7 +45,7 @@
 		defer func() { _ = os.RemoveAll(temporary) }()
 		folder = temporary
 	}
-	running, err := demo.Up(folder)
+	running, err := demo.StartDeployment(folder)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -23,7 +23,7 @@
 
 // Execute implements flags.Commander.
 func (c *platformDayCommand) Execute([]string) error {
-	folder, program, err := labFolder(c.Folder, c.Program)
+	folder, program, err := prepareFolder(c.Folder, c.Program)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 
 // labFolder makes a folder for a run, and the product's program in it if none is
 // given.
-func labFolder(folder, program string) (string, string, error) {
+func prepareFolder(folder, program string) (string, string, error) {
 	if folder == "" {
 		made, err := os.MkdirTemp("", "cobaltramp-lab-")
 		if err != nil {
--- a/lab/cli/run.go
+++ b/lab/cli/run.go
@@ -49,7 +49,7 @@
 	result.WriteText(os.Stdout)
 	fmt.Printf("result %s.json, report %s.html\n", base, base)
 	for _, summary := range result.Summaries() {
-		if len(summary.Broken) > 0 {
+		if len(summary.Violations) > 0 {
 			return trace.BadParameter("promises were broken")
 		}
 	}
--- a/lab/cli/soak.go
+++ b/lab/cli/soak.go
@@ -31,7 +31,7 @@
 
 // Execute implements flags.Commander.
 func (c *soakCommand) Execute([]string) error {
-	folder, program, err := labFolder(c.Folder, c.Program)
+	folder, program, err := prepareFolder(c.Folder, c.Program)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		slots <- struct{}{}
 		soaks.Go(func() {
 			defer func() { <-slots }()
-			if !c.one(c.Seed+uint64(number), folder, program) {
+			if !c.playSeed(c.Seed+uint64(number), folder, program) {
 				failed.Add(1)
 			}
 		})
@@ -56,7 +56,7 @@
 }
 
 // one plays one seed, and keeps its folder if a promise was broken.
-func (c *soakCommand) one(seed uint64, folder, program string) bool {
+func (c *soakCommand) playSeed(seed uint64, folder, program string) bool {
 	own := filepath.Join(folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(own, 0o755); err != nil {
 		fmt.Printf("seed %d: %v\n", seed, err)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -34,7 +34,7 @@
 type Report struct {
 	OnlineRequests   int64   `json:"online_requests"`
 	OnlineFailed     int64   `json:"online_failed"`
-	OnlineCut        int64   `json:"online_cut"`
+	OnlineTruncated  int64   `json:"online_cut"`
 	OnlineWrong      int64   `json:"online_wrong"`
 	OnlineResent     int64   `json:"online_resent"`
 	TTFTP50Ms        float64 `json:"ttft_p50_ms"`
@@ -59,18 +59,18 @@
 }
 
 // Whole reports whether nothing was lost, doubled or cut.
-func (r *Report) Whole() bool {
-	online := r.OnlineRequests > 0 && r.OnlineFailed == 0 && r.OnlineCut == 0 && r.OnlineWrong == 0
+func (r *Report) Passed() bool {
+	online := r.OnlineRequests > 0 && r.OnlineFailed == 0 && r.OnlineTruncated == 0 && r.OnlineWrong == 0
 	batch := r.BatchCompleted == r.BatchItems && r.BatchDuplicates == 0 && r.BatchLost == 0 && r.BatchWrong == 0
 	return online && batch
 }
 
 const (
-	model        = "asistente"
-	cluster      = "demo"
-	readyTimeout = 20 * time.Second
-	batchTimeout = 60 * time.Second
-	killedIndex  = 4
+	model           = "asistente"
+	cluster         = "demo"
+	readyTimeout    = 20 * time.Second
+	batchTimeout    = 60 * time.Second
+	killedNodeIndex = 4
 )
 
 // Topology is three zones with 12 runners and five nodes.
@@ -82,20 +82,20 @@
 			{Name: "gdl-centro", Region: "occidente", Nodes: 2, Runners: 4},
 			{Name: "zapopan", Region: "occidente", Nodes: 1, Runners: 4},
 		},
-		Engine: engine.Parameters{Slots: 16, MaxAnswerTokens: maxAnswer},
+		Engine: engine.Parameters{Slots: 16, MaxAnswerTokens: maxAnswerTokens},
 	}
 }
 
 const (
-	maxAnswer = 128
-	slots     = 16
+	maxAnswerTokens = 128
+	slots           = 16
 )
 
 // tenantKey is the demonstration's API key.
 var tenantKey = fleet.TenantKey{Tenant: "counter", Key: "demo-key"}
 
 // Up starts the deployment and waits until it is ready.
-func Up(folder string) (*fleet.Fleet, error) {
+func StartDeployment(folder string) (*fleet.Fleet, error) {
 	started, err := fleet.Start(Topology(), folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	text := fleet.BasicBundle(started.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
-	if err := saveForOperators(started.Operator, folder, text); err != nil {
+	if err := saveOperatorFiles(started.Operator, folder, text); err != nil {
 		started.Close()
 		return nil, trace.Wrap(err)
 	}
@@ -125,7 +125,7 @@
 
 // saveForOperators leaves the operator's key and the bundle in the folder, for
 // trying the bundle verbs.
-func saveForOperators(operator *fleet.Operator, folder, text string) error {
+func saveOperatorFiles(operator *fleet.Operator, folder, text string) error {
 	if err := operator.SaveKey(filepath.Join(folder, keyFile)); err != nil {
 		return trace.Wrap(err)
 	}
@@ -140,14 +140,14 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	say(out, "starting platform stand-in, 12 engines in 3 zones, 5 nodes …\n")
-	running, err := Up(folder)
+	printf(out, "starting platform stand-in, 12 engines in 3 zones, 5 nodes …\n")
+	running, err := StartDeployment(folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer running.Close()
-	say(out, "ready after %.1fs: bundle generation 1 in force everywhere\n", time.Since(began).Seconds())
-	report, err := drive(options, running, out)
+	printf(out, "ready after %.1fs: bundle generation 1 in force everywhere\n", time.Since(began).Seconds())
+	report, err := runLoad(options, running, out)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -155,9 +155,9 @@
 	return report, writeReport(options, report, out)
 }
 
-func drive(options Options, running *fleet.Fleet, out io.Writer) (*Report, error) {
+func runLoad(options Options, running *fleet.Fleet, out io.Writer) (*Report, error) {
 	report := &Report{}
-	target := load.Target{Addresses: running.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswer}
+	target := load.Target{Addresses: running.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 	recorder := load.NewRecorder()
 	onlineCtx, stopOnline := context.WithTimeout(context.Background(), time.Duration(options.Seconds)*time.Second)
 	defer stopOnline()
@@ -169,21 +169,21 @@
 		if !options.KillNode {
 			return
 		}
-		report.KilledNode = running.Nodes()[killedIndex].Settings.Node.ID
-		say(out, "killing %s in the middle of it …\n", report.KilledNode)
-		running.KillNode(killedIndex)
+		report.KilledNode = running.Nodes()[killedNodeIndex].Settings.Node.ID
+		printf(out, "killing %s in the middle of it …\n", report.KilledNode)
+		running.KillNode(killedNodeIndex)
 	})
 	defer kill.Stop()
-	err := driveBatch(options, target, report, out)
+	err := runBatchJob(options, target, report, out)
 	online.Wait()
-	recordOnline(report, recorder)
+	setOnlineResults(report, recorder)
 	totals := running.Ledger.Totals()
 	report.EngineRuns, report.EngineContinued, report.EngineCancels = totals.Starts, totals.Continued, totals.Cancels
 	report.PlatformRequests = running.Platform.Requests.Load()
 	return report, err
 }
 
-func driveBatch(options Options, target load.Target, report *Report, out io.Writer) error {
+func runBatchJob(options Options, target load.Target, report *Report, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	client := load.NewBatchClient(target)
@@ -192,7 +192,7 @@
 	if err != nil {
 		return trace.Wrap(err, "submitting the job")
 	}
-	say(out, "job %s accepted with %d items\n", job.ID, options.Items)
+	printf(out, "job %s accepted with %d items\n", job.ID, options.Items)
 	status, err := client.Await(ctx, job.ID)
 	if err != nil {
 		return trace.Wrap(err)
@@ -207,32 +207,32 @@
 	return nil
 }
 
-func recordOnline(report *Report, recorder *load.Recorder) {
+func setOnlineResults(report *Report, recorder *load.Recorder) {
 	report.OnlineRequests, report.OnlineFailed = recorder.Requests.Load(), recorder.Failed.Load()
-	report.OnlineCut, report.OnlineWrong, report.OnlineResent = recorder.Truncated.Load(), recorder.Wrong.Load(), recorder.Resent.Load()
-	report.TTFTP50Ms, report.TTFTP95Ms, report.TTFTP99Ms = ms(recorder.FirstToken(50)), ms(recorder.FirstToken(95)), ms(recorder.FirstToken(99))
-	report.GapP95Ms = ms(recorder.TokenGap(95))
+	report.OnlineTruncated, report.OnlineWrong, report.OnlineResent = recorder.Truncated.Load(), recorder.Wrong.Load(), recorder.Resent.Load()
+	report.TTFTP50Ms, report.TTFTP95Ms, report.TTFTP99Ms = milliseconds(recorder.FirstToken(50)), milliseconds(recorder.FirstToken(95)), milliseconds(recorder.FirstToken(99))
+	report.GapP95Ms = milliseconds(recorder.TokenGap(95))
 	report.errors = recorder.Errors()
 }
 
-func ms(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
+func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
 func writeReport(options Options, r *Report, out io.Writer) error {
-	say(out, "\nonline   %d requests, %d failed, %d cut, %d with wrong text, %d resent because their node died\n",
-		r.OnlineRequests, r.OnlineFailed, r.OnlineCut, r.OnlineWrong, r.OnlineResent)
-	say(out, "         first token p50 %.0f ms, p95 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms\n", r.TTFTP50Ms, r.TTFTP95Ms, r.TTFTP99Ms, r.GapP95Ms)
-	say(out, "batch    %d items: %d completed, %d failed, %d doubled, %d lost, %d wrong, in %.1f s\n",
+	printf(out, "\nonline   %d requests, %d failed, %d cut, %d with wrong text, %d resent because their node died\n",
+		r.OnlineRequests, r.OnlineFailed, r.OnlineTruncated, r.OnlineWrong, r.OnlineResent)
+	printf(out, "         first token p50 %.0f ms, p95 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms\n", r.TTFTP50Ms, r.TTFTP95Ms, r.TTFTP99Ms, r.GapP95Ms)
+	printf(out, "batch    %d items: %d completed, %d failed, %d doubled, %d lost, %d wrong, in %.1f s\n",
 		r.BatchItems, r.BatchCompleted, r.BatchFailed, r.BatchDuplicates, r.BatchLost, r.BatchWrong, r.BatchSeconds)
-	say(out, "engines  %d runs begun, %d continued elsewhere, %d cancelled (batch preempted)\n", r.EngineRuns, r.EngineContinued, r.EngineCancels)
-	say(out, "platform %d requests in all\n", r.PlatformRequests)
+	printf(out, "engines  %d runs begun, %d continued elsewhere, %d cancelled (batch preempted)\n", r.EngineRuns, r.EngineContinued, r.EngineCancels)
+	printf(out, "platform %d requests in all\n", r.PlatformRequests)
 	for text, count := range r.errors {
-		say(out, "error    %d × %s\n", count, text)
+		printf(out, "error    %d × %s\n", count, text)
 	}
 	verdict := "nothing lost, doubled or cut"
-	if !r.Whole() {
+	if !r.Passed() {
 		verdict = "A PROMISE WAS BROKEN"
 	}
-	say(out, "verdict  %s (%.1f s)\n", verdict, r.Seconds)
+	printf(out, "verdict  %s (%.1f s)\n", verdict, r.Seconds)
 	if !options.JSON {
 		return nil
 	}
@@ -245,4 +245,4 @@
 }
 
 // say writes to the person who watches; a line that gets lost changes no result.
-func say(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/lab/demo/describe.go
+++ b/lab/demo/describe.go
@@ -9,7 +9,7 @@
 
 // Describe writes the addresses of a running deployment and lines to try.
 func Describe(running *fleet.Fleet, folder string, out io.Writer) {
-	line := func(format string, args ...any) { say(out, format+"\n", args...) }
+	line := func(format string, args ...any) { printf(out, format+"\n", args...) }
 	for _, member := range running.Nodes() {
 		node := member.Settings.Node
 		line("%s  zone %-14s  callers http://%s  operators http://%s", node.ID, node.Zone, node.APIAddress, node.AdminAddress)
--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -19,7 +19,7 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-func question(text string, tokens int64) openai.ChatCompletionNewParams {
+func chatParams(text string, tokens int64) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:     model,
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
@@ -27,9 +27,9 @@
 	}
 }
 
-func expected(text string, tokens int64) string {
+func expectedAnswer(text string, tokens int64) string {
 	body, _ := json.Marshal(map[string]any{"messages": []map[string]string{{"role": "user", "content": text}}, "max_tokens": tokens})
-	return engine.ExpectedAnswer(body, maxAnswer)
+	return engine.ExpectedAnswer(body, maxAnswerTokens)
 }
 
 // The published client does everything callers do.
@@ -40,23 +40,23 @@
 
 	t.Run("chat", func(t *testing.T) {
 		is := is.New(t)
-		answer, err := api.Chat.Completions.New(timeLimited(t), question("is the name free?", 20))
+		answer, err := api.Chat.Completions.New(callContext(t), chatParams("is the name free?", 20))
 		is.NoErr(err)
-		is.Equal(answer.Choices[0].Message.Content, expected("is the name free?", 20))
+		is.Equal(answer.Choices[0].Message.Content, expectedAnswer("is the name free?", 20))
 		is.True(answer.Usage.CompletionTokens > 0)
 	})
 	t.Run("completion", func(t *testing.T) {
 		is := is.New(t)
-		answer, err := api.Completions.New(timeLimited(t), openai.CompletionNewParams{
+		answer, err := api.Completions.New(callContext(t), openai.CompletionNewParams{
 			Model: model, Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("summarise the return")}, MaxTokens: openai.Int(12),
 		})
 		is.NoErr(err)
 		body := []byte(`{"prompt":"summarise the return","max_tokens":12}`)
-		is.Equal(answer.Choices[0].Text, engine.ExpectedAnswer(body, maxAnswer))
+		is.Equal(answer.Choices[0].Text, engine.ExpectedAnswer(body, maxAnswerTokens))
 	})
 	t.Run("stream", func(t *testing.T) {
 		is := is.New(t)
-		stream := api.Chat.Completions.NewStreaming(timeLimited(t), question("draft the articles", 30))
+		stream := api.Chat.Completions.NewStreaming(callContext(t), chatParams("draft the articles", 30))
 		text := ""
 		for stream.Next() {
 			if chunk := stream.Current(); len(chunk.Choices) > 0 {
@@ -64,7 +64,7 @@
 			}
 		}
 		is.NoErr(stream.Err())
-		is.Equal(text, expected("draft the articles", 30))
+		is.Equal(text, expectedAnswer("draft the articles", 30))
 	})
 	t.Run("stream cancelled by the caller", func(t *testing.T) {
 		is := is.New(t)
@@ -73,15 +73,15 @@
 			defer slowed.SetSlow(1)
 		}
 		before := running.Ledger.Totals().Cancels
-		ctx, cancel := context.WithCancel(timeLimited(t))
-		stream := api.Chat.Completions.NewStreaming(ctx, question("a question with a long answer one two", 64))
+		ctx, cancel := context.WithCancel(callContext(t))
+		stream := api.Chat.Completions.NewStreaming(ctx, chatParams("a question with a long answer one two", 64))
 		is.True(stream.Next())
 		cancel()
 		eventually.Require(t, "the engine sees the cancel", func() bool { return running.Ledger.Totals().Cancels > before })
 	})
 	t.Run("models", func(t *testing.T) {
 		is := is.New(t)
-		models, err := api.Models.List(timeLimited(t))
+		models, err := api.Models.List(callContext(t))
 		is.NoErr(err)
 		is.Equal(len(models.Data), 1)
 		is.Equal(models.Data[0].ID, model)
@@ -96,7 +96,7 @@
 	})
 	t.Run("errors carry a code and say whether the work ran", func(t *testing.T) {
 		is := is.New(t)
-		_, err := api.Chat.Completions.New(timeLimited(t), openai.ChatCompletionNewParams{Model: "nope", Messages: question("x", 1).Messages})
+		_, err := api.Chat.Completions.New(callContext(t), openai.ChatCompletionNewParams{Model: "nope", Messages: chatParams("x", 1).Messages})
 		var failure *openai.Error
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, "1103")
@@ -105,7 +105,7 @@
 	})
 	t.Run("a body above the limit is refused", func(t *testing.T) {
 		is := is.New(t)
-		_, err := api.Chat.Completions.New(timeLimited(t), question(strings.Repeat("long ", 1<<20), 1))
+		_, err := api.Chat.Completions.New(callContext(t), chatParams(strings.Repeat("long ", 1<<20), 1))
 		var failure *openai.Error
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, "1104")
@@ -113,7 +113,7 @@
 	})
 	t.Run("a wrong key is refused", func(t *testing.T) {
 		is := is.New(t)
-		_, err := api.Chat.Completions.New(timeLimited(t), question("x", 1), option.WithAPIKey("wrong"))
+		_, err := api.Chat.Completions.New(callContext(t), chatParams("x", 1), option.WithAPIKey("wrong"))
 		var failure *openai.Error
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, "1102")
@@ -129,7 +129,7 @@
 }
 
 func upload(t *testing.T, api openai.Client, text string) (*openai.FileObject, error) {
-	return api.Files.New(timeLimited(t), openai.FileNewParams{
+	return api.Files.New(callContext(t), openai.FileNewParams{
 		File: openai.File(strings.NewReader(text), "items.jsonl", "application/jsonl"), Purpose: openai.FilePurposeBatch,
 	})
 }
@@ -139,28 +139,28 @@
 	const items = 25
 	file, err := upload(t, api, inputFile("return", items))
 	is.NoErr(err)
-	job, err := api.Batches.New(timeLimited(t), openai.BatchNewParams{
+	job, err := api.Batches.New(callContext(t), openai.BatchNewParams{
 		InputFileID: file.ID, Endpoint: openai.BatchNewParamsEndpointV1ChatCompletions, CompletionWindow: openai.BatchNewParamsCompletionWindow24h,
 	})
 	is.NoErr(err)
 	eventually.Require(t, "the batch completes", func() bool {
-		job, err = api.Batches.Get(timeLimited(t), job.ID)
+		job, err = api.Batches.Get(callContext(t), job.ID)
 		return err == nil && job.Status == openai.BatchStatusCompleted
 	})
 	is.Equal(job.RequestCounts.Completed, int64(items))
-	response, err := api.Files.Content(timeLimited(t), job.OutputFileID)
+	response, err := api.Files.Content(callContext(t), job.OutputFileID)
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.Equal(bytes.Count(text, []byte("\n")), items)
-	list, err := api.Batches.List(timeLimited(t), openai.BatchListParams{})
+	list, err := api.Batches.List(callContext(t), openai.BatchListParams{})
 	is.NoErr(err)
 	is.True(len(list.Data) >= 1)
-	files, err := api.Files.List(timeLimited(t), openai.FileListParams{})
+	files, err := api.Files.List(callContext(t), openai.FileListParams{})
 	is.NoErr(err)
 	is.Equal(files.Data[0].ID, file.ID)
-	again, err := api.Batches.New(timeLimited(t), openai.BatchNewParams{
+	again, err := api.Batches.New(callContext(t), openai.BatchNewParams{
 		InputFileID: file.ID, Endpoint: openai.BatchNewParamsEndpointV1ChatCompletions, CompletionWindow: openai.BatchNewParamsCompletionWindow24h,
 	})
 	is.NoErr(err)
@@ -171,17 +171,17 @@
 	is := is.New(t)
 	file, err := upload(t, api, inputFile("cancelled", 200))
 	is.NoErr(err)
-	job, err := api.Batches.New(timeLimited(t), openai.BatchNewParams{
+	job, err := api.Batches.New(callContext(t), openai.BatchNewParams{
 		InputFileID: file.ID, Endpoint: openai.BatchNewParamsEndpointV1ChatCompletions, CompletionWindow: openai.BatchNewParamsCompletionWindow24h,
 	})
 	is.NoErr(err)
-	_, err = api.Batches.Cancel(timeLimited(t), job.ID)
+	_, err = api.Batches.Cancel(callContext(t), job.ID)
 	is.NoErr(err)
 	eventually.Require(t, "the batch is cancelled", func() bool {
-		job, err = api.Batches.Get(timeLimited(t), job.ID)
+		job, err = api.Batches.Get(callContext(t), job.ID)
 		return err == nil && job.Status == openai.BatchStatusCancelled
 	})
-	response, err := api.Files.Content(timeLimited(t), job.ErrorFileID)
+	response, err := api.Files.Content(callContext(t), job.ErrorFileID)
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
@@ -189,7 +189,7 @@
 	is.Equal(int64(bytes.Count(text, []byte("\n"))), 200-job.RequestCounts.Completed) // every item has one outcome
 }
 
-func TestBadUploadsNameTheLine(t *testing.T) {
+func TestInvalidUploadErrorsNameTheLine(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 1))
 	api := client(running, 0)
@@ -221,16 +221,16 @@
 	running := start(t, topology(3, 2))
 	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\nadapters: [founders]\n", 1)
-	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
+	is.NoErr(running.AwaitReady(callContext(t), 2))
 	api := client(running, 0)
 	eventually.Require(t, "the adapter answers", func() bool {
-		params := question("draft for founders", 10)
+		params := chatParams("draft for founders", 10)
 		params.Model = "founders"
-		answer, err := api.Chat.Completions.New(timeLimited(t), params)
-		return err == nil && answer.Choices[0].Message.Content == expected("draft for founders", 10) && answer.Model == "founders"
+		answer, err := api.Chat.Completions.New(callContext(t), params)
+		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("draft for founders", 10) && answer.Model == "founders"
 	})
-	models, err := api.Models.List(timeLimited(t))
+	models, err := api.Models.List(callContext(t))
 	is.NoErr(err)
 	is.Equal(len(models.Data), 2)
 }
@@ -245,8 +245,8 @@
 	running := start(t, shape)
 	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\n", 1)
-	recorder := under(running, running.APIAddresses(), 20, func() {
-		is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
+	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
+		is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
 		eventually.Require(t, "all engines have the new version", func() bool {
 			for _, loaded := range running.Engines {
 				if loaded.Version() != "2" {
@@ -256,5 +256,5 @@
 			return true
 		})
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -18,7 +18,7 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-func requireWhole(t *testing.T, recorder *load.Recorder) {
+func requireNoFailures(t *testing.T, recorder *load.Recorder) {
 	t.Helper()
 	is := is.New(t)
 	t.Logf("%d requests, %d resent, errors %v", recorder.Requests.Load(), recorder.Resent.Load(), recorder.Errors())
@@ -29,16 +29,16 @@
 }
 
 // under runs online load while the action runs.
-func under(running *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
+func withOnlineLoad(running *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
 	recorder := load.NewRecorder()
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Add(1)
-	aim := target(running)
-	aim.Addresses = addresses
+	loadTarget := target(running)
+	loadTarget.Addresses = addresses
 	go func() {
 		defer group.Done()
-		load.RunOnline(ctx, aim, load.OnlineWorkload{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
+		load.RunOnline(ctx, loadTarget, load.OnlineWorkload{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
 	}()
 	action()
 	cancel()
@@ -48,78 +48,78 @@
 
 // Engines that answer late, twice, out of order and with foreign events: each
 // caller still gets exactly its own answer.
-func TestCrossedAndRepeatedAnswers(t *testing.T) {
+func TestReorderedAndRepeatedEvents(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 2))
 	for _, disorderly := range running.Engines {
 		disorderly.SetDisorder(true)
 		disorderly.SetLate(20*time.Millisecond, 20*time.Millisecond)
 	}
-	recorder := under(running, running.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
-	requireWhole(t, recorder)
+	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
+	requireNoFailures(t, recorder)
 }
 
 // An engine that crashes in the middle of its streams: answers are carried on
 // elsewhere, whole.
-func TestEngineCrashIsCarriedOn(t *testing.T) {
+func TestRequestsContinueAfterEngineCrash(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 4))
-	recorder := under(running, running.APIAddresses(), 20, func() {
+	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
 		running.Engines[0].Crash()
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
 // An engine that falls silent with its streams open.
-func TestSilentEngineIsCarriedOn(t *testing.T) {
+func TestRequestsContinueAfterEngineStall(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 4))
-	recorder := under(running, running.APIAddresses(), 20, func() {
+	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
 		running.Engines[0].Stall(15 * time.Second)
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
 // An owner that is killed: callers at other nodes notice nothing.
-func TestOwnerKilledCallersNoticeNothing(t *testing.T) {
+func TestKilledOwnerIsInvisibleToCallers(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(5, 4))
 	addresses := running.APIAddresses()[:4]
-	recorder := under(running, addresses, 20, func() {
+	recorder := withOnlineLoad(running, addresses, 20, func() {
 		time.Sleep(time.Second)
 		running.KillNode(4)
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 	is.New(t).Equal(recorder.Resent.Load(), int64(0))
 }
 
 // Every node in turn is stopped as planned and started again, under load: no
 // request is cut and none has to be sent again.
-func TestRollingRestartCutsNothing(t *testing.T) {
+func TestRollingRestartTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 3))
 	for index := range running.Nodes() {
 		others := append([]string(nil), running.APIAddresses()...)
 		others = append(others[:index], others[index+1:]...)
-		recorder := under(running, others, 30, func() {
+		recorder := withOnlineLoad(running, others, 30, func() {
 			time.Sleep(300 * time.Millisecond)
 			running.StopNode(index)
 			is.New(t).NoErr(running.StartNode(index))
-			ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+			ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 			defer cancel()
 			is.New(t).NoErr(running.AwaitReady(ctx, 1))
 		})
-		requireWhole(t, recorder)
+		requireNoFailures(t, recorder)
 	}
 }
 
 // A stop with streams open at the stopping node itself: they end whole.
-func TestPlannedStopFinishesItsOwnStreams(t *testing.T) {
+func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	running := start(t, topology(3, 2))
@@ -127,7 +127,7 @@
 		slowed.SetSlow(12)
 	}
 	api := client(running, 0)
-	stream := api.Chat.Completions.NewStreaming(timeLimited(t), question("a stream that outlives its node's stop order", 40))
+	stream := api.Chat.Completions.NewStreaming(callContext(t), chatParams("a stream that outlives its node's stop order", 40))
 	is.True(stream.Next())
 	stopped := make(chan struct{})
 	go func() {
@@ -141,7 +141,7 @@
 		}
 	}
 	is.NoErr(stream.Err())
-	is.Equal(text, expected("a stream that outlives its node's stop order", 40))
+	is.Equal(text, expectedAnswer("a stream that outlives its node's stop order", 40))
 	<-stopped
 }
 
@@ -152,46 +152,46 @@
 	is := is.New(t)
 	running := start(t, topology(3, 2))
 	running.Platform.SetDown(true)
-	recorder := under(running, running.APIAddresses(), 20, func() {
+	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
 		batches := load.NewBatchClient(target(running))
-		job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
+		job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
 		is.NoErr(err)
-		status, err := batches.Await(timeLimited(t), job.ID)
+		status, err := batches.Await(callContext(t), job.ID)
 		is.NoErr(err)
-		audit, err := batches.AuditJob(timeLimited(t), job, status)
+		audit, err := batches.AuditJob(callContext(t), job, status)
 		is.NoErr(err)
 		is.Equal(audit.Completed, 200)
 		is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
 // A fee-bearing filing: resent through every node, at once and later, it runs
 // once and every answer is the same.
-func TestOnceRunsOnceThroughAllNodes(t *testing.T) {
+func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	running := start(t, topology(3, 2))
-	params := question("file the annual return of company 7", 12)
+	params := chatParams("file the annual return of company 7", 12)
 	var group sync.WaitGroup
 	answers := make([]string, 6)
 	for i := range answers {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			answers[i] = sendOnce(t, client(running, i%3), params)
+			answers[i] = sendOnceRequest(t, client(running, i%3), params)
 		}()
 	}
 	group.Wait()
 	for _, answer := range answers {
-		is.Equal(answer, expected("file the annual return of company 7", 12))
+		is.Equal(answer, expectedAnswer("file the annual return of company 7", 12))
 	}
 	is.Equal(running.Ledger.Totals().Starts, 1) // one run at the engines
 }
 
 // sendOnce sends until an answer comes; "in progress" is asked again.
-func sendOnce(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
-	ctx := timeLimited(t)
+func sendOnceRequest(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
+	ctx := callContext(t)
 	for {
 		answer, err := api.Chat.Completions.New(ctx, params, option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", "filing-7"))
 		if err == nil {
@@ -208,14 +208,14 @@
 
 // The engine dies under a once request after dispatch: the caller learns that
 // the outcome is unknown, and a resend does not run it again.
-func TestOnceIsNotRunAgainAfterALostRunner(t *testing.T) {
+func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	running := start(t, topology(3, 2))
 	for _, slowed := range running.Engines {
 		slowed.SetSlow(50)
 	}
-	params := question("file the reservation of a name", 30)
+	params := chatParams("file the reservation of a name", 30)
 	crashed := make(chan struct{})
 	go func() {
 		defer close(crashed)
@@ -226,7 +226,7 @@
 	}()
 	once := []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", "name-1")}
 	api := client(running, 0)
-	_, err := api.Chat.Completions.New(timeLimited(t), params, once...)
+	_, err := api.Chat.Completions.New(callContext(t), params, once...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Response.Header.Get("X-Run"), "unknown")
@@ -236,7 +236,7 @@
 	}
 	other := client(running, 1)
 	eventually.Require(t, "a resend says unknown", func() bool {
-		_, err = other.Chat.Completions.New(timeLimited(t), params, once...)
+		_, err = other.Chat.Completions.New(callContext(t), params, once...)
 		return errors.As(err, &failure) && failure.Code == "1301"
 	})
 	is.Equal(running.Ledger.Totals().Starts, 1)
@@ -249,7 +249,7 @@
 	is := is.New(t)
 	running := start(t, topology(5, 4))
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
 	is.NoErr(err)
 	for _, index := range []int{0, 1} {
 		running.KillNode(index)
@@ -259,9 +259,9 @@
 	for _, index := range []int{0, 1} {
 		is.NoErr(running.StartNode(index))
 	}
-	status, err := batches.Await(timeLimited(t), job.ID)
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed, 1500)
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
@@ -277,10 +277,10 @@
 	const rate = 6
 	text := fleet.BasicBundle(running.Operator, model, model, slots, nil)
 	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", key.Tenant, key.Hash(), rate)
-	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
+	is.NoErr(running.AwaitReady(callContext(t), 2))
 	const seconds = 6
-	recorder := under(running, running.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
+	recorder := withOnlineLoad(running, running.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
 	served := recorder.Requests.Load() - recorder.Failed.Load()
 	t.Logf("%d of %d served at a limit of %d a second for %d s", served, recorder.Requests.Load(), rate, seconds)
 	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal says not run
@@ -291,18 +291,18 @@
 // A runner that is listed as leaving gets no new work once the list has shown
 // it, its streams past the drain timeout are carried on elsewhere, and nothing
 // is cut.
-func TestLeavingRunnerGetsQuiet(t *testing.T) {
+func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	running := start(t, topology(3, 4))
 	text := strings.Replace(fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
-	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
+	is.NoErr(running.AwaitReady(callContext(t), 2))
 	for _, slowed := range running.Engines {
 		slowed.SetSlow(25) // streams far longer than the drain timeout
 	}
 	leaver := running.Engines[0]
-	recorder := under(running, running.APIAddresses(), 10, func() {
+	recorder := withOnlineLoad(running, running.APIAddresses(), 10, func() {
 		eventually.Require(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
 		running.RegisterRunner(leaver, running.ZoneOf(0), "leaving")
 		eventually.Require(t, "the runner is quiet", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
@@ -310,7 +310,7 @@
 		online, batch := leaver.Running()
 		is.Equal(online+batch, 0) // still quiet under load
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
 // Batch items of class once, with an engine crashed and a node killed under
@@ -321,14 +321,14 @@
 	is := is.New(t)
 	running := start(t, topology(5, 4))
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
 	is.NoErr(err)
 	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 100 })
 	running.Engines[0].Crash()
 	running.KillNode(4)
-	status, err := batches.Await(timeLimited(t), job.ID)
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	t.Logf("%d completed, %d failed %v, lost %d", audit.Completed, audit.Failed, audit.ErrorCodes, audit.Lost)
 	is.Equal(audit.Completed+audit.Failed, 600)
@@ -349,17 +349,17 @@
 		slowed.SetSlow(10)
 	}
 	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
 	is.NoErr(err)
 	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 20 })
-	is.NoErr(batches.Cancel(timeLimited(t), job.ID))
-	status, err := batches.Await(timeLimited(t), job.ID)
+	is.NoErr(batches.Cancel(callContext(t), job.ID))
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
 	is.Equal(status.State, "cancelled")
 	before := running.Ledger.Totals().Starts
 	time.Sleep(2 * time.Second)
 	is.Equal(running.Ledger.Totals().Starts, before)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed+audit.Failed, 2000) // every item has one outcome
 	is.Equal(audit.Duplicates+audit.Lost, 0)
@@ -377,7 +377,7 @@
 	}
 	for try := range 6 {
 		api := client(running, try%3)
-		_, err := api.Chat.Completions.New(timeLimited(t), question(mark, 10), option.WithMaxRetries(0))
+		_, err := api.Chat.Completions.New(callContext(t), chatParams(mark, 10), option.WithMaxRetries(0))
 		is.True(err != nil)
 	}
 	crashed := 0
@@ -388,6 +388,6 @@
 	}
 	is.True(crashed > 0 && crashed <= 6) // three, and three more sends
 	api := client(running, 1)
-	_, err := api.Chat.Completions.New(timeLimited(t), question("an ordinary question", 10))
+	_, err := api.Chat.Completions.New(callContext(t), chatParams("an ordinary question", 10))
 	is.NoErr(err)
 }
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	model       = "filing-assist"
-	maxAnswer   = 64
-	readyTime   = 40 * time.Second
-	callTimeout = 90 * time.Second
-	slots       = 48
-	cluster     = "e2e"
-	tenantName  = "registry"
+	model           = "filing-assist"
+	maxAnswerTokens = 64
+	readyTimeout    = 40 * time.Second
+	callTimeout     = 90 * time.Second
+	slots           = 48
+	cluster         = "e2e"
+	tenantName      = "registry"
 )
 
 var key = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
@@ -48,7 +48,7 @@
 			{Name: "braam-hall", Region: "gauteng", Nodes: (nodes + 1) / 2, Runners: (runners + 1) / 2},
 			{Name: "rosebank-hall", Region: "gauteng", Nodes: nodes / 2, Runners: runners / 2},
 		},
-		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: maxAnswer, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
+		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: maxAnswerTokens, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
 	}
 }
 
@@ -59,7 +59,7 @@
 	running, err := fleet.Start(shape, t.TempDir())
 	is.NoErr(err)
 	t.Cleanup(running.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
 	is.NoErr(running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text))
@@ -68,7 +68,7 @@
 }
 
 func target(running *fleet.Fleet) load.Target {
-	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswer}
+	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 }
 
 // client is the published OpenAI client pointed at a node.
@@ -80,7 +80,7 @@
 	)
 }
 
-func timeLimited(t *testing.T) context.Context {
+func callContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -30,7 +30,7 @@
 	running, err := fleet.Start(shape, t.TempDir())
 	is.NoErr(err)
 	t.Cleanup(running.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "kind: Tenant\n", "kind: Tenant\nhome_region: a-home\n", 1)
@@ -42,27 +42,27 @@
 		return []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", name)}
 	}
 	eventually.Require(t, "a claim in the home region is made from far", func() bool {
-		answer, err := far.Chat.Completions.New(timeLimited(t), question("file from far", 8), once("k1")...)
-		return err == nil && answer.Choices[0].Message.Content == expected("file from far", 8)
+		answer, err := far.Chat.Completions.New(callContext(t), chatParams("file from far", 8), once("k1")...)
+		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("file from far", 8)
 	})
 	for _, index := range []int{0, 1, 2} {
 		running.KillNode(index)
 	}
 	running.Engines[0].Crash()
-	_, err = far.Chat.Completions.New(timeLimited(t), question("file again", 8), once("k2")...)
+	_, err = far.Chat.Completions.New(callContext(t), chatParams("file again", 8), once("k2")...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused, provably not run
 	eventually.Require(t, "plain calls are served without the home region", func() bool {
-		answer, err := far.Chat.Completions.New(timeLimited(t), question("is it free?", 8))
-		return err == nil && answer.Choices[0].Message.Content == expected("is it free?", 8)
+		answer, err := far.Chat.Completions.New(callContext(t), chatParams("is it free?", 8))
+		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("is it free?", 8)
 	})
 }
 
 // Operators race while the platform loses answers: one submission of a
 // generation is accepted, the other learns of the conflict, and a lost answer
 // is resolved to the truth.
-func TestOperatorsRaceWithLostAnswers(t *testing.T) {
+func TestConcurrentOperatorsWithLostReplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	running := start(t, topology(3, 1))
@@ -76,7 +76,7 @@
 	for i, text := range texts {
 		go func() {
 			admin := running.Nodes()[i].Settings.Node.AdminAddress
-			outcomes <- running.Operator.Roll(timeLimited(t), admin, cluster, 2, text)
+			outcomes <- running.Operator.Roll(callContext(t), admin, cluster, 2, text)
 		}()
 	}
 	accepted, conflicts := 0, 0
@@ -93,5 +93,5 @@
 	}
 	is.Equal(accepted, 1)
 	is.Equal(conflicts, 1)
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	is.NoErr(running.AwaitReady(callContext(t), 2))
 }
--- a/lab/e2e/tls_test.go
+++ b/lab/e2e/tls_test.go
@@ -22,7 +22,7 @@
 	authority, err := keys.NewAuthority(t.TempDir())
 	is.NoErr(err)
 	shape := topology(3, 2)
-	shape.Prepare = func(loaded *settings.Settings) error {
+	shape.ChangeSettings = func(loaded *settings.Settings) error {
 		certificate, key, err := authority.Issue(loaded.Node.ID)
 		loaded.TLS.API = settings.KeyPair{Certificate: certificate, Key: key}
 		loaded.TLS.Nodes, loaded.TLS.NodesAuthority = loaded.TLS.API, authority.File
@@ -35,12 +35,12 @@
 	is.True(pool.AppendCertsFromPEM(pem))
 	secure := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	api := openai.NewClient(option.WithBaseURL("https://"+running.APIAddresses()[0]+"/v1"), option.WithAPIKey(key.Key), option.WithHTTPClient(secure), option.WithMaxRetries(0))
-	answer, err := api.Chat.Completions.New(timeLimited(t), question("over tls", 10))
+	answer, err := api.Chat.Completions.New(callContext(t), chatParams("over tls", 10))
 	is.NoErr(err)
-	is.Equal(answer.Choices[0].Message.Content, expected("over tls", 10))
+	is.Equal(answer.Choices[0].Message.Content, expectedAnswer("over tls", 10))
 	batchThroughClient(t, api)
 
 	plain := client(running, 0)
-	_, err = plain.Chat.Completions.New(timeLimited(t), question("in the clear", 10))
+	_, err = plain.Chat.Completions.New(callContext(t), chatParams("in the clear", 10))
 	is.True(err != nil) // plain HTTP is not served
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -45,7 +45,7 @@
 	// PlatformRate is the key-value service's requests per second.
 	PlatformRate float64 `yaml:"platform_rate"`
 	// Prepare may change a node's settings before its first start.
-	Prepare func(*settings.Settings) error `yaml:"-"`
+	ChangeSettings func(*settings.Settings) error `yaml:"-"`
 }
 
 // Fleet is a running deployment.
@@ -74,9 +74,9 @@
 func (m *Member) Node() *node.Node { return m.node }
 
 // RegisterRunner puts an engine on the platform's runner list with a state.
-func (f *Fleet) RegisterRunner(listed *engine.Engine, zone Zone, state string) {
-	f.Platform.SetRunner(platform.Target{Address: listed.Address(), Labels: map[string]string{
-		"id": listed.ID, "zone": zone.Name, "region": zone.Region, "service": f.Topology.Service, "state": state,
+func (f *Fleet) RegisterRunner(runner *engine.Engine, zone Zone, state string) {
+	f.Platform.SetRunner(platform.Target{Address: runner.Address(), Labels: map[string]string{
+		"id": runner.ID, "zone": zone.Name, "region": zone.Region, "service": f.Topology.Service, "state": state,
 	}})
 }
 
@@ -113,11 +113,11 @@
 // KillNode ends a node at once.
 func (f *Fleet) KillNode(index int) {
 	f.mutex.Lock()
-	victim := f.nodes[index].node
+	running := f.nodes[index].node
 	f.nodes[index].node = nil
 	f.mutex.Unlock()
-	if victim != nil {
-		victim.Kill()
+	if running != nil {
+		running.Kill()
 	}
 }
 
@@ -165,10 +165,10 @@
 // StopNode stops a node as planned and waits until it has ended.
 func (f *Fleet) StopNode(index int) {
 	f.mutex.Lock()
-	stopping := f.nodes[index].node
+	running := f.nodes[index].node
 	f.mutex.Unlock()
-	if stopping != nil {
-		stopping.Stop(context.Background())
+	if running != nil {
+		running.Stop(context.Background())
 	}
 	f.mutex.Lock()
 	f.nodes[index].node = nil
--- a/lab/fleet/operator.go
+++ b/lab/fleet/operator.go
@@ -91,7 +91,7 @@
 	return trace.Wrap(o.post(ctx, adminAddress, "/v1/bundle/roll", roll), "rolling")
 }
 
-const maxAnswer = 1 << 20
+const maxResponseBytes = 1 << 20
 
 func (o *Operator) post(ctx context.Context, address, path string, body any) error {
 	encoded, err := json.Marshal(body)
@@ -102,12 +102,12 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	answer, err := response.ReadAll(maxAnswer)
+	responseBody, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if response.Status != 200 {
-		return trace.BadParameter("status %d: %s", response.Status, answer)
+		return trace.BadParameter("status %d: %s", response.Status, responseBody)
 	}
 	return nil
 }
@@ -118,9 +118,9 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	answer, err := response.ReadAll(maxAnswer)
+	responseBody, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(json.Unmarshal(answer, into))
+	return trace.Wrap(json.Unmarshal(responseBody, into))
 }
--- a/lab/fleet/ready.go
+++ b/lab/fleet/ready.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 )
 
-type readyNode struct {
+type nodeStatus struct {
 	State            string `json:"state"`
 	BundleGeneration uint64 `json:"bundle_generation"`
 	Runners          []struct {
@@ -20,32 +20,32 @@
 	} `json:"shards"`
 }
 
-const readyPoll = 100 * time.Millisecond
+const readyPollInterval = 100 * time.Millisecond
 
 // AwaitReady waits until every running node has a generation in force, all
 // runners are ready and every shard has a leader.
 func (f *Fleet) AwaitReady(ctx context.Context, generation uint64) error {
 	for {
-		missing := f.missing(ctx, generation)
-		if missing == "" {
+		notReadyReason := f.notReadyReason(ctx, generation)
+		if notReadyReason == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return trace.LimitExceeded("the fleet is not ready: %s", missing)
-		case <-time.After(readyPoll):
+			return trace.LimitExceeded("the fleet is not ready: %s", notReadyReason)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-func (f *Fleet) missing(ctx context.Context, generation uint64) string {
+func (f *Fleet) notReadyReason(ctx context.Context, generation uint64) string {
 	runners := 0
-	led := map[uint32]bool{}
+	shardsWithLeader := map[uint32]bool{}
 	for _, member := range f.nodes {
 		if !member.Running() {
 			continue
 		}
-		var status readyNode
+		var status nodeStatus
 		if err := f.Operator.get(ctx, member.Settings.Node.AdminAddress, "/v1/status", &status); err != nil {
 			return err.Error()
 		}
@@ -59,15 +59,15 @@
 		}
 		for _, shard := range status.Shards {
 			if shard.Leader != "" {
-				led[shard.Shard] = true
+				shardsWithLeader[shard.Shard] = true
 			}
 		}
 	}
 	if runners < len(f.Engines) {
 		return fmt.Sprintf("%d of %d runners ready", runners, len(f.Engines))
 	}
-	if wanted := f.Nodes()[0].Settings.Data.Shards; f.Topology.DiskNodes >= 3 && len(led) < wanted {
-		return fmt.Sprintf("%d of %d shards have a leader", len(led), wanted)
+	if wanted := f.Nodes()[0].Settings.Data.Shards; f.Topology.DiskNodes >= 3 && len(shardsWithLeader) < wanted {
+		return fmt.Sprintf("%d of %d shards have a leader", len(shardsWithLeader), wanted)
 	}
 	return ""
 }
--- a/lab/fleet/start.go
+++ b/lab/fleet/start.go
@@ -65,16 +65,16 @@
 	for _, zone := range f.Topology.Zones {
 		for range zone.Nodes {
 			number++
-			loaded, err := f.nodeSettings(number, zone)
+			nodeSettings, err := f.nodeSettings(number, zone)
 			if err != nil {
 				return trace.Wrap(err)
 			}
-			f.nodes = append(f.nodes, &Member{Settings: loaded})
-			f.listMachine(loaded)
+			f.nodes = append(f.nodes, &Member{Settings: nodeSettings})
+			f.registerNode(nodeSettings)
 		}
 	}
 	for index := range f.nodes {
-		if err := f.startFirst(index); err != nil {
+		if err := f.startFirstTime(index); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -83,9 +83,9 @@
 
 // startFirst starts a node for the first time. Another process may have taken
 // one of its ports meanwhile; then it gets others.
-func (f *Fleet) startFirst(index int) error {
+func (f *Fleet) startFirstTime(index int) error {
 	err := f.StartNode(index)
-	for try := 0; err != nil && try < startTries; try++ {
+	for try := 0; err != nil && try < maxStartRetries; try++ {
 		member := f.nodes[index]
 		f.Platform.RemoveMachine(member.Settings.Node.InternalAddress)
 		addresses, addressErr := freeAddresses(3)
@@ -94,17 +94,17 @@
 		}
 		node := &member.Settings.Node
 		node.InternalAddress, node.APIAddress, node.AdminAddress = addresses[0], addresses[1], addresses[2]
-		f.listMachine(member.Settings)
+		f.registerNode(member.Settings)
 		err = f.StartNode(index)
 	}
 	return err
 }
 
-const startTries = 3
+const maxStartRetries = 3
 
-func (f *Fleet) listMachine(loaded *settings.Settings) {
-	f.Platform.SetMachine(platform.Target{Address: loaded.Node.InternalAddress, Labels: map[string]string{
-		"zone": loaded.Node.Zone, "region": loaded.Node.Region, "state": "live",
+func (f *Fleet) registerNode(nodeSettings *settings.Settings) {
+	f.Platform.SetMachine(platform.Target{Address: nodeSettings.Node.InternalAddress, Labels: map[string]string{
+		"zone": nodeSettings.Node.Zone, "region": nodeSettings.Node.Region, "state": "live",
 	}})
 }
 
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	loaded := &settings.Settings{
+	created := &settings.Settings{
 		Cluster: f.Topology.Cluster,
 		Node: settings.NodeSettings{
 			ID: fmt.Sprintf("node-%02d", number), Region: zone.Region, Zone: zone.Name,
@@ -126,13 +126,13 @@
 		Data: settings.DiskSettings{Shards: f.Topology.Shards},
 	}
 	if number <= f.Topology.DiskNodes {
-		loaded.Data.Folder = filepath.Join(f.folder, loaded.Node.ID)
+		created.Data.Folder = filepath.Join(f.folder, created.Node.ID)
 	}
-	if f.Topology.Prepare != nil {
-		if err := f.Topology.Prepare(loaded); err != nil {
+	if f.Topology.ChangeSettings != nil {
+		if err := f.Topology.ChangeSettings(created); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
-	loaded.SetDefaults()
-	return loaded, trace.Wrap(loaded.Validate())
+	created.SetDefaults()
+	return created, trace.Wrap(created.Validate())
 }
--- a/lab/load/batch.go
+++ b/lab/load/batch.go
@@ -35,9 +35,9 @@
 
 // BatchClient submits jobs and reads their results, through any node.
 type BatchClient struct {
-	target Target
-	http   *httpcall.Client
-	next   int
+	target      Target
+	http        *httpcall.Client
+	nextAddress int
 }
 
 // NewBatchClient returns a client.
@@ -49,7 +49,7 @@
 func (b *BatchClient) call(ctx context.Context, method, path, contentType string, body []byte) (*httpcall.Response, error) {
 	var last error
 	for ctx.Err() == nil {
-		address := b.target.Addresses[b.next%len(b.target.Addresses)]
+		address := b.target.Addresses[b.nextAddress%len(b.target.Addresses)]
 		headers := [][2]string{{"Authorization", "Bearer " + b.target.Key}}
 		if contentType != "" {
 			headers = append(headers, [2]string{"Content-Type", contentType})
@@ -64,8 +64,8 @@
 			err = trace.BadParameter("status %d: %s", response.Status, text)
 		}
 		last = err
-		b.next++
-		time.Sleep(resendPause)
+		b.nextAddress++
+		time.Sleep(resendDelay)
 	}
 	if last == nil {
 		last = ctx.Err() // it had ended before the first try
@@ -106,27 +106,27 @@
 }
 
 // Items writes a job's input file.
-func Items(model string, shape BatchWorkload) ([]byte, map[string][]byte) {
-	random := rand.New(rand.NewPCG(shape.Seed, 9))
+func Items(model string, workload BatchWorkload) ([]byte, map[string][]byte) {
+	random := rand.New(rand.NewPCG(workload.Seed, 9))
 	var file bytes.Buffer
-	bodies := make(map[string][]byte, shape.Items)
-	for i := range shape.Items {
-		line := itemLine{CustomID: fmt.Sprintf("item-%d-%06d", shape.Seed, i), Method: "POST", URL: "/v1/chat/completions"}
-		if shape.Once {
+	bodies := make(map[string][]byte, workload.Items)
+	for i := range workload.Items {
+		line := itemLine{CustomID: fmt.Sprintf("item-%d-%06d", workload.Seed, i), Method: "POST", URL: "/v1/chat/completions"}
+		if workload.Once {
 			line.WorkClass = "once"
 		}
-		question := fmt.Sprintf("item %d of seed %d: %s", i, shape.Seed, words(random, around(random, shape.PromptWords)))
-		line.Body = chatRequest{Model: model, Messages: []chatMessage{{"user", question}}, MaxTokens: around(random, shape.AnswerTokens)}
-		bodies[line.CustomID] = encode(line.Body)
-		file.Write(encode(line))
+		question := fmt.Sprintf("item %d of seed %d: %s", i, workload.Seed, randomWords(random, randomLength(random, workload.PromptWords)))
+		line.Body = chatRequest{Model: model, Messages: []chatMessage{{"user", question}}, MaxTokens: randomLength(random, workload.AnswerTokens)}
+		bodies[line.CustomID] = mustEncode(line.Body)
+		file.Write(mustEncode(line))
 		file.WriteByte('\n')
 	}
 	return file.Bytes(), bodies
 }
 
 // Submit uploads a file and makes a job of it.
-func (b *BatchClient) Submit(ctx context.Context, shape BatchWorkload) (*Job, error) {
-	file, bodies := Items(b.target.Model, shape)
+func (b *BatchClient) Submit(ctx context.Context, workload BatchWorkload) (*Job, error) {
+	file, bodies := Items(b.target.Model, workload)
 	fileID, err := b.Upload(ctx, file)
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 
 // Upload uploads an input file.
 func (b *BatchClient) Upload(ctx context.Context, file []byte) (string, error) {
-	form, contentType, err := Form(file)
+	form, contentType, err := MultipartForm(file)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
@@ -148,7 +148,7 @@
 }
 
 // Form is the multipart form of an upload, with its content type.
-func Form(file []byte) ([]byte, string, error) {
+func MultipartForm(file []byte) ([]byte, string, error) {
 	var form bytes.Buffer
 	writer := multipart.NewWriter(&form)
 	if err := writer.WriteField("purpose", "batch"); err != nil {
@@ -183,7 +183,7 @@
 	return gjson.GetBytes(text, "id").String(), nil
 }
 
-type createBatch struct {
+type createBatchRequest struct {
 	InputFileID      string `json:"input_file_id"`
 	Endpoint         string `json:"endpoint"`
 	CompletionWindow string `json:"completion_window"`
@@ -191,7 +191,7 @@
 
 // Create makes a job of an uploaded file.
 func (b *BatchClient) Create(ctx context.Context, fileID string) (string, error) {
-	created, err := b.json(ctx, "POST", "/v1/batches", createBatch{fileID, "/v1/chat/completions", "24h"})
+	created, err := b.json(ctx, "POST", "/v1/batches", createBatchRequest{fileID, "/v1/chat/completions", "24h"})
 	return created.Get("id").String(), err
 }
 
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -46,63 +46,63 @@
 
 // RunOnline sends requests until the context ends, then waits for the answers of
 // those under way.
-func RunOnline(ctx context.Context, target Target, shape OnlineWorkload, recorder *Recorder) {
-	random := rand.New(rand.NewPCG(shape.Seed, 3))
+func RunOnline(ctx context.Context, target Target, workload OnlineWorkload, recorder *Recorder) {
+	random := rand.New(rand.NewPCG(workload.Seed, 3))
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
 	var requests tasks.Group
 	defer requests.Wait()
 	next := time.Now()
 	for number := 0; ; number++ {
-		next = next.Add(time.Duration(random.ExpFloat64() / shape.Rate * float64(time.Second)))
+		next = next.Add(time.Duration(random.ExpFloat64() / workload.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
-		body := chatBody(random, target.Model, shape, number)
+		body := chatBody(random, target.Model, workload, number)
 		intended := next
-		one := &onlineRequest{client: client, target: target, body: body, intended: intended, recorder: recorder, start: number}
-		requests.Go(one.run)
+		request := &onlineRequest{client: client, target: target, body: body, intended: intended, recorder: recorder, firstAddress: number}
+		requests.Go(request.run)
 	}
 }
 
 type onlineRequest struct {
-	client   *httpcall.Client
-	target   Target
-	body     []byte
-	intended time.Time
-	recorder *Recorder
-	start    int
+	client       *httpcall.Client
+	target       Target
+	body         []byte
+	intended     time.Time
+	recorder     *Recorder
+	firstAddress int
 }
 
 const (
-	maxResends     = 3
+	maxAttempts    = 3
 	requestTimeout = 60 * time.Second
-	resendPause    = 100 * time.Millisecond
+	resendDelay    = 100 * time.Millisecond
 	// maxErrorBytes bounds what is read of an answer that is an error.
 	maxErrorBytes = 1 << 16
 )
 
 // errNodeLost means that the accepting node itself died; its caller resends.
-var errNodeLost = errors.New("accepting node lost")
+var errNodeUnavailable = errors.New("accepting node lost")
 
 // run sends the request, through another node if the accepting one dies.
 func (o *onlineRequest) run() {
 	o.recorder.Requests.Add(1)
-	for try := range maxResends {
-		address := o.target.Addresses[(o.start+try)%len(o.target.Addresses)]
+	for try := range maxAttempts {
+		address := o.target.Addresses[(o.firstAddress+try)%len(o.target.Addresses)]
 		err := o.send(address)
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, errNodeLost) {
+		if !errors.Is(err, errNodeUnavailable) {
 			o.recorder.Failed.Add(1)
 			o.recorder.recordError(err.Error())
 			return
 		}
 		o.recorder.Resent.Add(1)
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 	}
 	o.recorder.Failed.Add(1)
 	o.recorder.recordError("no node reachable")
@@ -116,7 +116,7 @@
 		Headers: [][2]string{{"Authorization", "Bearer " + o.target.Key}, {"Content-Type", "application/json"}},
 	})
 	if err != nil {
-		return errNodeLost
+		return errNodeUnavailable
 	}
 	defer response.Close()
 	if response.Status != 200 {
@@ -127,11 +127,11 @@
 		}
 		return fmt.Errorf("status %d: %s", response.Status, gjson.GetBytes(body, "error.type"))
 	}
-	return o.read(response)
+	return o.readStream(response)
 }
 
 // read takes the stream to its end and checks the whole text.
-func (o *onlineRequest) read(response *httpcall.Response) error {
+func (o *onlineRequest) readStream(response *httpcall.Response) error {
 	reader := bufio.NewReader(response)
 	var text bytes.Buffer
 	last := o.intended
@@ -143,14 +143,14 @@
 				o.recorder.Truncated.Add(1)
 				return errors.New("stream ended without an end")
 			}
-			return errNodeLost
+			return errNodeUnavailable
 		}
 		data, isData := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !isData {
 			continue
 		}
 		if bytes.Equal(data, []byte("[DONE]")) {
-			return o.check(text.String())
+			return o.checkText(text.String())
 		}
 		if kind := gjson.GetBytes(data, "error.type"); kind.Exists() {
 			return fmt.Errorf("error event: %s: %s", kind, gjson.GetBytes(data, "error.message"))
@@ -162,16 +162,16 @@
 		text.WriteString(piece)
 		now := time.Now()
 		if first {
-			o.recorder.recordFirst(o.intended, now.Sub(o.intended))
+			o.recorder.recordFirstToken(o.intended, now.Sub(o.intended))
 			first = false
 		} else {
-			o.recorder.recordGap(now.Sub(last))
+			o.recorder.recordTokenGap(now.Sub(last))
 		}
 		last = now
 	}
 }
 
-func (o *onlineRequest) check(text string) error {
+func (o *onlineRequest) checkText(text string) error {
 	want := engine.ExpectedAnswer(o.body, o.target.MaxAnswerTokens)
 	if text == want {
 		return nil
--- a/lab/load/prompts.go
+++ b/lab/load/prompts.go
@@ -9,7 +9,7 @@
 
 var vocabulary = []string{"rental", "deposit", "mileage", "vehicle", "airport", "insurance", "waiver", "return", "filing", "annual", "founder", "reserve", "name", "statute", "clause", "branch"}
 
-func words(random *rand.Rand, count int) string {
+func randomWords(random *rand.Rand, count int) string {
 	var text bytes.Buffer
 	for i := range count {
 		if i > 0 {
@@ -21,7 +21,7 @@
 }
 
 // around draws a length between half and one and a half of a mean.
-func around(random *rand.Rand, mean int) int {
+func randomLength(random *rand.Rand, mean int) int {
 	return max(1, mean/2+random.IntN(mean+1))
 }
 
@@ -37,19 +37,19 @@
 	Stream    bool          `json:"stream,omitempty"`
 }
 
-func chatBody(random *rand.Rand, model string, shape OnlineWorkload, number int) []byte {
+func chatBody(random *rand.Rand, model string, workload OnlineWorkload, number int) []byte {
 	var messages []chatMessage
-	if shape.Prefixes > 0 {
-		prefix := rand.New(rand.NewPCG(uint64(random.IntN(shape.Prefixes)), shape.Seed))
-		messages = append(messages, chatMessage{"system", words(prefix, shape.PromptWords)})
+	if workload.Prefixes > 0 {
+		prefix := rand.New(rand.NewPCG(uint64(random.IntN(workload.Prefixes)), workload.Seed))
+		messages = append(messages, chatMessage{"system", randomWords(prefix, workload.PromptWords)})
 	}
-	question := fmt.Sprintf("request %d of seed %d: %s", number, shape.Seed, words(random, around(random, shape.PromptWords)))
+	question := fmt.Sprintf("request %d of seed %d: %s", number, workload.Seed, randomWords(random, randomLength(random, workload.PromptWords)))
 	messages = append(messages, chatMessage{"user", question})
-	return encode(chatRequest{Model: model, Messages: messages, MaxTokens: around(random, shape.AnswerTokens), Stream: true})
+	return mustEncode(chatRequest{Model: model, Messages: messages, MaxTokens: randomLength(random, workload.AnswerTokens), Stream: true})
 }
 
 // encode encodes a request or an item, which have plain fields only.
-func encode(plain any) []byte {
+func mustEncode(plain any) []byte {
 	encoded, err := json.Marshal(plain)
 	if err != nil {
 		panic("load: cannot be encoded: " + err.Error())
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -10,9 +10,9 @@
 
 // Recorder counts what callers saw.
 type Recorder struct {
-	mutex sync.Mutex
-	first *hdrhistogram.Histogram // microseconds
-	gap   *hdrhistogram.Histogram
+	mutex      sync.Mutex
+	firstToken *hdrhistogram.Histogram // microseconds
+	tokenGap   *hdrhistogram.Histogram
 	// Requests that were made; Failed of them got no whole right answer; Truncated
 	// ended without an error or an end; Wrong had other text; Resent lost
 	// their accepting node and were sent again; Refused got "not run".
@@ -23,19 +23,19 @@
 
 // Sample is one request's time to first token, for plots.
 type Sample struct {
-	At    time.Time
-	First time.Duration
+	At         time.Time
+	FirstToken time.Duration
 }
 
 const (
-	maxMicros   = 120_000_000
-	significant = 3
+	maxMicroseconds   = 120_000_000
+	significantDigits = 3
 )
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{
-		first: hdrhistogram.New(1, maxMicros, significant), gap: hdrhistogram.New(1, maxMicros, significant),
+		firstToken: hdrhistogram.New(1, maxMicroseconds, significantDigits), tokenGap: hdrhistogram.New(1, maxMicroseconds, significantDigits),
 		errors: map[string]int{},
 	}
 }
@@ -43,20 +43,20 @@
 // record records a time in microseconds; one beyond the range counts as its end, so
 // that no value is refused.
 func record(histogram *hdrhistogram.Histogram, waited time.Duration) {
-	_ = histogram.RecordValue(min(maxMicros, max(1, waited.Microseconds())))
+	_ = histogram.RecordValue(min(maxMicroseconds, max(1, waited.Microseconds())))
 }
 
-func (r *Recorder) recordFirst(at time.Time, waited time.Duration) {
+func (r *Recorder) recordFirstToken(at time.Time, waited time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.first, waited)
+	record(r.firstToken, waited)
 	r.series = append(r.series, Sample{at, waited})
 }
 
-func (r *Recorder) recordGap(waited time.Duration) {
+func (r *Recorder) recordTokenGap(waited time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.gap, waited)
+	record(r.tokenGap, waited)
 }
 
 func (r *Recorder) recordError(text string) {
@@ -80,14 +80,14 @@
 func (r *Recorder) FirstToken(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Duration(r.first.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(r.firstToken.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
 // TokenGap returns a quantile (0 to 100) of the time between tokens.
 func (r *Recorder) TokenGap(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Duration(r.gap.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(r.tokenGap.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
 // Series returns the samples so far.
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -11,28 +11,28 @@
 
 // faultActions bring about what a fault names.
 var faultActions = map[string]func(*fleet.Fleet, Fault) error{
-	"kill_node":  always(func(f *fleet.Fleet, fault Fault) { f.KillNode(fault.Index) }),
+	"kill_node":  infallible(func(f *fleet.Fleet, fault Fault) { f.KillNode(fault.Index) }),
 	"start_node": func(f *fleet.Fleet, fault Fault) error { return f.StartNode(fault.Index) },
-	"stop_node":  always(func(f *fleet.Fleet, fault Fault) { f.StopNode(fault.Index) }),
+	"stop_node":  infallible(func(f *fleet.Fleet, fault Fault) { f.StopNode(fault.Index) }),
 	"wipe_node": func(f *fleet.Fleet, fault Fault) error {
 		f.KillNode(fault.Index)
 		return f.WipeNode(fault.Index)
 	},
-	"crash_engine":   always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].Crash() }),
+	"crash_engine":   infallible(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].Crash() }),
 	"restart_engine": func(f *fleet.Fleet, fault Fault) error { return f.Engines[fault.Index].Restart() },
-	"stall_engine":   always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].Stall(fault.For) }),
-	"slow_engine":    always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetSlow(fault.Factor) }),
-	"disorder":       always(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetDisorder(true) }),
-	"runner_leaving": always(func(f *fleet.Fleet, fault Fault) {
+	"stall_engine":   infallible(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].Stall(fault.For) }),
+	"slow_engine":    infallible(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetSlow(fault.Factor) }),
+	"disorder":       infallible(func(f *fleet.Fleet, fault Fault) { f.Engines[fault.Index].SetDisorder(true) }),
+	"runner_leaving": infallible(func(f *fleet.Fleet, fault Fault) {
 		f.RegisterRunner(f.Engines[fault.Index], f.ZoneOf(fault.Index), "leaving")
 	}),
-	"platform_down": always(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(true) }),
-	"platform_up":   always(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(false) }),
-	"platform_slow": always(func(f *fleet.Fleet, fault Fault) { f.Platform.SetSlow(fault.For) }),
+	"platform_down": infallible(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(true) }),
+	"platform_up":   infallible(func(f *fleet.Fleet, _ Fault) { f.Platform.SetDown(false) }),
+	"platform_slow": infallible(func(f *fleet.Fleet, fault Fault) { f.Platform.SetSlow(fault.For) }),
 }
 
 // always is an action that cannot fail.
-func always(action func(*fleet.Fleet, Fault)) func(*fleet.Fleet, Fault) error {
+func infallible(action func(*fleet.Fleet, Fault)) func(*fleet.Fleet, Fault) error {
 	return func(f *fleet.Fleet, fault Fault) error {
 		action(f, fault)
 		return nil
@@ -49,14 +49,14 @@
 }
 
 // schedule brings about the faults at their times until the context ends.
-func (r *run) schedule(ctx context.Context) {
+func (r *run) scheduleFaults(ctx context.Context) {
 	for _, fault := range r.scenario.Faults {
 		r.faults.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(r.began.Add(fault.At))):
 				if err := faultActions[fault.Kind](r.fleet, fault); err != nil {
-					r.say("  fault %s of %d: %v", fault.Kind, fault.Index, err)
+					r.printf("  fault %s of %d: %v", fault.Kind, fault.Index, err)
 				}
 			}
 		})
--- a/lab/scenario/outcome.go
+++ b/lab/scenario/outcome.go
@@ -12,44 +12,44 @@
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
 
-	OnlineRequests int64          `json:"online_requests"`
-	OnlineFailed   int64          `json:"online_failed"`
-	OnlineRefused  int64          `json:"online_refused"`
-	OnlineCut      int64          `json:"online_cut"`
-	OnlineWrong    int64          `json:"online_wrong"`
-	OnlineResent   int64          `json:"online_resent"`
-	FirstP50Ms     float64        `json:"first_token_p50_ms"`
-	FirstP95Ms     float64        `json:"first_token_p95_ms"`
-	FirstP99Ms     float64        `json:"first_token_p99_ms"`
-	GapP95Ms       float64        `json:"token_gap_p95_ms"`
-	GapP99Ms       float64        `json:"token_gap_p99_ms"`
-	Errors         map[string]int `json:"errors,omitempty"`
+	OnlineRequests  int64          `json:"online_requests"`
+	OnlineFailed    int64          `json:"online_failed"`
+	OnlineRefused   int64          `json:"online_refused"`
+	OnlineTruncated int64          `json:"online_cut"`
+	OnlineWrong     int64          `json:"online_wrong"`
+	OnlineResent    int64          `json:"online_resent"`
+	FirstP50Ms      float64        `json:"first_token_p50_ms"`
+	FirstP95Ms      float64        `json:"first_token_p95_ms"`
+	FirstP99Ms      float64        `json:"first_token_p99_ms"`
+	GapP95Ms        float64        `json:"token_gap_p95_ms"`
+	GapP99Ms        float64        `json:"token_gap_p99_ms"`
+	Errors          map[string]int `json:"errors,omitempty"`
 
-	BatchTokens   int     `json:"batch_tokens"`
-	BatchItems    int     `json:"batch_items_offered"`
-	BatchRuns     int     `json:"batch_runs"`
-	OnlineShare   float64 `json:"online_slot_share"`
-	BatchShare    float64 `json:"batch_slot_share"`
-	Seconds       float64 `json:"seconds"`
-	JobsChecked   int     `json:"jobs_checked"`
-	ItemsDone     int     `json:"items_completed"`
-	ItemsLost     int     `json:"items_lost"`
-	ItemsDoubled  int     `json:"items_doubled"`
-	ItemsWrong    int     `json:"items_wrong"`
-	PlatformCalls int64   `json:"platform_requests"`
+	BatchTokens     int     `json:"batch_tokens"`
+	BatchItems      int     `json:"batch_items_offered"`
+	BatchRuns       int     `json:"batch_runs"`
+	OnlineShare     float64 `json:"online_slot_share"`
+	BatchShare      float64 `json:"batch_slot_share"`
+	Seconds         float64 `json:"seconds"`
+	JobsChecked     int     `json:"jobs_checked"`
+	ItemsDone       int     `json:"items_completed"`
+	ItemsLost       int     `json:"items_lost"`
+	ItemsDuplicated int     `json:"items_doubled"`
+	ItemsWrong      int     `json:"items_wrong"`
+	PlatformCalls   int64   `json:"platform_requests"`
 
-	Latency []Point `json:"latency"`
-	Use     []Use   `json:"use"`
+	Latency   []LatencyPoint `json:"latency"`
+	Occupancy []Occupancy    `json:"use"`
 }
 
 // Point is one request's time to first token.
-type Point struct {
+type LatencyPoint struct {
 	Seconds float64 `json:"at"`
 	Ms      float64 `json:"ms"`
 }
 
 // Use is the sequences on all engines at a moment.
-type Use struct {
+type Occupancy struct {
 	Seconds float64 `json:"at"`
 	Online  int     `json:"online"`
 	Batch   int     `json:"batch"`
@@ -64,39 +64,39 @@
 }
 
 // Broken lists the promises an outcome breaks.
-func (o *Outcome) Broken() []string {
+func (o *Outcome) Violations() []string {
 	var broken []string
 	add := func(count int64, what string) {
 		if count > 0 {
 			broken = append(broken, fmt.Sprintf("%d %s", count, what))
 		}
 	}
-	add(o.OnlineCut, "streams cut")
+	add(o.OnlineTruncated, "streams cut")
 	add(o.OnlineWrong, "wrong answers")
 	add(o.OnlineFailed-o.OnlineRefused, "online requests failed")
 	add(int64(o.ItemsLost), "items lost")
-	add(int64(o.ItemsDoubled), "items doubled")
+	add(int64(o.ItemsDuplicated), "items doubled")
 	add(int64(o.ItemsWrong), "items with wrong text")
 	return broken
 }
 
-func (r *run) outcome(before, after engine.Usage, elapsed time.Duration) *Outcome {
+func (r *run) newOutcome(before, after engine.Usage, elapsed time.Duration) *Outcome {
 	slotSeconds := float64(len(r.fleet.Engines)*r.scenario.Slots) * elapsed.Seconds()
 	o := &Outcome{
 		Policy: r.policy, Seed: r.seed, Seconds: elapsed.Seconds(),
 		OnlineRequests: r.recorder.Requests.Load(), OnlineFailed: r.recorder.Failed.Load(), OnlineRefused: r.recorder.Refused.Load(),
-		OnlineCut: r.recorder.Truncated.Load(), OnlineWrong: r.recorder.Wrong.Load(), OnlineResent: r.recorder.Resent.Load(),
-		FirstP50Ms: ms(r.recorder.FirstToken(50)), FirstP95Ms: ms(r.recorder.FirstToken(95)), FirstP99Ms: ms(r.recorder.FirstToken(99)),
-		GapP95Ms: ms(r.recorder.TokenGap(95)), GapP99Ms: ms(r.recorder.TokenGap(99)), Errors: r.recorder.Errors(),
+		OnlineTruncated: r.recorder.Truncated.Load(), OnlineWrong: r.recorder.Wrong.Load(), OnlineResent: r.recorder.Resent.Load(),
+		FirstP50Ms: milliseconds(r.recorder.FirstToken(50)), FirstP95Ms: milliseconds(r.recorder.FirstToken(95)), FirstP99Ms: milliseconds(r.recorder.FirstToken(99)),
+		GapP95Ms: milliseconds(r.recorder.TokenGap(95)), GapP99Ms: milliseconds(r.recorder.TokenGap(99)), Errors: r.recorder.Errors(),
 		BatchTokens:   after.BatchTokens - before.BatchTokens,
 		OnlineShare:   (after.OnlineSlotSeconds - before.OnlineSlotSeconds) / slotSeconds,
 		BatchShare:    (after.BatchSlotSeconds - before.BatchSlotSeconds) / slotSeconds,
-		PlatformCalls: r.fleet.Platform.Requests.Load(), Use: r.use,
+		PlatformCalls: r.fleet.Platform.Requests.Load(), Occupancy: r.occupancy,
 	}
 	for _, sample := range r.recorder.Series() {
-		o.Latency = append(o.Latency, Point{sample.At.Sub(r.began).Seconds(), ms(sample.First)})
+		o.Latency = append(o.Latency, LatencyPoint{sample.At.Sub(r.began).Seconds(), milliseconds(sample.FirstToken)})
 	}
 	return o
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -24,7 +24,7 @@
 	// capacity: the rate of batch alone, less online's share of the slots.
 	Yield Spread `json:"yield"`
 	// Broken promises, all seeds.
-	Broken []string `json:"broken"`
+	Violations []string `json:"broken"`
 }
 
 // Spread is a mean with the lowest and the highest value over seeds.
@@ -76,13 +76,13 @@
 			index[outcome.Policy] = at
 			list = append(list, Summary{Policy: outcome.Policy})
 		}
-		r.compare(&list[at], outcome)
+		r.addToSummary(&list[at], outcome)
 	}
 	return list
 }
 
-func (r *Result) compare(summary *Summary, outcome *Outcome) {
-	summary.Broken = append(summary.Broken, outcome.Broken()...)
+func (r *Result) addToSummary(summary *Summary, outcome *Outcome) {
+	summary.Violations = append(summary.Violations, outcome.Violations()...)
 	if off := r.find("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
 		summary.Harm.add(outcome.FirstP95Ms / off.FirstP95Ms)
 		summary.GapHarm.add(outcome.GapP95Ms / off.GapP95Ms)
@@ -95,13 +95,13 @@
 
 // WriteText writes the comparison as a table.
 func (r *Result) WriteText(out io.Writer) {
-	say(out, "%-14s %-20s %-20s %-20s %s\n", "policy", "harm (first token)", "harm (token gap)", "yield", "promises")
+	printf(out, "%-14s %-20s %-20s %-20s %s\n", "policy", "harm (first token)", "harm (token gap)", "yield", "promises")
 	for _, summary := range r.Summaries() {
 		verdict := "held"
-		if len(summary.Broken) > 0 {
-			verdict = "BROKEN: " + strings.Join(summary.Broken, ", ")
+		if len(summary.Violations) > 0 {
+			verdict = "BROKEN: " + strings.Join(summary.Violations, ", ")
 		}
-		say(out, "%-14s %-20s %-20s %-20s %s\n", summary.Policy, summary.Harm, summary.GapHarm, summary.Yield, verdict)
+		printf(out, "%-14s %-20s %-20s %-20s %s\n", summary.Policy, summary.Harm, summary.GapHarm, summary.Yield, verdict)
 	}
 }
 
@@ -131,8 +131,8 @@
 	var names []string
 	var harm, yield []opts.BarData
 	for _, summary := range r.Summaries() {
-		if len(summary.Broken) > 0 {
-			verdict = "PROMISES BROKEN by " + summary.Policy + ": " + strings.Join(summary.Broken, ", ")
+		if len(summary.Violations) > 0 {
+			verdict = "PROMISES BROKEN by " + summary.Policy + ": " + strings.Join(summary.Violations, ", ")
 		}
 		names = append(names, summary.Policy)
 		harm = append(harm, opts.BarData{Value: round(summary.Harm.Mean)})
@@ -165,8 +165,8 @@
 func (r *Result) timeChart(o *Outcome) *charts.Line {
 	line := charts.NewLine()
 	subtitle := "sequences on the engines; worst time to first token (ms) in each half second"
-	if marks := r.marks(); marks != "" {
-		subtitle += "; faults: " + marks
+	if faultLabels := r.faultLabels(); faultLabels != "" {
+		subtitle += "; faults: " + faultLabels
 	}
 	line.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: fmt.Sprintf("%s, seed %d", o.Policy, o.Seed), Subtitle: subtitle}),
@@ -186,7 +186,7 @@
 		axis[i] = fmt.Sprintf("%.1f", float64(i)*bin)
 		worst[i] = opts.LineData{Value: round(peaks[i])}
 	}
-	for _, moment := range o.Use {
+	for _, moment := range o.Occupancy {
 		if at := int(moment.Seconds / bin); at >= 0 && at < bins {
 			online[at], batch[at] = opts.LineData{Value: moment.Online}, opts.LineData{Value: moment.Batch}
 		}
@@ -195,17 +195,17 @@
 	return line
 }
 
-func (r *Result) marks() string {
-	var marks []string
+func (r *Result) faultLabels() string {
+	var faultLabels []string
 	for _, fault := range r.Faults {
-		marks = append(marks, fmt.Sprintf("%s %d at %s", fault.Kind, fault.Index, fault.At))
+		faultLabels = append(faultLabels, fmt.Sprintf("%s %d at %s", fault.Kind, fault.Index, fault.At))
 	}
-	return strings.Join(marks, ", ")
+	return strings.Join(faultLabels, ", ")
 }
 
 // Compare prints the ratios of two results, policy by policy.
 func Compare(before, after *Result, out io.Writer) {
-	say(out, "%-14s %-26s %-26s %-26s\n", "policy", "first p95 after/before", "gap p95 after/before", "batch tokens after/before")
+	printf(out, "%-14s %-26s %-26s %-26s\n", "policy", "first p95 after/before", "gap p95 after/before", "batch tokens after/before")
 	for _, name := range []string{"managed", "off", "static", "priority_only", "batch_only"} {
 		var first, gap, tokens Spread
 		for i := range after.Outcomes {
@@ -219,7 +219,7 @@
 			tokens.add(float64(now.BatchTokens) / now.Seconds / (float64(then.BatchTokens) / then.Seconds))
 		}
 		if first.Count+tokens.Count > 0 {
-			say(out, "%-14s %-26s %-26s %-26s\n", name, first, gap, tokens)
+			printf(out, "%-14s %-26s %-26s %-26s\n", name, first, gap, tokens)
 		}
 	}
 }
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -21,12 +21,12 @@
 	result := &Result{Scenario: s.Name, Began: time.Now().UTC(), Faults: s.Faults}
 	for _, seed := range s.Seeds {
 		for _, policy := range s.Policies {
-			say(out, "%s: policy %s, seed %d …\n", s.Name, policy, seed)
-			outcome, err := runOne(s, policy, seed, out)
+			printf(out, "%s: policy %s, seed %d …\n", s.Name, policy, seed)
+			outcome, err := runPolicy(s, policy, seed, out)
 			if err != nil {
 				return nil, trace.Wrap(err, "policy %s, seed %d", policy, seed)
 			}
-			say(out, "  online %d, failed %d, first token p95 %.0f ms p99 %.0f ms, gap p95 %.1f ms, batch tokens %d in %.0f s\n",
+			printf(out, "  online %d, failed %d, first token p95 %.0f ms p99 %.0f ms, gap p95 %.1f ms, batch tokens %d in %.0f s\n",
 				outcome.OnlineRequests, outcome.OnlineFailed, outcome.FirstP95Ms, outcome.FirstP99Ms, outcome.GapP95Ms, outcome.BatchTokens, outcome.Seconds)
 			result.Outcomes = append(result.Outcomes, *outcome)
 		}
@@ -35,12 +35,12 @@
 }
 
 const (
-	readyTimeout  = 30 * time.Second
-	finishTimeout = 60 * time.Second
-	useInterval   = 100 * time.Millisecond
+	readyTimeout      = 30 * time.Second
+	finishTimeout     = 60 * time.Second
+	occupancyInterval = 100 * time.Millisecond
 )
 
-func runOne(s *Scenario, policy string, seed uint64, out io.Writer) (*Outcome, error) {
+func runPolicy(s *Scenario, policy string, seed uint64, out io.Writer) (*Outcome, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-scenario-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -53,7 +53,7 @@
 	defer running.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if err := running.Operator.Roll(ctx, running.AdminAddress(), s.Topology.Cluster, 1, s.bundle(running.Operator, policy)); err != nil {
+	if err := running.Operator.Roll(ctx, running.AdminAddress(), s.Topology.Cluster, 1, s.bundleText(running.Operator, policy)); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if err := running.AwaitReady(ctx, 1); err != nil {
@@ -61,7 +61,7 @@
 	}
 	r := &run{scenario: s, policy: policy, seed: seed, fleet: running, recorder: load.NewRecorder(), out: out}
 	defer r.faults.Wait()
-	return r.drive()
+	return r.execute()
 }
 
 // run is one policy and seed under way.
@@ -76,19 +76,19 @@
 	faults tasks.Group
 	out    io.Writer
 
-	mutex sync.Mutex
-	jobs  []*load.Job
-	use   []Use
+	mutex     sync.Mutex
+	jobs      []*load.Job
+	occupancy []Occupancy
 }
 
 // say writes to the person who watches; a line that gets lost changes no result.
-func say(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
 // say writes a line of what went on during the run.
-func (r *run) say(format string, args ...any) {
+func (r *run) printf(format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	say(r.out, format+"\n", args...)
+	printf(r.out, format+"\n", args...)
 }
 
 func (r *run) target() load.Target {
@@ -98,37 +98,37 @@
 	}
 }
 
-func (r *run) drive() (*Outcome, error) {
+func (r *run) execute() (*Outcome, error) {
 	duration := r.scenario.duration()
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	r.began = time.Now()
 	before := r.totalUsage()
-	r.schedule(ctx)
+	r.scheduleFaults(ctx)
 	var group tasks.Group
-	for _, work := range []func(context.Context){r.online, r.heaps, r.watchUse} {
+	for _, work := range []func(context.Context){r.runOnlinePhases, r.bursts, r.recordOccupancy} {
 		group.Go(func() { work(ctx) })
 	}
 	<-ctx.Done()
 	after := r.totalUsage()
 	elapsed := time.Since(r.began)
 	group.Wait()
-	outcome := r.outcome(before, after, elapsed)
-	return outcome, r.check(outcome)
+	outcome := r.newOutcome(before, after, elapsed)
+	return outcome, r.auditJobs(outcome)
 }
 
 // online runs the phases one after the other.
-func (r *run) online(ctx context.Context) {
+func (r *run) runOnlinePhases(ctx context.Context) {
 	if r.policy == "batch_only" {
 		return
 	}
 	for number, phase := range r.scenario.Online {
 		phaseCtx, cancel := context.WithTimeout(ctx, time.Duration(phase.Seconds*float64(time.Second)))
-		shape := r.scenario.OnlineShape
-		shape.Rate = phase.Rate
-		shape.Seed = r.seed*1000 + uint64(number)
+		workload := r.scenario.OnlineWorkload
+		workload.Rate = phase.Rate
+		workload.Seed = r.seed*1000 + uint64(number)
 		if phase.Rate > 0 {
-			load.RunOnline(phaseCtx, r.target(), shape, r.recorder)
+			load.RunOnline(phaseCtx, r.target(), workload, r.recorder)
 		} else {
 			<-phaseCtx.Done()
 		}
@@ -137,20 +137,20 @@
 }
 
 // heaps submits batch jobs in heaps until the context ends.
-func (r *run) heaps(ctx context.Context) {
-	heaps := r.scenario.Heaps
-	if r.policy == "off" || heaps.Jobs == 0 {
+func (r *run) bursts(ctx context.Context) {
+	bursts := r.scenario.Bursts
+	if r.policy == "off" || bursts.Jobs == 0 {
 		return
 	}
 	var submissions tasks.Group
 	defer submissions.Wait()
 	for number := 0; ctx.Err() == nil; number++ {
-		for job := range heaps.Jobs {
-			submissions.Go(func() { r.submit(number*heaps.Jobs + job) })
+		for job := range bursts.Jobs {
+			submissions.Go(func() { r.submit(number*bursts.Jobs + job) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(heaps.Every):
+		case <-time.After(bursts.Every):
 		}
 	}
 }
@@ -158,11 +158,11 @@
 func (r *run) submit(number int) {
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
-	shape := r.scenario.Heaps.Shape
-	shape.Seed = r.seed*100000 + uint64(number)
-	job, err := load.NewBatchClient(r.target()).Submit(ctx, shape)
+	workload := r.scenario.Bursts.Workload
+	workload.Seed = r.seed*100000 + uint64(number)
+	job, err := load.NewBatchClient(r.target()).Submit(ctx, workload)
 	if err != nil {
-		r.say("  job %d was not accepted and is not counted: %v", number, err)
+		r.printf("  job %d was not accepted and is not counted: %v", number, err)
 		return
 	}
 	r.mutex.Lock()
@@ -170,8 +170,8 @@
 	r.jobs = append(r.jobs, job)
 }
 
-func (r *run) watchUse(ctx context.Context) {
-	ticker := time.NewTicker(useInterval)
+func (r *run) recordOccupancy(ctx context.Context) {
+	ticker := time.NewTicker(occupancyInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -179,13 +179,13 @@
 			return
 		case <-ticker.C:
 		}
-		moment := Use{Seconds: time.Since(r.began).Seconds()}
+		moment := Occupancy{Seconds: time.Since(r.began).Seconds()}
 		for _, watched := range r.fleet.Engines {
 			online, batch := watched.Running()
 			moment.Online += online
 			moment.Batch += batch
 		}
-		r.use = append(r.use, moment)
+		r.occupancy = append(r.occupancy, moment)
 	}
 }
 
@@ -203,7 +203,7 @@
 
 // check waits for the jobs that were accepted to end, and counts every item.
 // Jobs still running when the time is up are cancelled and must end too.
-func (r *run) check(o *Outcome) error {
+func (r *run) auditJobs(o *Outcome) error {
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
 	client := load.NewBatchClient(r.target())
@@ -227,7 +227,7 @@
 		o.JobsChecked++
 		o.ItemsDone += audit.Completed
 		o.ItemsLost += audit.Lost
-		o.ItemsDoubled += audit.Duplicates
+		o.ItemsDuplicated += audit.Duplicates
 		o.ItemsWrong += audit.Wrong
 	}
 	return nil
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -32,9 +32,9 @@
 	// Online load, phase after phase.
 	Online []Phase `yaml:"online"`
 	// Shape of online requests; its rate is set by the phases.
-	OnlineShape load.OnlineWorkload `yaml:"online_shape"`
+	OnlineWorkload load.OnlineWorkload `yaml:"online_shape"`
 	// Heaps of batch jobs.
-	Heaps Heaps `yaml:"heaps"`
+	Bursts JobBursts `yaml:"heaps"`
 	// Faults at their times.
 	Faults []Fault `yaml:"faults"`
 	// Policies to run: "managed", the mode for serving, and the baselines "off",
@@ -52,10 +52,10 @@
 }
 
 // Heaps are batch jobs that arrive in heaps.
-type Heaps struct {
-	Every time.Duration      `yaml:"every"`
-	Jobs  int                `yaml:"jobs"`
-	Shape load.BatchWorkload `yaml:"shape"`
+type JobBursts struct {
+	Every    time.Duration      `yaml:"every"`
+	Jobs     int                `yaml:"jobs"`
+	Workload load.BatchWorkload `yaml:"shape"`
 }
 
 // Fault is something that goes wrong at a time after the load began.
@@ -80,12 +80,12 @@
 	if err := yaml.UnmarshalWithOptions(text, &loaded, yaml.Strict()); err != nil {
 		return nil, trace.BadParameter("scenario %s: %s", path, yaml.FormatError(err, false, true))
 	}
-	return &loaded, trace.Wrap(loaded.check(), "scenario %s", path)
+	return &loaded, trace.Wrap(loaded.validate(), "scenario %s", path)
 }
 
 var policies = map[string]bool{"managed": true, "off": true, "static": true, "priority_only": true, "batch_only": true}
 
-func (s *Scenario) check() error {
+func (s *Scenario) validate() error {
 	if s.Name == "" || len(s.Online) == 0 || len(s.Policies) == 0 || len(s.Seeds) == 0 {
 		return trace.BadParameter("name, online, policies and seeds must be given")
 	}
@@ -112,7 +112,7 @@
 }
 
 // bundle is the text of the bundle for a policy.
-func (s *Scenario) bundle(operator *fleet.Operator, policy string) string {
+func (s *Scenario) bundleText(operator *fleet.Operator, policy string) string {
 	mode := policy
 	if policy == "batch_only" {
 		mode = "managed"
