--- a/internal/app/explain/explain.go
+++ b/internal/app/explain/explain.go
@@ -1,11 +1,12 @@
-// Package explain collects the story of one request, item or job from the log
-// lines of many processes: who took it, every choice with what it rested on,
-// every send and its outcome, how it ended, and what is missing from the record. It
-// reads the log lines of an edge and a storage node, and relies on their message
-// texts and keys. The command line runs it, no daemon does.
+// Package explain builds a timeline of one request, item or job from the log lines of
+// many processes. The timeline shows which process accepted it, each scheduling decision
+// with its inputs, each attempt with its outcome, the final outcome, and which expected
+// lines are missing. The package parses the logs of edges and storage nodes and depends
+// on their message texts and keys. Only the command line uses it.
 //
-// Clocks of machines disagree: lines of one source keep their order, sources
-// are merged by their time stamps, and the story names the source of each line.
+// The clocks of machines differ. The lines of one source keep their order, the lines of
+// different sources are merged by their time stamps, and each line is printed with its
+// source.
 package explain
 
 import (
@@ -20,9 +21,9 @@
 // Line is one structured log line.
 type Line struct {
 	Source string
-	// Stamp is the time of day of the process, "15:04:05.000000".
+	// Stamp is the time of day by the process's clock, "15:04:05.000000".
 	Stamp string
-	// Message is the line's fixed text, Fields its values by name.
+	// Message is the constant text of the line, Fields are its values by key.
 	Message string
 	Fields  map[string]string
 	order   int
@@ -31,14 +32,14 @@
 var (
 	linePattern  = regexp.MustCompile(`[IEWF]\d{4} (\d\d:\d\d:\d\d\.\d{6}) +\d+ \S+\] "([^"]*)"(.*)$`)
 	fieldPattern = regexp.MustCompile(`([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)`)
-	// sourcePattern finds the machine's name where lines of many are mixed.
+	// sourcePattern matches the machine's name in a log that mixes several machines.
 	sourcePattern = regexp.MustCompile(`([a-z][a-z0-9-]*-\d+) [IEWF]\d{4} `)
 )
 
-// maxLineBytes bounds one line.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Parse reads the lines of a source. Lines that are not structured are skipped.
+// Parse reads the structured lines of a source and skips all other lines.
 func Parse(source string, reader io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(reader)
@@ -67,29 +68,29 @@
 	return line, true
 }
 
-// idFields are the fields that name a request, an item or a job.
+// idFields are the keys of the fields that identify a request, an item or a job.
 var idFields = []string{"id", "item", "job"}
 
 func (l *Line) refersTo(id string) bool {
 	for _, field := range idFields {
 		if value := l.Fields[field]; value == id || id != "" && strings.HasSuffix(value, "/"+id) {
-			return true // a job is named by its tenant and its own id
+			return true // jobs are logged as tenant/id
 		}
 	}
 	return false
 }
 
-// Story is what the lines say of one id.
+// Timeline contains the log lines about one request, item or job.
 type Timeline struct {
 	ID    string
 	Lines []Line
-	// Decisive is the line that made the end certain; nil if none did.
+	// Decisive is the line that determined the final outcome; nil if there is none.
 	Decisive *Line
-	// Missing says what a whole record would have.
+	// Missing describes the lines that a complete log would contain.
 	Missing []string
 }
 
-// StoryOf collects the story of a request, item or job by its id.
+// TimelineOf builds the timeline of the request, item or job with the given id.
 func TimelineOf(id string, lines []Line) *Timeline {
 	timeline := &Timeline{ID: id}
 	for _, line := range lines {
@@ -109,12 +110,12 @@
 	return timeline
 }
 
-// Messages that the story's end is read from.
+// Log messages from which Timeline determines the final outcome and the missing lines.
 const (
 	messageAttempt        = "attempt"
 	messageRequestEnded   = "request ended"
 	messageRequestRefused = "request refused"
-	// messageNotAdmitted is of a request beyond its tenant's limit.
+	// messageNotAdmitted is logged for a request that exceeds its tenant's limit.
 	messageNotAdmitted        = "request not admitted"
 	messageJobSubmitted       = "job handed in"
 	messageSubmissionReceived = "job submission"
@@ -124,8 +125,9 @@
 	messageJobEnded           = "job end"
 )
 
-// decide finds the line that made the end certain: a refusal, the last attempt
-// that was not tried again, the decision on an item, the end of a job.
+// findDecisive finds the first line that determines the final outcome: a refusal, an
+// attempt that is not retried, the result of an item, or the end of a job. Without such
+// a line, it takes the first end of a request or failed submission of a job.
 func (s *Timeline) findDecisive() {
 	for i := range s.Lines {
 		line := &s.Lines[i]
@@ -145,7 +147,7 @@
 	}
 }
 
-// findMissing names what a whole record of its kind would have.
+// findMissing describes the lines that are missing from the log.
 func (s *Timeline) findMissing() {
 	has := map[string]bool{}
 	for _, line := range s.Lines {
@@ -165,7 +167,7 @@
 	}
 }
 
-// Print writes the story as text.
+// Print writes the timeline as text.
 func (s *Timeline) Print(writer io.Writer) {
 	fmt.Fprintf(writer, "%s: %d lines\n", s.ID, len(s.Lines))
 	for i := range s.Lines {
--- a/internal/app/explain/explain_test.go
+++ b/internal/app/explain/explain_test.go
@@ -23,7 +23,7 @@
 	timeline := TimelineOf("x1", lines)
 	is.Equal(len(timeline.Lines), 3)
 	is.Equal(timeline.Lines[0].Source, "edge-a-1")
-	is.Equal(timeline.Decisive.Fields["runner"], "r2") // the first that was not tried again
+	is.Equal(timeline.Decisive.Fields["runner"], "r2") // the first attempt that was not retried
 	is.Equal(len(timeline.Missing), 0)
 	var text strings.Builder
 	timeline.Print(&text)
--- a/internal/app/explain/tenant.go
+++ b/internal/app/explain/tenant.go
@@ -7,21 +7,23 @@
 	"strings"
 )
 
-// TenantStory is what the lines say of one tenant: what came of its requests,
-// where, and what the keeper of its limit had lent when it refused.
+// TenantSummary summarises the log lines about one tenant: the outcomes of its requests
+// at each source, and the last refusals.
 type TenantSummary struct {
 	Tenant string
-	// Outcomes counts ended and refused requests by source and outcome.
+	// Outcomes counts ended requests by source and outcome.
 	Outcomes map[string]map[string]int
-	// Refusal is the last line of a request that was not admitted, Keeper the last
-	// of its keeper; nil if there is none.
+	// Refusal is the last line of an edge about a request that it did not admit. Keeper
+	// is the last line of the keeper of the tenant's limit about credits that it refused.
+	// They are nil if there is no such line.
 	Refusal, Keeper *Line
 }
 
-// messageCredits is what the keeper of a limit says when it refuses.
+// messageCreditsRefused is logged by the keeper of a tenant's limit when it refuses
+// credits to a node.
 const messageCreditsRefused = "tenant's credits refused"
 
-// TenantStoryOf collects what the lines say of a tenant.
+// TenantSummaryOf summarises the log lines about a tenant.
 func TenantSummaryOf(tenant string, lines []Line) *TenantSummary {
 	summary := &TenantSummary{Tenant: tenant, Outcomes: map[string]map[string]int{}}
 	for i := range lines {
@@ -48,7 +50,7 @@
 	s.Outcomes[source][outcome]++
 }
 
-// Print writes the story as text.
+// Print writes the summary as text.
 func (s *TenantSummary) Print(writer io.Writer) {
 	total := map[string]int{}
 	for _, source := range sortedKeys(s.Outcomes) {
--- a/internal/app/explain/tenant_test.go
+++ b/internal/app/explain/tenant_test.go
@@ -16,8 +16,8 @@
    1.4000 edge-a-1 I0318 19:03:37.400000   17865 jobs.go:70] "job read" job="small/j1" since=0 found=true
 `
 
-// A tenant's story counts its own requests, and says the limit, what was lent
-// and who refused last.
+// The summary counts only the tenant's own requests, and contains its limit and the last
+// refusals.
 func TestTenantSummary(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
@@ -33,8 +33,8 @@
 	is.Equal(TenantSummaryOf("none", lines).Refusal, nil)
 }
 
-// The refusal for a limit makes the end of a request certain; a job is found by
-// its id alone.
+// A refusal because of the tenant's limit determines the outcome of a request. A job is
+// found by its id without the tenant.
 func TestTimelineOfRefusedRequestAndJob(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
