--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -9,7 +9,7 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// faultActions bring about what a fault names.
+// faultActions maps the kind of a fault to the function that injects it.
 var faultActions = map[string]func(*fleet.Fleet, Fault) error{
 	"kill_node":  infallible(func(f *fleet.Fleet, fault Fault) { f.KillNode(fault.Index) }),
 	"start_node": func(f *fleet.Fleet, fault Fault) error { return f.StartNode(fault.Index) },
@@ -31,7 +31,7 @@
 	"platform_slow": infallible(func(f *fleet.Fleet, fault Fault) { f.Platform.SetSlow(fault.For) }),
 }
 
-// always is an action that cannot fail.
+// infallible adapts an action that cannot fail.
 func infallible(action func(*fleet.Fleet, Fault)) func(*fleet.Fleet, Fault) error {
 	return func(f *fleet.Fleet, fault Fault) error {
 		action(f, fault)
@@ -48,7 +48,7 @@
 	return strings.Join(names, ", ")
 }
 
-// schedule brings about the faults at their times until the context ends.
+// scheduleFaults injects the faults at their times until the context ends.
 func (r *run) scheduleFaults(ctx context.Context) {
 	for _, fault := range r.scenario.Faults {
 		r.faults.Go(func() {
--- a/lab/scenario/outcome.go
+++ b/lab/scenario/outcome.go
@@ -7,7 +7,8 @@
 	"cobaltramp.example/cobaltramp/lab/engine"
 )
 
-// Outcome is what one policy and seed gave, counted from outside.
+// Outcome contains the measurements of a run of one policy with one seed, taken by the
+// clients and the engines.
 type Outcome struct {
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
@@ -42,20 +43,20 @@
 	Occupancy []Occupancy    `json:"use"`
 }
 
-// Point is one request's time to first token.
+// LatencyPoint is the time to first token of one request.
 type LatencyPoint struct {
 	Seconds float64 `json:"at"`
 	Ms      float64 `json:"ms"`
 }
 
-// Use is the sequences on all engines at a moment.
+// Occupancy is the number of running sequences on all engines at one time.
 type Occupancy struct {
 	Seconds float64 `json:"at"`
 	Online  int     `json:"online"`
 	Batch   int     `json:"batch"`
 }
 
-// Result is a scenario's outcomes.
+// Result contains the outcomes of all runs of a scenario.
 type Result struct {
 	Scenario string    `json:"scenario"`
 	Began    time.Time `json:"began"`
@@ -63,7 +64,7 @@
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Broken lists the promises an outcome breaks.
+// Violations lists the guarantees that were violated in the run.
 func (o *Outcome) Violations() []string {
 	var broken []string
 	add := func(count int64, what string) {
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -13,21 +13,22 @@
 	"github.com/gravitational/trace"
 )
 
-// Summary compares a policy with the baselines of the same seeds.
+// Summary compares a policy with the baselines, seed by seed.
 type Summary struct {
 	Policy string `json:"policy"`
-	// Harm is the first token's p95 over that without batch; GapHarm the same
-	// for the time between tokens.
+	// Harm is the p95 of the time to first token, divided by the p95 without batch load
+	// (policy "off"). GapHarm is the same ratio for the time between tokens.
 	Harm    Spread `json:"harm"`
 	GapHarm Spread `json:"gap_harm"`
-	// Yield is batch tokens over what an oracle would have got out of the idle
-	// capacity: the rate of batch alone, less online's share of the slots.
+	// Yield is the rate of batch tokens, divided by the rate of an ideal scheduler that
+	// uses all idle capacity. That rate is the one of policy "batch_only" times the part
+	// of the slots that online load leaves free under policy "off".
 	Yield Spread `json:"yield"`
-	// Broken promises, all seeds.
+	// Violations of all seeds.
 	Violations []string `json:"broken"`
 }
 
-// Spread is a mean with the lowest and the highest value over seeds.
+// Spread is the mean, the minimum and the maximum of a value over all seeds.
 type Spread struct {
 	Mean, Min, Max float64
 	Count          int
@@ -47,7 +48,7 @@
 	s.Count++
 }
 
-// String writes mean and range.
+// String formats the mean and the range.
 func (s Spread) String() string {
 	if s.Count == 0 {
 		return "–"
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// Summaries compares every policy with the baselines in the result.
+// Summaries returns a summary of each policy, in the order of the outcomes.
 func (r *Result) Summaries() []Summary {
 	var list []Summary
 	index := map[string]int{}
@@ -105,7 +106,7 @@
 	}
 }
 
-// WriteHTML writes a report with plots.
+// WriteHTML writes a report with charts.
 func (r *Result) WriteHTML(path string) error {
 	page := components.NewPage()
 	page.PageTitle = "cobaltramp-lab: " + r.Scenario
@@ -124,7 +125,8 @@
 	return trace.ConvertSystemError(file.Close())
 }
 
-// summaryChart shows at a glance whether promises held, and harm and yield.
+// summaryChart shows harm and yield of each policy; its title says whether guarantees were
+// violated.
 func (r *Result) summaryChart() *charts.Bar {
 	bar := charts.NewBar()
 	verdict := "all promises held"
@@ -160,8 +162,8 @@
 	return line
 }
 
-// timeChart shows the online tail over time against the batch occupancy, with
-// faults marked.
+// timeChart shows the worst time to first token and the running sequences over time, and
+// lists the faults.
 func (r *Result) timeChart(o *Outcome) *charts.Line {
 	line := charts.NewLine()
 	subtitle := "sequences on the engines; worst time to first token (ms) in each half second"
@@ -203,7 +205,7 @@
 	return strings.Join(faultLabels, ", ")
 }
 
-// Compare prints the ratios of two results, policy by policy.
+// Compare prints the ratios between two results for each policy.
 func Compare(before, after *Result, out io.Writer) {
 	printf(out, "%-14s %-26s %-26s %-26s\n", "policy", "first p95 after/before", "gap p95 after/before", "batch tokens after/before")
 	for _, name := range []string{"managed", "off", "static", "priority_only", "batch_only"} {
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -16,7 +16,7 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-// Run runs every policy with every seed, one after the other.
+// Run runs each policy with each seed, one after the other.
 func Run(s *Scenario, out io.Writer) (*Result, error) {
 	result := &Result{Scenario: s.Name, Began: time.Now().UTC(), Faults: s.Faults}
 	for _, seed := range s.Seeds {
@@ -64,7 +64,7 @@
 	return r.execute()
 }
 
-// run is one policy and seed under way.
+// run is a run of one policy with one seed.
 type run struct {
 	scenario *Scenario
 	policy   string
@@ -72,7 +72,7 @@
 	fleet    *fleet.Fleet
 	recorder *load.Recorder
 	began    time.Time
-	// faults are those that are still to come or under way.
+	// faults runs the injected faults.
 	faults tasks.Group
 	out    io.Writer
 
@@ -81,10 +81,11 @@
 	occupancy []Occupancy
 }
 
-// say writes to the person who watches; a line that gets lost changes no result.
+// printf writes progress output. Write errors are ignored because they do not affect the
+// result.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// say writes a line of what went on during the run.
+// printf writes a line of progress output; it may be called concurrently.
 func (r *run) printf(format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -117,7 +118,7 @@
 	return outcome, r.auditJobs(outcome)
 }
 
-// online runs the phases one after the other.
+// runOnlinePhases generates the online load, one phase after the other.
 func (r *run) runOnlinePhases(ctx context.Context) {
 	if r.policy == "batch_only" {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// heaps submits batch jobs in heaps until the context ends.
+// bursts submits a burst of batch jobs at each interval until the context ends.
 func (r *run) bursts(ctx context.Context) {
 	bursts := r.scenario.Bursts
 	if r.policy == "off" || bursts.Jobs == 0 {
@@ -201,8 +202,8 @@
 	return total
 }
 
-// check waits for the jobs that were accepted to end, and counts every item.
-// Jobs still running when the time is up are cancelled and must end too.
+// auditJobs cancels the jobs that are still running, waits until all accepted jobs have
+// ended, and counts the outcomes of their items.
 func (r *run) auditJobs(o *Outcome) error {
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
@@ -214,7 +215,8 @@
 			return trace.Wrap(err)
 		}
 		if status.State == "in_progress" {
-			// A job that has ended meanwhile can't be cancelled; Await says how it ended.
+			// The cancellation fails if the job has ended in the meantime. Await returns its
+			// final state.
 			_ = client.Cancel(ctx, job.ID)
 		}
 		if status, err = client.Await(ctx, job.ID); err != nil {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario runs experiments described in YAML: a topology, seeded
-// arrivals, a fault schedule and the policies to compare, on real nodes and
-// emulated engines. Promises are checked by outside counting at the end.
+// Package scenario runs experiments on real nodes and emulated engines. A YAML file
+// describes the topology, the load with its seeds, a schedule of faults and the policies
+// to compare. At the end of a run, the clients check that no response and no item was
+// lost, duplicated or wrong.
 package scenario
 
 import (
@@ -19,58 +20,58 @@
 type Scenario struct {
 	Name     string         `yaml:"name"`
 	Topology fleet.Topology `yaml:"topology"`
-	// Slots of a runner, as the bundle states them.
+	// Slots is the number of slots of a runner, written to the bundle.
 	Slots int `yaml:"slots"`
-	// TailWeight and ReserveSlots of the managed policy.
+	// TailWeight and ReserveSlots configure the managed policy.
 	TailWeight   float64 `yaml:"tail_weight"`
 	ReserveSlots int     `yaml:"reserve_slots"`
-	// FirstToken and InterToken are the model's targets (0: the bundle's defaults).
+	// FirstToken and InterToken are the model's latency targets; 0 selects the bundle's
+	// defaults.
 	FirstToken time.Duration `yaml:"first_token_target"`
 	InterToken time.Duration `yaml:"inter_token_target"`
-	// StaticSlots of the static baseline.
+	// StaticSlots is the number of batch slots of the static baseline.
 	StaticSlots int `yaml:"static_slots"`
-	// Online load, phase after phase.
+	// Online lists the phases of online load, in order.
 	Online []Phase `yaml:"online"`
-	// Shape of online requests; its rate is set by the phases.
+	// OnlineWorkload describes the online requests. Their rate is taken from the phases.
 	OnlineWorkload load.OnlineWorkload `yaml:"online_shape"`
-	// Heaps of batch jobs.
+	// Bursts are the batch jobs.
 	Bursts JobBursts `yaml:"heaps"`
-	// Faults at their times.
-	Faults []Fault `yaml:"faults"`
-	// Policies to run: "managed", the mode for serving, and the baselines "off",
-	// "static", "priority_only" and "batch_only" (managed without online load,
-	// the oracle's full rate).
+	Faults []Fault   `yaml:"faults"`
+	// Policies lists the policies to run: "managed", which production uses, and the
+	// baselines "off", "static", "priority_only" and "batch_only". The last is the managed
+	// policy without online load; it measures the maximum batch throughput.
 	Policies []string `yaml:"policies"`
-	// Seeds to repeat each policy with.
+	// Seeds lists the seeds with which each policy is run.
 	Seeds []uint64 `yaml:"seeds"`
 }
 
-// Phase is a stretch of online load at one mean rate.
+// Phase is a period of online load with a constant mean rate.
 type Phase struct {
 	Seconds float64 `yaml:"seconds"`
 	Rate    float64 `yaml:"rate"`
 }
 
-// Heaps are batch jobs that arrive in heaps.
+// JobBursts describes batch jobs that arrive in bursts.
 type JobBursts struct {
 	Every    time.Duration      `yaml:"every"`
 	Jobs     int                `yaml:"jobs"`
 	Workload load.BatchWorkload `yaml:"shape"`
 }
 
-// Fault is something that goes wrong at a time after the load began.
+// Fault is a fault that is injected at a given time after the start of the load.
 type Fault struct {
 	At   time.Duration `yaml:"at"`
 	Kind string        `yaml:"kind"`
-	// Index of the node or engine.
+	// Index is the index of the affected node or engine.
 	Index int `yaml:"index"`
-	// For is how long it lasts, where that has a meaning.
+	// For is the duration of a stalled engine, or the delay of a slow platform.
 	For time.Duration `yaml:"for"`
-	// Factor of slowness.
+	// Factor multiplies the step times of a slow engine.
 	Factor float64 `yaml:"factor"`
 }
 
-// Load reads and checks a scenario file.
+// Load reads and validates a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// duration of the load.
+// duration returns the total duration of the online phases.
 func (s *Scenario) duration() time.Duration {
 	total := 0.0
 	for _, phase := range s.Online {
@@ -111,7 +112,7 @@
 	return time.Duration(total * float64(time.Second))
 }
 
-// bundle is the text of the bundle for a policy.
+// bundleText returns the bundle for a policy.
 func (s *Scenario) bundleText(operator *fleet.Operator, policy string) string {
 	mode := policy
 	if policy == "batch_only" {
