--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -12,13 +12,13 @@
 	"cobaltramp.example/cobaltramp/lab/engine"
 )
 
-// Audit is what the client found when it checked a job's results.
+// Audit counts the items of a job by the outcome that the client found in the results.
 type Audit struct {
 	Items, Completed, Failed, Lost, Duplicates, Wrong int
 	ErrorCodes                                        map[string]int
 }
 
-// AuditJob downloads a job's results and counts each item.
+// AuditJob downloads a job's results and counts the outcomes of its items.
 func (b *BatchClient) AuditJob(ctx context.Context, job *Job, status Status) (*Audit, error) {
 	audit := &Audit{Items: len(job.Bodies), ErrorCodes: map[string]int{}}
 	seen := map[string]int{}
--- a/lab/load/batch.go
+++ b/lab/load/batch.go
@@ -15,37 +15,39 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// BatchWorkload is the form of a batch job's items.
+// BatchWorkload describes the items of a batch job.
 type BatchWorkload struct {
 	Items        int    `yaml:"items"`
 	PromptWords  int    `yaml:"prompt_words"`
 	AnswerTokens int    `yaml:"answer_tokens"`
 	Seed         uint64 `yaml:"seed"`
-	// Once makes the items' class once.
+	// Once sets the items' work class to once.
 	Once bool `yaml:"once"`
 }
 
-// Job is a batch job as its client knows it.
+// Job is a submitted batch job.
 type Job struct {
 	ID     string
 	FileID string
-	// Bodies of the items by custom id.
+	// Bodies maps the custom ID of each item to its request body.
 	Bodies map[string][]byte
 }
 
-// BatchClient submits jobs and reads their results, through any node.
+// BatchClient submits jobs and reads their results. It uses one node until a request
+// fails there, and then the next node.
 type BatchClient struct {
 	target      Target
 	http        *httpcall.Client
 	nextAddress int
 }
 
-// NewBatchClient returns a client.
+// NewBatchClient returns a client for the target's nodes.
 func NewBatchClient(target Target) *BatchClient {
 	return &BatchClient{target: target, http: httpcall.NewClient(nil)}
 }
 
-// call makes one call, through another node while none answers.
+// call sends a request, and retries it at the next node after each network error, status
+// 429 or status of 500 and above, until the context ends.
 func (b *BatchClient) call(ctx context.Context, method, path, contentType string, body []byte) (*httpcall.Response, error) {
 	var last error
 	for ctx.Err() == nil {
@@ -59,7 +61,7 @@
 			return response, nil
 		}
 		if err == nil {
-			// A text that breaks off serves the message as well.
+			// A read error is ignored: the text is used only for the error message.
 			text, _ := response.ReadAll(maxErrorBytes)
 			err = trace.BadParameter("status %d: %s", response.Status, text)
 		}
@@ -68,7 +70,7 @@
 		time.Sleep(resendDelay)
 	}
 	if last == nil {
-		last = ctx.Err() // it had ended before the first try
+		last = ctx.Err() // the context ended before the first attempt
 	}
 	return nil, trace.Wrap(last, "%s %s", method, path)
 }
@@ -105,7 +107,7 @@
 	Body      chatRequest `json:"body"`
 }
 
-// Items writes a job's input file.
+// Items generates a job's input file, and returns it with the request bodies by custom ID.
 func Items(model string, workload BatchWorkload) ([]byte, map[string][]byte) {
 	random := rand.New(rand.NewPCG(workload.Seed, 9))
 	var file bytes.Buffer
@@ -124,7 +126,7 @@
 	return file.Bytes(), bodies
 }
 
-// Submit uploads a file and makes a job of it.
+// Submit generates and uploads an input file, and creates a job from it.
 func (b *BatchClient) Submit(ctx context.Context, workload BatchWorkload) (*Job, error) {
 	file, bodies := Items(b.target.Model, workload)
 	fileID, err := b.Upload(ctx, file)
@@ -138,7 +140,7 @@
 	return &Job{ID: id, FileID: fileID, Bodies: bodies}, nil
 }
 
-// Upload uploads an input file.
+// Upload uploads an input file and returns its ID.
 func (b *BatchClient) Upload(ctx context.Context, file []byte) (string, error) {
 	form, contentType, err := MultipartForm(file)
 	if err != nil {
@@ -147,7 +149,8 @@
 	return b.UploadForm(ctx, form, contentType)
 }
 
-// Form is the multipart form of an upload, with its content type.
+// MultipartForm returns the multipart form for the upload of a file, and its content
+// type.
 func MultipartForm(file []byte) ([]byte, string, error) {
 	var form bytes.Buffer
 	writer := multipart.NewWriter(&form)
@@ -167,7 +170,7 @@
 	return form.Bytes(), writer.FormDataContentType(), nil
 }
 
-// UploadForm uploads a prepared form.
+// UploadForm uploads a form and returns the file's ID.
 func (b *BatchClient) UploadForm(ctx context.Context, form []byte, contentType string) (string, error) {
 	response, err := b.call(ctx, "POST", "/v1/files", contentType, form)
 	if err != nil {
@@ -189,7 +192,7 @@
 	CompletionWindow string `json:"completion_window"`
 }
 
-// Create makes a job of an uploaded file.
+// Create creates a job from an uploaded file and returns the job's ID.
 func (b *BatchClient) Create(ctx context.Context, fileID string) (string, error) {
 	created, err := b.json(ctx, "POST", "/v1/batches", createBatchRequest{fileID, "/v1/chat/completions", "24h"})
 	return created.Get("id").String(), err
@@ -201,7 +204,7 @@
 	return err
 }
 
-// Status is a job's state as the client reads it.
+// Status is the state of a job.
 type Status struct {
 	State                    string
 	Total, Completed, Failed int64
@@ -218,7 +221,7 @@
 	}, err
 }
 
-// Await polls a job until it has ended.
+// Await polls a job until it has ended, and returns its final status.
 func (b *BatchClient) Await(ctx context.Context, id string) (Status, error) {
 	for {
 		status, err := b.Status(ctx, id)
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -1,7 +1,6 @@
-// Package load is the lab's callers: open-loop online load, whose latencies
-// count from the intended arrival so that waiting is not hidden (coordinated
-// omission), and a batch client. Both check every answer against what a
-// correct system must answer.
+// Package load generates load: open-loop online requests, and batch jobs. Latencies of
+// online requests are measured from the intended arrival time, which avoids coordinated
+// omission. All responses are compared with the expected text.
 package load
 
 import (
@@ -21,31 +20,33 @@
 	"cobaltramp.example/cobaltramp/lab/engine"
 )
 
-// Target is where and as whom load is sent.
+// Target is the deployment under load, with the credentials and the model to use.
 type Target struct {
-	// Addresses are callers' addresses of nodes, used in turn.
+	// Addresses are the API addresses of the nodes, used in turn.
 	Addresses []string
 	Key       string
 	Model     string
-	// MaxAnswerTokens is the engines' natural answer bound, to know what is right.
+	// MaxAnswerTokens is the engines' maximum length of a response. The expected text
+	// depends on it.
 	MaxAnswerTokens int
 }
 
-// OnlineWorkload is the form of online requests.
+// OnlineWorkload describes the online requests.
 type OnlineWorkload struct {
 	// Rate is the mean number of requests per second (Poisson arrivals).
 	Rate float64 `yaml:"rate"`
-	// PromptWords and AnswerTokens are means; each request draws around them.
+	// PromptWords and AnswerTokens are mean lengths.
 	PromptWords  int `yaml:"prompt_words"`
 	AnswerTokens int `yaml:"answer_tokens"`
-	// Prefixes is the number of shared prompt prefixes; 0 shares none.
+	// Prefixes is the number of different prompt prefixes, which requests share; 0 means
+	// that prompts have no prefix.
 	Prefixes int `yaml:"prefixes"`
-	// Seed of arrivals and prompts.
+	// Seed is the random seed of arrivals and prompts.
 	Seed uint64 `yaml:"seed"`
 }
 
-// RunOnline sends requests until the context ends, then waits for the answers of
-// those under way.
+// RunOnline sends requests until the context ends, and then waits for the requests in
+// flight.
 func RunOnline(ctx context.Context, target Target, workload OnlineWorkload, recorder *Recorder) {
 	random := rand.New(rand.NewPCG(workload.Seed, 3))
 	client := httpcall.NewClient(nil)
@@ -80,14 +81,16 @@
 	maxAttempts    = 3
 	requestTimeout = 60 * time.Second
 	resendDelay    = 100 * time.Millisecond
-	// maxErrorBytes bounds what is read of an answer that is an error.
+	// maxErrorBytes is the maximum number of bytes read from an error response.
 	maxErrorBytes = 1 << 16
 )
 
-// errNodeLost means that the accepting node itself died; its caller resends.
+// errNodeUnavailable reports that the accepting node did not respond or that the
+// connection broke. The request is retried at another node.
 var errNodeUnavailable = errors.New("accepting node lost")
 
-// run sends the request, through another node if the accepting one dies.
+// run sends the request, and retries it at the next node if the accepting node is
+// unavailable.
 func (o *onlineRequest) run() {
 	o.recorder.Requests.Add(1)
 	for try := range maxAttempts {
@@ -120,7 +123,7 @@
 	}
 	defer response.Close()
 	if response.Status != 200 {
-		// A body that breaks off has no kind of error; the status is reported anyway.
+		// A read error is ignored: the status is reported even without the error type.
 		body, _ := response.ReadAll(maxErrorBytes)
 		if gjson.GetBytes(body, "error.run").String() == "no" {
 			o.recorder.Refused.Add(1)
@@ -130,7 +133,7 @@
 	return o.readStream(response)
 }
 
-// read takes the stream to its end and checks the whole text.
+// readStream reads the stream to its end and checks the complete text.
 func (o *onlineRequest) readStream(response *httpcall.Response) error {
 	reader := bufio.NewReader(response)
 	var text bytes.Buffer
--- a/lab/load/prompts.go
+++ b/lab/load/prompts.go
@@ -20,7 +20,7 @@
 	return text.String()
 }
 
-// around draws a length between half and one and a half of a mean.
+// randomLength returns a random length between 0.5 and 1.5 times the mean, at least 1.
 func randomLength(random *rand.Rand, mean int) int {
 	return max(1, mean/2+random.IntN(mean+1))
 }
@@ -48,11 +48,11 @@
 	return mustEncode(chatRequest{Model: model, Messages: messages, MaxTokens: randomLength(random, workload.AnswerTokens), Stream: true})
 }
 
-// encode encodes a request or an item, which have plain fields only.
+// mustEncode encodes a request or an item as JSON, which cannot fail for these types.
 func mustEncode(plain any) []byte {
 	encoded, err := json.Marshal(plain)
 	if err != nil {
-		panic("load: cannot be encoded: " + err.Error())
+		panic("load: cannot encode request: " + err.Error())
 	}
 	return encoded
 }
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -8,20 +8,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Recorder counts what callers saw.
+// Recorder collects the results of online requests.
 type Recorder struct {
 	mutex      sync.Mutex
 	firstToken *hdrhistogram.Histogram // microseconds
 	tokenGap   *hdrhistogram.Histogram
-	// Requests that were made; Failed of them got no whole right answer; Truncated
-	// ended without an error or an end; Wrong had other text; Resent lost
-	// their accepting node and were sent again; Refused got "not run".
+	// Requests counts all requests, and Failed those without a complete and correct
+	// response. Truncated counts streams that ended without an error or an end marker,
+	// and Wrong responses with an unexpected text. Resent counts retries after the loss
+	// of the accepting node, and Refused error responses that report that the request
+	// did not run.
 	Requests, Failed, Truncated, Wrong, Resent, Refused atomic.Int64
 	errors                                              map[string]int
 	series                                              []Sample
 }
 
-// Sample is one request's time to first token, for plots.
+// Sample is the time to first token of one request.
 type Sample struct {
 	At         time.Time
 	FirstToken time.Duration
@@ -40,8 +42,8 @@
 	}
 }
 
-// record records a time in microseconds; one beyond the range counts as its end, so
-// that no value is refused.
+// record adds a duration in microseconds to a histogram. Durations outside the
+// histogram's range are clamped to it.
 func record(histogram *hdrhistogram.Histogram, waited time.Duration) {
 	_ = histogram.RecordValue(min(maxMicroseconds, max(1, waited.Microseconds())))
 }
@@ -65,7 +67,7 @@
 	r.errors[text]++
 }
 
-// Errors returns how often each error was seen.
+// Errors returns the number of requests that failed with each error.
 func (r *Recorder) Errors() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -76,21 +78,21 @@
 	return copied
 }
 
-// FirstToken returns a quantile (0 to 100) of the time to first token.
+// FirstToken returns a percentile (0 to 100) of the time to first token.
 func (r *Recorder) FirstToken(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return time.Duration(r.firstToken.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// TokenGap returns a quantile (0 to 100) of the time between tokens.
+// TokenGap returns a percentile (0 to 100) of the time between tokens.
 func (r *Recorder) TokenGap(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return time.Duration(r.tokenGap.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Series returns the samples so far.
+// Series returns a copy of the samples collected so far.
 func (r *Recorder) Series() []Sample {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
