--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet starts a whole deployment of plain nodes in one process over
-// loopback TCP: the platform stand-in, emulated engines and real nodes. It owns
-// their addresses and data folders, and starts, kills and stops each of them for
-// tests and experiments.
+// Package fleet runs a deployment of plain nodes in one process, for tests and
+// experiments: an emulated platform, emulated engines and real nodes, which communicate
+// over loopback TCP. It assigns their addresses and data folders, and can start, stop and
+// kill each node.
 package fleet
 
 import (
@@ -20,7 +20,7 @@
 	_ "cobaltramp.example/cobaltramp/modules/standard" // registers the modules
 )
 
-// Zone is a zone of the deployment with what stands in it.
+// Zone is a zone of the deployment, with its numbers of nodes and runners.
 type Zone struct {
 	Name    string `yaml:"name"`
 	Region  string `yaml:"region"`
@@ -32,19 +32,19 @@
 type Topology struct {
 	Cluster string `yaml:"cluster"`
 	Zones   []Zone `yaml:"zones"`
-	// Service is the pool all runners belong to.
+	// Service is the name of the service that all runners belong to.
 	Service string `yaml:"service"`
-	// DiskNodes is how many nodes, in order, have a data folder.
+	// DiskNodes is the number of nodes with a data folder; the first nodes have one.
 	DiskNodes int `yaml:"disk_nodes"`
-	// Shards of batch storage (0: the product's default).
+	// Shards is the number of shards of the batch storage; 0 selects the default.
 	Shards int `yaml:"shards"`
-	// Engine shapes all engines.
+	// Engine configures all engines.
 	Engine engine.Parameters `yaml:"engine"`
-	// ListLag is how late the platform's lists are.
+	// ListLag is the delay with which changes appear in the platform's lists.
 	ListLag time.Duration `yaml:"list_lag"`
-	// PlatformRate is the key-value service's requests per second.
+	// PlatformRate is the rate limit of the key-value service in requests per second.
 	PlatformRate float64 `yaml:"platform_rate"`
-	// Prepare may change a node's settings before its first start.
+	// ChangeSettings, if set, may change a node's settings before its first start.
 	ChangeSettings func(*settings.Settings) error `yaml:"-"`
 }
 
@@ -61,7 +61,7 @@
 	nodes  []*Member
 }
 
-// Member is one node with what is needed to start it again.
+// Member is a node of the fleet, with the settings to start it again.
 type Member struct {
 	Settings *settings.Settings
 	node     *node.Node
@@ -70,17 +70,18 @@
 // Running reports whether the node runs.
 func (m *Member) Running() bool { return m.node != nil }
 
-// Node returns the running node, nil if it is down.
+// Node returns the running node, or nil if the node is down.
 func (m *Member) Node() *node.Node { return m.node }
 
-// RegisterRunner puts an engine on the platform's runner list with a state.
+// RegisterRunner adds an engine to the platform's list of runners, or updates its state
+// there.
 func (f *Fleet) RegisterRunner(runner *engine.Engine, zone Zone, state string) {
 	f.Platform.SetRunner(platform.Target{Address: runner.Address(), Labels: map[string]string{
 		"id": runner.ID, "zone": zone.Name, "region": zone.Region, "service": f.Topology.Service, "state": state,
 	}})
 }
 
-// ZoneOf returns the zone of the engine with an index.
+// ZoneOf returns the zone of the engine with the given index.
 func (f *Fleet) ZoneOf(index int) Zone {
 	for _, zone := range f.Topology.Zones {
 		if index < zone.Runners {
@@ -91,10 +92,10 @@
 	return Zone{}
 }
 
-// Nodes returns the members.
+// Nodes returns all members, running or not.
 func (f *Fleet) Nodes() []*Member { return f.nodes }
 
-// StartNode starts a node that is down.
+// StartNode starts a node unless it runs already.
 func (f *Fleet) StartNode(index int) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// KillNode ends a node at once.
+// KillNode ends a node immediately, without draining it.
 func (f *Fleet) KillNode(index int) {
 	f.mutex.Lock()
 	running := f.nodes[index].node
@@ -121,12 +122,12 @@
 	}
 }
 
-// WipeNode removes a stopped node's data folder, as if its disk were replaced.
+// WipeNode removes the data folder of a stopped node, which simulates a replaced disk.
 func (f *Fleet) WipeNode(index int) error {
 	return trace.ConvertSystemError(os.RemoveAll(f.nodes[index].Settings.Data.Folder))
 }
 
-// APIAddresses returns the callers' addresses of all nodes.
+// APIAddresses returns the API addresses of all nodes.
 func (f *Fleet) APIAddresses() []string {
 	addresses := make([]string, len(f.nodes))
 	for i, member := range f.nodes {
@@ -135,7 +136,8 @@
 	return addresses
 }
 
-// AdminAddress returns the operators' address of a running node.
+// AdminAddress returns the admin address of a running node, or an empty string if no node
+// runs.
 func (f *Fleet) AdminAddress() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -147,7 +149,7 @@
 	return ""
 }
 
-// Close ends everything.
+// Close kills all nodes and closes the engines and the platform.
 func (f *Fleet) Close() {
 	var kills tasks.Group
 	for index := range f.nodes {
@@ -162,7 +164,7 @@
 	}
 }
 
-// StopNode stops a node as planned and waits until it has ended.
+// StopNode drains and stops a node, and waits until it has ended.
 func (f *Fleet) StopNode(index int) {
 	f.mutex.Lock()
 	running := f.nodes[index].node
--- a/lab/fleet/operator.go
+++ b/lab/fleet/operator.go
@@ -20,14 +20,14 @@
 	"cobaltramp.example/cobaltramp/internal/transport/httpcall"
 )
 
-// Operator signs bundles and drives them through a node's admin address.
+// Operator signs bundles, and submits and rolls them through a node's admin address.
 type Operator struct {
 	Name string
 	key  ed25519.PrivateKey
 	http *httpcall.Client
 }
 
-// NewOperator makes an operator with a fresh key.
+// NewOperator returns an operator with a new key.
 func NewOperator(name string) (*Operator, error) {
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return base64.StdEncoding.EncodeToString(o.key.Public().(ed25519.PublicKey))
 }
 
-// SaveKey writes the private key as 'cobaltramp bundle sign' reads it.
+// SaveKey writes the private key in the format that 'cobaltramp bundle sign' reads.
 func (o *Operator) SaveKey(path string) error {
 	encoded, err := x509.MarshalPKCS8PrivateKey(o.key)
 	if err != nil {
@@ -51,19 +51,19 @@
 	return trace.ConvertSystemError(os.WriteFile(path, text, 0o600))
 }
 
-// TenantKey is an API key with its tenant.
+// TenantKey is an API key of a tenant.
 type TenantKey struct {
 	Tenant string
 	Key    string
 }
 
-// Hash returns the key's hash as a bundle states it.
+// Hash returns the hash of the key in the format of bundles.
 func (k TenantKey) Hash() string {
 	hash := bundle.HashKey(k.Key)
 	return hex.EncodeToString(hash[:])
 }
 
-// BasicBundle is a bundle with one model and the tenants' keys.
+// BasicBundle returns a bundle with one operator, one model and the given tenants.
 func BasicBundle(operator *Operator, model, service string, slots int, tenants []TenantKey) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "kind: Policy\nname: fleet\nbatch: {tail_weight: 0.6, reserve_slots: 1}\n---\n")
@@ -75,7 +75,7 @@
 	return text.String()
 }
 
-// Roll signs, submits and rolls a bundle as the given generation.
+// Roll signs a bundle as the given generation, submits it and rolls it to all nodes.
 func (o *Operator) Roll(ctx context.Context, adminAddress, cluster string, generation uint64, text string) error {
 	documents, err := bundle.Parse([]byte(text))
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// get reads a JSON answer from a node's admin address.
+// get sends a GET request to a node's admin address and decodes the JSON response.
 func (o *Operator) get(ctx context.Context, address, path string, into any) error {
 	response, err := o.http.Do(ctx, &httpcall.Request{Method: "GET", URL: "http://" + address + path})
 	if err != nil {
--- a/lab/fleet/ports.go
+++ b/lab/fleet/ports.go
@@ -9,20 +9,21 @@
 	"github.com/gravitational/trace"
 )
 
-// Ports are drawn from firstPort on, portCount of them: below the range that the
-// system takes for outgoing connections, so that what is stopped can start again
-// on its old address.
+// Ports are chosen at random from the portCount ports that start at firstPort. This range
+// is below the system's range for outgoing connections, so that no connection occupies
+// the port of a stopped node or engine.
 const (
 	firstPort       = 10000
 	portCount       = 22000
 	maxPortAttempts = 1000
 )
 
-// handedOut are the ports this process has given away: one whose server is down
-// for a while must not be given to another.
+// allocatedPorts contains all ports that this process has allocated. A port is never
+// allocated twice, because its server may be only temporarily down.
 var allocatedPorts sync.Map
 
-// freeAddresses returns loopback addresses whose ports were free a moment ago.
+// freeAddresses returns loopback addresses with free ports. Another process may take a
+// port before it is used.
 func freeAddresses(count int) ([]string, error) {
 	addresses := make([]string, 0, count)
 	for range maxPortAttempts {
--- a/lab/fleet/ready.go
+++ b/lab/fleet/ready.go
@@ -22,8 +22,9 @@
 
 const readyPollInterval = 100 * time.Millisecond
 
-// AwaitReady waits until every running node has a generation in force, all
-// runners are ready and every shard has a leader.
+// AwaitReady waits until the given generation or a later one is active on every running
+// node, all runners are ready and, with at least three disk nodes, every shard has a
+// leader.
 func (f *Fleet) AwaitReady(ctx context.Context, generation uint64) error {
 	for {
 		notReadyReason := f.notReadyReason(ctx, generation)
--- a/lab/fleet/start.go
+++ b/lab/fleet/start.go
@@ -12,7 +12,8 @@
 	"cobaltramp.example/cobaltramp/lab/platform"
 )
 
-// Start starts platform, engines and nodes. Data folders lie under folder.
+// Start starts the platform, the engines and the nodes. The nodes' data folders are
+// subfolders of the given folder.
 func Start(topology Topology, folder string) (*Fleet, error) {
 	f := &Fleet{Topology: topology, Ledger: engine.NewLedger(), folder: folder}
 	if err := f.start(); err != nil {
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// startFirst starts a node for the first time. Another process may have taken
-// one of its ports meanwhile; then it gets others.
+// startFirstTime starts a node for the first time. If the start fails, for example because
+// another process has taken one of the node's ports, it retries with new ports.
 func (f *Fleet) startFirstTime(index int) error {
 	err := f.StartNode(index)
 	for try := 0; err != nil && try < maxStartRetries; try++ {
