--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -1,8 +1,7 @@
-// Package bench measures what single parts of the plain node cost: its path
-// against an engine called directly, the upload of input files, the shard log's
-// rate against concurrency with its bytes per item, and its recovery time against
-// the size of the log. docs/CAPACITY.md holds the figures. Whole deployments of
-// the roles are measured from outside instead.
+// Package bench benchmarks single parts of the plain node: the latency and CPU time that
+// the node adds to a request, the upload of input files, the throughput of the shard log
+// by concurrency, and the recovery time by size of the log. docs/CAPACITY.md contains
+// the results. The package does not benchmark deployments of edges and storage nodes.
 package bench
 
 import (
@@ -22,11 +21,11 @@
 const (
 	model   = "bench"
 	cluster = "bench"
-	// slots of an engine: more than the streams that are open at a time.
+	// slots is the number of slots of an engine, more than the benchmark's concurrency.
 	slots = 256
-	// disks is how many nodes with a disk the log and its recovery are measured on.
+	// diskNodes is the number of nodes with a disk for all benchmarks but Path.
 	diskNodes = 5
-	// readyTimeout bounds the start of a deployment.
+	// readyTimeout is the timeout for the start of a deployment.
 	readyTimeout = 30 * time.Second
 )
 
@@ -40,8 +39,8 @@
 	}
 }
 
-// start starts a deployment with a bundle in force, all runners ready and all
-// shards led.
+// start starts a deployment and waits until its bundle is active, all runners are ready
+// and all shards have leaders.
 func start(folder string, shape fleet.Topology) (*fleet.Fleet, error) {
 	running, err := fleet.Start(shape, folder)
 	if err != nil {
@@ -64,24 +63,24 @@
 	return trace.Wrap(running.AwaitReady(ctx, 1))
 }
 
-// maxMicros is the longest time that is told from longer ones, a minute.
+// maxMicroseconds is the largest value of a histogram, one minute.
 const maxMicroseconds = 60_000_000
 
-// newHistogram is of times in microseconds, to three digits.
+// newHistogram returns a histogram of microseconds with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicroseconds, 3) }
 
-// record records a time; one beyond the range counts as its end, so that no value
-// is refused.
+// record adds a duration to a histogram. Durations outside the histogram's range are
+// clamped to it.
 func record(histogram *hdrhistogram.Histogram, waited time.Duration) {
 	_ = histogram.RecordValue(min(maxMicroseconds, max(1, waited.Microseconds())))
 }
 
-// milliseconds returns a quantile (0 to 100) of a histogram of microseconds.
+// milliseconds returns a percentile (0 to 100) of a histogram of microseconds.
 func milliseconds(histogram *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// processCPU is the CPU time this process has used, 0 if the system does not say.
+// processCPU returns the CPU time used by this process, or 0 if it cannot be read.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -90,5 +89,5 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Write writes a report as one JSON line.
+// Write writes a report as a line of JSON.
 func Write(out io.Writer, report any) error { return trace.Wrap(json.NewEncoder(out).Encode(report)) }
--- a/lab/bench/commands.go
+++ b/lab/bench/commands.go
@@ -17,8 +17,8 @@
 	itemBytes       = 600
 )
 
-// makeJobs makes one job per worker on its shard, with more items than the
-// worker will complete.
+// createJobs creates one job for each worker, on the worker's shard, with more items than
+// the worker will complete.
 func createJobs(ctx context.Context, jobDirectory *directory.Module, shards, count int) ([]string, error) {
 	jobs := make([]string, count)
 	for worker := range count {
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -13,21 +13,22 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-// IntakeReport is the upload of one job's input file.
+// IntakeReport contains the measurements of the upload of one input file.
 type IntakeReport struct {
 	Items          int     `json:"items"`
 	FileMB         float64 `json:"file_mb"`
 	UploadSeconds  float64 `json:"upload_seconds"`
 	ItemsPerSecond float64 `json:"items_per_second"`
-	// PeakHeapMB is the highest heap of the whole process (five nodes, with
-	// five copies on their way to disk) above what it was before, with the
-	// client's own copy of the file in it before.
+	// PeakHeapMB is the growth of the process's heap from before the upload, when it
+	// already contains the client's copy of the file, to its peak. The process runs all
+	// nodes, so the heap may contain one copy of the file for each.
 	PeakHeapMB float64 `json:"peak_heap_mb_above_before"`
 }
 
 const heapInterval = 20 * time.Millisecond
 
-// Intake uploads input files of the given numbers of items to five disk nodes.
+// Intake measures the upload of input files with the given numbers of items to a
+// deployment of five disk nodes.
 func Intake(counts []int) ([]IntakeReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
@@ -83,8 +84,8 @@
 	return stats.HeapAlloc
 }
 
-// watchHeap records the highest heap until it is stopped; stop returns after the
-// last record.
+// trackPeakHeap samples the size of the heap and records its maximum until stop is
+// called. stop waits for the sampling to end.
 func trackPeakHeap() (peak *atomic.Uint64, stop func()) {
 	peak = &atomic.Uint64{}
 	done := make(chan struct{})
--- a/lab/bench/log.go
+++ b/lab/bench/log.go
@@ -16,7 +16,7 @@
 	"cobaltramp.example/cobaltramp/modules/batch/directory"
 )
 
-// LogReport is the shard log at one concurrency.
+// LogReport contains the measurements of the shard log at one concurrency.
 type LogReport struct {
 	Shards           int     `json:"shards"`
 	Concurrency      int     `json:"concurrency"`
@@ -27,12 +27,13 @@
 	CPUMicrosPerItem float64 `json:"cpu_us_per_item_all_disks"`
 }
 
-// logTime is how long completions are sent at one concurrency.
+// logDuration is the duration of the measurement at one concurrency.
 const logDuration = 3 * time.Second
 
-// Log measures completions of items: commands of 50 results of 600 bytes,
-// proposed through the directory to shards of five disks, each counted when it
-// is acknowledged (three fsyncs).
+// Log measures the throughput of item completions. Each command contains the results of
+// itemsPerCommand items of itemBytes bytes, and is proposed through the directory to a
+// shard that is replicated on five disks. Items count once their command is acknowledged,
+// which requires an fsync on three disks.
 func Log(shards int, concurrencies []int) ([]LogReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
@@ -98,8 +99,8 @@
 	}, nil
 }
 
-// writtenBytes is what this process has written to block devices, as the
-// kernel counts it.
+// writtenBytes returns the number of bytes that this process has written to block devices
+// according to the kernel, or 0 if it cannot be read.
 func writtenBytes() int64 {
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -107,7 +108,7 @@
 	}
 	var written int64
 	for _, line := range bytes.Split(text, []byte("\n")) {
-		// Other lines don't fit and leave it as it is.
+		// Lines with other keys do not match and leave written unchanged.
 		_, _ = fmt.Sscanf(string(line), "write_bytes: %d", &written)
 	}
 	return written
--- a/lab/bench/path.go
+++ b/lab/bench/path.go
@@ -20,7 +20,8 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// PathReport compares the node's path with the engine called directly.
+// PathReport compares requests through one and two nodes with requests sent directly to
+// an engine.
 type PathReport struct {
 	Requests          int     `json:"requests"`
 	DirectP50Ms       float64 `json:"direct_first_token_p50_ms"`
@@ -37,11 +38,12 @@
 
 const tokensPerRequest = 32
 
-// pathConcurrency is how many streams are open at a time.
+// pathConcurrency is the number of concurrent streams.
 const pathConcurrency = 16
 
-// Path measures with 32-token streams at a fixed concurrency. CPU is of the
-// whole process, emulator and client included; the differences are the node's.
+// Path measures streams of tokensPerRequest tokens at a fixed concurrency. The CPU time is
+// that of the whole process, which includes the client and the engines; the differences
+// between the paths are the cost of the nodes.
 func Path(requests int) (*PathReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
@@ -66,16 +68,16 @@
 	return report, nil
 }
 
-// startRemote starts two nodes in two zones of which only the second has
-// runners, so that every request to the first takes the extra hop.
+// startRemote starts two nodes in two zones of which only the second has runners, so that
+// the first node forwards every request to the second.
 func startRemote(folder string) (*fleet.Fleet, error) {
 	shape := topology(1, 1)
 	shape.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
 	return start(folder, shape)
 }
 
-// drive sends requests to an address and returns quantiles of the time to the
-// first token in milliseconds, and the process's CPU time a request.
+// measureRequests sends requests to an address, and returns percentiles of the time to
+// first token in milliseconds and the process's CPU time per request in microseconds.
 func measureRequests(address string, requests int) (p50, p95, cpuMicros float64) {
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
--- a/lab/bench/recovery.go
+++ b/lab/bench/recovery.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/modules/batch/directory"
 )
 
-// RecoveryReport is a restart of a node with a log of some size.
+// RecoveryReport contains the measurements of a restart with a log of one size.
 type RecoveryReport struct {
 	LogMB        float64 `json:"log_mb"`
 	Items        int     `json:"items"`
@@ -22,8 +22,9 @@
 	LeaderlessMs float64 `json:"shards_without_leader_ms"`
 }
 
-// Recovery fills shards with completions, kills every node, and measures the
-// start of one and the time until all shards have leaders again.
+// Recovery fills the shards with completions, kills and restarts all nodes, and measures
+// the start of the first node and the time until all shards have leaders. It does this
+// for each number of commands.
 func Recovery(commandCounts []int) ([]RecoveryReport, error) {
 	var reports []RecoveryReport
 	for _, count := range commandCounts {
