--- a/lab/cli/bench.go
+++ b/lab/cli/bench.go
@@ -72,7 +72,8 @@
 	return writeReports(reports, err)
 }
 
-// writeAll writes reports as JSON lines, unless measuring them failed.
+// writeReports writes each report as a line of JSON, or returns the error of the
+// benchmark.
 func writeReports[Report any](reports []Report, err error) error {
 	if err != nil {
 		return trace.Wrap(err)
--- a/lab/cli/cli.go
+++ b/lab/cli/cli.go
@@ -67,7 +67,8 @@
 	return exitFailure
 }
 
-// quietLogs sends the nodes' logs to standard error, or nowhere.
+// configureLogs writes the nodes' logs to standard error, or discards them if verbosity
+// is negative.
 func configureLogs(verbosity int) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
@@ -78,6 +79,6 @@
 		settings["v"] = fmt.Sprint(verbosity)
 	}
 	for name, value := range settings {
-		_ = options.Set(name, value) // the names and values are klog's own
+		_ = options.Set(name, value) // cannot fail: klog defines these flags
 	}
 }
--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// labFolder makes a folder for a run, and the product's program in it if none is
-// given.
+// prepareFolder creates the folder of a run, and builds the product there if no program is
+// given. It returns the paths of the folder and the program.
 func prepareFolder(folder, program string) (string, string, error) {
 	if folder == "" {
 		made, err := os.MkdirTemp("", "cobaltramp-lab-")
--- a/lab/cli/soak.go
+++ b/lab/cli/soak.go
@@ -55,7 +55,8 @@
 	return os.RemoveAll(folder)
 }
 
-// one plays one seed, and keeps its folder if a promise was broken.
+// playSeed runs the soak test with one seed and reports whether it passed. The folder of
+// a failed run is kept.
 func (c *soakCommand) playSeed(seed uint64, folder, program string) bool {
 	own := filepath.Join(folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(own, 0o755); err != nil {
@@ -87,7 +88,7 @@
 		fmt.Printf("seed %d: broken: %s\n", seed, broken)
 	}
 	if len(tally.Violations) == 0 {
-		_ = os.RemoveAll(own) // a folder that stays does no harm
+		_ = os.RemoveAll(own) // a folder that remains does not affect the result
 	}
 	return len(tally.Violations) == 0
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo shows the whole path in one process: platform, engines and
-// nodes over loopback TCP, a bundle rolled, online streams and a batch job, and
-// a node killed in the middle. Everything it reports is counted by the clients
-// and the engines.
+// Package demo demonstrates the product in one process. It starts an emulated platform,
+// emulated engines and nodes, which communicate over loopback TCP, rolls a bundle, runs
+// online requests and a batch job, and kills a node meanwhile. Its report contains what
+// the clients, the engines and the platform counted.
 package demo
 
 import (
@@ -21,7 +21,7 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-// Options of a demonstration.
+// Options configures a demonstration.
 type Options struct {
 	Items    int
 	Rate     float64
@@ -30,7 +30,7 @@
 	KillNode bool
 }
 
-// Report is what was counted from outside.
+// Report contains the counts of the clients, the engines and the platform.
 type Report struct {
 	OnlineRequests   int64   `json:"online_requests"`
 	OnlineFailed     int64   `json:"online_failed"`
@@ -58,7 +58,8 @@
 	errors map[string]int
 }
 
-// Whole reports whether nothing was lost, doubled or cut.
+// Passed reports whether no request or item failed, and none was lost, duplicated,
+// truncated or answered with an unexpected text.
 func (r *Report) Passed() bool {
 	online := r.OnlineRequests > 0 && r.OnlineFailed == 0 && r.OnlineTruncated == 0 && r.OnlineWrong == 0
 	batch := r.BatchCompleted == r.BatchItems && r.BatchDuplicates == 0 && r.BatchLost == 0 && r.BatchWrong == 0
@@ -73,7 +74,7 @@
 	killedNodeIndex = 4
 )
 
-// Topology is three zones with 12 runners and five nodes.
+// Topology returns a deployment of five nodes and 12 runners in three zones.
 func Topology() fleet.Topology {
 	return fleet.Topology{
 		Cluster: cluster, Service: model, DiskNodes: 5, ListLag: 300 * time.Millisecond,
@@ -91,10 +92,10 @@
 	slots           = 16
 )
 
-// tenantKey is the demonstration's API key.
+// tenantKey is the API key of the demonstration.
 var tenantKey = fleet.TenantKey{Tenant: "counter", Key: "demo-key"}
 
-// Up starts the deployment and waits until it is ready.
+// StartDeployment starts the deployment and waits until it is ready.
 func StartDeployment(folder string) (*fleet.Fleet, error) {
 	started, err := fleet.Start(Topology(), folder)
 	if err != nil {
@@ -123,8 +124,8 @@
 	bundleFile = "bundle.yaml"
 )
 
-// saveForOperators leaves the operator's key and the bundle in the folder, for
-// trying the bundle verbs.
+// saveOperatorFiles writes the operator's key and the bundle to the folder, so that the
+// bundle commands can be tried.
 func saveOperatorFiles(operator *fleet.Operator, folder, text string) error {
 	if err := operator.SaveKey(filepath.Join(folder, keyFile)); err != nil {
 		return trace.Wrap(err)
@@ -244,5 +245,6 @@
 	return trace.Wrap(err)
 }
 
-// say writes to the person who watches; a line that gets lost changes no result.
+// printf writes progress output. Write errors are ignored because they do not affect the
+// result.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/lab/demo/describe.go
+++ b/lab/demo/describe.go
@@ -7,7 +7,7 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// Describe writes the addresses of a running deployment and lines to try.
+// Describe writes the addresses and keys of a running deployment, and example commands.
 func Describe(running *fleet.Fleet, folder string, out io.Writer) {
 	line := func(format string, args ...any) { printf(out, format+"\n", args...) }
 	for _, member := range running.Nodes() {
