--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,4 +1,5 @@
-// Package lab holds everything that is not the product: stand-ins for what the
-// product talks to, load, experiments and the soak. The product imports none of it
-// (TestProductDoesNotImportTheLab). docs/LAB.md says what each part is for.
+// Package lab contains the test environment of the product: emulators of the systems that
+// the product depends on, load generators, experiments and the soak test. The product
+// does not import it (TestProductDoesNotImportTheLab). docs/LAB.md describes its
+// packages.
 package lab
