--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -32,7 +32,7 @@
 	return engine.ExpectedAnswer(body, maxAnswerTokens)
 }
 
-// The published client does everything callers do.
+// The official OpenAI client works with all parts of the API.
 func TestOpenAIClient(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 2))
@@ -66,7 +66,7 @@
 		is.NoErr(stream.Err())
 		is.Equal(text, expectedAnswer("draft the articles", 30))
 	})
-	t.Run("stream cancelled by the caller", func(t *testing.T) {
+	t.Run("stream cancelled by caller", func(t *testing.T) {
 		is := is.New(t)
 		for _, slowed := range running.Engines {
 			slowed.SetSlow(40)
@@ -77,7 +77,7 @@
 		stream := api.Chat.Completions.NewStreaming(ctx, chatParams("a question with a long answer one two", 64))
 		is.True(stream.Next())
 		cancel()
-		eventually.Require(t, "the engine sees the cancel", func() bool { return running.Ledger.Totals().Cancels > before })
+		eventually.Require(t, "the engine has cancelled the request", func() bool { return running.Ledger.Totals().Cancels > before })
 	})
 	t.Run("models", func(t *testing.T) {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 		}
 		cancelThroughClient(t, api)
 	})
-	t.Run("errors carry a code and say whether the work ran", func(t *testing.T) {
+	t.Run("error has a code and reports whether the request ran", func(t *testing.T) {
 		is := is.New(t)
 		_, err := api.Chat.Completions.New(callContext(t), openai.ChatCompletionNewParams{Model: "nope", Messages: chatParams("x", 1).Messages})
 		var failure *openai.Error
@@ -103,7 +103,7 @@
 		is.Equal(failure.StatusCode, 404)
 		is.Equal(failure.Response.Header.Get("X-Run"), "no")
 	})
-	t.Run("a body above the limit is refused", func(t *testing.T) {
+	t.Run("too large body is refused", func(t *testing.T) {
 		is := is.New(t)
 		_, err := api.Chat.Completions.New(callContext(t), chatParams(strings.Repeat("long ", 1<<20), 1))
 		var failure *openai.Error
@@ -111,7 +111,7 @@
 		is.Equal(failure.Code, "1104")
 		is.Equal(failure.Response.Header.Get("X-Run"), "no")
 	})
-	t.Run("a wrong key is refused", func(t *testing.T) {
+	t.Run("invalid key is refused", func(t *testing.T) {
 		is := is.New(t)
 		_, err := api.Chat.Completions.New(callContext(t), chatParams("x", 1), option.WithAPIKey("wrong"))
 		var failure *openai.Error
@@ -164,7 +164,7 @@
 		InputFileID: file.ID, Endpoint: openai.BatchNewParamsEndpointV1ChatCompletions, CompletionWindow: openai.BatchNewParamsCompletionWindow24h,
 	})
 	is.NoErr(err)
-	is.Equal(again.ID, job.ID) // a resent job is the same job
+	is.Equal(again.ID, job.ID) // a repeated request returns the existing job
 }
 
 func cancelThroughClient(t *testing.T, api openai.Client) {
@@ -196,7 +196,7 @@
 	good := inputFile("good", 1)
 	cases := []struct{ name, text, want string }{
 		{"not JSON", good + "{", "line 2: not JSON"},
-		{"custom_id twice", good + good, `line 2: custom_id "good-0" stands twice`},
+		{"duplicate custom_id", good + good, `line 2: custom_id "good-0" stands twice`},
 		{"unknown model", strings.ReplaceAll(good, model, "other"), `line 1: body.model is "other", which does not exist`},
 		{"empty", "\n", "the file has no lines"},
 		{"wrong url", strings.ReplaceAll(good, "/v1/chat/completions", "/v1/embeddings"), "line 1: url is"},
@@ -208,13 +208,13 @@
 			var failure *openai.Error
 			is.True(errors.As(err, &failure))
 			is.Equal(failure.Code, "1101")
-			is.True(strings.Contains(failure.Message, c.want)) // the message names line and problem
+			is.True(strings.Contains(failure.Message, c.want)) // the message contains the line number and the problem
 		})
 	}
 }
 
-// A generation that adds an adapter and a version: engines get fenced orders,
-// load through the weight store, and the adapter is served under its name.
+// A new generation with a new model version and an adapter: the engines load both from the
+// weight store, and the adapter is served under its name.
 func TestNewVersionAndAdapterAreLoadedAndServed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -224,7 +224,7 @@
 	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
 	is.NoErr(running.AwaitReady(callContext(t), 2))
 	api := client(running, 0)
-	eventually.Require(t, "the adapter answers", func() bool {
+	eventually.Require(t, "the adapter is served", func() bool {
 		params := chatParams("draft for founders", 10)
 		params.Model = "founders"
 		answer, err := api.Chat.Completions.New(callContext(t), params)
@@ -235,8 +235,8 @@
 	is.Equal(len(models.Data), 2)
 }
 
-// A new version is rolled under load while each engine takes its time to load
-// it: runners load a part at a time, and nothing is refused or cut.
+// A new model version is rolled under load while each engine needs some time to load it.
+// The runners load it in groups, so that no request is refused or truncated.
 func TestNewVersionIsRolledUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -24,11 +24,11 @@
 	t.Logf("%d requests, %d resent, errors %v", recorder.Requests.Load(), recorder.Resent.Load(), recorder.Errors())
 	is.True(recorder.Requests.Load() > 0)
 	is.Equal(recorder.Failed.Load(), int64(0))    // failed
-	is.Equal(recorder.Truncated.Load(), int64(0)) // cut
-	is.Equal(recorder.Wrong.Load(), int64(0))     // wrong text
+	is.Equal(recorder.Truncated.Load(), int64(0)) // truncated
+	is.Equal(recorder.Wrong.Load(), int64(0))     // unexpected text
 }
 
-// under runs online load while the action runs.
+// withOnlineLoad generates online load while the action runs, and returns its results.
 func withOnlineLoad(running *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
 	recorder := load.NewRecorder()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,8 +46,8 @@
 	return recorder
 }
 
-// Engines that answer late, twice, out of order and with foreign events: each
-// caller still gets exactly its own answer.
+// Each caller gets exactly its own response when engines send events late, repeatedly, out
+// of order or for other requests.
 func TestReorderedAndRepeatedEvents(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 2))
@@ -59,8 +59,7 @@
 	requireNoFailures(t, recorder)
 }
 
-// An engine that crashes in the middle of its streams: answers are carried on
-// elsewhere, whole.
+// Requests of a crashed engine continue at other engines, and their responses are complete.
 func TestRequestsContinueAfterEngineCrash(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 4))
@@ -72,7 +71,7 @@
 	requireNoFailures(t, recorder)
 }
 
-// An engine that falls silent with its streams open.
+// Requests of an engine that stalls without closing its streams continue at other engines.
 func TestRequestsContinueAfterEngineStall(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 4))
@@ -84,7 +83,8 @@
 	requireNoFailures(t, recorder)
 }
 
-// An owner that is killed: callers at other nodes notice nothing.
+// Callers at other nodes get complete responses without a retry when the owner of a runner
+// is killed.
 func TestKilledOwnerIsInvisibleToCallers(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(5, 4))
@@ -98,8 +98,8 @@
 	is.New(t).Equal(recorder.Resent.Load(), int64(0))
 }
 
-// Every node in turn is stopped as planned and started again, under load: no
-// request is cut and none has to be sent again.
+// No request fails or is truncated while each node in turn is drained and restarted under
+// load.
 func TestRollingRestartTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
 	running := start(t, topology(3, 3))
@@ -118,7 +118,7 @@
 	}
 }
 
-// A stop with streams open at the stopping node itself: they end whole.
+// A node that is stopped as planned completes the open streams of its callers.
 func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -145,8 +145,8 @@
 	<-stopped
 }
 
-// The platform's service goes away after the start: all in force stays, jobs
-// are accepted, run and finish.
+// While the platform's key-value service is down, online requests are served, and jobs are
+// accepted and completed.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -166,8 +166,8 @@
 	requireNoFailures(t, recorder)
 }
 
-// A fee-bearing filing: resent through every node, at once and later, it runs
-// once and every answer is the same.
+// A once request that is sent concurrently through all nodes runs a single time, and all
+// callers get the same response.
 func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -189,7 +189,8 @@
 	is.Equal(running.Ledger.Totals().Starts, 1) // one run at the engines
 }
 
-// sendOnce sends until an answer comes; "in progress" is asked again.
+// sendOnceRequest sends a once request, and repeats it while the node responds that it is
+// in progress.
 func sendOnceRequest(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
 	ctx := callContext(t)
 	for {
@@ -206,8 +207,8 @@
 	}
 }
 
-// The engine dies under a once request after dispatch: the caller learns that
-// the outcome is unknown, and a resend does not run it again.
+// If the engine crashes while it runs a once request, the caller is told that the outcome
+// is unknown, and a repeated request does not run again.
 func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -235,15 +236,15 @@
 		is.NoErr(revived.Restart())
 	}
 	other := client(running, 1)
-	eventually.Require(t, "a resend says unknown", func() bool {
+	eventually.Require(t, "a repeated request reports an unknown outcome", func() bool {
 		_, err = other.Chat.Completions.New(callContext(t), params, once...)
 		return errors.As(err, &failure) && failure.Code == "1301"
 	})
 	is.Equal(running.Ledger.Totals().Starts, 1)
 }
 
-// Two data folders are wiped and nodes killed while a job runs: every item
-// completes once and every result stays readable.
+// Every item of a job completes once and every result remains readable when two of five
+// nodes are killed and lose their data folders while the job runs.
 func TestTwoDisksWipedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -267,9 +268,8 @@
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 }
 
-// A tenant's rate holds across nodes: callers at all nodes together get about
-// what the bundle allows, and the refused get "not run" and when to come
-// back.
+// A tenant's rate limit applies to all nodes together, and refused requests are reported
+// as not run.
 func TestTenantRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -283,14 +283,13 @@
 	recorder := withOnlineLoad(running, running.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
 	served := recorder.Requests.Load() - recorder.Failed.Load()
 	t.Logf("%d of %d served at a limit of %d a second for %d s", served, recorder.Requests.Load(), rate, seconds)
-	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal says not run
-	is.True(served <= 3*rate*seconds)                         // three nodes without shares would serve as much again and more
+	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal reports that the request did not run
+	is.True(served <= 3*rate*seconds)                         // three nodes with a limit each would serve at least as many
 	is.True(served >= rate)
 }
 
-// A runner that is listed as leaving gets no new work once the list has shown
-// it, its streams past the drain timeout are carried on elsewhere, and nothing
-// is cut.
+// A runner that is listed as leaving gets no new work. Streams that are still open after
+// the drain timeout continue at other runners, and no response is truncated.
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -305,17 +304,16 @@
 	recorder := withOnlineLoad(running, running.APIAddresses(), 10, func() {
 		eventually.Require(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
 		running.RegisterRunner(leaver, running.ZoneOf(0), "leaving")
-		eventually.Require(t, "the runner is quiet", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
+		eventually.Require(t, "the runner is idle", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
 		time.Sleep(time.Second)
 		online, batch := leaver.Running()
-		is.Equal(online+batch, 0) // still quiet under load
+		is.Equal(online+batch, 0) // still idle under load
 	})
 	requireNoFailures(t, recorder)
 }
 
-// Batch items of class once, with an engine crashed and a node killed under
-// them: no item begins twice at the engines, and each has exactly one outcome,
-// a result or "outcome unknown".
+// Batch items of class once, with an engine that crashes and a node that is killed: no
+// item runs twice, and each has exactly one outcome, a result or outcome_unknown.
 func TestOnceItemsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -339,8 +337,7 @@
 	}
 }
 
-// A cancelled job stops: after "cancelled" is reported no item of it begins at
-// any engine.
+// No item of a job starts at an engine once the job is reported as cancelled.
 func TestCancelledJobStopsAtTheEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -365,8 +362,8 @@
 	is.Equal(audit.Duplicates+audit.Lost, 0)
 }
 
-// A request that crashes each engine that runs it comes again at every node: it
-// reaches few engines, and the others go on serving.
+// A request that crashes every engine that runs it reaches only a few engines, even if it
+// is repeated at all nodes; the other engines continue to serve.
 func TestCrashingRequestReachesFewEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -386,7 +383,7 @@
 			crashed++
 		}
 	}
-	is.True(crashed > 0 && crashed <= 6) // three, and three more sends
+	is.True(crashed > 0 && crashed <= 6) // three until the request is held, and at most three more by then
 	api := client(running, 1)
 	_, err := api.Chat.Completions.New(callContext(t), chatParams("an ordinary question", 10))
 	is.NoErr(err)
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests the product from outside, over loopback, with real nodes
-// and emulated engines and platform.
+// Package e2e tests deployments of plain nodes from outside, over loopback TCP, with
+// emulated engines and an emulated platform.
 package e2e
 
 import (
@@ -31,7 +31,7 @@
 
 var key = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
 
-// TestMain silences the nodes' logs; -v 1 of klog shows them again.
+// TestMain discards the nodes' logs.
 func TestMain(m *testing.M) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
@@ -52,7 +52,8 @@
 	}
 }
 
-// start brings up a fleet with generation 1 in force.
+// start starts a fleet and waits until it is ready and generation 1 of the bundle is
+// active.
 func start(t *testing.T, shape fleet.Topology) *fleet.Fleet {
 	t.Helper()
 	is := is.New(t)
@@ -71,7 +72,7 @@
 	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 }
 
-// client is the published OpenAI client pointed at a node.
+// client returns an OpenAI client that sends its requests to the given node.
 func client(running *fleet.Fleet, node int) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://"+running.APIAddresses()[node]+"/v1"),
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -15,9 +15,9 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// Two regions with shards of their own. A tenant's jobs and keys live in its
-// home region and are reached from the other; when the home region is gone they
-// are refused as not run, while plain calls are served.
+// A tenant's idempotency keys are stored in its home region, and can be claimed from
+// another region. While the home region is down, once requests are refused as not run, and
+// other requests are served.
 func TestHomeRegions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -41,7 +41,7 @@
 	once := func(name string) []option.RequestOption {
 		return []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", name)}
 	}
-	eventually.Require(t, "a claim in the home region is made from far", func() bool {
+	eventually.Require(t, "a key in the home region is claimed from another region", func() bool {
 		answer, err := far.Chat.Completions.New(callContext(t), chatParams("file from far", 8), once("k1")...)
 		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("file from far", 8)
 	})
@@ -52,16 +52,15 @@
 	_, err = far.Chat.Completions.New(callContext(t), chatParams("file again", 8), once("k2")...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
-	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused, provably not run
-	eventually.Require(t, "plain calls are served without the home region", func() bool {
+	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused without having run
+	eventually.Require(t, "other requests are served without the home region", func() bool {
 		answer, err := far.Chat.Completions.New(callContext(t), chatParams("is it free?", 8))
 		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("is it free?", 8)
 	})
 }
 
-// Operators race while the platform loses answers: one submission of a
-// generation is accepted, the other learns of the conflict, and a lost answer
-// is resolved to the truth.
+// Two operators concurrently submit different bundles as the same generation while the
+// platform's replies are lost: one submission is accepted, and the other gets a conflict.
 func TestConcurrentOperatorsWithLostReplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/lab/e2e/tls_test.go
+++ b/lab/e2e/tls_test.go
@@ -15,7 +15,8 @@
 	"cobaltramp.example/cobaltramp/lab/keys"
 )
 
-// Callers by TLS, nodes by mutual TLS, with a batch across all of it.
+// Online requests and batch jobs work with TLS for callers and mutual TLS between nodes,
+// and plain HTTP is refused.
 func TestTLSForCallersAndBetweenNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
