--- a/cmd/cobaltramp-lab/main.go
+++ b/cmd/cobaltramp-lab/main.go
@@ -1,5 +1,5 @@
-// Command cobaltramp-lab holds everything that is not the product: emulated
-// engines and platform, load, faults, experiments and reports.
+// Command cobaltramp-lab runs demonstrations, benchmarks, experiments and fault tests of
+// the product on emulated engines and an emulated platform.
 package main
 
 import (
--- a/cmd/cobaltramp/main.go
+++ b/cmd/cobaltramp/main.go
@@ -1,5 +1,5 @@
-// Command cobaltramp runs a plain node, an edge or a storage node, and is the
-// operators' client.
+// Command cobaltramp runs a plain node, an edge or a storage node. It is also the
+// operators' command-line client.
 package main
 
 import (
--- a/tools/genproto/main.go
+++ b/tools/genproto/main.go
@@ -1,6 +1,6 @@
-// Command genproto generates the Go code of the internal protocol from its
-// .proto file. It needs no installed protoc: the compiler and the generator
-// are Go libraries pinned in go.mod.
+// Command genproto generates the Go code of the internal protocol from its .proto file. It
+// does not need protoc: the compiler and the code generator are Go libraries pinned in
+// go.mod.
 package main
 
 import (
--- a/tools/resultcodes/main.go
+++ b/tools/resultcodes/main.go
@@ -1,5 +1,4 @@
-// Command resultcodes writes docs/RESULT_CODES.md from the table of result
-// codes.
+// Command resultcodes generates docs/RESULT_CODES.md from the table of result codes.
 package main
 
 import (
