--- a/internal/app/explain/explain.go
+++ b/internal/app/explain/explain.go
@@ -128,19 +128,19 @@
 // findDecisive finds the first line that determines the final outcome: a refusal, an
 // attempt that is not retried, the result of an item, or the end of a job. Without such
 // a line, it takes the first end of a request or failed submission of a job.
-func (s *Timeline) findDecisive() {
-	for i := range s.Lines {
-		line := &s.Lines[i]
+func (t *Timeline) findDecisive() {
+	for i := range t.Lines {
+		line := &t.Lines[i]
 		final := line.Message == messageRequestRefused || line.Message == messageNotAdmitted || line.Message == messageItemDecided || line.Message == messageItemExpired ||
 			line.Message == messageJobEnded || line.Message == messageAttempt && line.Fields["again"] == "false"
-		if final && s.Decisive == nil {
-			s.Decisive = line
+		if final && t.Decisive == nil {
+			t.Decisive = line
 		}
 	}
-	if s.Decisive == nil {
-		for i := range s.Lines {
-			if m := s.Lines[i].Message; m == messageRequestEnded || m == messageJobSubmitted && s.Lines[i].Fields["err"] != "null" {
-				s.Decisive = &s.Lines[i]
+	if t.Decisive == nil {
+		for i := range t.Lines {
+			if m := t.Lines[i].Message; m == messageRequestEnded || m == messageJobSubmitted && t.Lines[i].Fields["err"] != "null" {
+				t.Decisive = &t.Lines[i]
 				return
 			}
 		}
@@ -148,40 +148,40 @@
 }
 
 // findMissing describes the lines that are missing from the log.
-func (s *Timeline) findMissing() {
+func (t *Timeline) findMissing() {
 	has := map[string]bool{}
-	for _, line := range s.Lines {
+	for _, line := range t.Lines {
 		has[line.Message] = true
 	}
 	switch {
-	case len(s.Lines) == 0:
-		s.Missing = append(s.Missing, "any line with this id: the process that took it was killed, its lines were dropped, or it came nowhere")
+	case len(t.Lines) == 0:
+		t.Missing = append(t.Missing, "any line with this id: the process that took it was killed, its lines were dropped, or it came nowhere")
 	case has[messageAttempt] && !has[messageRequestEnded]:
-		s.Missing = append(s.Missing, "the end of the request: the edge was stopped or killed before it")
+		t.Missing = append(t.Missing, "the end of the request: the edge was stopped or killed before it")
 	case has[messageRequestEnded] && !has[messageAttempt] && !has[messageNotAdmitted]:
-		s.Missing = append(s.Missing, "an attempt: no runner was found to try")
+		t.Missing = append(t.Missing, "an attempt: no runner was found to try")
 	case has[messageJobSubmitted] && !has[messageSubmissionReceived]:
-		s.Missing = append(s.Missing, "the storage node that answered the submission")
+		t.Missing = append(t.Missing, "the storage node that answered the submission")
 	case has[messageItemEnded] && !has[messageItemDecided]:
-		s.Missing = append(s.Missing, "the decision on the item: it has no result yet, its job was ended, or another leader took over")
+		t.Missing = append(t.Missing, "the decision on the item: it has no result yet, its job was ended, or another leader took over")
 	}
 }
 
 // Print writes the timeline as text.
-func (s *Timeline) Print(writer io.Writer) {
-	fmt.Fprintf(writer, "%s: %d lines\n", s.ID, len(s.Lines))
-	for i := range s.Lines {
-		line := &s.Lines[i]
+func (t *Timeline) Print(writer io.Writer) {
+	fmt.Fprintf(writer, "%s: %d lines\n", t.ID, len(t.Lines))
+	for i := range t.Lines {
+		line := &t.Lines[i]
 		mark := " "
-		if line == s.Decisive {
+		if line == t.Decisive {
 			mark = "*"
 		}
 		fmt.Fprintf(writer, "%s %s %-24s %s%s\n", mark, line.Stamp, line.Source, line.Message, line.formatFields())
 	}
-	if s.Decisive != nil {
-		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", s.Decisive.Message, s.Decisive.Source, s.Decisive.formatFields())
+	if t.Decisive != nil {
+		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", t.Decisive.Message, t.Decisive.Source, t.Decisive.formatFields())
 	}
-	for _, missing := range s.Missing {
+	for _, missing := range t.Missing {
 		fmt.Fprintf(writer, "missing: %s\n", missing)
 	}
 }
--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -41,26 +41,26 @@
 
 // start starts a deployment and waits until its bundle is active, all runners are ready
 // and all shards have leaders.
-func start(folder string, shape fleet.Topology) (*fleet.Fleet, error) {
-	running, err := fleet.Start(shape, folder)
+func start(folder string, spec fleet.Topology) (*fleet.Fleet, error) {
+	deployment, err := fleet.Start(spec, folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := makeReady(running); err != nil {
-		running.Close()
+	if err := makeReady(deployment); err != nil {
+		deployment.Close()
 		return nil, trace.Wrap(err)
 	}
-	return running, nil
+	return deployment, nil
 }
 
-func makeReady(running *fleet.Fleet) error {
+func makeReady(deployment *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{tenant})
-	if err := running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text); err != nil {
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenant})
+	if err := deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(running.AwaitReady(ctx, 1))
+	return trace.Wrap(deployment.AwaitReady(ctx, 1))
 }
 
 // maxMicroseconds is the largest value of a histogram, one minute.
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -35,12 +35,12 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(diskNodes, 8))
+	deployment, err := start(folder, topology(diskNodes, 8))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
-	target := load.Target{Addresses: running.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
+	defer deployment.Close()
+	target := load.Target{Addresses: deployment.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
 	var reports []IntakeReport
 	for number, count := range counts {
 		report, err := measureUpload(load.NewBatchClient(target), count, uint64(number))
--- a/lab/bench/log.go
+++ b/lab/bench/log.go
@@ -40,12 +40,12 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(diskNodes, shards))
+	deployment, err := start(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
-	jobDirectory, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
+	defer deployment.Close()
+	jobDirectory, err := kernel.Find[*directory.Module](deployment.Nodes()[0].Node().Context())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/lab/bench/path.go
+++ b/lab/bench/path.go
@@ -71,9 +71,9 @@
 // startRemote starts two nodes in two zones of which only the second has runners, so that
 // the first node forwards every request to the second.
 func startRemote(folder string) (*fleet.Fleet, error) {
-	shape := topology(1, 1)
-	shape.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
-	return start(folder, shape)
+	spec := topology(1, 1)
+	spec.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
+	return start(folder, spec)
 }
 
 // measureRequests sends requests to an address, and returns percentiles of the time to
--- a/lab/bench/recovery.go
+++ b/lab/bench/recovery.go
@@ -44,30 +44,30 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	const shards = 4
-	running, err := start(folder, topology(diskNodes, shards))
+	deployment, err := start(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
-	if err := fillShards(running, shards, commands); err != nil {
+	defer deployment.Close()
+	if err := fillShards(deployment, shards, commands); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	for index := range running.Nodes() {
-		running.KillNode(index)
+	for index := range deployment.Nodes() {
+		deployment.KillNode(index)
 	}
 	began := time.Now()
-	if err := running.StartNode(0); err != nil {
+	if err := deployment.StartNode(0); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	reopened := time.Since(began)
-	for index := range running.Nodes() {
-		if err := running.StartNode(index); err != nil {
+	for index := range deployment.Nodes() {
+		if err := deployment.StartNode(index); err != nil {
 			return nil, trace.Wrap(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if err := running.AwaitReady(ctx, 1); err != nil {
+	if err := deployment.AwaitReady(ctx, 1); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return &RecoveryReport{
@@ -76,8 +76,8 @@
 	}, nil
 }
 
-func fillShards(running *fleet.Fleet, shards, commands int) error {
-	jobDirectory, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
+func fillShards(deployment *fleet.Fleet, shards, commands int) error {
+	jobDirectory, err := kernel.Find[*directory.Module](deployment.Nodes()[0].Node().Context())
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/lab/cli/demo.go
+++ b/lab/cli/demo.go
@@ -45,12 +45,12 @@
 		defer func() { _ = os.RemoveAll(temporary) }()
 		folder = temporary
 	}
-	running, err := demo.StartDeployment(folder)
+	deployment, err := demo.StartDeployment(folder)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer running.Close()
-	demo.Describe(running, folder, os.Stdout)
+	defer deployment.Close()
+	demo.Describe(deployment, folder, os.Stdout)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	<-signals
--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -35,8 +35,8 @@
 	}
 	fmt.Println(tally.Summary())
 	fmt.Println("settings, data and logs:", folder)
-	for _, broken := range tally.Violations {
-		fmt.Println("broken:", broken)
+	for _, violation := range tally.Violations {
+		fmt.Println("broken:", violation)
 	}
 	if len(tally.Violations) > 0 {
 		return trace.BadParameter("%d promises were broken", len(tally.Violations))
@@ -48,11 +48,11 @@
 // given. It returns the paths of the folder and the program.
 func prepareFolder(folder, program string) (string, string, error) {
 	if folder == "" {
-		made, err := os.MkdirTemp("", "cobaltramp-lab-")
+		temporary, err := os.MkdirTemp("", "cobaltramp-lab-")
 		if err != nil {
 			return "", "", trace.ConvertSystemError(err)
 		}
-		folder = made
+		folder = temporary
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", "", trace.ConvertSystemError(err)
--- a/lab/cli/soak.go
+++ b/lab/cli/soak.go
@@ -84,8 +84,8 @@
 		return false
 	}
 	fmt.Printf("seed %d: %s\n", seed, tally.Summary())
-	for _, broken := range tally.Violations {
-		fmt.Printf("seed %d: broken: %s\n", seed, broken)
+	for _, violation := range tally.Violations {
+		fmt.Printf("seed %d: broken: %s\n", seed, violation)
 	}
 	if len(tally.Violations) == 0 {
 		_ = os.RemoveAll(own) // a folder that remains does not affect the result
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,7 +1,7 @@
 // Package demo demonstrates the product in one process. It starts an emulated platform,
-// emulated engines and nodes, which communicate over loopback TCP, rolls a bundle, runs
-// online requests and a batch job, and kills a node meanwhile. Its report contains what
-// the clients, the engines and the platform counted.
+// emulated engines and nodes, which communicate over loopback TCP, and rolls a bundle. It
+// then runs online requests and a batch job, and optionally kills a node while they run.
+// Its report contains what the clients, the engines and the platform counted.
 package demo
 
 import (
@@ -40,7 +40,7 @@
 	TTFTP50Ms        float64 `json:"ttft_p50_ms"`
 	TTFTP95Ms        float64 `json:"ttft_p95_ms"`
 	TTFTP99Ms        float64 `json:"ttft_p99_ms"`
-	GapP95Ms         float64 `json:"token_gap_p95_ms"`
+	TokenGapP95Ms    float64 `json:"token_gap_p95_ms"`
 	BatchItems       int     `json:"batch_items"`
 	BatchCompleted   int     `json:"batch_completed"`
 	BatchFailed      int     `json:"batch_failed"`
@@ -142,13 +142,13 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	printf(out, "starting platform stand-in, 12 engines in 3 zones, 5 nodes …\n")
-	running, err := StartDeployment(folder)
+	deployment, err := StartDeployment(folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
+	defer deployment.Close()
 	printf(out, "ready after %.1fs: bundle generation 1 in force everywhere\n", time.Since(began).Seconds())
-	report, err := runLoad(options, running, out)
+	report, err := runLoad(options, deployment, out)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -156,9 +156,9 @@
 	return report, writeReport(options, report, out)
 }
 
-func runLoad(options Options, running *fleet.Fleet, out io.Writer) (*Report, error) {
+func runLoad(options Options, deployment *fleet.Fleet, out io.Writer) (*Report, error) {
 	report := &Report{}
-	target := load.Target{Addresses: running.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
+	target := load.Target{Addresses: deployment.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 	recorder := load.NewRecorder()
 	onlineCtx, stopOnline := context.WithTimeout(context.Background(), time.Duration(options.Seconds)*time.Second)
 	defer stopOnline()
@@ -170,17 +170,17 @@
 		if !options.KillNode {
 			return
 		}
-		report.KilledNode = running.Nodes()[killedNodeIndex].Settings.Node.ID
+		report.KilledNode = deployment.Nodes()[killedNodeIndex].Settings.Node.ID
 		printf(out, "killing %s in the middle of it …\n", report.KilledNode)
-		running.KillNode(killedNodeIndex)
+		deployment.KillNode(killedNodeIndex)
 	})
 	defer kill.Stop()
 	err := runBatchJob(options, target, report, out)
 	online.Wait()
 	setOnlineResults(report, recorder)
-	totals := running.Ledger.Totals()
+	totals := deployment.Ledger.Totals()
 	report.EngineRuns, report.EngineContinued, report.EngineCancels = totals.Starts, totals.Continued, totals.Cancels
-	report.PlatformRequests = running.Platform.Requests.Load()
+	report.PlatformRequests = deployment.Platform.Requests.Load()
 	return report, err
 }
 
@@ -212,7 +212,7 @@
 	report.OnlineRequests, report.OnlineFailed = recorder.Requests.Load(), recorder.Failed.Load()
 	report.OnlineTruncated, report.OnlineWrong, report.OnlineResent = recorder.Truncated.Load(), recorder.Wrong.Load(), recorder.Resent.Load()
 	report.TTFTP50Ms, report.TTFTP95Ms, report.TTFTP99Ms = milliseconds(recorder.FirstToken(50)), milliseconds(recorder.FirstToken(95)), milliseconds(recorder.FirstToken(99))
-	report.GapP95Ms = milliseconds(recorder.TokenGap(95))
+	report.TokenGapP95Ms = milliseconds(recorder.TokenGap(95))
 	report.errors = recorder.Errors()
 }
 
@@ -221,7 +221,7 @@
 func writeReport(options Options, r *Report, out io.Writer) error {
 	printf(out, "\nonline   %d requests, %d failed, %d cut, %d with wrong text, %d resent because their node died\n",
 		r.OnlineRequests, r.OnlineFailed, r.OnlineTruncated, r.OnlineWrong, r.OnlineResent)
-	printf(out, "         first token p50 %.0f ms, p95 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms\n", r.TTFTP50Ms, r.TTFTP95Ms, r.TTFTP99Ms, r.GapP95Ms)
+	printf(out, "         first token p50 %.0f ms, p95 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms\n", r.TTFTP50Ms, r.TTFTP95Ms, r.TTFTP99Ms, r.TokenGapP95Ms)
 	printf(out, "batch    %d items: %d completed, %d failed, %d doubled, %d lost, %d wrong, in %.1f s\n",
 		r.BatchItems, r.BatchCompleted, r.BatchFailed, r.BatchDuplicates, r.BatchLost, r.BatchWrong, r.BatchSeconds)
 	printf(out, "engines  %d runs begun, %d continued elsewhere, %d cancelled (batch preempted)\n", r.EngineRuns, r.EngineContinued, r.EngineCancels)
--- a/lab/demo/describe.go
+++ b/lab/demo/describe.go
@@ -8,16 +8,16 @@
 )
 
 // Describe writes the addresses and keys of a running deployment, and example commands.
-func Describe(running *fleet.Fleet, folder string, out io.Writer) {
+func Describe(deployment *fleet.Fleet, folder string, out io.Writer) {
 	line := func(format string, args ...any) { printf(out, format+"\n", args...) }
-	for _, member := range running.Nodes() {
+	for _, member := range deployment.Nodes() {
 		node := member.Settings.Node
 		line("%s  zone %-14s  callers http://%s  operators http://%s", node.ID, node.Zone, node.APIAddress, node.AdminAddress)
 	}
-	line("platform http://%s", running.Platform.URL()[len("http://"):])
+	line("platform http://%s", deployment.Platform.URL()[len("http://"):])
 	line("model    %s", model)
 	line("key      %s (tenant %s)", tenantKey.Key, tenantKey.Tenant)
-	first := running.Nodes()[0].Settings.Node
+	first := deployment.Nodes()[0].Settings.Node
 	line("\ntry:")
 	line(`  curl -s http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{"model":"%s","messages":[{"role":"user","content":"is my booking confirmed?"}],"max_tokens":16}'`, first.APIAddress, tenantKey.Key, model)
 	line(`  curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{"model":"%s","stream":true,"messages":[{"role":"user","content":"what does the waiver cover?"}]}'`, first.APIAddress, tenantKey.Key, model)
--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -35,8 +35,8 @@
 // The official OpenAI client works with all parts of the API.
 func TestOpenAIClient(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 2))
-	api := client(running, 0)
+	deployment := start(t, topology(3, 2))
+	api := client(deployment, 0)
 
 	t.Run("chat", func(t *testing.T) {
 		is := is.New(t)
@@ -68,16 +68,16 @@
 	})
 	t.Run("stream cancelled by caller", func(t *testing.T) {
 		is := is.New(t)
-		for _, slowed := range running.Engines {
+		for _, slowed := range deployment.Engines {
 			slowed.SetSlow(40)
 			defer slowed.SetSlow(1)
 		}
-		before := running.Ledger.Totals().Cancels
+		before := deployment.Ledger.Totals().Cancels
 		ctx, cancel := context.WithCancel(callContext(t))
 		stream := api.Chat.Completions.NewStreaming(ctx, chatParams("a question with a long answer one two", 64))
 		is.True(stream.Next())
 		cancel()
-		eventually.Require(t, "the engine has cancelled the request", func() bool { return running.Ledger.Totals().Cancels > before })
+		eventually.Require(t, "the engine has cancelled the request", func() bool { return deployment.Ledger.Totals().Cancels > before })
 	})
 	t.Run("models", func(t *testing.T) {
 		is := is.New(t)
@@ -88,7 +88,7 @@
 	})
 	t.Run("batch", func(t *testing.T) { batchThroughClient(t, api) })
 	t.Run("batch cancelled", func(t *testing.T) {
-		for _, slowed := range running.Engines {
+		for _, slowed := range deployment.Engines {
 			slowed.SetSlow(40)
 			defer slowed.SetSlow(1)
 		}
@@ -191,8 +191,8 @@
 
 func TestInvalidUploadErrorsNameTheLine(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 1))
-	api := client(running, 0)
+	deployment := start(t, topology(3, 1))
+	api := client(deployment, 0)
 	good := inputFile("good", 1)
 	cases := []struct{ name, text, want string }{
 		{"not JSON", good + "{", "line 2: not JSON"},
@@ -218,12 +218,12 @@
 func TestNewVersionAndAdapterAreLoadedAndServed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+	deployment := start(t, topology(3, 2))
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\nadapters: [founders]\n", 1)
-	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(callContext(t), 2))
-	api := client(running, 0)
+	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
+	api := client(deployment, 0)
 	eventually.Require(t, "the adapter is served", func() bool {
 		params := chatParams("draft for founders", 10)
 		params.Model = "founders"
@@ -240,15 +240,15 @@
 func TestNewVersionIsRolledUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	shape := topology(3, 12)
-	shape.Engine.WeightBytes = 96 << 20
-	running := start(t, shape)
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+	spec := topology(3, 12)
+	spec.Engine.WeightBytes = 96 << 20
+	deployment := start(t, spec)
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\n", 1)
-	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
-		is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
+		is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
 		eventually.Require(t, "all engines have the new version", func() bool {
-			for _, loaded := range running.Engines {
+			for _, loaded := range deployment.Engines {
 				if loaded.Version() != "2" {
 					return false
 				}
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -29,12 +29,12 @@
 }
 
 // withOnlineLoad generates online load while the action runs, and returns its results.
-func withOnlineLoad(running *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
+func withOnlineLoad(deployment *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
 	recorder := load.NewRecorder()
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Add(1)
-	loadTarget := target(running)
+	loadTarget := target(deployment)
 	loadTarget.Addresses = addresses
 	go func() {
 		defer group.Done()
@@ -50,22 +50,22 @@
 // of order or for other requests.
 func TestReorderedAndRepeatedEvents(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 2))
-	for _, disorderly := range running.Engines {
+	deployment := start(t, topology(3, 2))
+	for _, disorderly := range deployment.Engines {
 		disorderly.SetDisorder(true)
 		disorderly.SetLate(20*time.Millisecond, 20*time.Millisecond)
 	}
-	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
 	requireNoFailures(t, recorder)
 }
 
 // Requests of a crashed engine continue at other engines, and their responses are complete.
 func TestRequestsContinueAfterEngineCrash(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 4))
-	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
+	deployment := start(t, topology(3, 4))
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
-		running.Engines[0].Crash()
+		deployment.Engines[0].Crash()
 		time.Sleep(2 * time.Second)
 	})
 	requireNoFailures(t, recorder)
@@ -74,10 +74,10 @@
 // Requests of an engine that stalls without closing its streams continue at other engines.
 func TestRequestsContinueAfterEngineStall(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 4))
-	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
+	deployment := start(t, topology(3, 4))
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
-		running.Engines[0].Stall(15 * time.Second)
+		deployment.Engines[0].Stall(15 * time.Second)
 		time.Sleep(2 * time.Second)
 	})
 	requireNoFailures(t, recorder)
@@ -87,11 +87,11 @@
 // is killed.
 func TestKilledOwnerIsInvisibleToCallers(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(5, 4))
-	addresses := running.APIAddresses()[:4]
-	recorder := withOnlineLoad(running, addresses, 20, func() {
+	deployment := start(t, topology(5, 4))
+	addresses := deployment.APIAddresses()[:4]
+	recorder := withOnlineLoad(deployment, addresses, 20, func() {
 		time.Sleep(time.Second)
-		running.KillNode(4)
+		deployment.KillNode(4)
 		time.Sleep(2 * time.Second)
 	})
 	requireNoFailures(t, recorder)
@@ -102,17 +102,17 @@
 // load.
 func TestRollingRestartTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 3))
-	for index := range running.Nodes() {
-		others := append([]string(nil), running.APIAddresses()...)
+	deployment := start(t, topology(3, 3))
+	for index := range deployment.Nodes() {
+		others := append([]string(nil), deployment.APIAddresses()...)
 		others = append(others[:index], others[index+1:]...)
-		recorder := withOnlineLoad(running, others, 30, func() {
+		recorder := withOnlineLoad(deployment, others, 30, func() {
 			time.Sleep(300 * time.Millisecond)
-			running.StopNode(index)
-			is.New(t).NoErr(running.StartNode(index))
+			deployment.StopNode(index)
+			is.New(t).NoErr(deployment.StartNode(index))
 			ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 			defer cancel()
-			is.New(t).NoErr(running.AwaitReady(ctx, 1))
+			is.New(t).NoErr(deployment.AwaitReady(ctx, 1))
 		})
 		requireNoFailures(t, recorder)
 	}
@@ -122,16 +122,16 @@
 func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := start(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(12)
 	}
-	api := client(running, 0)
+	api := client(deployment, 0)
 	stream := api.Chat.Completions.NewStreaming(callContext(t), chatParams("a stream that outlives its node's stop order", 40))
 	is.True(stream.Next())
 	stopped := make(chan struct{})
 	go func() {
-		running.StopNode(0)
+		deployment.StopNode(0)
 		close(stopped)
 	}()
 	text := stream.Current().Choices[0].Delta.Content
@@ -150,10 +150,10 @@
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	running.Platform.SetDown(true)
-	recorder := withOnlineLoad(running, running.APIAddresses(), 20, func() {
-		batches := load.NewBatchClient(target(running))
+	deployment := start(t, topology(3, 2))
+	deployment.Platform.SetDown(true)
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
+		batches := load.NewBatchClient(target(deployment))
 		job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
 		is.NoErr(err)
 		status, err := batches.Await(callContext(t), job.ID)
@@ -171,7 +171,7 @@
 func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
+	deployment := start(t, topology(3, 2))
 	params := chatParams("file the annual return of company 7", 12)
 	var group sync.WaitGroup
 	answers := make([]string, 6)
@@ -179,14 +179,14 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			answers[i] = sendOnceRequest(t, client(running, i%3), params)
+			answers[i] = sendOnceRequest(t, client(deployment, i%3), params)
 		}()
 	}
 	group.Wait()
 	for _, answer := range answers {
 		is.Equal(answer, expectedAnswer("file the annual return of company 7", 12))
 	}
-	is.Equal(running.Ledger.Totals().Starts, 1) // one run at the engines
+	is.Equal(deployment.Ledger.Totals().Starts, 1) // one run at the engines
 }
 
 // sendOnceRequest sends a once request, and repeats it while the node responds that it is
@@ -212,35 +212,35 @@
 func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := start(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(50)
 	}
 	params := chatParams("file the reservation of a name", 30)
 	crashed := make(chan struct{})
 	go func() {
 		defer close(crashed)
-		eventually.Assert(t, "an engine has started the request", func() bool { return running.Ledger.Totals().Starts > 0 }, func() any { return running.Ledger.Totals() })
-		for _, victim := range running.Engines {
-			victim.Crash()
+		eventually.Assert(t, "an engine has started the request", func() bool { return deployment.Ledger.Totals().Starts > 0 }, func() any { return deployment.Ledger.Totals() })
+		for _, crashing := range deployment.Engines {
+			crashing.Crash()
 		}
 	}()
 	once := []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", "name-1")}
-	api := client(running, 0)
+	api := client(deployment, 0)
 	_, err := api.Chat.Completions.New(callContext(t), params, once...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Response.Header.Get("X-Run"), "unknown")
 	<-crashed
-	for _, revived := range running.Engines {
+	for _, revived := range deployment.Engines {
 		is.NoErr(revived.Restart())
 	}
-	other := client(running, 1)
+	other := client(deployment, 1)
 	eventually.Require(t, "a repeated request reports an unknown outcome", func() bool {
 		_, err = other.Chat.Completions.New(callContext(t), params, once...)
 		return errors.As(err, &failure) && failure.Code == "1301"
 	})
-	is.Equal(running.Ledger.Totals().Starts, 1)
+	is.Equal(deployment.Ledger.Totals().Starts, 1)
 }
 
 // Every item of a job completes once and every result remains readable when two of five
@@ -248,17 +248,17 @@
 func TestTwoDisksWipedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(5, 4))
-	batches := load.NewBatchClient(target(running))
+	deployment := start(t, topology(5, 4))
+	batches := load.NewBatchClient(target(deployment))
 	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
 	is.NoErr(err)
 	for _, index := range []int{0, 1} {
-		running.KillNode(index)
-		is.NoErr(running.WipeNode(index))
+		deployment.KillNode(index)
+		is.NoErr(deployment.WipeNode(index))
 	}
 	time.Sleep(500 * time.Millisecond)
 	for _, index := range []int{0, 1} {
-		is.NoErr(running.StartNode(index))
+		is.NoErr(deployment.StartNode(index))
 	}
 	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
@@ -273,14 +273,14 @@
 func TestTenantRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
+	deployment := start(t, topology(3, 2))
 	const rate = 6
-	text := fleet.BasicBundle(running.Operator, model, model, slots, nil)
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, nil)
 	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", key.Tenant, key.Hash(), rate)
-	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(callContext(t), 2))
+	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 	const seconds = 6
-	recorder := withOnlineLoad(running, running.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
 	served := recorder.Requests.Load() - recorder.Failed.Load()
 	t.Logf("%d of %d served at a limit of %d a second for %d s", served, recorder.Requests.Load(), rate, seconds)
 	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal reports that the request did not run
@@ -293,17 +293,17 @@
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 4))
-	text := strings.Replace(fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
-	is.NoErr(running.Operator.Roll(callContext(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(callContext(t), 2))
-	for _, slowed := range running.Engines {
+	deployment := start(t, topology(3, 4))
+	text := strings.Replace(fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
+	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(25) // streams far longer than the drain timeout
 	}
-	leaver := running.Engines[0]
-	recorder := withOnlineLoad(running, running.APIAddresses(), 10, func() {
+	leaver := deployment.Engines[0]
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 10, func() {
 		eventually.Require(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
-		running.RegisterRunner(leaver, running.ZoneOf(0), "leaving")
+		deployment.RegisterRunner(leaver, deployment.ZoneOf(0), "leaving")
 		eventually.Require(t, "the runner is idle", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
 		time.Sleep(time.Second)
 		online, batch := leaver.Running()
@@ -317,13 +317,13 @@
 func TestOnceItemsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(5, 4))
-	batches := load.NewBatchClient(target(running))
+	deployment := start(t, topology(5, 4))
+	batches := load.NewBatchClient(target(deployment))
 	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
 	is.NoErr(err)
-	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 100 })
-	running.Engines[0].Crash()
-	running.KillNode(4)
+	eventually.Require(t, "items run", func() bool { return deployment.Ledger.Totals().Starts > 100 })
+	deployment.Engines[0].Crash()
+	deployment.KillNode(4)
 	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
 	audit, err := batches.AuditJob(callContext(t), job, status)
@@ -333,7 +333,7 @@
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 	is.Equal(audit.ErrorCodes["outcome_unknown"], audit.Failed)
 	for _, body := range job.Bodies {
-		is.True(running.Ledger.Starts(body) <= 1) // runs of one item at the engines
+		is.True(deployment.Ledger.Starts(body) <= 1) // runs of one item at the engines
 	}
 }
 
@@ -341,21 +341,21 @@
 func TestCancelledJobStopsAtTheEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := start(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(10)
 	}
-	batches := load.NewBatchClient(target(running))
+	batches := load.NewBatchClient(target(deployment))
 	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
 	is.NoErr(err)
-	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 20 })
+	eventually.Require(t, "items run", func() bool { return deployment.Ledger.Totals().Starts > 20 })
 	is.NoErr(batches.Cancel(callContext(t), job.ID))
 	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
 	is.Equal(status.State, "cancelled")
-	before := running.Ledger.Totals().Starts
+	before := deployment.Ledger.Totals().Starts
 	time.Sleep(2 * time.Second)
-	is.Equal(running.Ledger.Totals().Starts, before)
+	is.Equal(deployment.Ledger.Totals().Starts, before)
 	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed+audit.Failed, 2000) // every item has one outcome
@@ -368,23 +368,23 @@
 	t.Parallel()
 	is := is.New(t)
 	const mark = "this prompt crashes engines"
-	running := start(t, topology(3, 10))
-	for _, fragile := range running.Engines {
+	deployment := start(t, topology(3, 10))
+	for _, fragile := range deployment.Engines {
 		fragile.CrashOn(mark)
 	}
 	for try := range 6 {
-		api := client(running, try%3)
+		api := client(deployment, try%3)
 		_, err := api.Chat.Completions.New(callContext(t), chatParams(mark, 10), option.WithMaxRetries(0))
 		is.True(err != nil)
 	}
 	crashed := 0
-	for _, one := range running.Engines {
+	for _, one := range deployment.Engines {
 		if one.Crashed() {
 			crashed++
 		}
 	}
 	is.True(crashed > 0 && crashed <= 6) // three until the request is held, and at most three more by then
-	api := client(running, 1)
+	api := client(deployment, 1)
 	_, err := api.Chat.Completions.New(callContext(t), chatParams("an ordinary question", 10))
 	is.NoErr(err)
 }
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -54,28 +54,28 @@
 
 // start starts a fleet and waits until it is ready and generation 1 of the bundle is
 // active.
-func start(t *testing.T, shape fleet.Topology) *fleet.Fleet {
+func start(t *testing.T, spec fleet.Topology) *fleet.Fleet {
 	t.Helper()
 	is := is.New(t)
-	running, err := fleet.Start(shape, t.TempDir())
+	deployment, err := fleet.Start(spec, t.TempDir())
 	is.NoErr(err)
-	t.Cleanup(running.Close)
+	t.Cleanup(deployment.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
-	is.NoErr(running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text))
-	is.NoErr(running.AwaitReady(ctx, 1))
-	return running
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
+	is.NoErr(deployment.AwaitReady(ctx, 1))
+	return deployment
 }
 
-func target(running *fleet.Fleet) load.Target {
-	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
+func target(deployment *fleet.Fleet) load.Target {
+	return load.Target{Addresses: deployment.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 }
 
 // client returns an OpenAI client that sends its requests to the given node.
-func client(running *fleet.Fleet, node int) openai.Client {
+func client(deployment *fleet.Fleet, node int) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL("http://"+running.APIAddresses()[node]+"/v1"),
+		option.WithBaseURL("http://"+deployment.APIAddresses()[node]+"/v1"),
 		option.WithAPIKey(key.Key),
 		option.WithMaxRetries(0),
 	)
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -21,23 +21,23 @@
 func TestHomeRegions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	shape := topology(0, 0)
-	shape.DiskNodes, shape.Shards = 6, 2
-	shape.Zones = []fleet.Zone{
+	spec := topology(0, 0)
+	spec.DiskNodes, spec.Shards = 6, 2
+	spec.Zones = []fleet.Zone{
 		{Name: "home-zone", Region: "a-home", Nodes: 3, Runners: 1},
 		{Name: "far-zone", Region: "b-far", Nodes: 3, Runners: 1},
 	}
-	running, err := fleet.Start(shape, t.TempDir())
+	deployment, err := fleet.Start(spec, t.TempDir())
 	is.NoErr(err)
-	t.Cleanup(running.Close)
+	t.Cleanup(deployment.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
 	text = strings.Replace(text, "kind: Tenant\n", "kind: Tenant\nhome_region: a-home\n", 1)
-	is.NoErr(running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text))
-	is.NoErr(running.AwaitReady(ctx, 1))
+	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
+	is.NoErr(deployment.AwaitReady(ctx, 1))
 
-	far := client(running, 4)
+	far := client(deployment, 4)
 	once := func(name string) []option.RequestOption {
 		return []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", name)}
 	}
@@ -46,9 +46,9 @@
 		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("file from far", 8)
 	})
 	for _, index := range []int{0, 1, 2} {
-		running.KillNode(index)
+		deployment.KillNode(index)
 	}
-	running.Engines[0].Crash()
+	deployment.Engines[0].Crash()
 	_, err = far.Chat.Completions.New(callContext(t), chatParams("file again", 8), once("k2")...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
@@ -64,18 +64,18 @@
 func TestConcurrentOperatorsWithLostReplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 1))
+	deployment := start(t, topology(3, 1))
 	texts := []string{}
 	for _, weight := range []string{"0.7", "0.8"} {
-		basic := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+		basic := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
 		texts = append(texts, strings.Replace(basic, "tail_weight: 0.6", "tail_weight: "+weight, 1))
 	}
-	running.Platform.LoseAnswers(2)
+	deployment.Platform.LoseAnswers(2)
 	outcomes := make(chan error, len(texts))
 	for i, text := range texts {
 		go func() {
-			admin := running.Nodes()[i].Settings.Node.AdminAddress
-			outcomes <- running.Operator.Roll(callContext(t), admin, cluster, 2, text)
+			admin := deployment.Nodes()[i].Settings.Node.AdminAddress
+			outcomes <- deployment.Operator.Roll(callContext(t), admin, cluster, 2, text)
 		}()
 	}
 	accepted, conflicts := 0, 0
@@ -92,5 +92,5 @@
 	}
 	is.Equal(accepted, 1)
 	is.Equal(conflicts, 1)
-	is.NoErr(running.AwaitReady(callContext(t), 2))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 }
--- a/lab/e2e/tls_test.go
+++ b/lab/e2e/tls_test.go
@@ -22,26 +22,26 @@
 	is := is.New(t)
 	authority, err := keys.NewAuthority(t.TempDir())
 	is.NoErr(err)
-	shape := topology(3, 2)
-	shape.ChangeSettings = func(loaded *settings.Settings) error {
+	spec := topology(3, 2)
+	spec.ChangeSettings = func(loaded *settings.Settings) error {
 		certificate, key, err := authority.Issue(loaded.Node.ID)
 		loaded.TLS.API = settings.KeyPair{Certificate: certificate, Key: key}
 		loaded.TLS.Nodes, loaded.TLS.NodesAuthority = loaded.TLS.API, authority.File
 		return err
 	}
-	running := start(t, shape)
+	deployment := start(t, spec)
 	pool := x509.NewCertPool()
 	pem, err := os.ReadFile(authority.File)
 	is.NoErr(err)
 	is.True(pool.AppendCertsFromPEM(pem))
 	secure := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	api := openai.NewClient(option.WithBaseURL("https://"+running.APIAddresses()[0]+"/v1"), option.WithAPIKey(key.Key), option.WithHTTPClient(secure), option.WithMaxRetries(0))
+	api := openai.NewClient(option.WithBaseURL("https://"+deployment.APIAddresses()[0]+"/v1"), option.WithAPIKey(key.Key), option.WithHTTPClient(secure), option.WithMaxRetries(0))
 	answer, err := api.Chat.Completions.New(callContext(t), chatParams("over tls", 10))
 	is.NoErr(err)
 	is.Equal(answer.Choices[0].Message.Content, expectedAnswer("over tls", 10))
 	batchThroughClient(t, api)
 
-	plain := client(running, 0)
+	plain := client(deployment, 0)
 	_, err = plain.Chat.Completions.New(callContext(t), chatParams("in the clear", 10))
 	is.True(err != nil) // plain HTTP is not served
 }
--- a/lab/fleet/start.go
+++ b/lab/fleet/start.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// startFirstTime starts a node for the first time. If the start fails, for example because
-// another process has taken one of the node's ports, it retries with new ports.
+// startFirstTime starts a node for the first time. If the start fails, it is retried with
+// new ports, because another process may have taken one of the node's ports.
 func (f *Fleet) startFirstTime(index int) error {
 	err := f.StartNode(index)
 	for try := 0; err != nil && try < maxStartRetries; try++ {
--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -12,7 +12,9 @@
 	"cobaltramp.example/cobaltramp/lab/engine"
 )
 
-// Audit counts the items of a job by the outcome that the client found in the results.
+// Audit counts the items of a job by the outcomes that the client found in the results.
+// Lost items have no result, and Wrong ones have an unexpected text. Duplicates counts the
+// additional results of items with more than one.
 type Audit struct {
 	Items, Completed, Failed, Lost, Duplicates, Wrong int
 	ErrorCodes                                        map[string]int
@@ -21,28 +23,28 @@
 // AuditJob downloads a job's results and counts the outcomes of its items.
 func (b *BatchClient) AuditJob(ctx context.Context, job *Job, status Status) (*Audit, error) {
 	audit := &Audit{Items: len(job.Bodies), ErrorCodes: map[string]int{}}
-	seen := map[string]int{}
+	timesSeen := map[string]int{}
 	for _, file := range []string{status.OutputFile, status.ErrorFile} {
 		if file == "" {
 			continue
 		}
-		if err := b.readResults(ctx, job, file, audit, seen); err != nil {
+		if err := b.readResults(ctx, job, file, audit, timesSeen); err != nil {
 			return nil, err
 		}
 	}
 	for id := range job.Bodies {
-		switch seen[id] {
+		switch timesSeen[id] {
 		case 0:
 			audit.Lost++
 		case 1:
 		default:
-			audit.Duplicates += seen[id] - 1
+			audit.Duplicates += timesSeen[id] - 1
 		}
 	}
 	return audit, nil
 }
 
-func (b *BatchClient) readResults(ctx context.Context, job *Job, file string, audit *Audit, seen map[string]int) error {
+func (b *BatchClient) readResults(ctx context.Context, job *Job, file string, audit *Audit, timesSeen map[string]int) error {
 	response, err := b.call(ctx, "GET", "/v1/files/"+file+"/content", "", nil)
 	if err != nil {
 		return err
@@ -60,13 +62,13 @@
 		if err != nil {
 			return trace.Wrap(err, "results %s broke off", file)
 		}
-		b.auditLine(job, gjson.ParseBytes(line), audit, seen)
+		b.auditLine(job, gjson.ParseBytes(line), audit, timesSeen)
 	}
 }
 
-func (b *BatchClient) auditLine(job *Job, line gjson.Result, audit *Audit, seen map[string]int) {
+func (b *BatchClient) auditLine(job *Job, line gjson.Result, audit *Audit, timesSeen map[string]int) {
 	id := line.Get("custom_id").String()
-	seen[id]++
+	timesSeen[id]++
 	if failure := line.Get("error.type"); failure.Exists() {
 		audit.Failed++
 		audit.ErrorCodes[failure.String()]++
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -26,8 +26,8 @@
 	Addresses []string
 	Key       string
 	Model     string
-	// MaxAnswerTokens is the engines' maximum length of a response. The expected text
-	// depends on it.
+	// MaxAnswerTokens is the engines' limit of tokens per response, on which the expected
+	// text depends.
 	MaxAnswerTokens int
 }
 
@@ -85,7 +85,7 @@
 	maxErrorBytes = 1 << 16
 )
 
-// errNodeUnavailable reports that the accepting node did not respond or that the
+// errNodeUnavailable reports that the accepting node did not respond or that its
 // connection broke. The request is retried at another node.
 var errNodeUnavailable = errors.New("accepting node lost")
 
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -14,10 +14,10 @@
 	firstToken *hdrhistogram.Histogram // microseconds
 	tokenGap   *hdrhistogram.Histogram
 	// Requests counts all requests, and Failed those without a complete and correct
-	// response. Truncated counts streams that ended without an error or an end marker,
-	// and Wrong responses with an unexpected text. Resent counts retries after the loss
-	// of the accepting node, and Refused error responses that report that the request
-	// did not run.
+	// response. Truncated counts streams that ended without an error or an end marker.
+	// Wrong counts responses with an unexpected text. Resent counts retries after the
+	// loss of the accepting node. Refused counts error responses according to which the
+	// request did not run.
 	Requests, Failed, Truncated, Wrong, Resent, Refused atomic.Int64
 	errors                                              map[string]int
 	series                                              []Sample
--- a/lab/scenario/outcome.go
+++ b/lab/scenario/outcome.go
@@ -19,25 +19,25 @@
 	OnlineTruncated int64          `json:"online_cut"`
 	OnlineWrong     int64          `json:"online_wrong"`
 	OnlineResent    int64          `json:"online_resent"`
-	FirstP50Ms      float64        `json:"first_token_p50_ms"`
-	FirstP95Ms      float64        `json:"first_token_p95_ms"`
-	FirstP99Ms      float64        `json:"first_token_p99_ms"`
-	GapP95Ms        float64        `json:"token_gap_p95_ms"`
-	GapP99Ms        float64        `json:"token_gap_p99_ms"`
+	FirstTokenP50Ms float64        `json:"first_token_p50_ms"`
+	FirstTokenP95Ms float64        `json:"first_token_p95_ms"`
+	FirstTokenP99Ms float64        `json:"first_token_p99_ms"`
+	TokenGapP95Ms   float64        `json:"token_gap_p95_ms"`
+	TokenGapP99Ms   float64        `json:"token_gap_p99_ms"`
 	Errors          map[string]int `json:"errors,omitempty"`
 
-	BatchTokens     int     `json:"batch_tokens"`
-	BatchItems      int     `json:"batch_items_offered"`
-	BatchRuns       int     `json:"batch_runs"`
-	OnlineShare     float64 `json:"online_slot_share"`
-	BatchShare      float64 `json:"batch_slot_share"`
-	Seconds         float64 `json:"seconds"`
-	JobsChecked     int     `json:"jobs_checked"`
-	ItemsDone       int     `json:"items_completed"`
-	ItemsLost       int     `json:"items_lost"`
-	ItemsDuplicated int     `json:"items_doubled"`
-	ItemsWrong      int     `json:"items_wrong"`
-	PlatformCalls   int64   `json:"platform_requests"`
+	BatchTokens      int     `json:"batch_tokens"`
+	ItemsSubmitted   int     `json:"batch_items_offered"`
+	BatchRuns        int     `json:"batch_runs"`
+	OnlineShare      float64 `json:"online_slot_share"`
+	BatchShare       float64 `json:"batch_slot_share"`
+	Seconds          float64 `json:"seconds"`
+	JobsChecked      int     `json:"jobs_checked"`
+	ItemsCompleted   int     `json:"items_completed"`
+	ItemsLost        int     `json:"items_lost"`
+	ItemsDuplicated  int     `json:"items_doubled"`
+	ItemsWrong       int     `json:"items_wrong"`
+	PlatformRequests int64   `json:"platform_requests"`
 
 	Latency   []LatencyPoint `json:"latency"`
 	Occupancy []Occupancy    `json:"use"`
@@ -66,10 +66,10 @@
 
 // Violations lists the guarantees that were violated in the run.
 func (o *Outcome) Violations() []string {
-	var broken []string
-	add := func(count int64, what string) {
+	var violations []string
+	add := func(count int64, description string) {
 		if count > 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", count, what))
+			violations = append(violations, fmt.Sprintf("%d %s", count, description))
 		}
 	}
 	add(o.OnlineTruncated, "streams cut")
@@ -78,7 +78,7 @@
 	add(int64(o.ItemsLost), "items lost")
 	add(int64(o.ItemsDuplicated), "items doubled")
 	add(int64(o.ItemsWrong), "items with wrong text")
-	return broken
+	return violations
 }
 
 func (r *run) newOutcome(before, after engine.Usage, elapsed time.Duration) *Outcome {
@@ -87,12 +87,12 @@
 		Policy: r.policy, Seed: r.seed, Seconds: elapsed.Seconds(),
 		OnlineRequests: r.recorder.Requests.Load(), OnlineFailed: r.recorder.Failed.Load(), OnlineRefused: r.recorder.Refused.Load(),
 		OnlineTruncated: r.recorder.Truncated.Load(), OnlineWrong: r.recorder.Wrong.Load(), OnlineResent: r.recorder.Resent.Load(),
-		FirstP50Ms: milliseconds(r.recorder.FirstToken(50)), FirstP95Ms: milliseconds(r.recorder.FirstToken(95)), FirstP99Ms: milliseconds(r.recorder.FirstToken(99)),
-		GapP95Ms: milliseconds(r.recorder.TokenGap(95)), GapP99Ms: milliseconds(r.recorder.TokenGap(99)), Errors: r.recorder.Errors(),
-		BatchTokens:   after.BatchTokens - before.BatchTokens,
-		OnlineShare:   (after.OnlineSlotSeconds - before.OnlineSlotSeconds) / slotSeconds,
-		BatchShare:    (after.BatchSlotSeconds - before.BatchSlotSeconds) / slotSeconds,
-		PlatformCalls: r.fleet.Platform.Requests.Load(), Occupancy: r.occupancy,
+		FirstTokenP50Ms: milliseconds(r.recorder.FirstToken(50)), FirstTokenP95Ms: milliseconds(r.recorder.FirstToken(95)), FirstTokenP99Ms: milliseconds(r.recorder.FirstToken(99)),
+		TokenGapP95Ms: milliseconds(r.recorder.TokenGap(95)), TokenGapP99Ms: milliseconds(r.recorder.TokenGap(99)), Errors: r.recorder.Errors(),
+		BatchTokens:      after.BatchTokens - before.BatchTokens,
+		OnlineShare:      (after.OnlineSlotSeconds - before.OnlineSlotSeconds) / slotSeconds,
+		BatchShare:       (after.BatchSlotSeconds - before.BatchSlotSeconds) / slotSeconds,
+		PlatformRequests: r.fleet.Platform.Requests.Load(), Occupancy: r.occupancy,
 	}
 	for _, sample := range r.recorder.Series() {
 		o.Latency = append(o.Latency, LatencyPoint{sample.At.Sub(r.began).Seconds(), milliseconds(sample.FirstToken)})
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -85,8 +85,8 @@
 func (r *Result) addToSummary(summary *Summary, outcome *Outcome) {
 	summary.Violations = append(summary.Violations, outcome.Violations()...)
 	if off := r.find("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
-		summary.Harm.add(outcome.FirstP95Ms / off.FirstP95Ms)
-		summary.GapHarm.add(outcome.GapP95Ms / off.GapP95Ms)
+		summary.Harm.add(outcome.FirstTokenP95Ms / off.FirstTokenP95Ms)
+		summary.GapHarm.add(outcome.TokenGapP95Ms / off.TokenGapP95Ms)
 		if alone := r.find("batch_only", outcome.Seed); alone != nil && outcome.Policy != "batch_only" {
 			oracle := float64(alone.BatchTokens) / alone.Seconds * (1 - off.OnlineShare)
 			summary.Yield.add(float64(outcome.BatchTokens) / outcome.Seconds / oracle)
@@ -157,7 +157,7 @@
 			continue
 		}
 		name := fmt.Sprintf("%s/%d", outcome.Policy, outcome.Seed)
-		line.AddSeries(name, []opts.LineData{{Value: outcome.FirstP50Ms}, {Value: outcome.FirstP95Ms}, {Value: outcome.FirstP99Ms}})
+		line.AddSeries(name, []opts.LineData{{Value: outcome.FirstTokenP50Ms}, {Value: outcome.FirstTokenP95Ms}, {Value: outcome.FirstTokenP99Ms}})
 	}
 	return line
 }
@@ -188,9 +188,9 @@
 		axis[i] = fmt.Sprintf("%.1f", float64(i)*bin)
 		worst[i] = opts.LineData{Value: round(peaks[i])}
 	}
-	for _, moment := range o.Occupancy {
-		if at := int(moment.Seconds / bin); at >= 0 && at < bins {
-			online[at], batch[at] = opts.LineData{Value: moment.Online}, opts.LineData{Value: moment.Batch}
+	for _, sample := range o.Occupancy {
+		if at := int(sample.Seconds / bin); at >= 0 && at < bins {
+			online[at], batch[at] = opts.LineData{Value: sample.Online}, opts.LineData{Value: sample.Batch}
 		}
 	}
 	line.SetXAxis(axis).AddSeries("worst first token (ms)", worst).AddSeries("online sequences", online).AddSeries("batch sequences", batch)
@@ -216,8 +216,8 @@
 			if now.Policy != name || then == nil {
 				continue
 			}
-			first.add(now.FirstP95Ms / then.FirstP95Ms)
-			gap.add(now.GapP95Ms / then.GapP95Ms)
+			first.add(now.FirstTokenP95Ms / then.FirstTokenP95Ms)
+			gap.add(now.TokenGapP95Ms / then.TokenGapP95Ms)
 			tokens.add(float64(now.BatchTokens) / now.Seconds / (float64(then.BatchTokens) / then.Seconds))
 		}
 		if first.Count+tokens.Count > 0 {
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -27,7 +27,7 @@
 				return nil, trace.Wrap(err, "policy %s, seed %d", policy, seed)
 			}
 			printf(out, "  online %d, failed %d, first token p95 %.0f ms p99 %.0f ms, gap p95 %.1f ms, batch tokens %d in %.0f s\n",
-				outcome.OnlineRequests, outcome.OnlineFailed, outcome.FirstP95Ms, outcome.FirstP99Ms, outcome.GapP95Ms, outcome.BatchTokens, outcome.Seconds)
+				outcome.OnlineRequests, outcome.OnlineFailed, outcome.FirstTokenP95Ms, outcome.FirstTokenP99Ms, outcome.TokenGapP95Ms, outcome.BatchTokens, outcome.Seconds)
 			result.Outcomes = append(result.Outcomes, *outcome)
 		}
 	}
@@ -46,20 +46,20 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := fleet.Start(s.Topology, folder)
+	deployment, err := fleet.Start(s.Topology, folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
+	defer deployment.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	if err := running.Operator.Roll(ctx, running.AdminAddress(), s.Topology.Cluster, 1, s.bundleText(running.Operator, policy)); err != nil {
+	if err := deployment.Operator.Roll(ctx, deployment.AdminAddress(), s.Topology.Cluster, 1, s.bundleText(deployment.Operator, policy)); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := running.AwaitReady(ctx, 1); err != nil {
+	if err := deployment.AwaitReady(ctx, 1); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	r := &run{scenario: s, policy: policy, seed: seed, fleet: running, recorder: load.NewRecorder(), out: out}
+	r := &run{scenario: s, policy: policy, seed: seed, fleet: deployment, recorder: load.NewRecorder(), out: out}
 	defer r.faults.Wait()
 	return r.execute()
 }
@@ -180,20 +180,20 @@
 			return
 		case <-ticker.C:
 		}
-		moment := Occupancy{Seconds: time.Since(r.began).Seconds()}
-		for _, watched := range r.fleet.Engines {
-			online, batch := watched.Running()
-			moment.Online += online
-			moment.Batch += batch
+		current := Occupancy{Seconds: time.Since(r.began).Seconds()}
+		for _, observed := range r.fleet.Engines {
+			online, batch := observed.Running()
+			current.Online += online
+			current.Batch += batch
 		}
-		r.occupancy = append(r.occupancy, moment)
+		r.occupancy = append(r.occupancy, current)
 	}
 }
 
 func (r *run) totalUsage() engine.Usage {
 	var total engine.Usage
-	for _, used := range r.fleet.Engines {
-		usage := used.Usage()
+	for _, observed := range r.fleet.Engines {
+		usage := observed.Usage()
 		total.OnlineSlotSeconds += usage.OnlineSlotSeconds
 		total.BatchSlotSeconds += usage.BatchSlotSeconds
 		total.BatchTokens += usage.BatchTokens
@@ -209,7 +209,7 @@
 	defer cancel()
 	client := load.NewBatchClient(r.target())
 	for _, job := range r.jobs {
-		o.BatchItems += len(job.Bodies)
+		o.ItemsSubmitted += len(job.Bodies)
 		status, err := client.Status(ctx, job.ID)
 		if err != nil {
 			return trace.Wrap(err)
@@ -227,7 +227,7 @@
 			return trace.Wrap(err)
 		}
 		o.JobsChecked++
-		o.ItemsDone += audit.Completed
+		o.ItemsCompleted += audit.Completed
 		o.ItemsLost += audit.Lost
 		o.ItemsDuplicated += audit.Duplicates
 		o.ItemsWrong += audit.Wrong
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -54,6 +54,7 @@
 
 // JobBursts describes batch jobs that arrive in bursts.
 type JobBursts struct {
+	// Every is the interval between bursts, and Jobs the number of jobs in a burst.
 	Every    time.Duration      `yaml:"every"`
 	Jobs     int                `yaml:"jobs"`
 	Workload load.BatchWorkload `yaml:"shape"`
