--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -166,8 +166,8 @@
 	requireNoFailures(t, recorder)
 }
 
-// A once request that is sent concurrently through all nodes runs a single time, and all
-// callers get the same response.
+// A request of class once that is sent concurrently through all nodes runs a single time,
+// and all callers get the same response.
 func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -189,8 +189,8 @@
 	is.Equal(deployment.Ledger.Totals().Starts, 1) // one run at the engines
 }
 
-// sendOnceRequest sends a once request, and repeats it while the node responds that it is
-// in progress.
+// sendOnceRequest sends a request of class once, and repeats it while the node responds
+// that it is in progress.
 func sendOnceRequest(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
 	ctx := callContext(t)
 	for {
@@ -207,8 +207,8 @@
 	}
 }
 
-// If the engine crashes while it runs a once request, the caller is told that the outcome
-// is unknown, and a repeated request does not run again.
+// If the engine crashes while it runs a request of class once, the response reports an
+// unknown outcome, and a repeated request does not run again.
 func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -16,8 +16,8 @@
 )
 
 // A tenant's idempotency keys are stored in its home region, and can be claimed from
-// another region. While the home region is down, once requests are refused as not run, and
-// other requests are served.
+// another region. While the home region is down, requests of class once are refused as not
+// run, and other requests are served.
 func TestHomeRegions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -24,7 +24,7 @@
 	// uses all idle capacity. That rate is the one of policy "batch_only" times the part
 	// of the slots that online load leaves free under policy "off".
 	Yield Spread `json:"yield"`
-	// Violations of all seeds.
+	// Violations lists the violated guarantees of all seeds.
 	Violations []string `json:"broken"`
 }
 
@@ -147,7 +147,7 @@
 
 func round(value float64) float64 { return math.Round(value*1000) / 1000 }
 
-// distributionChart shows the quantiles of the time to first token.
+// distributionChart shows percentiles of the time to first token.
 func (r *Result) distributionChart() *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: "time to first token", Subtitle: "ms, p50, p95 and p99 by policy and seed"}))
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -33,9 +33,10 @@
 	StaticSlots int `yaml:"static_slots"`
 	// Online lists the phases of online load, in order.
 	Online []Phase `yaml:"online"`
-	// OnlineWorkload describes the online requests. Their rate is taken from the phases.
+	// OnlineWorkload describes the online requests. Its rate and seed are replaced in each
+	// phase.
 	OnlineWorkload load.OnlineWorkload `yaml:"online_shape"`
-	// Bursts are the batch jobs.
+	// Bursts describes the batch jobs.
 	Bursts JobBursts `yaml:"heaps"`
 	Faults []Fault   `yaml:"faults"`
 	// Policies lists the policies to run: "managed", which production uses, and the
