--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -29,7 +29,7 @@
 	readyTimeout = 30 * time.Second
 )
 
-var tenant = fleet.TenantKey{Tenant: "bench", Key: "bench-key"}
+var tenantKey = fleet.TenantKey{Tenant: "bench", Key: "bench-key"}
 
 func topology(nodes, shards int) fleet.Topology {
 	return fleet.Topology{
@@ -39,24 +39,24 @@
 	}
 }
 
-// start starts a deployment and waits until its bundle is active, all runners are ready
-// and all shards have leaders.
-func start(folder string, spec fleet.Topology) (*fleet.Fleet, error) {
+// startDeployment starts a deployment and waits until its bundle is active, all runners
+// are ready and all shards have leaders.
+func startDeployment(folder string, spec fleet.Topology) (*fleet.Fleet, error) {
 	deployment, err := fleet.Start(spec, folder)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := makeReady(deployment); err != nil {
+	if err := rollAndAwaitReady(deployment); err != nil {
 		deployment.Close()
 		return nil, trace.Wrap(err)
 	}
 	return deployment, nil
 }
 
-func makeReady(deployment *fleet.Fleet) error {
+func rollAndAwaitReady(deployment *fleet.Fleet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenant})
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	if err := deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text); err != nil {
 		return trace.Wrap(err)
 	}
--- a/lab/bench/commands.go
+++ b/lab/bench/commands.go
@@ -26,10 +26,10 @@
 		file := fmt.Sprintf("file-%d-%d-%d", count, worker, time.Now().UnixNano())
 		jobs[worker] = "job-" + file
 		commands := []*wirev1.Command{
-			{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{FileId: file, Tenant: tenant.Tenant}}},
+			{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{FileId: file, Tenant: tenantKey.Tenant}}},
 			{Kind: &wirev1.Command_AppendSegment{AppendSegment: &wirev1.AppendSegment{FileId: file, Items: []*wirev1.Item{{CustomId: "x", Model: "none"}}}}},
 			{Kind: &wirev1.Command_SealFile{SealFile: &wirev1.SealFile{FileId: file, Segments: 1, Items: 1 << 40, Digest: []byte(file)}}},
-			{Kind: &wirev1.Command_CreateJob{CreateJob: &wirev1.CreateJob{JobId: jobs[worker], Tenant: tenant.Tenant, InputFileId: file, DeadlineUnixMs: 1 << 50}}},
+			{Kind: &wirev1.Command_CreateJob{CreateJob: &wirev1.CreateJob{JobId: jobs[worker], Tenant: tenantKey.Tenant, InputFileId: file, DeadlineUnixMs: 1 << 50}}},
 		}
 		for _, command := range commands {
 			if _, err := jobDirectory.Propose(ctx, shard, command); err != nil {
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -35,12 +35,12 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	deployment, err := start(folder, topology(diskNodes, 8))
+	deployment, err := startDeployment(folder, topology(diskNodes, 8))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer deployment.Close()
-	target := load.Target{Addresses: deployment.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
+	target := load.Target{Addresses: deployment.APIAddresses()[:1], Key: tenantKey.Key, Model: model, MaxAnswerTokens: 64}
 	var reports []IntakeReport
 	for number, count := range counts {
 		report, err := measureUpload(load.NewBatchClient(target), count, uint64(number))
--- a/lab/bench/log.go
+++ b/lab/bench/log.go
@@ -40,7 +40,7 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	deployment, err := start(folder, topology(diskNodes, shards))
+	deployment, err := startDeployment(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/lab/bench/path.go
+++ b/lab/bench/path.go
@@ -50,7 +50,7 @@
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	one, err := start(filepath.Join(folder, "one"), topology(1, 1))
+	one, err := startDeployment(filepath.Join(folder, "one"), topology(1, 1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -73,7 +73,7 @@
 func startRemote(folder string) (*fleet.Fleet, error) {
 	spec := topology(1, 1)
 	spec.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
-	return start(folder, spec)
+	return startDeployment(folder, spec)
 }
 
 // measureRequests sends requests to an address, and returns percentiles of the time to
@@ -109,7 +109,7 @@
 	began := time.Now()
 	response, err := client.Do(context.Background(), &httpcall.Request{
 		Method: "POST", URL: "http://" + address + "/v1/chat/completions", Body: body,
-		Headers: [][2]string{{"Authorization", "Bearer " + tenant.Key}, {"Content-Type", "application/json"}},
+		Headers: [][2]string{{"Authorization", "Bearer " + tenantKey.Key}, {"Content-Type", "application/json"}},
 	})
 	if err != nil {
 		return 0, err
--- a/lab/bench/recovery.go
+++ b/lab/bench/recovery.go
@@ -44,7 +44,7 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	const shards = 4
-	deployment, err := start(folder, topology(diskNodes, shards))
+	deployment, err := startDeployment(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/lab/e2e/client_test.go
+++ b/lab/e2e/client_test.go
@@ -35,7 +35,7 @@
 // The official OpenAI client works with all parts of the API.
 func TestOpenAIClient(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	api := client(deployment, 0)
 
 	t.Run("chat", func(t *testing.T) {
@@ -191,7 +191,7 @@
 
 func TestInvalidUploadErrorsNameTheLine(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 1))
+	deployment := startDeployment(t, topology(3, 1))
 	api := client(deployment, 0)
 	good := inputFile("good", 1)
 	cases := []struct{ name, text, want string }{
@@ -218,8 +218,8 @@
 func TestNewVersionAndAdapterAreLoadedAndServed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
-	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+	deployment := startDeployment(t, topology(3, 2))
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\nadapters: [founders]\n", 1)
 	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
 	is.NoErr(deployment.AwaitReady(callContext(t), 2))
@@ -242,8 +242,8 @@
 	is := is.New(t)
 	spec := topology(3, 12)
 	spec.Engine.WeightBytes = 96 << 20
-	deployment := start(t, spec)
-	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+	deployment := startDeployment(t, spec)
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	text = strings.Replace(text, "version: \"1\"\n", "version: \"2\"\n", 1)
 	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -50,7 +50,7 @@
 // of order or for other requests.
 func TestReorderedAndRepeatedEvents(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	for _, disorderly := range deployment.Engines {
 		disorderly.SetDisorder(true)
 		disorderly.SetLate(20*time.Millisecond, 20*time.Millisecond)
@@ -62,7 +62,7 @@
 // Requests of a crashed engine continue at other engines, and their responses are complete.
 func TestRequestsContinueAfterEngineCrash(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 4))
+	deployment := startDeployment(t, topology(3, 4))
 	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
 		deployment.Engines[0].Crash()
@@ -74,7 +74,7 @@
 // Requests of an engine that stalls without closing its streams continue at other engines.
 func TestRequestsContinueAfterEngineStall(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 4))
+	deployment := startDeployment(t, topology(3, 4))
 	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
 		deployment.Engines[0].Stall(15 * time.Second)
@@ -87,7 +87,7 @@
 // is killed.
 func TestKilledOwnerIsInvisibleToCallers(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(5, 4))
+	deployment := startDeployment(t, topology(5, 4))
 	addresses := deployment.APIAddresses()[:4]
 	recorder := withOnlineLoad(deployment, addresses, 20, func() {
 		time.Sleep(time.Second)
@@ -102,7 +102,7 @@
 // load.
 func TestRollingRestartTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
-	deployment := start(t, topology(3, 3))
+	deployment := startDeployment(t, topology(3, 3))
 	for index := range deployment.Nodes() {
 		others := append([]string(nil), deployment.APIAddresses()...)
 		others = append(others[:index], others[index+1:]...)
@@ -122,7 +122,7 @@
 func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(12)
 	}
@@ -150,7 +150,7 @@
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	deployment.Platform.SetDown(true)
 	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		batches := load.NewBatchClient(target(deployment))
@@ -171,7 +171,7 @@
 func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	params := chatParams("file the annual return of company 7", 12)
 	var group sync.WaitGroup
 	answers := make([]string, 6)
@@ -212,7 +212,7 @@
 func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(50)
 	}
@@ -248,7 +248,7 @@
 func TestTwoDisksWipedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(5, 4))
+	deployment := startDeployment(t, topology(5, 4))
 	batches := load.NewBatchClient(target(deployment))
 	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
 	is.NoErr(err)
@@ -273,10 +273,10 @@
 func TestTenantRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	const rate = 6
 	text := fleet.BasicBundle(deployment.Operator, model, model, slots, nil)
-	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", key.Tenant, key.Hash(), rate)
+	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", tenantKey.Tenant, tenantKey.Hash(), rate)
 	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
 	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 	const seconds = 6
@@ -293,8 +293,8 @@
 func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 4))
-	text := strings.Replace(fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
+	deployment := startDeployment(t, topology(3, 4))
+	text := strings.Replace(fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
 	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
 	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 	for _, slowed := range deployment.Engines {
@@ -317,7 +317,7 @@
 func TestOnceItemsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(5, 4))
+	deployment := startDeployment(t, topology(5, 4))
 	batches := load.NewBatchClient(target(deployment))
 	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
 	is.NoErr(err)
@@ -341,7 +341,7 @@
 func TestCancelledJobStopsAtTheEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(10)
 	}
@@ -368,7 +368,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const mark = "this prompt crashes engines"
-	deployment := start(t, topology(3, 10))
+	deployment := startDeployment(t, topology(3, 10))
 	for _, fragile := range deployment.Engines {
 		fragile.CrashOn(mark)
 	}
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -29,7 +29,7 @@
 	tenantName      = "registry"
 )
 
-var key = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
+var tenantKey = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
 
 // TestMain discards the nodes' logs.
 func TestMain(m *testing.M) {
@@ -52,9 +52,9 @@
 	}
 }
 
-// start starts a fleet and waits until it is ready and generation 1 of the bundle is
-// active.
-func start(t *testing.T, spec fleet.Topology) *fleet.Fleet {
+// startDeployment starts a fleet and waits until it is ready and generation 1 of the
+// bundle is active.
+func startDeployment(t *testing.T, spec fleet.Topology) *fleet.Fleet {
 	t.Helper()
 	is := is.New(t)
 	deployment, err := fleet.Start(spec, t.TempDir())
@@ -62,21 +62,21 @@
 	t.Cleanup(deployment.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
 	is.NoErr(deployment.AwaitReady(ctx, 1))
 	return deployment
 }
 
 func target(deployment *fleet.Fleet) load.Target {
-	return load.Target{Addresses: deployment.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
+	return load.Target{Addresses: deployment.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 }
 
 // client returns an OpenAI client that sends its requests to the given node.
 func client(deployment *fleet.Fleet, node int) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://"+deployment.APIAddresses()[node]+"/v1"),
-		option.WithAPIKey(key.Key),
+		option.WithAPIKey(tenantKey.Key),
 		option.WithMaxRetries(0),
 	)
 }
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(deployment.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	text = strings.Replace(text, "kind: Tenant\n", "kind: Tenant\nhome_region: a-home\n", 1)
 	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
 	is.NoErr(deployment.AwaitReady(ctx, 1))
@@ -64,10 +64,10 @@
 func TestConcurrentOperatorsWithLostReplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	deployment := start(t, topology(3, 1))
+	deployment := startDeployment(t, topology(3, 1))
 	texts := []string{}
 	for _, weight := range []string{"0.7", "0.8"} {
-		basic := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{key})
+		basic := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 		texts = append(texts, strings.Replace(basic, "tail_weight: 0.6", "tail_weight: "+weight, 1))
 	}
 	deployment.Platform.LoseAnswers(2)
--- a/lab/e2e/tls_test.go
+++ b/lab/e2e/tls_test.go
@@ -29,13 +29,13 @@
 		loaded.TLS.Nodes, loaded.TLS.NodesAuthority = loaded.TLS.API, authority.File
 		return err
 	}
-	deployment := start(t, spec)
+	deployment := startDeployment(t, spec)
 	pool := x509.NewCertPool()
 	pem, err := os.ReadFile(authority.File)
 	is.NoErr(err)
 	is.True(pool.AppendCertsFromPEM(pem))
 	secure := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	api := openai.NewClient(option.WithBaseURL("https://"+deployment.APIAddresses()[0]+"/v1"), option.WithAPIKey(key.Key), option.WithHTTPClient(secure), option.WithMaxRetries(0))
+	api := openai.NewClient(option.WithBaseURL("https://"+deployment.APIAddresses()[0]+"/v1"), option.WithAPIKey(tenantKey.Key), option.WithHTTPClient(secure), option.WithMaxRetries(0))
 	answer, err := api.Chat.Completions.New(callContext(t), chatParams("over tls", 10))
 	is.NoErr(err)
 	is.Equal(answer.Choices[0].Message.Content, expectedAnswer("over tls", 10))
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("%.2f (%.2f–%.2f)", s.Mean, s.Min, s.Max)
 }
 
-func (r *Result) find(policy string, seed uint64) *Outcome {
+func (r *Result) findOutcome(policy string, seed uint64) *Outcome {
 	for i := range r.Outcomes {
 		if r.Outcomes[i].Policy == policy && r.Outcomes[i].Seed == seed {
 			return &r.Outcomes[i]
@@ -84,10 +84,10 @@
 
 func (r *Result) addToSummary(summary *Summary, outcome *Outcome) {
 	summary.Violations = append(summary.Violations, outcome.Violations()...)
-	if off := r.find("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
+	if off := r.findOutcome("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
 		summary.Harm.add(outcome.FirstTokenP95Ms / off.FirstTokenP95Ms)
 		summary.GapHarm.add(outcome.TokenGapP95Ms / off.TokenGapP95Ms)
-		if alone := r.find("batch_only", outcome.Seed); alone != nil && outcome.Policy != "batch_only" {
+		if alone := r.findOutcome("batch_only", outcome.Seed); alone != nil && outcome.Policy != "batch_only" {
 			oracle := float64(alone.BatchTokens) / alone.Seconds * (1 - off.OnlineShare)
 			summary.Yield.add(float64(outcome.BatchTokens) / outcome.Seconds / oracle)
 		}
@@ -137,15 +137,15 @@
 			verdict = "PROMISES BROKEN by " + summary.Policy + ": " + strings.Join(summary.Violations, ", ")
 		}
 		names = append(names, summary.Policy)
-		harm = append(harm, opts.BarData{Value: round(summary.Harm.Mean)})
-		yield = append(yield, opts.BarData{Value: round(summary.Yield.Mean)})
+		harm = append(harm, opts.BarData{Value: roundTo3Decimals(summary.Harm.Mean)})
+		yield = append(yield, opts.BarData{Value: roundTo3Decimals(summary.Yield.Mean)})
 	}
 	bar.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: r.Scenario + ": " + verdict, Subtitle: "harm: first token p95 over that without batch; yield: batch tokens over the oracle's"}))
 	bar.SetXAxis(names).AddSeries("harm", harm).AddSeries("yield", yield)
 	return bar
 }
 
-func round(value float64) float64 { return math.Round(value*1000) / 1000 }
+func roundTo3Decimals(value float64) float64 { return math.Round(value*1000) / 1000 }
 
 // distributionChart shows percentiles of the time to first token.
 func (r *Result) distributionChart() *charts.Line {
@@ -186,7 +186,7 @@
 	}
 	for i := range bins {
 		axis[i] = fmt.Sprintf("%.1f", float64(i)*bin)
-		worst[i] = opts.LineData{Value: round(peaks[i])}
+		worst[i] = opts.LineData{Value: roundTo3Decimals(peaks[i])}
 	}
 	for _, sample := range o.Occupancy {
 		if at := int(sample.Seconds / bin); at >= 0 && at < bins {
@@ -212,7 +212,7 @@
 		var first, gap, tokens Spread
 		for i := range after.Outcomes {
 			now := &after.Outcomes[i]
-			then := before.find(name, now.Seed)
+			then := before.findOutcome(name, now.Seed)
 			if now.Policy != name || then == nil {
 				continue
 			}
--- a/lab/scenario/run.go
+++ b/lab/scenario/run.go
@@ -94,7 +94,7 @@
 
 func (r *run) target() load.Target {
 	return load.Target{
-		Addresses: r.fleet.APIAddresses(), Key: tenant.Key, Model: r.scenario.Topology.Service,
+		Addresses: r.fleet.APIAddresses(), Key: tenantKey.Key, Model: r.scenario.Topology.Service,
 		MaxAnswerTokens: r.scenario.Topology.Engine.MaxAnswerTokens,
 	}
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -130,7 +130,7 @@
 		head += fmt.Sprintf("inter_token_target: %s\n", s.InterToken)
 	}
 	head += "---\n"
-	return head + fmt.Sprintf("kind: Tenant\nname: %s\nkey_hashes: [%s]\n", tenant.Tenant, tenant.Hash())
+	return head + fmt.Sprintf("kind: Tenant\nname: %s\nkey_hashes: [%s]\n", tenantKey.Tenant, tenantKey.Hash())
 }
 
-var tenant = fleet.TenantKey{Tenant: "house", Key: "house-key"}
+var tenantKey = fleet.TenantKey{Tenant: "house", Key: "house-key"}
