--- a/lab/pages_test.go
+++ b/lab/pages_test.go
@@ -14,9 +14,9 @@
 	"github.com/matryer/is"
 )
 
-// records are pages that tell what was done and measured at their time: their
-// links are checked, the names in them are not.
-var records = []string{"docs/measurements/", "docs/incidents/", "CHANGELOG.md"}
+// historicalPages are prefixes of pages that describe earlier versions. Their links are
+// checked, but they may contain names that no longer exist.
+var historicalPages = []string{"docs/measurements/", "docs/incidents/", "CHANGELOG.md"}
 
 var (
 	markdownLink   = regexp.MustCompile(`\]\(([^)\s]+)\)`)
@@ -26,7 +26,7 @@
 	testName       = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z]\w*$`)
 )
 
-// Each link, path, package.Identifier and test that a page names exists.
+// The links, paths, qualified identifiers and tests in the pages exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	is := is.New(t)
 	declared, err := declarations("..")
@@ -37,11 +37,11 @@
 		for _, missing := range brokenLinks(page, string(content)) {
 			t.Errorf("%s: link to %s, which does not exist", page, missing)
 		}
-		if isRecord(page) {
+		if isHistorical(page) {
 			continue
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(string(content), -1) {
-			if !known(declared, span[1]) {
+			if !exists(declared, span[1]) {
 				t.Errorf("%s: `%s` does not exist", page, span[1])
 			}
 		}
@@ -65,16 +65,16 @@
 	return found
 }
 
-func isRecord(page string) bool {
-	for _, record := range records {
-		if strings.HasPrefix(page, record) {
+func isHistorical(page string) bool {
+	for _, prefix := range historicalPages {
+		if strings.HasPrefix(page, prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// brokenLinks returns the targets within the repository that do not exist.
+// brokenLinks returns the links to targets within the repository that do not exist.
 func brokenLinks(page, content string) []string {
 	var broken []string
 	for _, link := range markdownLink.FindAllStringSubmatch(content, -1) {
@@ -89,14 +89,14 @@
 	return broken
 }
 
-// known reports whether a code span names something that exists, or is neither a
-// path nor a name of the repository.
-func known(declared map[string]map[string]bool, span string) bool {
+// exists reports whether the path, identifier or test in a code span exists. It returns
+// true for code spans that are none of these.
+func exists(declared map[string]map[string]bool, span string) bool {
 	if repositoryPath.MatchString(span) {
 		if _, err := os.Stat(filepath.Join("..", span)); err == nil {
 			return true
 		}
-		return knownInPackage(declared, span)
+		return existsInPackage(declared, span)
 	}
 	if testName.MatchString(span) {
 		return declaredAnywhere(declared, span)
@@ -105,16 +105,16 @@
 	if name == nil || !(ast.IsExported(name[2]) || ast.IsExported(name[3])) {
 		return true
 	}
-	names, ours := declared[name[1]]
-	if !ours {
+	names, inRepository := declared[name[1]]
+	if !inRepository {
 		return true
 	}
 	return names[name[2]] && (name[3] == "" || names[name[3]])
 }
 
-// knownInPackage is known for names with their package's path, such as
-// internal/app/kernel.Module.
-func knownInPackage(declared map[string]map[string]bool, span string) bool {
+// existsInPackage reports whether an identifier with the path of its package exists, such
+// as internal/app/kernel.Module.
+func existsInPackage(declared map[string]map[string]bool, span string) bool {
 	folder, qualified := filepath.Split(span)
 	name := qualifiedName.FindStringSubmatch(qualified)
 	if name == nil {
@@ -133,8 +133,8 @@
 	return false
 }
 
-// declarations returns, by package name, the names that its files declare:
-// functions, methods, types, fields, constants and variables.
+// declarations returns the names that each package declares, by package name: functions,
+// methods, types, fields, constants and variables.
 func declarations(root string) (map[string]map[string]bool, error) {
 	declared := map[string]map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -150,7 +150,7 @@
 			declared[packageName] = map[string]bool{}
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
-			for _, name := range namesOf(node) {
+			for _, name := range declaredNames(node) {
 				declared[packageName][name.Name] = true
 			}
 			return true
@@ -160,7 +160,7 @@
 	return declared, err
 }
 
-func namesOf(node ast.Node) []*ast.Ident {
+func declaredNames(node ast.Node) []*ast.Ident {
 	switch declaration := node.(type) {
 	case *ast.FuncDecl:
 		return []*ast.Ident{declaration.Name}
