--- a/internal/app/explain/explain.go
+++ b/internal/app/explain/explain.go
@@ -1,11 +1,12 @@
-// Package explain collects the story of one request, item or job from the log
-// lines of many processes: who took it, every choice with what it rested on,
-// every send and its outcome, how it ended, and what is missing from the record. It
-// reads the log lines of an edge and a storage node, and relies on their message
-// texts and keys. The command line runs it, no daemon does.
+// Package explain builds a timeline of one request, item or job from the log lines of
+// many processes. The timeline shows which process accepted it, each scheduling decision
+// with its inputs, each attempt with its outcome, the final outcome, and which expected
+// lines are missing. The package parses the logs of edges and storage nodes and depends
+// on their message texts and keys. Only the command line uses it.
 //
-// Clocks of machines disagree: lines of one source keep their order, sources
-// are merged by their time stamps, and the story names the source of each line.
+// The clocks of machines differ. The lines of one source keep their order, the lines of
+// different sources are merged by their time stamps, and each line is printed with its
+// source.
 package explain
 
 import (
@@ -20,9 +21,9 @@
 // Line is one structured log line.
 type Line struct {
 	Source string
-	// Stamp is the time of day of the process, "15:04:05.000000".
+	// Stamp is the time of day by the process's clock, "15:04:05.000000".
 	Stamp string
-	// Message is the line's fixed text, Fields its values by name.
+	// Message is the constant text of the line, Fields are its values by key.
 	Message string
 	Fields  map[string]string
 	order   int
@@ -31,14 +32,14 @@
 var (
 	linePattern  = regexp.MustCompile(`[IEWF]\d{4} (\d\d:\d\d:\d\d\.\d{6}) +\d+ \S+\] "([^"]*)"(.*)$`)
 	fieldPattern = regexp.MustCompile(`([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)`)
-	// sourcePattern finds the machine's name where lines of many are mixed.
+	// sourcePattern matches the machine's name in a log that mixes several machines.
 	sourcePattern = regexp.MustCompile(`([a-z][a-z0-9-]*-\d+) [IEWF]\d{4} `)
 )
 
-// maxLineBytes bounds one line.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Parse reads the lines of a source. Lines that are not structured are skipped.
+// Parse reads the structured lines of a source and skips all other lines.
 func Parse(source string, reader io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(reader)
@@ -67,124 +68,125 @@
 	return line, true
 }
 
-// idFields are the fields that name a request, an item or a job.
+// idFields are the keys of the fields that identify a request, an item or a job.
 var idFields = []string{"id", "item", "job"}
 
-func (l *Line) about(id string) bool {
+func (l *Line) refersTo(id string) bool {
 	for _, field := range idFields {
 		if value := l.Fields[field]; value == id || id != "" && strings.HasSuffix(value, "/"+id) {
-			return true // a job is named by its tenant and its own id
+			return true // jobs are logged as tenant/id
 		}
 	}
 	return false
 }
 
-// Story is what the lines say of one id.
-type Story struct {
+// Timeline contains the log lines about one request, item or job.
+type Timeline struct {
 	ID    string
 	Lines []Line
-	// Decisive is the line that made the end certain; nil if none did.
+	// Decisive is the line that determined the final outcome; nil if there is none.
 	Decisive *Line
-	// Missing says what a whole record would have.
+	// Missing describes the lines that a complete log would contain.
 	Missing []string
 }
 
-// StoryOf collects the story of a request, item or job by its id.
-func StoryOf(id string, lines []Line) *Story {
-	story := &Story{ID: id}
+// TimelineOf builds the timeline of the request, item or job with the given id.
+func TimelineOf(id string, lines []Line) *Timeline {
+	timeline := &Timeline{ID: id}
 	for _, line := range lines {
-		if line.about(id) {
-			story.Lines = append(story.Lines, line)
+		if line.refersTo(id) {
+			timeline.Lines = append(timeline.Lines, line)
 		}
 	}
-	sort.SliceStable(story.Lines, func(i, j int) bool {
-		a, b := &story.Lines[i], &story.Lines[j]
+	sort.SliceStable(timeline.Lines, func(i, j int) bool {
+		a, b := &timeline.Lines[i], &timeline.Lines[j]
 		if a.Source == b.Source {
 			return a.order < b.order
 		}
 		return a.Stamp < b.Stamp
 	})
-	story.decide()
-	story.findMissing()
-	return story
+	timeline.findDecisive()
+	timeline.findMissing()
+	return timeline
 }
 
-// Messages that the story's end is read from.
+// Log messages from which Timeline determines the final outcome and the missing lines.
 const (
-	messageAttempt = "attempt"
-	messageEnded   = "request ended"
-	messageRefused = "request refused"
-	// messageNotAdmitted is of a request beyond its tenant's limit.
-	messageNotAdmitted = "request not admitted"
-	messageHandedIn    = "job handed in"
-	messageTaken       = "job submission"
-	messageItemEnded   = "item run ended"
-	messageDecided     = "item decided"
-	messageGivenUp     = "item given up"
-	messageJobEnd      = "job end"
+	messageAttempt        = "attempt"
+	messageRequestEnded   = "request ended"
+	messageRequestRefused = "request refused"
+	// messageNotAdmitted is logged for a request that exceeds its tenant's limit.
+	messageNotAdmitted        = "request not admitted"
+	messageJobSubmitted       = "job handed in"
+	messageSubmissionReceived = "job submission"
+	messageItemEnded          = "item run ended"
+	messageItemDecided        = "item decided"
+	messageItemExpired        = "item given up"
+	messageJobEnded           = "job end"
 )
 
-// decide finds the line that made the end certain: a refusal, the last attempt
-// that was not tried again, the decision on an item, the end of a job.
-func (s *Story) decide() {
-	for i := range s.Lines {
-		line := &s.Lines[i]
-		final := line.Message == messageRefused || line.Message == messageNotAdmitted || line.Message == messageDecided || line.Message == messageGivenUp ||
-			line.Message == messageJobEnd || line.Message == messageAttempt && line.Fields["again"] == "false"
-		if final && s.Decisive == nil {
-			s.Decisive = line
+// findDecisive finds the first line that determines the final outcome: a refusal, an
+// attempt that is not retried, the result of an item, or the end of a job. Without such
+// a line, it takes the first end of a request or failed submission of a job.
+func (t *Timeline) findDecisive() {
+	for i := range t.Lines {
+		line := &t.Lines[i]
+		final := line.Message == messageRequestRefused || line.Message == messageNotAdmitted || line.Message == messageItemDecided || line.Message == messageItemExpired ||
+			line.Message == messageJobEnded || line.Message == messageAttempt && line.Fields["again"] == "false"
+		if final && t.Decisive == nil {
+			t.Decisive = line
 		}
 	}
-	if s.Decisive == nil {
-		for i := range s.Lines {
-			if m := s.Lines[i].Message; m == messageEnded || m == messageHandedIn && s.Lines[i].Fields["err"] != "null" {
-				s.Decisive = &s.Lines[i]
+	if t.Decisive == nil {
+		for i := range t.Lines {
+			if m := t.Lines[i].Message; m == messageRequestEnded || m == messageJobSubmitted && t.Lines[i].Fields["err"] != "null" {
+				t.Decisive = &t.Lines[i]
 				return
 			}
 		}
 	}
 }
 
-// findMissing names what a whole record of its kind would have.
-func (s *Story) findMissing() {
+// findMissing describes the lines that are missing from the log.
+func (t *Timeline) findMissing() {
 	has := map[string]bool{}
-	for _, line := range s.Lines {
+	for _, line := range t.Lines {
 		has[line.Message] = true
 	}
 	switch {
-	case len(s.Lines) == 0:
-		s.Missing = append(s.Missing, "any line with this id: the process that took it was killed, its lines were dropped, or it came nowhere")
-	case has[messageAttempt] && !has[messageEnded]:
-		s.Missing = append(s.Missing, "the end of the request: the edge was stopped or killed before it")
-	case has[messageEnded] && !has[messageAttempt] && !has[messageNotAdmitted]:
-		s.Missing = append(s.Missing, "an attempt: no runner was found to try")
-	case has[messageHandedIn] && !has[messageTaken]:
-		s.Missing = append(s.Missing, "the storage node that answered the submission")
-	case has[messageItemEnded] && !has[messageDecided]:
-		s.Missing = append(s.Missing, "the decision on the item: it has no result yet, its job was ended, or another leader took over")
+	case len(t.Lines) == 0:
+		t.Missing = append(t.Missing, "any line with this id: the process that took it was killed, its lines were dropped, or it came nowhere")
+	case has[messageAttempt] && !has[messageRequestEnded]:
+		t.Missing = append(t.Missing, "the end of the request: the edge was stopped or killed before it")
+	case has[messageRequestEnded] && !has[messageAttempt] && !has[messageNotAdmitted]:
+		t.Missing = append(t.Missing, "an attempt: no runner was found to try")
+	case has[messageJobSubmitted] && !has[messageSubmissionReceived]:
+		t.Missing = append(t.Missing, "the storage node that answered the submission")
+	case has[messageItemEnded] && !has[messageItemDecided]:
+		t.Missing = append(t.Missing, "the decision on the item: it has no result yet, its job was ended, or another leader took over")
 	}
 }
 
-// Print writes the story as text.
-func (s *Story) Print(writer io.Writer) {
-	fmt.Fprintf(writer, "%s: %d lines\n", s.ID, len(s.Lines))
-	for i := range s.Lines {
-		line := &s.Lines[i]
+// Print writes the timeline as text.
+func (t *Timeline) Print(writer io.Writer) {
+	fmt.Fprintf(writer, "%s: %d lines\n", t.ID, len(t.Lines))
+	for i := range t.Lines {
+		line := &t.Lines[i]
 		mark := " "
-		if line == s.Decisive {
+		if line == t.Decisive {
 			mark = "*"
 		}
-		fmt.Fprintf(writer, "%s %s %-24s %s%s\n", mark, line.Stamp, line.Source, line.Message, line.values())
+		fmt.Fprintf(writer, "%s %s %-24s %s%s\n", mark, line.Stamp, line.Source, line.Message, line.formatFields())
 	}
-	if s.Decisive != nil {
-		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", s.Decisive.Message, s.Decisive.Source, s.Decisive.values())
+	if t.Decisive != nil {
+		fmt.Fprintf(writer, "made certain by (*): %s at %s%s\n", t.Decisive.Message, t.Decisive.Source, t.Decisive.formatFields())
 	}
-	for _, missing := range s.Missing {
+	for _, missing := range t.Missing {
 		fmt.Fprintf(writer, "missing: %s\n", missing)
 	}
 }
 
-func (l *Line) values() string {
+func (l *Line) formatFields() string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
 		names = append(names, name)
--- a/internal/app/explain/tenant.go
+++ b/internal/app/explain/tenant.go
@@ -7,71 +7,73 @@
 	"strings"
 )
 
-// TenantStory is what the lines say of one tenant: what came of its requests,
-// where, and what the keeper of its limit had lent when it refused.
-type TenantStory struct {
+// TenantSummary summarises the log lines about one tenant: the outcomes of its requests
+// at each source, and the last refusals.
+type TenantSummary struct {
 	Tenant string
-	// Outcomes counts ended and refused requests by source and outcome.
+	// Outcomes counts ended requests by source and outcome.
 	Outcomes map[string]map[string]int
-	// Refusal is the last line of a request that was not admitted, Keeper the last
-	// of its keeper; nil if there is none.
+	// Refusal is the last line of an edge about a request that it did not admit. Keeper
+	// is the last line of the keeper of the tenant's limit about credits that it refused.
+	// They are nil if there is no such line.
 	Refusal, Keeper *Line
 }
 
-// messageCredits is what the keeper of a limit says when it refuses.
-const messageCredits = "tenant's credits refused"
+// messageCreditsRefused is logged by the keeper of a tenant's limit when it refuses
+// credits to a node.
+const messageCreditsRefused = "tenant's credits refused"
 
-// TenantStoryOf collects what the lines say of a tenant.
-func TenantStoryOf(tenant string, lines []Line) *TenantStory {
-	story := &TenantStory{Tenant: tenant, Outcomes: map[string]map[string]int{}}
+// TenantSummaryOf summarises the log lines about a tenant.
+func TenantSummaryOf(tenant string, lines []Line) *TenantSummary {
+	summary := &TenantSummary{Tenant: tenant, Outcomes: map[string]map[string]int{}}
 	for i := range lines {
 		line := &lines[i]
 		if line.Fields["tenant"] != tenant {
 			continue
 		}
 		switch line.Message {
-		case messageEnded:
-			story.count(line.Source, line.Fields["outcome"])
+		case messageRequestEnded:
+			summary.count(line.Source, line.Fields["outcome"])
 		case messageNotAdmitted:
-			story.Refusal = line
-		case messageCredits:
-			story.Keeper = line
+			summary.Refusal = line
+		case messageCreditsRefused:
+			summary.Keeper = line
 		}
 	}
-	return story
+	return summary
 }
 
-func (s *TenantStory) count(source, outcome string) {
+func (s *TenantSummary) count(source, outcome string) {
 	if s.Outcomes[source] == nil {
 		s.Outcomes[source] = map[string]int{}
 	}
 	s.Outcomes[source][outcome]++
 }
 
-// Print writes the story as text.
-func (s *TenantStory) Print(writer io.Writer) {
+// Print writes the summary as text.
+func (s *TenantSummary) Print(writer io.Writer) {
 	total := map[string]int{}
-	for _, source := range sorted(s.Outcomes) {
-		fmt.Fprintf(writer, "  %-24s %s\n", source, counts(s.Outcomes[source]))
+	for _, source := range sortedKeys(s.Outcomes) {
+		fmt.Fprintf(writer, "  %-24s %s\n", source, formatCounts(s.Outcomes[source]))
 		for outcome, count := range s.Outcomes[source] {
 			total[outcome] += count
 		}
 	}
-	fmt.Fprintf(writer, "tenant %s: %s\n", s.Tenant, counts(total))
+	fmt.Fprintf(writer, "tenant %s: %s\n", s.Tenant, formatCounts(total))
 	if s.Refusal != nil {
-		fmt.Fprintf(writer, "last refusal at %s %s:%s\n", s.Refusal.Stamp, s.Refusal.Source, s.Refusal.values())
+		fmt.Fprintf(writer, "last refusal at %s %s:%s\n", s.Refusal.Stamp, s.Refusal.Source, s.Refusal.formatFields())
 	}
 	if s.Keeper != nil {
-		fmt.Fprintf(writer, "its keeper then, %s %s:%s\n", s.Keeper.Stamp, s.Keeper.Source, s.Keeper.values())
+		fmt.Fprintf(writer, "its keeper then, %s %s:%s\n", s.Keeper.Stamp, s.Keeper.Source, s.Keeper.formatFields())
 	}
 	if s.Refusal == nil && s.Keeper == nil {
 		fmt.Fprintln(writer, "none was refused for its limit in these lines")
 	}
 }
 
-func counts(of map[string]int) string {
+func formatCounts(of map[string]int) string {
 	var parts []string
-	for _, name := range sorted(of) {
+	for _, name := range sortedKeys(of) {
 		parts = append(parts, fmt.Sprintf("%s %d", name, of[name]))
 	}
 	if len(parts) == 0 {
@@ -80,7 +82,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func sorted[V any](of map[string]V) []string {
+func sortedKeys[V any](of map[string]V) []string {
 	names := make([]string, 0, len(of))
 	for name := range of {
 		names = append(names, name)
--- a/internal/app/explain/tenant_test.go
+++ b/internal/app/explain/tenant_test.go
@@ -16,32 +16,32 @@
    1.4000 edge-a-1 I0318 19:03:37.400000   17865 jobs.go:70] "job read" job="small/j1" since=0 found=true
 `
 
-// A tenant's story counts its own requests, and says the limit, what was lent
-// and who refused last.
-func TestStoryOfATenant(t *testing.T) {
+// The summary counts only the tenant's own requests, and contains its limit and the last
+// refusals.
+func TestTenantSummary(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
 	is.NoErr(err)
-	story := TenantStoryOf("small", lines)
-	is.Equal(story.Outcomes["edge-a-1"]["served"], 1)
-	is.Equal(story.Outcomes["edge-a-11"]["tenant_rate_limited"], 1)
-	is.Equal(story.Refusal.Fields["rate"], "5")
-	is.Equal(story.Keeper.Source, "storage-a-1")
+	summary := TenantSummaryOf("small", lines)
+	is.Equal(summary.Outcomes["edge-a-1"]["served"], 1)
+	is.Equal(summary.Outcomes["edge-a-11"]["tenant_rate_limited"], 1)
+	is.Equal(summary.Refusal.Fields["rate"], "5")
+	is.Equal(summary.Keeper.Source, "storage-a-1")
 	var text strings.Builder
-	story.Print(&text)
+	summary.Print(&text)
 	is.True(strings.Contains(text.String(), "served 1, tenant_rate_limited 1"))
-	is.Equal(TenantStoryOf("none", lines).Refusal, nil)
+	is.Equal(TenantSummaryOf("none", lines).Refusal, nil)
 }
 
-// The refusal for a limit makes the end of a request certain; a job is found by
-// its id alone.
-func TestStoriesOfTenantsRequestsAndJobs(t *testing.T) {
+// A refusal because of the tenant's limit determines the outcome of a request. A job is
+// found by its id without the tenant.
+func TestTimelineOfRefusedRequestAndJob(t *testing.T) {
 	is := is.New(t)
 	lines, err := Parse("file", strings.NewReader(tenantLog))
 	is.NoErr(err)
-	story := StoryOf("r2", lines)
-	is.Equal(story.Decisive.Message, messageNotAdmitted)
-	is.Equal(len(story.Missing), 0)
-	is.Equal(len(StoryOf("j1", lines).Lines), 1)
-	is.Equal(len(StoryOf("1", lines).Lines), 0)
+	timeline := TimelineOf("r2", lines)
+	is.Equal(timeline.Decisive.Message, messageNotAdmitted)
+	is.Equal(len(timeline.Missing), 0)
+	is.Equal(len(TimelineOf("j1", lines).Lines), 1)
+	is.Equal(len(TimelineOf("1", lines).Lines), 0)
 }
--- a/lab/bench/intake.go
+++ b/lab/bench/intake.go
@@ -13,36 +13,37 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-// IntakeReport is the upload of one job's input file.
+// IntakeReport contains the measurements of the upload of one input file.
 type IntakeReport struct {
 	Items          int     `json:"items"`
 	FileMB         float64 `json:"file_mb"`
 	UploadSeconds  float64 `json:"upload_seconds"`
 	ItemsPerSecond float64 `json:"items_per_second"`
-	// PeakHeapMB is the highest heap of the whole process (five nodes, with
-	// five copies on their way to disk) above what it was before, with the
-	// client's own copy of the file in it before.
+	// PeakHeapMB is the growth of the process's heap from before the upload, when it
+	// already contains the client's copy of the file, to its peak. The process runs all
+	// nodes, so the heap may contain one copy of the file for each.
 	PeakHeapMB float64 `json:"peak_heap_mb_above_before"`
 }
 
 const heapInterval = 20 * time.Millisecond
 
-// Intake uploads input files of the given numbers of items to five disk nodes.
+// Intake measures the upload of input files with the given numbers of items to a
+// deployment of five disk nodes.
 func Intake(counts []int) ([]IntakeReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(disks, 8))
+	deployment, err := startDeployment(folder, topology(diskNodes, 8))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
-	target := load.Target{Addresses: running.APIAddresses()[:1], Key: tenant.Key, Model: model, MaxAnswerTokens: 64}
+	defer deployment.Close()
+	target := load.Target{Addresses: deployment.APIAddresses()[:1], Key: tenantKey.Key, Model: model, MaxAnswerTokens: 64}
 	var reports []IntakeReport
 	for number, count := range counts {
-		report, err := intakeAt(load.NewBatchClient(target), count, uint64(number))
+		report, err := measureUpload(load.NewBatchClient(target), count, uint64(number))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -51,16 +52,16 @@
 	return reports, nil
 }
 
-func intakeAt(client *load.BatchClient, count int, seed uint64) (*IntakeReport, error) {
+func measureUpload(client *load.BatchClient, count int, seed uint64) (*IntakeReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
 	file, _ := load.Items(model, load.BatchWorkload{Items: count, PromptWords: 20, AnswerTokens: 20, Seed: seed})
-	form, contentType, err := load.Form(file)
+	form, contentType, err := load.MultipartForm(file)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	before := heapNow(true)
-	peak, stopWatch := watchHeap()
+	before := heapBytes(true)
+	peak, stopWatch := trackPeakHeap()
 	began := time.Now()
 	_, err = client.UploadForm(ctx, form, contentType)
 	elapsed := time.Since(began).Seconds()
@@ -74,7 +75,7 @@
 	}, nil
 }
 
-func heapNow(collect bool) uint64 {
+func heapBytes(collect bool) uint64 {
 	if collect {
 		runtime.GC()
 	}
@@ -83,9 +84,9 @@
 	return stats.HeapAlloc
 }
 
-// watchHeap records the highest heap until it is stopped; stop returns after the
-// last record.
-func watchHeap() (peak *atomic.Uint64, stop func()) {
+// trackPeakHeap samples the size of the heap and records its maximum until stop is
+// called. stop waits for the sampling to end.
+func trackPeakHeap() (peak *atomic.Uint64, stop func()) {
 	peak = &atomic.Uint64{}
 	done := make(chan struct{})
 	var watch tasks.Group
@@ -97,7 +98,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				peak.Store(max(peak.Load(), heapNow(false)))
+				peak.Store(max(peak.Load(), heapBytes(false)))
 			}
 		}
 	})
--- a/lab/bench/log.go
+++ b/lab/bench/log.go
@@ -16,7 +16,7 @@
 	"cobaltramp.example/cobaltramp/modules/batch/directory"
 )
 
-// LogReport is the shard log at one concurrency.
+// LogReport contains the measurements of the shard log at one concurrency.
 type LogReport struct {
 	Shards           int     `json:"shards"`
 	Concurrency      int     `json:"concurrency"`
@@ -27,30 +27,31 @@
 	CPUMicrosPerItem float64 `json:"cpu_us_per_item_all_disks"`
 }
 
-// logTime is how long completions are sent at one concurrency.
-const logTime = 3 * time.Second
+// logDuration is the duration of the measurement at one concurrency.
+const logDuration = 3 * time.Second
 
-// Log measures completions of items: commands of 50 results of 600 bytes,
-// proposed through the directory to shards of five disks, each counted when it
-// is acknowledged (three fsyncs).
+// Log measures the throughput of item completions. Each command contains the results of
+// itemsPerCommand items of itemBytes bytes, and is proposed through the directory to a
+// shard that is replicated on five disks. Items count once their command is acknowledged,
+// which requires an fsync on three disks.
 func Log(shards int, concurrencies []int) ([]LogReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	running, err := start(folder, topology(disks, shards))
+	deployment, err := startDeployment(folder, topology(diskNodes, shards))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	defer running.Close()
-	access, err := kernel.Find[*directory.Module](running.Nodes()[0].Node().Context())
+	defer deployment.Close()
+	jobDirectory, err := kernel.Find[*directory.Module](deployment.Nodes()[0].Node().Context())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	var reports []LogReport
 	for _, concurrency := range concurrencies {
-		report, err := logAt(access, shards, concurrency)
+		report, err := measureLog(jobDirectory, shards, concurrency)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -59,10 +60,10 @@
 	return reports, nil
 }
 
-func logAt(access *directory.Module, shards, concurrency int) (*LogReport, error) {
+func measureLog(jobDirectory *directory.Module, shards, concurrency int) (*LogReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	jobs, err := makeJobs(ctx, access, shards, concurrency)
+	jobs, err := createJobs(ctx, jobDirectory, shards, concurrency)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -70,14 +71,14 @@
 	var mutex sync.Mutex
 	var items atomic.Int64
 	var workers tasks.Group
-	before, cpu, began := writtenBytes(), processCPU(), time.Now()
-	deadline := began.Add(logTime)
+	before, cpuBefore, began := writtenBytes(), processCPU(), time.Now()
+	deadline := began.Add(logDuration)
 	for worker := range concurrency {
 		workers.Go(func() {
 			for number := 0; time.Now().Before(deadline); number++ {
-				command := completion(jobs[worker], number)
+				command := completeItemsCommand(jobs[worker], number)
 				sent := time.Now()
-				if _, err := access.Propose(ctx, uint32(worker%shards), command); err != nil {
+				if _, err := jobDirectory.Propose(ctx, uint32(worker%shards), command); err != nil {
 					continue
 				}
 				items.Add(itemsPerCommand)
@@ -93,13 +94,13 @@
 	return &LogReport{
 		Shards: shards, Concurrency: concurrency, ItemsPerSecond: total / elapsed,
 		P50Ms: milliseconds(histogram, 50), P99Ms: milliseconds(histogram, 99),
-		BytesPerItem:     float64(writtenBytes()-before) / total / disks,
-		CPUMicrosPerItem: float64((processCPU() - cpu).Microseconds()) / total,
+		BytesPerItem:     float64(writtenBytes()-before) / total / diskNodes,
+		CPUMicrosPerItem: float64((processCPU() - cpuBefore).Microseconds()) / total,
 	}, nil
 }
 
-// writtenBytes is what this process has written to block devices, as the
-// kernel counts it.
+// writtenBytes returns the number of bytes that this process has written to block devices
+// according to the kernel, or 0 if it cannot be read.
 func writtenBytes() int64 {
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -107,7 +108,7 @@
 	}
 	var written int64
 	for _, line := range bytes.Split(text, []byte("\n")) {
-		// Other lines don't fit and leave it as it is.
+		// Lines with other keys do not match and leave written unchanged.
 		_, _ = fmt.Sscanf(string(line), "write_bytes: %d", &written)
 	}
 	return written
--- a/lab/bench/path.go
+++ b/lab/bench/path.go
@@ -20,63 +20,65 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// PathReport compares the node's path with the engine called directly.
+// PathReport compares requests through one and two nodes with requests sent directly to
+// an engine.
 type PathReport struct {
-	Requests         int     `json:"requests"`
-	DirectP50Ms      float64 `json:"direct_first_token_p50_ms"`
-	DirectP95Ms      float64 `json:"direct_first_token_p95_ms"`
-	OneNodeP50Ms     float64 `json:"one_node_first_token_p50_ms"`
-	OneNodeP95Ms     float64 `json:"one_node_first_token_p95_ms"`
-	TwoNodesP50Ms    float64 `json:"two_nodes_first_token_p50_ms"`
-	TwoNodesP95Ms    float64 `json:"two_nodes_first_token_p95_ms"`
-	DirectCPUMicros  float64 `json:"direct_cpu_us_per_request"`
-	NodeCPUMicros    float64 `json:"one_node_cpu_us_per_request"`
-	TwoCPUMicros     float64 `json:"two_nodes_cpu_us_per_request"`
-	TokensPerRequest int     `json:"tokens_per_request"`
+	Requests          int     `json:"requests"`
+	DirectP50Ms       float64 `json:"direct_first_token_p50_ms"`
+	DirectP95Ms       float64 `json:"direct_first_token_p95_ms"`
+	OneNodeP50Ms      float64 `json:"one_node_first_token_p50_ms"`
+	OneNodeP95Ms      float64 `json:"one_node_first_token_p95_ms"`
+	TwoNodesP50Ms     float64 `json:"two_nodes_first_token_p50_ms"`
+	TwoNodesP95Ms     float64 `json:"two_nodes_first_token_p95_ms"`
+	DirectCPUMicros   float64 `json:"direct_cpu_us_per_request"`
+	OneNodeCPUMicros  float64 `json:"one_node_cpu_us_per_request"`
+	TwoNodesCPUMicros float64 `json:"two_nodes_cpu_us_per_request"`
+	TokensPerRequest  int     `json:"tokens_per_request"`
 }
 
 const tokensPerRequest = 32
 
-// pathConcurrency is how many streams are open at a time.
+// pathConcurrency is the number of concurrent streams.
 const pathConcurrency = 16
 
-// Path measures with 32-token streams at a fixed concurrency. CPU is of the
-// whole process, emulator and client included; the differences are the node's.
+// Path measures streams of tokensPerRequest tokens at a fixed concurrency. The CPU time is
+// that of the whole process, which includes the client and the engines; the differences
+// between the paths are the cost of the nodes.
 func Path(requests int) (*PathReport, error) {
 	folder, err := os.MkdirTemp("", "cobaltramp-bench-")
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	one, err := start(filepath.Join(folder, "one"), topology(1, 1))
+	one, err := startDeployment(filepath.Join(folder, "one"), topology(1, 1))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	report := &PathReport{Requests: requests, TokensPerRequest: tokensPerRequest}
 	direct := one.Engines[0].Address()
-	report.DirectP50Ms, report.DirectP95Ms, report.DirectCPUMicros = drive(direct, requests)
-	report.OneNodeP50Ms, report.OneNodeP95Ms, report.NodeCPUMicros = drive(one.APIAddresses()[0], requests)
+	report.DirectP50Ms, report.DirectP95Ms, report.DirectCPUMicros = measureRequests(direct, requests)
+	report.OneNodeP50Ms, report.OneNodeP95Ms, report.OneNodeCPUMicros = measureRequests(one.APIAddresses()[0], requests)
 	one.Close()
 	two, err := startRemote(filepath.Join(folder, "two"))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	defer two.Close()
-	report.TwoNodesP50Ms, report.TwoNodesP95Ms, report.TwoCPUMicros = drive(two.APIAddresses()[0], requests)
+	report.TwoNodesP50Ms, report.TwoNodesP95Ms, report.TwoNodesCPUMicros = measureRequests(two.APIAddresses()[0], requests)
 	return report, nil
 }
 
-// startRemote starts two nodes in two zones of which only the second has
-// runners, so that every request to the first takes the extra hop.
+// startRemote starts two nodes in two zones of which only the second has runners, so that
+// the first node forwards every request to the second.
 func startRemote(folder string) (*fleet.Fleet, error) {
-	shape := topology(1, 1)
-	shape.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
-	return start(folder, shape)
+	spec := topology(1, 1)
+	spec.Zones = []fleet.Zone{{Name: "front", Region: "r", Nodes: 1}, {Name: "back", Region: "r", Nodes: 1, Runners: 4}}
+	return startDeployment(folder, spec)
 }
 
-// drive sends requests to an address and returns quantiles of the time to the
-// first token in milliseconds, and the process's CPU time a request.
-func drive(address string, requests int) (p50, p95, cpuMicros float64) {
+// measureRequests sends requests to an address, and returns percentiles of the time to
+// first token in milliseconds and the process's CPU time per request in microseconds.
+func measureRequests(address string, requests int) (p50, p95, cpuMicros float64) {
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
 	histogram := newHistogram()
@@ -107,7 +109,7 @@
 	began := time.Now()
 	response, err := client.Do(context.Background(), &httpcall.Request{
 		Method: "POST", URL: "http://" + address + "/v1/chat/completions", Body: body,
-		Headers: [][2]string{{"Authorization", "Bearer " + tenant.Key}, {"Content-Type", "application/json"}},
+		Headers: [][2]string{{"Authorization", "Bearer " + tenantKey.Key}, {"Content-Type", "application/json"}},
 	})
 	if err != nil {
 		return 0, err
--- a/lab/cli/demo.go
+++ b/lab/cli/demo.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if !report.Whole() {
+	if !report.Passed() {
 		return trace.BadParameter("a promise was broken")
 	}
 	return nil
@@ -45,12 +45,12 @@
 		defer func() { _ = os.RemoveAll(temporary) }()
 		folder = temporary
 	}
-	running, err := demo.Up(folder)
+	deployment, err := demo.StartDeployment(folder)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	defer running.Close()
-	demo.Describe(running, folder, os.Stdout)
+	defer deployment.Close()
+	demo.Describe(deployment, folder, os.Stdout)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	<-signals
--- a/lab/cli/platformday.go
+++ b/lab/cli/platformday.go
@@ -23,7 +23,7 @@
 
 // Execute implements flags.Commander.
 func (c *platformDayCommand) Execute([]string) error {
-	folder, program, err := labFolder(c.Folder, c.Program)
+	folder, program, err := prepareFolder(c.Folder, c.Program)
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	}
 	fmt.Println(tally.Summary())
 	fmt.Println("settings, data and logs:", folder)
-	for _, broken := range tally.Violations {
-		fmt.Println("broken:", broken)
+	for _, violation := range tally.Violations {
+		fmt.Println("broken:", violation)
 	}
 	if len(tally.Violations) > 0 {
 		return trace.BadParameter("%d promises were broken", len(tally.Violations))
@@ -44,15 +44,15 @@
 	return nil
 }
 
-// labFolder makes a folder for a run, and the product's program in it if none is
-// given.
-func labFolder(folder, program string) (string, string, error) {
+// prepareFolder creates the folder of a run, and builds the product there if no program is
+// given. It returns the paths of the folder and the program.
+func prepareFolder(folder, program string) (string, string, error) {
 	if folder == "" {
-		made, err := os.MkdirTemp("", "cobaltramp-lab-")
+		temporary, err := os.MkdirTemp("", "cobaltramp-lab-")
 		if err != nil {
 			return "", "", trace.ConvertSystemError(err)
 		}
-		folder = made
+		folder = temporary
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", "", trace.ConvertSystemError(err)
--- a/lab/cli/soak.go
+++ b/lab/cli/soak.go
@@ -31,7 +31,7 @@
 
 // Execute implements flags.Commander.
 func (c *soakCommand) Execute([]string) error {
-	folder, program, err := labFolder(c.Folder, c.Program)
+	folder, program, err := prepareFolder(c.Folder, c.Program)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		slots <- struct{}{}
 		soaks.Go(func() {
 			defer func() { <-slots }()
-			if !c.one(c.Seed+uint64(number), folder, program) {
+			if !c.playSeed(c.Seed+uint64(number), folder, program) {
 				failed.Add(1)
 			}
 		})
@@ -55,8 +55,9 @@
 	return os.RemoveAll(folder)
 }
 
-// one plays one seed, and keeps its folder if a promise was broken.
-func (c *soakCommand) one(seed uint64, folder, program string) bool {
+// playSeed runs the soak test with one seed and reports whether it passed. The folder of
+// a failed run is kept.
+func (c *soakCommand) playSeed(seed uint64, folder, program string) bool {
 	own := filepath.Join(folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(own, 0o755); err != nil {
 		fmt.Printf("seed %d: %v\n", seed, err)
@@ -83,11 +84,11 @@
 		return false
 	}
 	fmt.Printf("seed %d: %s\n", seed, tally.Summary())
-	for _, broken := range tally.Violations {
-		fmt.Printf("seed %d: broken: %s\n", seed, broken)
+	for _, violation := range tally.Violations {
+		fmt.Printf("seed %d: broken: %s\n", seed, violation)
 	}
 	if len(tally.Violations) == 0 {
-		_ = os.RemoveAll(own) // a folder that stays does no harm
+		_ = os.RemoveAll(own) // a folder that remains does not affect the result
 	}
 	return len(tally.Violations) == 0
 }
--- a/lab/e2e/faults_test.go
+++ b/lab/e2e/faults_test.go
@@ -18,27 +18,27 @@
 	"cobaltramp.example/cobaltramp/lab/load"
 )
 
-func requireWhole(t *testing.T, recorder *load.Recorder) {
+func requireNoFailures(t *testing.T, recorder *load.Recorder) {
 	t.Helper()
 	is := is.New(t)
 	t.Logf("%d requests, %d resent, errors %v", recorder.Requests.Load(), recorder.Resent.Load(), recorder.Errors())
 	is.True(recorder.Requests.Load() > 0)
 	is.Equal(recorder.Failed.Load(), int64(0))    // failed
-	is.Equal(recorder.Truncated.Load(), int64(0)) // cut
-	is.Equal(recorder.Wrong.Load(), int64(0))     // wrong text
+	is.Equal(recorder.Truncated.Load(), int64(0)) // truncated
+	is.Equal(recorder.Wrong.Load(), int64(0))     // unexpected text
 }
 
-// under runs online load while the action runs.
-func under(running *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
+// withOnlineLoad generates online load while the action runs, and returns its results.
+func withOnlineLoad(deployment *fleet.Fleet, addresses []string, rate float64, action func()) *load.Recorder {
 	recorder := load.NewRecorder()
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Add(1)
-	aim := target(running)
-	aim.Addresses = addresses
+	loadTarget := target(deployment)
+	loadTarget.Addresses = addresses
 	go func() {
 		defer group.Done()
-		load.RunOnline(ctx, aim, load.OnlineWorkload{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
+		load.RunOnline(ctx, loadTarget, load.OnlineWorkload{Rate: rate, PromptWords: 20, AnswerTokens: 30, Seed: 4}, recorder)
 	}()
 	action()
 	cancel()
@@ -46,92 +46,92 @@
 	return recorder
 }
 
-// Engines that answer late, twice, out of order and with foreign events: each
-// caller still gets exactly its own answer.
-func TestCrossedAndRepeatedAnswers(t *testing.T) {
+// Each caller gets exactly its own response when engines send events late, repeatedly, out
+// of order or for other requests.
+func TestReorderedAndRepeatedEvents(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 2))
-	for _, disorderly := range running.Engines {
+	deployment := startDeployment(t, topology(3, 2))
+	for _, disorderly := range deployment.Engines {
 		disorderly.SetDisorder(true)
 		disorderly.SetResponseDelays(20*time.Millisecond, 20*time.Millisecond)
 	}
-	recorder := under(running, running.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
-	requireWhole(t, recorder)
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() { time.Sleep(2 * time.Second) })
+	requireNoFailures(t, recorder)
 }
 
-// An engine that crashes in the middle of its streams: answers are carried on
-// elsewhere, whole.
-func TestEngineCrashIsCarriedOn(t *testing.T) {
+// Requests of a crashed engine continue at other engines, and their responses are complete.
+func TestRequestsContinueAfterEngineCrash(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 4))
-	recorder := under(running, running.APIAddresses(), 20, func() {
+	deployment := startDeployment(t, topology(3, 4))
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
-		running.Engines[0].Crash()
+		deployment.Engines[0].Crash()
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
-// An engine that falls silent with its streams open.
-func TestSilentEngineIsCarriedOn(t *testing.T) {
+// Requests of an engine that stalls without closing its streams continue at other engines.
+func TestRequestsContinueAfterEngineStall(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 4))
-	recorder := under(running, running.APIAddresses(), 20, func() {
+	deployment := startDeployment(t, topology(3, 4))
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
 		time.Sleep(time.Second)
-		running.Engines[0].Stall(15 * time.Second)
+		deployment.Engines[0].Stall(15 * time.Second)
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
-// An owner that is killed: callers at other nodes notice nothing.
-func TestOwnerKilledCallersNoticeNothing(t *testing.T) {
+// Callers at other nodes get complete responses without a retry when the owner of a runner
+// is killed.
+func TestKilledOwnerIsInvisibleToCallers(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(5, 4))
-	addresses := running.APIAddresses()[:4]
-	recorder := under(running, addresses, 20, func() {
+	deployment := startDeployment(t, topology(5, 4))
+	addresses := deployment.APIAddresses()[:4]
+	recorder := withOnlineLoad(deployment, addresses, 20, func() {
 		time.Sleep(time.Second)
-		running.KillNode(4)
+		deployment.KillNode(4)
 		time.Sleep(2 * time.Second)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 	is.New(t).Equal(recorder.Resent.Load(), int64(0))
 }
 
-// Every node in turn is stopped as planned and started again, under load: no
-// request is cut and none has to be sent again.
-func TestRollingRestartCutsNothing(t *testing.T) {
+// No request fails or is truncated while each node in turn is drained and restarted under
+// load.
+func TestRollingRestartTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
-	running := start(t, topology(3, 3))
-	for index := range running.Nodes() {
-		others := append([]string(nil), running.APIAddresses()...)
+	deployment := startDeployment(t, topology(3, 3))
+	for index := range deployment.Nodes() {
+		others := append([]string(nil), deployment.APIAddresses()...)
 		others = append(others[:index], others[index+1:]...)
-		recorder := under(running, others, 30, func() {
+		recorder := withOnlineLoad(deployment, others, 30, func() {
 			time.Sleep(300 * time.Millisecond)
-			running.StopNode(index)
-			is.New(t).NoErr(running.StartNode(index))
-			ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+			deployment.StopNode(index)
+			is.New(t).NoErr(deployment.StartNode(index))
+			ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 			defer cancel()
-			is.New(t).NoErr(running.AwaitReady(ctx, 1))
+			is.New(t).NoErr(deployment.AwaitReady(ctx, 1))
 		})
-		requireWhole(t, recorder)
+		requireNoFailures(t, recorder)
 	}
 }
 
-// A stop with streams open at the stopping node itself: they end whole.
-func TestPlannedStopFinishesItsOwnStreams(t *testing.T) {
+// A node that is stopped as planned completes the open streams of its callers.
+func TestPlannedStopCompletesOpenStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := startDeployment(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(12)
 	}
-	api := client(running, 0)
-	stream := api.Chat.Completions.NewStreaming(timeLimited(t), question("a stream that outlives its node's stop order", 40))
+	api := client(deployment, 0)
+	stream := api.Chat.Completions.NewStreaming(callContext(t), chatParams("a stream that outlives its node's stop order", 40))
 	is.True(stream.Next())
 	stopped := make(chan struct{})
 	go func() {
-		running.StopNode(0)
+		deployment.StopNode(0)
 		close(stopped)
 	}()
 	text := stream.Current().Choices[0].Delta.Content
@@ -141,57 +141,58 @@
 		}
 	}
 	is.NoErr(stream.Err())
-	is.Equal(text, expected("a stream that outlives its node's stop order", 40))
+	is.Equal(text, expectedAnswer("a stream that outlives its node's stop order", 40))
 	<-stopped
 }
 
-// The platform's service goes away after the start: all in force stays, jobs
-// are accepted, run and finish.
+// While the platform's key-value service is down, online requests are served, and jobs are
+// accepted and completed.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	running.Platform.SetDown(true)
-	recorder := under(running, running.APIAddresses(), 20, func() {
-		batches := load.NewBatchClient(target(running))
-		job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
+	deployment := startDeployment(t, topology(3, 2))
+	deployment.Platform.SetDown(true)
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 20, func() {
+		batches := load.NewBatchClient(target(deployment))
+		job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 200, PromptWords: 10, AnswerTokens: 10, Seed: 5})
 		is.NoErr(err)
-		status, err := batches.Await(timeLimited(t), job.ID)
+		status, err := batches.Await(callContext(t), job.ID)
 		is.NoErr(err)
-		audit, err := batches.AuditJob(timeLimited(t), job, status)
+		audit, err := batches.AuditJob(callContext(t), job, status)
 		is.NoErr(err)
 		is.Equal(audit.Completed, 200)
 		is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
-// A fee-bearing filing: resent through every node, at once and later, it runs
-// once and every answer is the same.
-func TestOnceRunsOnceThroughAllNodes(t *testing.T) {
+// A request of class once that is sent concurrently through all nodes runs a single time,
+// and all callers get the same response.
+func TestOnceRequestRunsOnceThroughAllNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	params := question("file the annual return of company 7", 12)
+	deployment := startDeployment(t, topology(3, 2))
+	params := chatParams("file the annual return of company 7", 12)
 	var group sync.WaitGroup
 	answers := make([]string, 6)
 	for i := range answers {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			answers[i] = sendOnce(t, client(running, i%3), params)
+			answers[i] = sendOnceRequest(t, client(deployment, i%3), params)
 		}()
 	}
 	group.Wait()
 	for _, answer := range answers {
-		is.Equal(answer, expected("file the annual return of company 7", 12))
+		is.Equal(answer, expectedAnswer("file the annual return of company 7", 12))
 	}
-	is.Equal(running.Ledger.Totals().Starts, 1) // one run at the engines
+	is.Equal(deployment.Ledger.Totals().Starts, 1) // one run at the engines
 }
 
-// sendOnce sends until an answer comes; "in progress" is asked again.
-func sendOnce(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
-	ctx := timeLimited(t)
+// sendOnceRequest sends a request of class once, and repeats it while the node responds
+// that it is in progress.
+func sendOnceRequest(t *testing.T, api openai.Client, params openai.ChatCompletionNewParams) string {
+	ctx := callContext(t)
 	for {
 		answer, err := api.Chat.Completions.New(ctx, params, option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", "filing-7"))
 		if err == nil {
@@ -206,188 +207,184 @@
 	}
 }
 
-// The engine dies under a once request after dispatch: the caller learns that
-// the outcome is unknown, and a resend does not run it again.
-func TestOnceIsNotRunAgainAfterALostRunner(t *testing.T) {
+// If the engine crashes while it runs a request of class once, the response reports an
+// unknown outcome, and a repeated request does not run again.
+func TestOnceRequestIsNotRetriedAfterLostRunner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := startDeployment(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(50)
 	}
-	params := question("file the reservation of a name", 30)
+	params := chatParams("file the reservation of a name", 30)
 	crashed := make(chan struct{})
 	go func() {
 		defer close(crashed)
-		eventually.Assert(t, "an engine has started the request", func() bool { return running.Ledger.Totals().Starts > 0 }, func() any { return running.Ledger.Totals() })
-		for _, victim := range running.Engines {
-			victim.Crash()
+		eventually.Assert(t, "an engine has started the request", func() bool { return deployment.Ledger.Totals().Starts > 0 }, func() any { return deployment.Ledger.Totals() })
+		for _, crashing := range deployment.Engines {
+			crashing.Crash()
 		}
 	}()
 	once := []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", "name-1")}
-	api := client(running, 0)
-	_, err := api.Chat.Completions.New(timeLimited(t), params, once...)
+	api := client(deployment, 0)
+	_, err := api.Chat.Completions.New(callContext(t), params, once...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Response.Header.Get("X-Run"), "unknown")
 	<-crashed
-	for _, revived := range running.Engines {
+	for _, revived := range deployment.Engines {
 		is.NoErr(revived.Restart())
 	}
-	other := client(running, 1)
-	eventually.Require(t, "a resend says unknown", func() bool {
-		_, err = other.Chat.Completions.New(timeLimited(t), params, once...)
+	other := client(deployment, 1)
+	eventually.Require(t, "a repeated request reports an unknown outcome", func() bool {
+		_, err = other.Chat.Completions.New(callContext(t), params, once...)
 		return errors.As(err, &failure) && failure.Code == "1301"
 	})
-	is.Equal(running.Ledger.Totals().Starts, 1)
+	is.Equal(deployment.Ledger.Totals().Starts, 1)
 }
 
-// Two data folders are wiped and nodes killed while a job runs: every item
-// completes once and every result stays readable.
+// Every item of a job completes once and every result remains readable when two of five
+// nodes are killed and lose their data folders while the job runs.
 func TestTwoDisksWipedUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(5, 4))
-	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
+	deployment := startDeployment(t, topology(5, 4))
+	batches := load.NewBatchClient(target(deployment))
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 1500, PromptWords: 10, AnswerTokens: 40, Seed: 6})
 	is.NoErr(err)
 	for _, index := range []int{0, 1} {
-		running.KillNode(index)
-		is.NoErr(running.WipeNode(index))
+		deployment.KillNode(index)
+		is.NoErr(deployment.WipeNode(index))
 	}
 	time.Sleep(500 * time.Millisecond)
 	for _, index := range []int{0, 1} {
-		is.NoErr(running.StartNode(index))
+		is.NoErr(deployment.StartNode(index))
 	}
-	status, err := batches.Await(timeLimited(t), job.ID)
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed, 1500)
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 }
 
-// A tenant's rate holds across nodes: callers at all nodes together get about
-// what the bundle allows, and the refused get "not run" and when to come
-// back.
+// A tenant's rate limit applies to all nodes together, and refused requests are reported
+// as not run.
 func TestTenantRateHoldsAcrossNodes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
+	deployment := startDeployment(t, topology(3, 2))
 	const rate = 6
-	text := fleet.BasicBundle(running.Operator, model, model, slots, nil)
-	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", key.Tenant, key.Hash(), rate)
-	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, nil)
+	text += fmt.Sprintf("---\nkind: Tenant\nname: %s\nkey_hashes: [%s]\nrequests_per_second: %d\n", tenantKey.Tenant, tenantKey.Hash(), rate)
+	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 	const seconds = 6
-	recorder := under(running, running.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 60, func() { time.Sleep(seconds * time.Second) })
 	served := recorder.Requests.Load() - recorder.Failed.Load()
 	t.Logf("%d of %d served at a limit of %d a second for %d s", served, recorder.Requests.Load(), rate, seconds)
-	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal says not run
-	is.True(served <= 3*rate*seconds)                         // three nodes without shares would serve as much again and more
+	is.Equal(recorder.Failed.Load(), recorder.Refused.Load()) // every refusal reports that the request did not run
+	is.True(served <= 3*rate*seconds)                         // three nodes with a limit each would serve at least as many
 	is.True(served >= rate)
 }
 
-// A runner that is listed as leaving gets no new work once the list has shown
-// it, its streams past the drain timeout are carried on elsewhere, and nothing
-// is cut.
-func TestLeavingRunnerGetsQuiet(t *testing.T) {
+// A runner that is listed as leaving gets no new work. Streams that are still open after
+// the drain timeout continue at other runners, and no response is truncated.
+func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 4))
-	text := strings.Replace(fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
-	is.NoErr(running.Operator.Roll(timeLimited(t), running.AdminAddress(), cluster, 2, text))
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
-	for _, slowed := range running.Engines {
+	deployment := startDeployment(t, topology(3, 4))
+	text := strings.Replace(fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey}), "name: fleet\n", "name: fleet\ndrain_timeout: 1s\n", 1)
+	is.NoErr(deployment.Operator.Roll(callContext(t), deployment.AdminAddress(), cluster, 2, text))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(25) // streams far longer than the drain timeout
 	}
-	leaver := running.Engines[0]
-	recorder := under(running, running.APIAddresses(), 10, func() {
+	leaver := deployment.Engines[0]
+	recorder := withOnlineLoad(deployment, deployment.APIAddresses(), 10, func() {
 		eventually.Require(t, "the runner has work", func() bool { online, _ := leaver.Running(); return online > 0 })
-		running.RegisterRunner(leaver, running.ZoneOf(0), "leaving")
-		eventually.Require(t, "the runner is quiet", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
+		deployment.RegisterRunner(leaver, deployment.ZoneOf(0), "leaving")
+		eventually.Require(t, "the runner is idle", func() bool { online, batch := leaver.Running(); return online+batch == 0 })
 		time.Sleep(time.Second)
 		online, batch := leaver.Running()
-		is.Equal(online+batch, 0) // still quiet under load
+		is.Equal(online+batch, 0) // still idle under load
 	})
-	requireWhole(t, recorder)
+	requireNoFailures(t, recorder)
 }
 
-// Batch items of class once, with an engine crashed and a node killed under
-// them: no item begins twice at the engines, and each has exactly one outcome,
-// a result or "outcome unknown".
+// Batch items of class once, with an engine that crashes and a node that is killed: no
+// item runs twice, and each has exactly one outcome, a result or outcome_unknown.
 func TestOnceItemsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(5, 4))
-	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
+	deployment := startDeployment(t, topology(5, 4))
+	batches := load.NewBatchClient(target(deployment))
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 600, PromptWords: 10, AnswerTokens: 40, Seed: 8, Once: true})
 	is.NoErr(err)
-	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 100 })
-	running.Engines[0].Crash()
-	running.KillNode(4)
-	status, err := batches.Await(timeLimited(t), job.ID)
+	eventually.Require(t, "items run", func() bool { return deployment.Ledger.Totals().Starts > 100 })
+	deployment.Engines[0].Crash()
+	deployment.KillNode(4)
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	t.Logf("%d completed, %d failed %v, lost %d", audit.Completed, audit.Failed, audit.ErrorCodes, audit.Lost)
 	is.Equal(audit.Completed+audit.Failed, 600)
 	is.Equal(audit.Lost+audit.Duplicates+audit.Wrong, 0)
 	is.Equal(audit.ErrorCodes["outcome_unknown"], audit.Failed)
 	for _, body := range job.Bodies {
-		is.True(running.Ledger.Starts(body) <= 1) // runs of one item at the engines
+		is.True(deployment.Ledger.Starts(body) <= 1) // runs of one item at the engines
 	}
 }
 
-// A cancelled job stops: after "cancelled" is reported no item of it begins at
-// any engine.
+// No item of a job starts at an engine once the job is reported as cancelled.
 func TestCancelledJobStopsAtTheEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 2))
-	for _, slowed := range running.Engines {
+	deployment := startDeployment(t, topology(3, 2))
+	for _, slowed := range deployment.Engines {
 		slowed.SetSlow(10)
 	}
-	batches := load.NewBatchClient(target(running))
-	job, err := batches.Submit(timeLimited(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
+	batches := load.NewBatchClient(target(deployment))
+	job, err := batches.Submit(callContext(t), load.BatchWorkload{Items: 2000, PromptWords: 10, AnswerTokens: 40, Seed: 9})
 	is.NoErr(err)
-	eventually.Require(t, "items run", func() bool { return running.Ledger.Totals().Starts > 20 })
-	is.NoErr(batches.Cancel(timeLimited(t), job.ID))
-	status, err := batches.Await(timeLimited(t), job.ID)
+	eventually.Require(t, "items run", func() bool { return deployment.Ledger.Totals().Starts > 20 })
+	is.NoErr(batches.Cancel(callContext(t), job.ID))
+	status, err := batches.Await(callContext(t), job.ID)
 	is.NoErr(err)
 	is.Equal(status.State, "cancelled")
-	before := running.Ledger.Totals().Starts
+	before := deployment.Ledger.Totals().Starts
 	time.Sleep(2 * time.Second)
-	is.Equal(running.Ledger.Totals().Starts, before)
-	audit, err := batches.AuditJob(timeLimited(t), job, status)
+	is.Equal(deployment.Ledger.Totals().Starts, before)
+	audit, err := batches.AuditJob(callContext(t), job, status)
 	is.NoErr(err)
 	is.Equal(audit.Completed+audit.Failed, 2000) // every item has one outcome
 	is.Equal(audit.Duplicates+audit.Lost, 0)
 }
 
-// A request that crashes each engine that runs it comes again at every node: it
-// reaches few engines, and the others go on serving.
+// A request that crashes every engine that runs it reaches only a few engines, even if it
+// is repeated at all nodes; the other engines continue to serve.
 func TestCrashingRequestReachesFewEngines(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const mark = "this prompt crashes engines"
-	running := start(t, topology(3, 10))
-	for _, fragile := range running.Engines {
+	deployment := startDeployment(t, topology(3, 10))
+	for _, fragile := range deployment.Engines {
 		fragile.CrashOn(mark)
 	}
 	for try := range 6 {
-		api := client(running, try%3)
-		_, err := api.Chat.Completions.New(timeLimited(t), question(mark, 10), option.WithMaxRetries(0))
+		api := client(deployment, try%3)
+		_, err := api.Chat.Completions.New(callContext(t), chatParams(mark, 10), option.WithMaxRetries(0))
 		is.True(err != nil)
 	}
 	crashed := 0
-	for _, one := range running.Engines {
+	for _, one := range deployment.Engines {
 		if one.Crashed() {
 			crashed++
 		}
 	}
-	is.True(crashed > 0 && crashed <= 6) // three, and three more sends
-	api := client(running, 1)
-	_, err := api.Chat.Completions.New(timeLimited(t), question("an ordinary question", 10))
+	is.True(crashed > 0 && crashed <= 6) // three until the request is held, and at most three more by then
+	api := client(deployment, 1)
+	_, err := api.Chat.Completions.New(callContext(t), chatParams("an ordinary question", 10))
 	is.NoErr(err)
 }
--- a/lab/e2e/harness_test.go
+++ b/lab/e2e/harness_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests the product from outside, over loopback, with real nodes
-// and emulated engines and platform.
+// Package e2e tests deployments of plain nodes from outside, over loopback TCP, with
+// emulated engines and an emulated platform.
 package e2e
 
 import (
@@ -20,18 +20,18 @@
 )
 
 const (
-	model       = "filing-assist"
-	maxAnswer   = 64
-	readyTime   = 40 * time.Second
-	callTimeout = 90 * time.Second
-	slots       = 48
-	cluster     = "e2e"
-	tenantName  = "registry"
+	model           = "filing-assist"
+	maxAnswerTokens = 64
+	readyTimeout    = 40 * time.Second
+	callTimeout     = 90 * time.Second
+	slots           = 48
+	cluster         = "e2e"
+	tenantName      = "registry"
 )
 
-var key = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
+var tenantKey = fleet.TenantKey{Tenant: tenantName, Key: "e2e-key"}
 
-// TestMain silences the nodes' logs; -v 1 of klog shows them again.
+// TestMain discards the nodes' logs.
 func TestMain(m *testing.M) {
 	options := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(options)
@@ -48,39 +48,40 @@
 			{Name: "braam-hall", Region: "gauteng", Nodes: (nodes + 1) / 2, Runners: (runners + 1) / 2},
 			{Name: "rosebank-hall", Region: "gauteng", Nodes: nodes / 2, Runners: runners / 2},
 		},
-		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: maxAnswer, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
+		Engine: engine.Parameters{Slots: slots, MaxAnswerTokens: maxAnswerTokens, StepBase: 2 * time.Millisecond, WeightBytes: 1 << 20},
 	}
 }
 
-// start brings up a fleet with generation 1 in force.
-func start(t *testing.T, shape fleet.Topology) *fleet.Fleet {
+// startDeployment starts a fleet and waits until it is ready and generation 1 of the
+// bundle is active.
+func startDeployment(t *testing.T, spec fleet.Topology) *fleet.Fleet {
 	t.Helper()
 	is := is.New(t)
-	running, err := fleet.Start(shape, t.TempDir())
+	deployment, err := fleet.Start(spec, t.TempDir())
 	is.NoErr(err)
-	t.Cleanup(running.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	t.Cleanup(deployment.Close)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
-	is.NoErr(running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text))
-	is.NoErr(running.AwaitReady(ctx, 1))
-	return running
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
+	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
+	is.NoErr(deployment.AwaitReady(ctx, 1))
+	return deployment
 }
 
-func target(running *fleet.Fleet) load.Target {
-	return load.Target{Addresses: running.APIAddresses(), Key: key.Key, Model: model, MaxAnswerTokens: maxAnswer}
+func target(deployment *fleet.Fleet) load.Target {
+	return load.Target{Addresses: deployment.APIAddresses(), Key: tenantKey.Key, Model: model, MaxAnswerTokens: maxAnswerTokens}
 }
 
-// client is the published OpenAI client pointed at a node.
-func client(running *fleet.Fleet, node int) openai.Client {
+// client returns an OpenAI client that sends its requests to the given node.
+func client(deployment *fleet.Fleet, node int) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL("http://"+running.APIAddresses()[node]+"/v1"),
-		option.WithAPIKey(key.Key),
+		option.WithBaseURL("http://"+deployment.APIAddresses()[node]+"/v1"),
+		option.WithAPIKey(tenantKey.Key),
 		option.WithMaxRetries(0),
 	)
 }
 
-func timeLimited(t *testing.T) context.Context {
+func callContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
--- a/lab/e2e/regions_test.go
+++ b/lab/e2e/regions_test.go
@@ -15,68 +15,67 @@
 	"cobaltramp.example/cobaltramp/lab/fleet"
 )
 
-// Two regions with shards of their own. A tenant's jobs and keys live in its
-// home region and are reached from the other; when the home region is gone they
-// are refused as not run, while plain calls are served.
+// A tenant's idempotency keys are stored in its home region, and can be claimed from
+// another region. While the home region is down, requests of class once are refused as not
+// run, and other requests are served.
 func TestHomeRegions(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	shape := topology(0, 0)
-	shape.DiskNodes, shape.Shards = 6, 2
-	shape.Zones = []fleet.Zone{
+	spec := topology(0, 0)
+	spec.DiskNodes, spec.Shards = 6, 2
+	spec.Zones = []fleet.Zone{
 		{Name: "home-zone", Region: "a-home", Nodes: 3, Runners: 1},
 		{Name: "far-zone", Region: "b-far", Nodes: 3, Runners: 1},
 	}
-	running, err := fleet.Start(shape, t.TempDir())
+	deployment, err := fleet.Start(spec, t.TempDir())
 	is.NoErr(err)
-	t.Cleanup(running.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	t.Cleanup(deployment.Close)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	text := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+	text := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 	text = strings.Replace(text, "kind: Tenant\n", "kind: Tenant\nhome_region: a-home\n", 1)
-	is.NoErr(running.Operator.Roll(ctx, running.AdminAddress(), cluster, 1, text))
-	is.NoErr(running.AwaitReady(ctx, 1))
+	is.NoErr(deployment.Operator.Roll(ctx, deployment.AdminAddress(), cluster, 1, text))
+	is.NoErr(deployment.AwaitReady(ctx, 1))
 
-	far := client(running, 4)
+	far := client(deployment, 4)
 	once := func(name string) []option.RequestOption {
 		return []option.RequestOption{option.WithHeader("X-Work-Class", "once"), option.WithHeader("Idempotency-Key", name)}
 	}
-	eventually.Require(t, "a claim in the home region is made from far", func() bool {
-		answer, err := far.Chat.Completions.New(timeLimited(t), question("file from far", 8), once("k1")...)
-		return err == nil && answer.Choices[0].Message.Content == expected("file from far", 8)
+	eventually.Require(t, "a key in the home region is claimed from another region", func() bool {
+		answer, err := far.Chat.Completions.New(callContext(t), chatParams("file from far", 8), once("k1")...)
+		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("file from far", 8)
 	})
 	for _, index := range []int{0, 1, 2} {
-		running.KillNode(index)
+		deployment.KillNode(index)
 	}
-	running.Engines[0].Crash()
-	_, err = far.Chat.Completions.New(timeLimited(t), question("file again", 8), once("k2")...)
+	deployment.Engines[0].Crash()
+	_, err = far.Chat.Completions.New(callContext(t), chatParams("file again", 8), once("k2")...)
 	var failure *openai.Error
 	is.True(errors.As(err, &failure))
-	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused, provably not run
-	eventually.Require(t, "plain calls are served without the home region", func() bool {
-		answer, err := far.Chat.Completions.New(timeLimited(t), question("is it free?", 8))
-		return err == nil && answer.Choices[0].Message.Content == expected("is it free?", 8)
+	is.Equal(failure.Response.Header.Get("X-Run"), "no") // refused without having run
+	eventually.Require(t, "other requests are served without the home region", func() bool {
+		answer, err := far.Chat.Completions.New(callContext(t), chatParams("is it free?", 8))
+		return err == nil && answer.Choices[0].Message.Content == expectedAnswer("is it free?", 8)
 	})
 }
 
-// Operators race while the platform loses answers: one submission of a
-// generation is accepted, the other learns of the conflict, and a lost answer
-// is resolved to the truth.
-func TestOperatorsRaceWithLostAnswers(t *testing.T) {
+// Two operators concurrently submit different bundles as the same generation while the
+// platform's replies are lost: one submission is accepted, and the other gets a conflict.
+func TestConcurrentOperatorsWithLostReplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	running := start(t, topology(3, 1))
+	deployment := startDeployment(t, topology(3, 1))
 	texts := []string{}
 	for _, weight := range []string{"0.7", "0.8"} {
-		basic := fleet.BasicBundle(running.Operator, model, model, slots, []fleet.TenantKey{key})
+		basic := fleet.BasicBundle(deployment.Operator, model, model, slots, []fleet.TenantKey{tenantKey})
 		texts = append(texts, strings.Replace(basic, "tail_weight: 0.6", "tail_weight: "+weight, 1))
 	}
-	running.Platform.LoseResponses(2)
+	deployment.Platform.LoseResponses(2)
 	outcomes := make(chan error, len(texts))
 	for i, text := range texts {
 		go func() {
-			admin := running.Nodes()[i].Settings.Node.AdminAddress
-			outcomes <- running.Operator.Roll(timeLimited(t), admin, cluster, 2, text)
+			admin := deployment.Nodes()[i].Settings.Node.AdminAddress
+			outcomes <- deployment.Operator.Roll(callContext(t), admin, cluster, 2, text)
 		}()
 	}
 	accepted, conflicts := 0, 0
@@ -93,5 +92,5 @@
 	}
 	is.Equal(accepted, 1)
 	is.Equal(conflicts, 1)
-	is.NoErr(running.AwaitReady(timeLimited(t), 2))
+	is.NoErr(deployment.AwaitReady(callContext(t), 2))
 }
--- a/lab/fleet/ports.go
+++ b/lab/fleet/ports.go
@@ -9,28 +9,29 @@
 	"github.com/gravitational/trace"
 )
 
-// Ports are drawn from firstPort on, portCount of them: below the range that the
-// system takes for outgoing connections, so that what is stopped can start again
-// on its old address.
+// Ports are chosen at random from the portCount ports that start at firstPort. This range
+// is below the system's range for outgoing connections, so that no connection occupies
+// the port of a stopped node or engine.
 const (
-	firstPort = 10000
-	portCount = 22000
-	portTries = 1000
+	firstPort       = 10000
+	portCount       = 22000
+	maxPortAttempts = 1000
 )
 
-// handedOut are the ports this process has given away: one whose server is down
-// for a while must not be given to another.
-var handedOut sync.Map
+// allocatedPorts contains all ports that this process has allocated. A port is never
+// allocated twice, because its server may be only temporarily down.
+var allocatedPorts sync.Map
 
-// freeAddresses returns loopback addresses whose ports were free a moment ago.
+// freeAddresses returns loopback addresses with free ports. Another process may take a
+// port before it is used.
 func freeAddresses(count int) ([]string, error) {
 	addresses := make([]string, 0, count)
-	for range portTries {
+	for range maxPortAttempts {
 		if len(addresses) == count {
 			return addresses, nil
 		}
 		port := firstPort + rand.IntN(portCount)
-		if _, taken := handedOut.LoadOrStore(port, true); taken {
+		if _, taken := allocatedPorts.LoadOrStore(port, true); taken {
 			continue
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
@@ -41,5 +42,5 @@
 		defer func() { _ = listener.Close() }()
 		addresses = append(addresses, address)
 	}
-	return nil, trace.LimitExceeded("no free ports after %d tries", portTries)
+	return nil, trace.LimitExceeded("no free ports after %d tries", maxPortAttempts)
 }
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -1,7 +1,6 @@
-// Package load is the lab's callers: open-loop online load, whose latencies
-// count from the intended arrival so that waiting is not hidden (coordinated
-// omission), and a batch client. Both check every answer against what a
-// correct system must answer.
+// Package load generates load: open-loop online requests, and batch jobs. Latencies of
+// online requests are measured from the intended arrival time, which avoids coordinated
+// omission. All responses are compared with the expected text.
 package load
 
 import (
@@ -21,88 +20,92 @@
 	"cobaltramp.example/cobaltramp/lab/engine"
 )
 
-// Target is where and as whom load is sent.
+// Target is the deployment under load, with the credentials and the model to use.
 type Target struct {
-	// Addresses are callers' addresses of nodes, used in turn.
+	// Addresses are the API addresses of the nodes, used in turn.
 	Addresses []string
 	Key       string
 	Model     string
-	// MaxAnswerTokens is the engines' natural answer bound, to know what is right.
+	// MaxAnswerTokens is the engines' limit of tokens per response, on which the expected
+	// text depends.
 	MaxAnswerTokens int
 }
 
-// OnlineWorkload is the form of online requests.
+// OnlineWorkload describes the online requests.
 type OnlineWorkload struct {
 	// Rate is the mean number of requests per second (Poisson arrivals).
 	Rate float64 `yaml:"rate"`
-	// PromptWords and AnswerTokens are means; each request draws around them.
+	// PromptWords and AnswerTokens are mean lengths.
 	PromptWords  int `yaml:"prompt_words"`
 	AnswerTokens int `yaml:"answer_tokens"`
-	// Prefixes is the number of shared prompt prefixes; 0 shares none.
+	// Prefixes is the number of different prompt prefixes, which requests share; 0 means
+	// that prompts have no prefix.
 	Prefixes int `yaml:"prefixes"`
-	// Seed of arrivals and prompts.
+	// Seed is the random seed of arrivals and prompts.
 	Seed uint64 `yaml:"seed"`
 }
 
-// RunOnline sends requests until the context ends, then waits for the answers of
-// those under way.
-func RunOnline(ctx context.Context, target Target, shape OnlineWorkload, recorder *Recorder) {
-	random := rand.New(rand.NewPCG(shape.Seed, 3))
+// RunOnline sends requests until the context ends, and then waits for the requests in
+// flight.
+func RunOnline(ctx context.Context, target Target, workload OnlineWorkload, recorder *Recorder) {
+	random := rand.New(rand.NewPCG(workload.Seed, 3))
 	client := httpcall.NewClient(nil)
 	defer client.CloseIdle()
 	var requests tasks.Group
 	defer requests.Wait()
 	next := time.Now()
 	for number := 0; ; number++ {
-		next = next.Add(time.Duration(random.ExpFloat64() / shape.Rate * float64(time.Second)))
+		next = next.Add(time.Duration(random.ExpFloat64() / workload.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
-		body := chatBody(random, target.Model, shape, number)
+		body := chatBody(random, target.Model, workload, number)
 		intended := next
-		one := &onlineRequest{client: client, target: target, body: body, intended: intended, recorder: recorder, start: number}
-		requests.Go(one.run)
+		request := &onlineRequest{client: client, target: target, body: body, intended: intended, recorder: recorder, firstAddress: number}
+		requests.Go(request.run)
 	}
 }
 
 type onlineRequest struct {
-	client   *httpcall.Client
-	target   Target
-	body     []byte
-	intended time.Time
-	recorder *Recorder
-	start    int
+	client       *httpcall.Client
+	target       Target
+	body         []byte
+	intended     time.Time
+	recorder     *Recorder
+	firstAddress int
 }
 
 const (
-	maxResends     = 3
+	maxAttempts    = 3
 	requestTimeout = 60 * time.Second
-	resendPause    = 100 * time.Millisecond
-	// maxErrorBytes bounds what is read of an answer that is an error.
+	resendDelay    = 100 * time.Millisecond
+	// maxErrorBytes is the maximum number of bytes read from an error response.
 	maxErrorBytes = 1 << 16
 )
 
-// errNodeLost means that the accepting node itself died; its caller resends.
-var errNodeLost = errors.New("accepting node lost")
+// errNodeUnavailable reports that the accepting node did not respond or that its
+// connection broke. The request is retried at another node.
+var errNodeUnavailable = errors.New("accepting node lost")
 
-// run sends the request, through another node if the accepting one dies.
+// run sends the request, and retries it at the next node if the accepting node is
+// unavailable.
 func (o *onlineRequest) run() {
 	o.recorder.Requests.Add(1)
-	for try := range maxResends {
-		address := o.target.Addresses[(o.start+try)%len(o.target.Addresses)]
+	for try := range maxAttempts {
+		address := o.target.Addresses[(o.firstAddress+try)%len(o.target.Addresses)]
 		err := o.send(address)
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, errNodeLost) {
+		if !errors.Is(err, errNodeUnavailable) {
 			o.recorder.Failed.Add(1)
 			o.recorder.recordError(err.Error())
 			return
 		}
 		o.recorder.Resent.Add(1)
-		time.Sleep(resendPause)
+		time.Sleep(resendDelay)
 	}
 	o.recorder.Failed.Add(1)
 	o.recorder.recordError("no node reachable")
@@ -116,22 +119,22 @@
 		Headers: [][2]string{{"Authorization", "Bearer " + o.target.Key}, {"Content-Type", "application/json"}},
 	})
 	if err != nil {
-		return errNodeLost
+		return errNodeUnavailable
 	}
 	defer response.Close()
 	if response.Status != 200 {
-		// A body that breaks off has no kind of error; the status is reported anyway.
+		// A read error is ignored: the status is reported even without the error type.
 		body, _ := response.ReadAll(maxErrorBytes)
 		if gjson.GetBytes(body, "error.run").String() == "no" {
 			o.recorder.Refused.Add(1)
 		}
 		return fmt.Errorf("status %d: %s", response.Status, gjson.GetBytes(body, "error.type"))
 	}
-	return o.read(response)
+	return o.readStream(response)
 }
 
-// read takes the stream to its end and checks the whole text.
-func (o *onlineRequest) read(response *httpcall.Response) error {
+// readStream reads the stream to its end and checks the complete text.
+func (o *onlineRequest) readStream(response *httpcall.Response) error {
 	reader := bufio.NewReader(response)
 	var text bytes.Buffer
 	last := o.intended
@@ -143,14 +146,14 @@
 				o.recorder.Truncated.Add(1)
 				return errors.New("stream ended without an end")
 			}
-			return errNodeLost
+			return errNodeUnavailable
 		}
 		data, isData := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !isData {
 			continue
 		}
 		if bytes.Equal(data, []byte("[DONE]")) {
-			return o.check(text.String())
+			return o.checkText(text.String())
 		}
 		if kind := gjson.GetBytes(data, "error.type"); kind.Exists() {
 			return fmt.Errorf("error event: %s: %s", kind, gjson.GetBytes(data, "error.message"))
@@ -162,16 +165,16 @@
 		text.WriteString(piece)
 		now := time.Now()
 		if first {
-			o.recorder.recordFirst(o.intended, now.Sub(o.intended))
+			o.recorder.recordFirstToken(o.intended, now.Sub(o.intended))
 			first = false
 		} else {
-			o.recorder.recordGap(now.Sub(last))
+			o.recorder.recordTokenGap(now.Sub(last))
 		}
 		last = now
 	}
 }
 
-func (o *onlineRequest) check(text string) error {
+func (o *onlineRequest) checkText(text string) error {
 	want := engine.ExpectedResponse(o.body, o.target.MaxAnswerTokens)
 	if text == want {
 		return nil
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -8,55 +8,57 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Recorder counts what callers saw.
+// Recorder collects the results of online requests.
 type Recorder struct {
-	mutex sync.Mutex
-	first *hdrhistogram.Histogram // microseconds
-	gap   *hdrhistogram.Histogram
-	// Requests that were made; Failed of them got no whole right answer; Truncated
-	// ended without an error or an end; Wrong had other text; Resent lost
-	// their accepting node and were sent again; Refused got "not run".
+	mutex      sync.Mutex
+	firstToken *hdrhistogram.Histogram // microseconds
+	tokenGap   *hdrhistogram.Histogram
+	// Requests counts all requests, and Failed those without a complete and correct
+	// response. Truncated counts streams that ended without an error or an end marker.
+	// Wrong counts responses with an unexpected text. Resent counts retries after the
+	// loss of the accepting node. Refused counts error responses according to which the
+	// request did not run.
 	Requests, Failed, Truncated, Wrong, Resent, Refused atomic.Int64
 	errors                                              map[string]int
 	series                                              []Sample
 }
 
-// Sample is one request's time to first token, for plots.
+// Sample is the time to first token of one request.
 type Sample struct {
-	At    time.Time
-	First time.Duration
+	At         time.Time
+	FirstToken time.Duration
 }
 
 const (
-	maxMicros   = 120_000_000
-	significant = 3
+	maxMicroseconds   = 120_000_000
+	significantDigits = 3
 )
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{
-		first: hdrhistogram.New(1, maxMicros, significant), gap: hdrhistogram.New(1, maxMicros, significant),
+		firstToken: hdrhistogram.New(1, maxMicroseconds, significantDigits), tokenGap: hdrhistogram.New(1, maxMicroseconds, significantDigits),
 		errors: map[string]int{},
 	}
 }
 
-// record records a time in microseconds; one beyond the range counts as its end, so
-// that no value is refused.
+// record adds a duration in microseconds to a histogram. Durations outside the
+// histogram's range are clamped to it.
 func record(histogram *hdrhistogram.Histogram, waited time.Duration) {
-	_ = histogram.RecordValue(min(maxMicros, max(1, waited.Microseconds())))
+	_ = histogram.RecordValue(min(maxMicroseconds, max(1, waited.Microseconds())))
 }
 
-func (r *Recorder) recordFirst(at time.Time, waited time.Duration) {
+func (r *Recorder) recordFirstToken(at time.Time, waited time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.first, waited)
+	record(r.firstToken, waited)
 	r.series = append(r.series, Sample{at, waited})
 }
 
-func (r *Recorder) recordGap(waited time.Duration) {
+func (r *Recorder) recordTokenGap(waited time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.gap, waited)
+	record(r.tokenGap, waited)
 }
 
 func (r *Recorder) recordError(text string) {
@@ -65,7 +67,7 @@
 	r.errors[text]++
 }
 
-// Errors returns how often each error was seen.
+// Errors returns the number of requests that failed with each error.
 func (r *Recorder) Errors() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -76,21 +78,21 @@
 	return copied
 }
 
-// FirstToken returns a quantile (0 to 100) of the time to first token.
+// FirstToken returns a percentile (0 to 100) of the time to first token.
 func (r *Recorder) FirstToken(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Duration(r.first.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(r.firstToken.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// TokenGap returns a quantile (0 to 100) of the time between tokens.
+// TokenGap returns a percentile (0 to 100) of the time between tokens.
 func (r *Recorder) TokenGap(quantile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return time.Duration(r.gap.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(r.tokenGap.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Series returns the samples so far.
+// Series returns a copy of the samples collected so far.
 func (r *Recorder) Series() []Sample {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/scenario/report.go
+++ b/lab/scenario/report.go
@@ -13,21 +13,22 @@
 	"github.com/gravitational/trace"
 )
 
-// Summary compares a policy with the baselines of the same seeds.
+// Summary compares a policy with the baselines, seed by seed.
 type Summary struct {
 	Policy string `json:"policy"`
-	// Harm is the first token's p95 over that without batch; GapHarm the same
-	// for the time between tokens.
+	// Harm is the p95 of the time to first token, divided by the p95 without batch load
+	// (policy "off"). GapHarm is the same ratio for the time between tokens.
 	Harm    Spread `json:"harm"`
 	GapHarm Spread `json:"gap_harm"`
-	// Yield is batch tokens over what an oracle would have got out of the idle
-	// capacity: the rate of batch alone, less online's share of the slots.
+	// Yield is the rate of batch tokens, divided by the rate of an ideal scheduler that
+	// uses all idle capacity. That rate is the one of policy "batch_only" times the part
+	// of the slots that online load leaves free under policy "off".
 	Yield Spread `json:"yield"`
-	// Broken promises, all seeds.
-	Broken []string `json:"broken"`
+	// Violations lists the violated guarantees of all seeds.
+	Violations []string `json:"broken"`
 }
 
-// Spread is a mean with the lowest and the highest value over seeds.
+// Spread is the mean, the minimum and the maximum of a value over all seeds.
 type Spread struct {
 	Mean, Min, Max float64
 	Count          int
@@ -47,7 +48,7 @@
 	s.Count++
 }
 
-// String writes mean and range.
+// String formats the mean and the range.
 func (s Spread) String() string {
 	if s.Count == 0 {
 		return "–"
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("%.2f (%.2f–%.2f)", s.Mean, s.Min, s.Max)
 }
 
-func (r *Result) find(policy string, seed uint64) *Outcome {
+func (r *Result) findOutcome(policy string, seed uint64) *Outcome {
 	for i := range r.Outcomes {
 		if r.Outcomes[i].Policy == policy && r.Outcomes[i].Seed == seed {
 			return &r.Outcomes[i]
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// Summaries compares every policy with the baselines in the result.
+// Summaries returns a summary of each policy, in the order of the outcomes.
 func (r *Result) Summaries() []Summary {
 	var list []Summary
 	index := map[string]int{}
@@ -76,17 +77,17 @@
 			index[outcome.Policy] = at
 			list = append(list, Summary{Policy: outcome.Policy})
 		}
-		r.compare(&list[at], outcome)
+		r.addToSummary(&list[at], outcome)
 	}
 	return list
 }
 
-func (r *Result) compare(summary *Summary, outcome *Outcome) {
-	summary.Broken = append(summary.Broken, outcome.Broken()...)
-	if off := r.find("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
-		summary.Harm.add(outcome.FirstP95Ms / off.FirstP95Ms)
-		summary.GapHarm.add(outcome.GapP95Ms / off.GapP95Ms)
-		if alone := r.find("batch_only", outcome.Seed); alone != nil && outcome.Policy != "batch_only" {
+func (r *Result) addToSummary(summary *Summary, outcome *Outcome) {
+	summary.Violations = append(summary.Violations, outcome.Violations()...)
+	if off := r.findOutcome("off", outcome.Seed); off != nil && outcome.OnlineRequests > 0 {
+		summary.Harm.add(outcome.FirstTokenP95Ms / off.FirstTokenP95Ms)
+		summary.GapHarm.add(outcome.TokenGapP95Ms / off.TokenGapP95Ms)
+		if alone := r.findOutcome("batch_only", outcome.Seed); alone != nil && outcome.Policy != "batch_only" {
 			oracle := float64(alone.BatchTokens) / alone.Seconds * (1 - off.OnlineShare)
 			summary.Yield.add(float64(outcome.BatchTokens) / outcome.Seconds / oracle)
 		}
@@ -95,17 +96,17 @@
 
 // WriteText writes the comparison as a table.
 func (r *Result) WriteText(out io.Writer) {
-	say(out, "%-14s %-20s %-20s %-20s %s\n", "policy", "harm (first token)", "harm (token gap)", "yield", "promises")
+	printf(out, "%-14s %-20s %-20s %-20s %s\n", "policy", "harm (first token)", "harm (token gap)", "yield", "promises")
 	for _, summary := range r.Summaries() {
 		verdict := "held"
-		if len(summary.Broken) > 0 {
-			verdict = "BROKEN: " + strings.Join(summary.Broken, ", ")
+		if len(summary.Violations) > 0 {
+			verdict = "BROKEN: " + strings.Join(summary.Violations, ", ")
 		}
-		say(out, "%-14s %-20s %-20s %-20s %s\n", summary.Policy, summary.Harm, summary.GapHarm, summary.Yield, verdict)
+		printf(out, "%-14s %-20s %-20s %-20s %s\n", summary.Policy, summary.Harm, summary.GapHarm, summary.Yield, verdict)
 	}
 }
 
-// WriteHTML writes a report with plots.
+// WriteHTML writes a report with charts.
 func (r *Result) WriteHTML(path string) error {
 	page := components.NewPage()
 	page.PageTitle = "cobaltramp-lab: " + r.Scenario
@@ -124,28 +125,29 @@
 	return trace.ConvertSystemError(file.Close())
 }
 
-// summaryChart shows at a glance whether promises held, and harm and yield.
+// summaryChart shows harm and yield of each policy; its title says whether guarantees were
+// violated.
 func (r *Result) summaryChart() *charts.Bar {
 	bar := charts.NewBar()
 	verdict := "all promises held"
 	var names []string
 	var harm, yield []opts.BarData
 	for _, summary := range r.Summaries() {
-		if len(summary.Broken) > 0 {
-			verdict = "PROMISES BROKEN by " + summary.Policy + ": " + strings.Join(summary.Broken, ", ")
+		if len(summary.Violations) > 0 {
+			verdict = "PROMISES BROKEN by " + summary.Policy + ": " + strings.Join(summary.Violations, ", ")
 		}
 		names = append(names, summary.Policy)
-		harm = append(harm, opts.BarData{Value: round(summary.Harm.Mean)})
-		yield = append(yield, opts.BarData{Value: round(summary.Yield.Mean)})
+		harm = append(harm, opts.BarData{Value: roundTo3Decimals(summary.Harm.Mean)})
+		yield = append(yield, opts.BarData{Value: roundTo3Decimals(summary.Yield.Mean)})
 	}
 	bar.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: r.Scenario + ": " + verdict, Subtitle: "harm: first token p95 over that without batch; yield: batch tokens over the oracle's"}))
 	bar.SetXAxis(names).AddSeries("harm", harm).AddSeries("yield", yield)
 	return bar
 }
 
-func round(value float64) float64 { return math.Round(value*1000) / 1000 }
+func roundTo3Decimals(value float64) float64 { return math.Round(value*1000) / 1000 }
 
-// distributionChart shows the quantiles of the time to first token.
+// distributionChart shows percentiles of the time to first token.
 func (r *Result) distributionChart() *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(charts.WithTitleOpts(opts.Title{Title: "time to first token", Subtitle: "ms, p50, p95 and p99 by policy and seed"}))
@@ -155,18 +157,18 @@
 			continue
 		}
 		name := fmt.Sprintf("%s/%d", outcome.Policy, outcome.Seed)
-		line.AddSeries(name, []opts.LineData{{Value: outcome.FirstP50Ms}, {Value: outcome.FirstP95Ms}, {Value: outcome.FirstP99Ms}})
+		line.AddSeries(name, []opts.LineData{{Value: outcome.FirstTokenP50Ms}, {Value: outcome.FirstTokenP95Ms}, {Value: outcome.FirstTokenP99Ms}})
 	}
 	return line
 }
 
-// timeChart shows the online tail over time against the batch occupancy, with
-// faults marked.
+// timeChart shows the worst time to first token and the running sequences over time, and
+// lists the faults.
 func (r *Result) timeChart(o *Outcome) *charts.Line {
 	line := charts.NewLine()
 	subtitle := "sequences on the engines; worst time to first token (ms) in each half second"
-	if marks := r.marks(); marks != "" {
-		subtitle += "; faults: " + marks
+	if faultLabels := r.faultLabels(); faultLabels != "" {
+		subtitle += "; faults: " + faultLabels
 	}
 	line.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: fmt.Sprintf("%s, seed %d", o.Policy, o.Seed), Subtitle: subtitle}),
@@ -184,42 +186,42 @@
 	}
 	for i := range bins {
 		axis[i] = fmt.Sprintf("%.1f", float64(i)*bin)
-		worst[i] = opts.LineData{Value: round(peaks[i])}
+		worst[i] = opts.LineData{Value: roundTo3Decimals(peaks[i])}
 	}
-	for _, moment := range o.Use {
-		if at := int(moment.Seconds / bin); at >= 0 && at < bins {
-			online[at], batch[at] = opts.LineData{Value: moment.Online}, opts.LineData{Value: moment.Batch}
+	for _, sample := range o.Occupancy {
+		if at := int(sample.Seconds / bin); at >= 0 && at < bins {
+			online[at], batch[at] = opts.LineData{Value: sample.Online}, opts.LineData{Value: sample.Batch}
 		}
 	}
 	line.SetXAxis(axis).AddSeries("worst first token (ms)", worst).AddSeries("online sequences", online).AddSeries("batch sequences", batch)
 	return line
 }
 
-func (r *Result) marks() string {
-	var marks []string
+func (r *Result) faultLabels() string {
+	var faultLabels []string
 	for _, fault := range r.Faults {
-		marks = append(marks, fmt.Sprintf("%s %d at %s", fault.Kind, fault.Index, fault.At))
+		faultLabels = append(faultLabels, fmt.Sprintf("%s %d at %s", fault.Kind, fault.Index, fault.At))
 	}
-	return strings.Join(marks, ", ")
+	return strings.Join(faultLabels, ", ")
 }
 
-// Compare prints the ratios of two results, policy by policy.
+// Compare prints the ratios between two results for each policy.
 func Compare(before, after *Result, out io.Writer) {
-	say(out, "%-14s %-26s %-26s %-26s\n", "policy", "first p95 after/before", "gap p95 after/before", "batch tokens after/before")
+	printf(out, "%-14s %-26s %-26s %-26s\n", "policy", "first p95 after/before", "gap p95 after/before", "batch tokens after/before")
 	for _, name := range []string{"managed", "off", "static", "priority_only", "batch_only"} {
 		var first, gap, tokens Spread
 		for i := range after.Outcomes {
 			now := &after.Outcomes[i]
-			then := before.find(name, now.Seed)
+			then := before.findOutcome(name, now.Seed)
 			if now.Policy != name || then == nil {
 				continue
 			}
-			first.add(now.FirstP95Ms / then.FirstP95Ms)
-			gap.add(now.GapP95Ms / then.GapP95Ms)
+			first.add(now.FirstTokenP95Ms / then.FirstTokenP95Ms)
+			gap.add(now.TokenGapP95Ms / then.TokenGapP95Ms)
 			tokens.add(float64(now.BatchTokens) / now.Seconds / (float64(then.BatchTokens) / then.Seconds))
 		}
 		if first.Count+tokens.Count > 0 {
-			say(out, "%-14s %-26s %-26s %-26s\n", name, first, gap, tokens)
+			printf(out, "%-14s %-26s %-26s %-26s\n", name, first, gap, tokens)
 		}
 	}
 }
