--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,9 +1,9 @@
-// Package cluster contains the packages with which a process learns of other processes
-// and of the runners. It contains no code itself.
+// Package cluster contains the packages with which a process (a node) learns of other
+// nodes and of the runners, which are model engines. It contains no code itself.
 //
 //   - Edges and storage nodes use informer, listwatch, relay, peers and subset. These nodes
-//     learn of each other from records in the platform's store.
+//     learn of each other from records in the platform's store and from peers.
 //   - Plain nodes use membership, fleet and spread. They learn of each other by gossip.
-//   - All of them use ownership (rendezvous hashing), notify (coalesced notices between
+//   - All nodes use ownership (rendezvous hashing), notify (coalesced notices between
 //     nodes) and ports (interfaces of the platform's services).
 package cluster
--- a/internal/cluster/relay/changelog.go
+++ b/internal/cluster/relay/changelog.go
@@ -19,12 +19,14 @@
 	m.compact()
 }
 
-// compactSlack is how far outdated log entries may outnumber valid ones before the mirror
-// compacts the log, so that it does not read the whole log for each change.
+// compactSlack is how far outdated log entries may outnumber valid ones, and how far the
+// tombstones may exceed maxTombstones, before the mirror compacts the log. It keeps the
+// mirror from reading the whole log for each change.
 const compactSlack = 1024
 
-// compact removes outdated entries from the log once there are too many, and the oldest
-// tombstones beyond maxTombstones. The mutex is held.
+// compact removes the outdated entries from the log, and the oldest tombstones beyond
+// maxTombstones. It does nothing until one of the two limits of compactSlack is exceeded.
+// The log has to be sorted. The mutex is held.
 func (m *Mirror) compact() {
 	if len(m.log) <= 2*(len(m.values)+len(m.tombstones))+compactSlack && len(m.tombstones) <= maxTombstones+compactSlack {
 		return
--- a/internal/cluster/relay/diskcache.go
+++ b/internal/cluster/relay/diskcache.go
@@ -27,18 +27,20 @@
 	Fits(bytes int) bool
 }
 
-// persistInterval is the minimum time between two writes.
+// persistInterval is the minimum pause between two attempts to write.
 const persistInterval = 500 * time.Millisecond
 
 // selectionKey is the key of an extra document in the disk cache. The document exists if
-// the cache holds a selection of the runners, and contains the total numbers of runners.
+// the cache holds a selection of the runners, and contains the rounded numbers of all
+// runners by service and zone.
 const selectionKey = "kept/selection"
 
-// Restore passes the cached documents to a merger: as the complete contents of the store,
-// or, if the cache holds a selection of the runners, as that selection.
+// Restore passes the cached documents to a merger. If the cache holds a selection of the
+// runners, the merger receives them as a selection, otherwise as the complete contents of
+// the store. If the cache is empty or unreadable, the merger receives nothing.
 func Restore(cache DiskCache, classify Classifier, merger *Merger) {
 	cached, revision, err := cache.LoadDocuments()
-	klog.InfoS("documents restored from the disk cache", "documents", len(cached), "revision", revision, "err", err)
+	klog.InfoS("disk cache read", "documents", len(cached), "revision", revision, "err", err)
 	if err != nil || revision < 0 {
 		return
 	}
@@ -73,6 +75,8 @@
 	return values, selection
 }
 
+// decodeStoredTotals decodes the value under selectionKey. It returns the totals that
+// could be decoded, possibly none.
 func decodeStoredTotals(encoded []byte) subset.Totals {
 	reply := &wirev1.FollowReply{}
 	if err := proto.Unmarshal(encoded, reply); err != nil {
@@ -81,7 +85,8 @@
 	return totalsFromReply(reply)
 }
 
-// Persist writes the contents of a mirror to the cache until the context ends.
+// Persist writes the contents of a mirror to the cache until the context ends. After a
+// failed write it tries again when the mirror has changed.
 func Persist(ctx context.Context, cache DiskCache, mirror *Mirror) {
 	saved := int64(-1)
 	for ctx.Err() == nil {
@@ -114,8 +119,9 @@
 	return document
 }
 
-// saveUpdate writes an update to the cache. It returns false if the write has to be
-// retried.
+// saveUpdate writes an update and the selection document to the cache. If the selection
+// document has no value, it deletes that document from the cache. It returns false if the
+// disk lacks room or the write failed.
 func saveUpdate(cache DiskCache, update *Update, selection ports.Value) bool {
 	values := slices.Clone(update.Values)
 	var deletedKeys []string
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -20,7 +20,7 @@
 type Nodes interface {
 	// Self returns the record of this node.
 	Self() *wirev1.NodeRecord
-	// Count returns the number of known nodes.
+	// Count returns the number of nodes that this node knows.
 	Count() int
 	// Disks returns the records of the nodes with disks.
 	Disks() []*wirev1.NodeRecord
@@ -36,34 +36,38 @@
 	Unresponsive(node string) bool
 }
 
-// Follower receives the store's changes from other nodes. In a fleet of a few hundred
-// nodes, one node with a disk in each zone watches the store, and all others follow two
-// such nodes.
+// Follower receives the store's changes from other nodes, which are called sources. Up to
+// maxDirectNodes nodes, every node watches the store and has no sources. In a fleet of a
+// few hundred nodes, one node with a disk in each zone watches the store, and each node
+// follows two of these nodes.
 //
 // In a large fleet the nodes form a tree of three levels. At level 0, one node with a
 // disk in each zone watches the store. At level 1, the other relays of the zone, which
 // are the next nodes with disks in the order of watchWeight, follow nodes of level 0. At
 // level 2, all other nodes follow a relay of their zone. The number of relays is such
-// that each has about fanOut followers. A node sends changes only to higher levels, so no
-// two nodes follow each other. Each node is at most two hops from a node that watches the
-// store. A hop crosses zones only if the zone's own node at level 0 has failed.
+// that each has about fanOut followers. A node follows only nodes of lower levels, except
+// that a node at level 0 without contact to the store follows the node at level 0 of
+// another zone. While nodes with disks are alive, each node is at most two hops from a
+// node that watches the store. A node prefers sources of its own zone.
 type Follower struct {
 	Nodes  Nodes
 	Pool   *rpc.Pool
 	Merger *Merger
 	// Interest returns the node's interest, which determines its subset of the runners in
-	// a large fleet.
+	// a large fleet. If it is nil, the node receives all runners.
 	Interest func() subset.Interest
-	// Lost reports whether the store does not answer this node. Nil means that it always
-	// does.
-	Lost   func() bool
+	// Lost reports whether this node has lost contact with the store, as StoreContact.Lost
+	// of package listwatch does. A node that watches the store for its zone has contact
+	// only if the store itself answers. Nil means that the node always has contact.
+	Lost func() bool
+	// Timing is the timing of heartbeats; the zero value stands for TimingWithin(0).
 	Timing FollowTiming
 
 	cachedPosition atomic.Pointer[treePosition]
 
 	mutex   sync.Mutex
 	sources [wantedSources]sourceState
-	// failed holds, by address, when a source last failed.
+	// failed holds the time of the last failure of each source, by address.
 	failed    map[string]time.Time
 	isolation isolation
 }
@@ -74,19 +78,21 @@
 	// the source of that selection knows which runners have left it.
 	wantedSources             = 2
 	wantedSourcesInLargeFleet = 1
-	// minRetry is the pause before the next attempt to find a source. It doubles up to
-	// maxRetry while no source answers.
+	// minRetry is the pause before the next source is chosen, if no candidate was found or
+	// the previous source sent an up-to-date reply. After each source that sent none, the
+	// pause doubles, up to maxRetry.
 	minRetry = 100 * time.Millisecond
 	maxRetry = 1600 * time.Millisecond
 	// maxIdle limits the interval at which a node that needs no source checks whether it
-	// needs one. The interval starts at minRetry and doubles.
+	// needs one. The interval starts at minRetry and doubles with each such check.
 	maxIdle = time.Second
 	// maxDirectNodes is the largest number of nodes at which every node watches the store
 	// itself.
 	maxDirectNodes = 16
 )
 
-// HeartbeatInterval returns the interval at which sources send heartbeats.
+// HeartbeatInterval returns the interval at which sources send heartbeats, which are
+// replies without changes.
 func (f *Follower) HeartbeatInterval() time.Duration { return f.Timing.orDefault().Heartbeat }
 
 // Run receives changes until the context ends.
@@ -137,8 +143,10 @@
 // a large fleet.
 func (f *Follower) InTree() bool { return f.Nodes.Large() && f.Level() > 0 }
 
-// watchesForZone reports whether this node watches the store for its zone, because no
-// other node with a disk that precedes it in the zone's order is alive.
+// watchesForZone reports whether this node watches the store for its zone: it has a disk,
+// and no node of the zone with a disk and a higher watchWeight is alive. In a large fleet
+// isAlive determines which nodes are alive; in a smaller fleet a node is alive if it was in
+// contact within AliveTimeout.
 func (f *Follower) watchesForZone() bool {
 	if f.Nodes.Large() {
 		return f.Level() == 0
@@ -157,7 +165,8 @@
 	return true
 }
 
-// needsSource reports whether a slot needs a source.
+// needsSource reports whether a slot needs a source. In a large fleet only the first
+// wantedSourcesInLargeFleet slots do, and at level 0 only without contact to the store.
 func (f *Follower) needsSource(slot int) bool {
 	if f.Nodes.Large() {
 		return slot < wantedSourcesInLargeFleet && (f.Level() > 0 || f.storeUnavailable())
@@ -165,8 +174,7 @@
 	return f.NeedsRelays()
 }
 
-// storeUnavailable reports whether the store does not answer this node. A node at level 0
-// then follows the node at level 0 of another zone. Two such nodes can't follow each
-// other: a node without contact to the store reports this to its followers, and they
-// leave it.
+// storeUnavailable reports whether this node has no contact with the store. A node at
+// level 0 then follows the node at level 0 of another zone. If that node has no contact
+// either, it reports this in its first reply, and this node leaves it.
 func (f *Follower) storeUnavailable() bool { return f.Lost != nil && f.Lost() }
--- a/internal/cluster/relay/merge.go
+++ b/internal/cluster/relay/merge.go
@@ -14,7 +14,8 @@
 // and while it holds all runners it ignores sources that send a selection: a source of
 // one kind does not know which changes a source of the other kind has sent.
 //
-// Invariant: the revision never decreases, and the sink receives each change once.
+// Invariant: the revision never decreases, and a change is passed to the sink's Apply only
+// if it is newer than the revision. Reset and Select may repeat values.
 type Merger struct {
 	mutex    sync.Mutex
 	sink     SelectiveSink
@@ -35,22 +36,23 @@
 	return m.partial
 }
 
-// Select applies events and then a selection of the same revision. It ignores a selection
-// that is older than the held contents, and one that retains runners if no selection is
-// held. Only one source may send selections at a time.
+// Select applies events and then a selection of the same revision. It ignores both if the
+// merger has no contents, if the revision is older than the merger's, or if the selection
+// retains runners and the merger holds no selection. Only one source may send selections
+// at a time.
 func (m *Merger) Select(selection Selection, events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.revision < 0 || revision < m.revision || selection.Retained != nil && !m.partial {
-		return // outdated, or it extends contents that are not held
+		return
 	}
 	m.apply(events, revision)
 	m.sink.Select(selection, revision)
 	m.partial = true
 }
 
-// ResetToSelection replaces everything by the given values and a selection of the
-// runners.
+// ResetToSelection replaces all contents by the given values and a selection of the
+// runners. It ignores a revision that is older than the merger's.
 func (m *Merger) ResetToSelection(values []ports.Value, selection Selection, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -62,7 +64,9 @@
 	m.revision, m.partial = revision, true
 }
 
-// ApplySelected applies changes from the source of the held selection.
+// ApplySelected applies changes from the source of the held selection. It skips changes
+// that are not newer than the merger's revision, and ignores all if the merger holds no
+// selection.
 func (m *Merger) ApplySelected(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -79,7 +83,7 @@
 	return m.revision
 }
 
-// Reset implements Sink. It ignores contents that are older than the held ones.
+// Reset implements Sink. It ignores contents whose revision is older than the merger's.
 func (m *Merger) Reset(values []ports.Value, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -90,7 +94,8 @@
 	m.revision, m.partial = revision, false
 }
 
-// Apply implements Sink. It skips changes that were applied before.
+// Apply implements Sink. It skips changes that are not newer than the merger's revision,
+// and ignores all if the merger has no contents or holds a selection.
 func (m *Merger) Apply(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -99,7 +104,8 @@
 	}
 }
 
-// apply passes the changes after the held revision to the sink. The mutex is held.
+// apply passes the changes that are newer than the merger's revision to the sink, and
+// raises the revision. The mutex is held.
 func (m *Merger) apply(events []ports.WatchEvent, revision int64) {
 	fresh := make([]ports.WatchEvent, 0, len(events))
 	for _, event := range events {
--- a/internal/cluster/relay/mirror.go
+++ b/internal/cluster/relay/mirror.go
@@ -1,10 +1,10 @@
 // Package relay lets a few nodes watch the platform's store and pass its contents on to
 // the other nodes, so that the number of calls to the store does not grow with the fleet.
 //
-// A node with a disk holds a Mirror of the store, serves it to other nodes (Source) and
-// saves it on its disk (DiskCache). Nodes receive the changes through a Follower. In a
-// fleet of a few hundred nodes, a node follows two sources at once, so that it misses
-// nothing if one of them fails. In a larger fleet the nodes form a tree of three levels
+// A node with a disk keeps a copy of the store in a Mirror, sends the contents and changes
+// of the Mirror to other nodes (Source), and saves them on its disk (DiskCache). Nodes
+// receive the changes through a Follower. In a fleet of a few hundred nodes, a node
+// follows two sources at once, so that it misses nothing if one of them fails. In a larger fleet the nodes form a tree of three levels
 // (see Follower), and most nodes receive only the runners that they work with (see
 // FollowerView).
 //
@@ -22,8 +22,8 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// maxTombstones limits the number of tombstones in a mirror, of some 100 bytes each. A
-// follower that needs older tombstones receives the complete contents instead. A release
+// maxTombstones is the number of tombstones, of some 100 bytes each, that compaction of a
+// mirror's log leaves; up to compactSlack more may accumulate until then. A follower that needs older tombstones receives the complete contents instead. A release
 // that replaces half of 30,000 runners stays within the limit.
 const maxTombstones = 16384
 
@@ -31,16 +31,16 @@
 // The cost of sending an update depends on the number of changes, not on the size of the
 // store.
 //
-// Invariant: the revision never decreases; the log holds the revision of each value and
-// of each tombstone, in ascending order.
+// Invariant: the revision never decreases. While the mutex is free, the log holds the
+// revision of each value and of each tombstone, in ascending order.
 type Mirror struct {
 	classify Classifier
 
 	mutex    sync.Mutex
-	values   map[string]ports.Value
+	values   map[string]ports.Value // nil before the first Reset
 	revision int64
 	// partial is true while the mirror holds a selection of the runners. totals then
-	// holds how many runners there are.
+	// holds the rounded numbers of all runners; otherwise it is nil.
 	partial bool
 	totals  subset.Totals
 	runners *subset.Index[string] // the keys of the runners' entries
@@ -51,7 +51,7 @@
 	// compactedRevision is the newest revision whose tombstones have been removed. A
 	// follower at an older revision needs the complete contents.
 	compactedRevision int64
-	changed           chan struct{}
+	changed           chan struct{} // closed and replaced by each change
 }
 
 // logEntry records that a key changed at a revision. It is outdated once the key has
@@ -82,7 +82,7 @@
 
 var _ SelectiveSink = (*Mirror)(nil)
 
-// Reset implements Sink.
+// Reset implements Sink. It ignores contents whose revision is older than the mirror's.
 func (m *Mirror) Reset(values []ports.Value, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -110,7 +110,8 @@
 	m.advance(revision)
 }
 
-// Apply implements Sink.
+// Apply implements Sink. It ignores changes before the first Reset, and changes up to a
+// revision that is older than the mirror's.
 func (m *Mirror) Apply(events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -128,7 +129,8 @@
 	m.advance(revision)
 }
 
-// Select implements SelectiveSink.
+// Select implements SelectiveSink. It ignores a selection before the first Reset, and one
+// whose revision is older than the mirror's.
 func (m *Mirror) Select(selection Selection, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -157,9 +159,9 @@
 	return m.partial
 }
 
-// put stores a value unless the mirror holds a newer one. The pages of a list are not
-// read from one snapshot, so a list may contain values that later changes repeat. The
-// mutex is held.
+// put stores a value unless the mirror holds a value of the same or a newer revision. The
+// pages of a list are not read from one snapshot, so a list may contain values that later
+// changes repeat. The mutex is held.
 func (m *Mirror) put(value ports.Value) {
 	if held, known := m.values[value.Key]; known && held.Revision >= value.Revision {
 		return
@@ -172,7 +174,9 @@
 	}
 }
 
-// remove deletes a value and records a tombstone. The mutex is held.
+// remove deletes a value and records a tombstone of the given revision. It does nothing
+// if the mirror has no value of the key, or one that is newer than the revision. The mutex
+// is held.
 func (m *Mirror) remove(key string, revision int64) {
 	value, held := m.values[key]
 	if !held || value.Revision > revision {
--- a/internal/cluster/relay/serve.go
+++ b/internal/cluster/relay/serve.go
@@ -14,19 +14,21 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Source serves a mirror to followers.
+// Source sends the contents and changes of a mirror to followers.
 type Source struct {
+	// Mirror is nil on a node without a disk, which refuses all followers.
 	Mirror *Mirror
-	// Lost reports whether the store does not answer this node.
+	// Lost reports whether this node has lost contact with the store (see Follower.Lost).
 	Lost func() bool
-	// UsesRelay reports whether this node follows other nodes itself. If the fleet is not
-	// large it then refuses followers, so that no two nodes follow each other. Nil means
-	// that it never follows others.
+	// UsesRelay reports whether this node relies on other nodes instead of watching the
+	// store. It then refuses requests of level 0, which come from nodes of a fleet that is
+	// not large and from nodes at level 0 of a large one. Nil means that it never relies
+	// on others.
 	UsesRelay func() bool
 	// Level returns this node's level in the tree of a large fleet (see Follower). Nil
 	// means level 0.
 	Level func() uint32
-	// Timing holds the heartbeat interval.
+	// Timing holds the heartbeat interval; the zero value stands for TimingWithin(0).
 	Timing FollowTiming
 
 	followers atomic.Int64
@@ -36,7 +38,7 @@
 func (s *Source) Followers() int64 { return s.followers.Load() }
 
 // Serve handles METHOD_FOLLOW: it sends updates and heartbeats until the follower
-// disconnects.
+// disconnects or this node has to refuse it (see refusalError).
 func (s *Source) Serve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.FollowRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -81,15 +83,16 @@
 	if s.Level != nil && s.Level() >= request.Level {
 		return result.New(result.NotReady, "this node takes the store's changes at level %d, the asker at %d", s.Level(), request.Level)
 	}
-	// A node that holds a selection may send it to an empty node while the store does not
-	// answer. Any other follower would lose runners by it.
+	// A node that holds a selection and has no contact with the store sends the selection
+	// to an empty node. Any other follower would lose runners by it.
 	if s.Mirror.Partial() && !(s.Lost() && request.After < 0) {
 		return result.New(result.NotReady, "this node does not hold all that the store holds")
 	}
 	return nil
 }
 
-// wait returns when the mirror has changed or a heartbeat is due. It returns false if the
+// wait returns when the mirror has changed or a heartbeat is due. For a follower above
+// level 0, it returns followerCoalescing after the change. It returns false if the
 // follower has disconnected.
 func (s *Source) wait(ctx context.Context, changed <-chan struct{}, heartbeat <-chan time.Time, level uint32) bool {
 	select {
@@ -113,6 +116,8 @@
 // fleet.
 const followerCoalescing = 20 * time.Millisecond
 
+// viewFromRequest returns the view of a follower; nil if the follower requests all
+// runners.
 func viewFromRequest(request *wirev1.FollowRequest) *FollowerView {
 	if request.Interest == nil {
 		return nil
@@ -122,6 +127,7 @@
 	}}
 }
 
+// encodeUpdate returns the reply that contains an update; for nil it returns a heartbeat.
 func encodeUpdate(update *Update) *wirev1.FollowReply {
 	reply := &wirev1.FollowReply{}
 	if update == nil {
--- a/internal/cluster/relay/sink.go
+++ b/internal/cluster/relay/sink.go
@@ -9,7 +9,7 @@
 type Sink interface {
 	// Reset replaces the contents by the given values, as of a revision.
 	Reset(values []ports.Value, revision int64)
-	// Apply applies changes up to a revision.
+	// Apply applies the changes up to a revision, in the order of events.
 	Apply(events []ports.WatchEvent, revision int64)
 }
 
@@ -17,11 +17,11 @@
 type Selection struct {
 	// Values holds the entries of the selected runners, without the retained ones.
 	Values []ports.Value
-	// Totals holds how many runners there are, by service and zone.
+	// Totals holds the rounded numbers of all runners by service and zone.
 	Totals subset.Totals
 	// Retained is the subset whose runners the node keeps if it holds them already; nil
-	// if the node keeps none. As the number of runners grows, the subsets of all nodes
-	// shrink repeatedly, and a source then has to send only the totals.
+	// if the node keeps none. If the new subset is a part of the old one, a source thus
+	// sends only the totals.
 	Retained *subset.Subset
 }
 
@@ -37,8 +37,9 @@
 	return isRunner && s.retains(id, serviceZone)
 }
 
-// SelectiveSink is a Sink that also accepts selections. After Select it holds only the
-// selected runners, until the next Reset.
+// SelectiveSink is a Sink that also accepts selections. After Select its runners are the
+// selected and the retained ones; Apply may then change them. Reset replaces them by all
+// runners.
 type SelectiveSink interface {
 	Sink
 	Select(selection Selection, revision int64)
--- a/internal/cluster/relay/sources.go
+++ b/internal/cluster/relay/sources.go
@@ -11,9 +11,11 @@
 type sourceState struct {
 	address string
 	zone    string
-	// confirmed is when the source last reported that the store answers it.
-	confirmed time.Time
-	// interest is the interest sent in the request; stop ends the stream.
+	// confirmed is when this node last received a reply that reported no lost store and
+	// left the merger with the requested contents: all runners or a selection.
+	confirmedAt time.Time
+	// interest is the interest sent in the request; the zero value stands for all runners.
+	// stop ends the stream; it is nil before the stream is opened.
 	interest subset.Interest
 	stop     context.CancelFunc
 }
@@ -28,8 +30,7 @@
 	return f.liveSource(time.Now()) != nil
 }
 
-// liveSource returns a source that recently reported that the store answers it, or nil if
-// there is none. The mutex is held.
+// liveSource returns the first live source, or nil if there is none. The mutex is held.
 func (f *Follower) liveSource(now time.Time) *sourceState {
 	for slot := range f.sources {
 		if source := &f.sources[slot]; f.isLive(source, now) {
@@ -53,12 +54,14 @@
 	return live
 }
 
+// isLive reports whether a source was confirmed within the last HeartbeatTimeout. The mutex
+// is held.
 func (f *Follower) isLive(source *sourceState, now time.Time) bool {
-	return source.address != "" && now.Sub(source.confirmed) < f.Timing.orDefault().HeartbeatTimeout
+	return source.address != "" && now.Sub(source.confirmedAt) < f.Timing.orDefault().HeartbeatTimeout
 }
 
-// chooseSource returns the address of the best candidate that no other slot uses; it is
-// empty if there is none.
+// chooseSource assigns the best candidate that no other slot uses to a slot, and returns
+// its address. The address is empty if there is no such candidate.
 func (f *Follower) chooseSource(slot int) string {
 	self := f.Nodes.Self()
 	list := candidates(f.Nodes.Disks(), self)
@@ -82,6 +85,8 @@
 	return best.node.Address
 }
 
+// usedByOtherSlot reports whether a slot other than the given one follows an address. The
+// mutex is held.
 func (f *Follower) usedByOtherSlot(slot int, address string) bool {
 	for other, source := range f.sources {
 		if other != slot && source.address == address {
@@ -108,7 +113,7 @@
 func (f *Follower) confirm(slot int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.sources[slot].confirmed = time.Now()
+	f.sources[slot].confirmedAt = time.Now()
 	f.isolation.confirm()
 }
 
--- a/internal/cluster/relay/stream.go
+++ b/internal/cluster/relay/stream.go
@@ -17,13 +17,14 @@
 // interest.
 var errInterestChanged = errors.New("the node's interest or level has changed")
 
-// errSourceBehind ends a stream whose first list or selection was older than this node's
-// contents. The merger ignored it and would ignore all that follows, so the node has to
-// open a new stream.
-var errSourceBehind = errors.New("the source's first list or selection is older than this node's")
+// errSourceBehind ends a stream after an update that did not give the merger the requested
+// contents, either all runners or a selection, because the update was older than the
+// merger's revision. The merger would ignore the following updates too, so the node has
+// to open a new stream.
+var errSourceBehind = errors.New("the source's update is older than this node's contents")
 
-// RenewInterest ends the streams that were opened with another interest than the current
-// one, so that they are opened again.
+// RenewInterest ends the streams that receive a selection for another interest than the
+// current one; runSlot then opens a new stream. Streams of all runners continue.
 func (f *Follower) RenewInterest() {
 	if f.Interest == nil {
 		return
@@ -39,7 +40,8 @@
 	}
 }
 
-// request returns the request to send to a source, and the interest that it contains.
+// request returns the request to send to a source, and the interest that it contains. The
+// interest is the zero value if the request is for all runners.
 func (f *Follower) request() (*wirev1.FollowRequest, subset.Interest) {
 	request := &wirev1.FollowRequest{After: f.Merger.Revision()}
 	if !f.Nodes.Large() {
@@ -59,9 +61,10 @@
 	return request, interest
 }
 
-// follow receives a source's changes until its heartbeats stop or it reports that the
-// store does not answer it. It calls answered for each reply of a source that is up to
-// date with the store.
+// follow receives a source's changes until the source refuses, ends the stream, sends no
+// reply within HeartbeatTimeout or reports that it has lost the store, or until this node
+// needs another request (errInterestChanged, errSourceBehind). It calls answered for each
+// reply that confirms the source as live.
 func (f *Follower) follow(parent context.Context, slot int, address string, answered func()) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -103,7 +106,9 @@
 	}
 }
 
-// requestOutdated reports whether this node would now send a source another request.
+// requestOutdated reports whether, in a large fleet, a request no longer fits this node:
+// its level or interest has changed, or it is at level 0 and has regained the store. The
+// result is false in a fleet that is not large.
 func (f *Follower) requestOutdated(request *wirev1.FollowRequest, interest subset.Interest) bool {
 	if !f.Nodes.Large() {
 		return false
--- a/internal/cluster/relay/timing.go
+++ b/internal/cluster/relay/timing.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// FollowTiming holds the intervals and timeouts between sources and followers.
+// FollowTiming holds the intervals and timeouts between sources and followers. The zero
+// value stands for TimingWithin(0).
 type FollowTiming struct {
 	// Heartbeat is the interval at which a source sends heartbeats.
 	Heartbeat time.Duration
@@ -15,7 +16,7 @@
 const (
 	// heartbeatShare is the heartbeat interval as a share of the drain time, during which
 	// a leaving runner still accepts requests. A source that misses missedHeartbeats is
-	// left after less than half of the drain time, so that changes still arrive in time.
+	// left after less than half of the drain time, unless minHeartbeat applies.
 	heartbeatShare   = 0.15
 	missedHeartbeats = 3
 	// minHeartbeat and maxHeartbeat limit the heartbeat interval. minHeartbeat also
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -12,16 +12,13 @@
 )
 
 const (
-	// fanOut is the approximate number of followers of a relay in a large fleet. If all
-	// followers start at once, a relay sends about 3 MB. Two hops reach zones of 4,000
-	// nodes.
+	// fanOut is the approximate number of followers of a relay in a large fleet.
 	fanOut = 64
 	// minRelays is the minimum number of relays of a zone, including the node at level 0.
-	// With three, followers need not wait when one fails.
 	minRelays = 3
 	// leafLevel is the level of the nodes that have no followers.
 	leafLevel = 2
-	// maxWatched limits the number of nodes that a node probes.
+	// maxWatched limits the number of nodes that Watched returns.
 	maxWatched = 12
 )
 
@@ -52,12 +49,12 @@
 	node *wirev1.NodeRecord
 	// failed is true if the candidate failed recently as a source.
 	failed bool
-	// rank is the number of nodes of the candidate's zone with a higher watchWeight; in
-	// a large fleet it is the result of treeRank.
+	// rank is the number of nodes of the candidate's zone with a higher watchWeight. In a
+	// large fleet treeCandidates replaces it. Lower ranks are preferred.
 	rank int
 	// otherZone is true if the candidate is in another zone than this node.
 	otherZone bool
-	tieBreak  uint64
+	tieBreak  uint64 // see the function tieBreak
 }
 
 // candidates returns the nodes with disks as candidates for the node self.
@@ -73,7 +70,8 @@
 	return list
 }
 
-// preferredTo reports whether a node tries c before other.
+// preferredTo reports whether a node tries c before other: first by recent failure, then
+// by rank, zone and tieBreak.
 func (c *candidate) preferredTo(other *candidate) bool {
 	switch {
 	case c.failed != other.failed:
@@ -97,10 +95,11 @@
 // treePosition holds the data from which a node derives its level in the tree.
 type treePosition struct {
 	generation uint64
-	// preceding holds the zone's nodes with disks that precede this one, by descending
-	// watchWeight.
-	preceding  []*wirev1.NodeRecord
-	relayCount int
+	// precedingNodes holds the zone's nodes with disks that have a higher watchWeight than this
+	// node, by descending watchWeight. For a node without a disk it holds all of the zone's
+	// nodes with disks.
+	precedingNodes []*wirev1.NodeRecord
+	relayCount     int // number of relays of the zone
 }
 
 // position returns this node's position. It recomputes the position after each change of
@@ -121,22 +120,22 @@
 	next := &treePosition{generation: generation, relayCount: relayCount(f.Nodes.Count() - len(disks) + len(inZone))}
 	for _, node := range byWatchWeight(inZone) {
 		if self.DiskId == "" || watchWeight(node) > watchWeight(self) {
-			next.preceding = append(next.preceding, node)
+			next.precedingNodes = append(next.precedingNodes, node)
 		}
 	}
 	f.cachedPosition.Store(next)
 	return next
 }
 
-// Level returns this node's level in the tree of a large fleet: the number of hops
-// between it and a node that watches the store. The level depends on how many of the
-// preceding nodes are alive.
+// Level returns this node's level in the tree of a large fleet, from 0 to leafLevel. The
+// level of a node with a disk depends on how many of the preceding nodes are alive; a node
+// without a disk is always at leafLevel.
 func (f *Follower) Level() uint32 {
 	if f.Nodes.Self().DiskId == "" {
 		return leafLevel
 	}
 	position, alive := f.position(), 0
-	for _, node := range position.preceding {
+	for _, node := range position.precedingNodes {
 		if alive >= position.relayCount {
 			return leafLevel
 		}
@@ -160,21 +159,22 @@
 	return !f.Nodes.Unresponsive(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().AliveTimeout)
 }
 
-// Watched returns the nodes that this node has to probe in order to determine its level.
-// A relay probes the nodes that precede it. Any other node with a disk probes the relays
-// of its zone while it has no live source there.
+// Watched returns the nodes that this node has to probe in order to determine its level:
+// the first of the preceding nodes, until they include relayCount nodes that are alive, and
+// at most maxWatched. It returns none if the fleet is not large, if this node has no disk,
+// or if at least relayCount nodes precede it and it has a live source in its zone.
 func (f *Follower) Watched() []*wirev1.NodeRecord {
 	self := f.Nodes.Self()
 	if self.DiskId == "" || !f.Nodes.Large() {
 		return nil
 	}
 	position := f.position()
-	if len(position.preceding) >= position.relayCount && f.hasLiveSourceIn(self.Zone) {
+	if len(position.precedingNodes) >= position.relayCount && f.hasLiveSourceIn(self.Zone) {
 		return nil
 	}
 	var watched []*wirev1.NodeRecord
 	alive := 0
-	for _, node := range position.preceding {
+	for _, node := range position.precedingNodes {
 		if alive >= position.relayCount || len(watched) >= maxWatched {
 			break
 		}
@@ -194,7 +194,8 @@
 	return live != nil && live.zone == zone
 }
 
-// treeCandidates returns the candidates of a node at the given level of a large fleet.
+// treeCandidates returns the candidates of a node at the given level of a large fleet, with
+// their ranks in the tree. Candidates that are not alive rank as rankFallback or later.
 func (f *Follower) treeCandidates(level uint32) []*candidate {
 	relayCount := f.position().relayCount
 	list := candidates(f.Nodes.Disks(), f.Nodes.Self())
@@ -216,7 +217,7 @@
 	rankLevelAbove = iota // in the same zone, one level above
 	rankZoneFirst         // in the same zone, two levels above
 	rankOtherZone         // in another zone
-	rankFallback          // not a source while the nodes that precede it are alive
+	rankFallback          // no source in the tree, or not alive; tried last
 )
 
 // treeRank returns the rank of a living candidate for a node at the given level. It
--- a/internal/cluster/relay/tree_test.go
+++ b/internal/cluster/relay/tree_test.go
@@ -39,17 +39,17 @@
 
 // follower returns the follower of one node.
 func (f *largeFleet) follower(address string) *Follower {
-	if known := f.followers[address]; known != nil {
-		return known
+	if existing := f.followers[address]; existing != nil {
+		return existing
 	}
 	directory := peers.NewDirectory(f.records[address])
 	directory.MarkLarge()
 	for _, record := range f.records {
 		directory.Put(record)
 	}
-	known := &Follower{Nodes: directory, Timing: FollowTiming{Heartbeat: time.Second, HeartbeatTimeout: time.Minute, AliveTimeout: time.Nanosecond}}
-	f.followers[address] = known
-	return known
+	created := &Follower{Nodes: directory, Timing: FollowTiming{Heartbeat: time.Second, HeartbeatTimeout: time.Minute, AliveTimeout: time.Nanosecond}}
+	f.followers[address] = created
+	return created
 }
 
 // probeWatched lets a node probe the nodes that it watches until their list no longer
@@ -57,10 +57,10 @@
 func (f *largeFleet) probeWatched(address string) int {
 	follower := f.follower(address)
 	directory := follower.Nodes.(*peers.Directory)
-	most := 0
+	maxProbed := 0
 	for range 1 + len(f.records) {
 		watched := follower.Watched()
-		most = max(most, len(watched))
+		maxProbed = max(maxProbed, len(watched))
 		found := false
 		for _, node := range watched {
 			if f.dead[node.Address] && !directory.Unresponsive(node.NodeId) {
@@ -72,7 +72,7 @@
 			break
 		}
 	}
-	return most
+	return maxProbed
 }
 
 // source returns the address of the node that a node follows after trying its candidates
@@ -165,12 +165,12 @@
 				far++
 			}
 		}
-		most := 0
+		maxFollowers := 0
 		for _, count := range followers {
-			most = max(most, count)
+			maxFollowers = max(maxFollowers, count)
 		}
-		t.Logf("%d nodes: %d sources, the busiest with %d followers, %d followers with a source in another zone; a node probes at most %d others", len(f.records), len(followers), most, far, probed)
-		is.True(most <= 2*fanOut) // sources are chosen by a hash, so the numbers vary
+		t.Logf("%d nodes: %d sources, the busiest with %d followers, %d followers with a source in another zone; a node probes at most %d others", len(f.records), len(followers), maxFollowers, far, probed)
+		is.True(maxFollowers <= 2*fanOut) // sources are chosen by a hash, so the numbers vary
 		is.True(probed <= maxWatched)
 		is.Equal(far, 0)
 	}
--- a/internal/cluster/relay/update.go
+++ b/internal/cluster/relay/update.go
@@ -9,15 +9,14 @@
 
 // Update contains the changes after a revision.
 type Update struct {
-	// Whole is true if Values are the complete contents. Otherwise Events are the
-	// changes.
+	// Whole is true if Values are the complete contents, except for runners if Selection
+	// is set. Otherwise Events are the changes, and Values is empty.
 	Whole    bool
 	Values   []ports.Value
 	Events   []ports.WatchEvent
 	Revision int64
 	// Selection replaces the follower's selection of the runners. It is nil if the
-	// follower has to apply only the events. If it is set, Whole values contain no
-	// runners.
+	// selection does not change or the follower receives all runners.
 	Selection *Selection
 }
 
@@ -27,8 +26,10 @@
 	subset   *subset.Subset // the subset sent last; nil before the first update
 }
 
-// After returns the update after a revision, or nil if there are no changes, and a
-// channel that closes with the next change. A negative revision stands for a follower
+// After returns the update after a revision, and a channel that closes with the next
+// change. The update is nil if the mirror is empty, if the revision is newer than the
+// mirror's, or if neither the contents nor the view's subset have changed. A negative
+// revision stands for a follower
 // without contents. A nil view stands for a follower that receives all runners.
 func (m *Mirror) After(revision int64, view *FollowerView) (*Update, <-chan struct{}) {
 	m.mutex.Lock()
@@ -56,8 +57,9 @@
 	return update, m.changed
 }
 
-// refreshSubset computes the current subset of a view, and returns the previous one if it
-// has changed. The subsets are nil for a nil view. The mutex is held.
+// refreshSubset computes the current subset of a view and stores it in the view. It also
+// returns the previous subset if the subset has changed; previous is nil for the first
+// subset. Both are nil for a nil view. The mutex is held.
 func (m *Mirror) refreshSubset(view *FollowerView) (current, previous *subset.Subset, subsetChanged bool) {
 	if view == nil {
 		return nil, nil, false
@@ -71,7 +73,8 @@
 }
 
 // newSelection returns a selection with the runners of the current subset that are not in
-// the previous one. The mutex is held.
+// the previous one, if there is one. If the mirror holds a selection itself, newSelection
+// returns that selection. The mutex is held.
 func (m *Mirror) newSelection(current, previous *subset.Subset) *Selection {
 	if m.partial { // the follower is empty and receives the mirror's own selection
 		return &Selection{Values: m.runnerValues(), Totals: m.totals}
@@ -112,7 +115,8 @@
 }
 
 // eventsAfter returns the last change of each key after a revision, in ascending order of
-// revision. It leaves out runners that are not in the current subset. The mutex is held.
+// revision. It leaves out changes that are newer than the mirror's revision, and runners
+// that are not in the current subset; nil stands for all runners. The mutex is held.
 func (m *Mirror) eventsAfter(revision int64, current *subset.Subset) []ports.WatchEvent {
 	from := sort.Search(len(m.log), func(i int) bool { return m.log[i].revision > revision })
 	var events []ports.WatchEvent
--- a/internal/cluster/relay/view_test.go
+++ b/internal/cluster/relay/view_test.go
@@ -102,7 +102,7 @@
 		}
 		m.openStream(0)
 		next, which := 0, rapid.IntRange(0, 1)
-		held := int64(-1)
+		previousRevision := int64(-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"runners start": func(t *rapid.T) {
 				for range rapid.IntRange(1, 600).Draw(t, "count") {
@@ -133,10 +133,10 @@
 				m.openStream(m.source)
 			},
 			"": func(t *rapid.T) {
-				if m.merger.Revision() < held {
-					t.Fatalf("the revision went back from %d to %d", held, m.merger.Revision())
+				if m.merger.Revision() < previousRevision {
+					t.Fatalf("the revision went back from %d to %d", previousRevision, m.merger.Revision())
 				}
-				held = m.merger.Revision()
+				previousRevision = m.merger.Revision()
 			},
 		})
 		m.catchUp(m.mirrors[m.source], m.revision)
