--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -7,9 +7,9 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// Asking implements peers.Documents. In a large fleet it requests no runners, because
-// peers know other subsets of them. If relays also keep the node up to date, it requests
-// neither the configuration nor the layout.
+// FillRequest implements peers.Documents. In a large fleet it requests no runners, because
+// peers know other subsets of them. If, in a large fleet, relays keep the node up to date,
+// it requests neither the configuration nor the layout.
 func (i *Informer) FillRequest(request *wirev1.PeerStateRequest) {
 	request.HoldsDigest = i.Quarantine.Digest()
 	request.RunnersRevision = i.runners.currentRevision()
@@ -27,7 +27,8 @@
 	request.LayoutDigest = i.Layouts.Digest()
 }
 
-// Newer implements peers.Documents.
+// FillReply implements peers.Documents. It adds the layout and the quarantine's holds if
+// their digests differ from those in the request, since digests don't show which is newer.
 func (i *Informer) FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
 	if current := i.Catalogs.Current(); current != nil && current.Version > request.CatalogVersion {
 		reply.Catalog, reply.CatalogRevision = i.Catalogs.Document()
@@ -41,7 +42,7 @@
 	reply.Runners, reply.RunnersRevision, reply.HasRunners = i.runners.newerThan(request.RunnersRevision)
 }
 
-// Take implements peers.Documents.
+// ApplyReply implements peers.Documents. It records that a peer has answered this node.
 func (i *Informer) ApplyReply(reply *wirev1.PeerStateReply, from string) {
 	i.peerAnswered.Store(true)
 	if len(reply.Catalog) > 0 {
--- a/internal/cluster/informer/informer.go
+++ b/internal/cluster/informer/informer.go
@@ -1,7 +1,8 @@
 // Package informer keeps a node's copy of the contents of the platform's store: the
 // configuration, the runners, the nodes and the layout of the queues. It passes each part
-// to the package that owns it, and sends peers the parts that are newer here. It also
-// writes the node's own record and the progress of retirements.
+// to the package that owns it, and adds the parts that a peer lacks to replies to that
+// peer. It also writes the record of its own node, if the node has a disk, and the progress
+// of retirements. A retirement empties a storage node of its replicas.
 //
 // The package owns which runners this node knows, and at which revision. It relies on
 // package listwatch to watch the store, on package relay for changes that other nodes
@@ -38,20 +39,23 @@
 type Options struct {
 	Schema *Schema
 	Store  StoreAPI
-	// WatchTimeout is how long a watch of the store waits for a change.
+	// WatchTimeout is the longest time that a watch of the store waits for a change.
 	WatchTimeout time.Duration
 	Contact      *listwatch.StoreContact
 	Catalogs     *catalog.Holder
 	Runners      *runnerset.Set
 	Layouts      *queuestore.Layouts
 	Directory    *peers.Directory
-	// Mirror is the copy of the store that a node with a disk serves to other nodes; nil
-	// on nodes without a disk.
+	// Mirror is the copy of the store that a node with a disk sends to other nodes; nil on
+	// nodes without a disk.
 	Mirror *relay.Mirror
-	Pool   *rpc.Pool
+	// Pool holds the connections to other nodes. If it is nil, the node uses no relays and
+	// does not widen its subset of the runners.
+	Pool *rpc.Pool
 	// Drain is how long a leaving runner still accepts requests; 0 if unknown.
 	Drain time.Duration
 	// DiskCache keeps the contents of the mirror on this node's disk; nil without a disk.
+	// It is not used without a mirror.
 	DiskCache relay.DiskCache
 	// Quarantine receives the holds of requests that crash runners. If it is nil, holds
 	// are ignored.
@@ -68,10 +72,11 @@
 type Informer struct {
 	Options
 
-	runners  *runnerCache
+	runners *runnerCache
+	// follower and merger are nil before Run; follower stays nil without a Pool.
 	follower atomic.Pointer[relay.Follower]
 	merger   atomic.Pointer[relay.Merger]
-	// peerAnswered is true if another node has answered a request of this node.
+	// peerAnswered is true if another node has answered a PeerStateRequest of this node.
 	peerAnswered atomic.Bool
 }
 
@@ -85,14 +90,15 @@
 	_ queuestore.Retirement = (*Informer)(nil)
 )
 
-// UsesRelay reports whether relays keep this node up to date with the store.
+// UsesRelay reports whether relays keep this node up to date with the store, so that it
+// does not watch the store itself (see relay.Follower.UsesRelay).
 func (i *Informer) UsesRelay() bool {
 	follower := i.follower.Load()
 	return follower != nil && follower.UsesRelay()
 }
 
-// Level returns this node's level in the tree of a large fleet: the number of hops
-// between it and a node that watches the store.
+// Level returns this node's level in the tree of a large fleet (see relay.Follower.Level);
+// 0 before Run or without a Pool.
 func (i *Informer) Level() uint32 {
 	if follower := i.follower.Load(); follower != nil {
 		return follower.Level()
@@ -100,8 +106,7 @@
 	return 0
 }
 
-// Sources returns the addresses of the nodes that keep this node up to date with the
-// store.
+// Sources returns the addresses of the live sources of this node (see relay.Follower).
 func (i *Informer) Sources() []string {
 	if follower := i.follower.Load(); follower != nil {
 		return follower.Sources()
@@ -126,7 +131,7 @@
 	return nil
 }
 
-// Run keeps the copy up to date until the context ends.
+// Run keeps the copy up to date and registers this node until the context ends.
 func (i *Informer) Run(ctx context.Context) {
 	merger := relay.NewMerger(i.sinks())
 	i.merger.Store(merger)
@@ -152,6 +157,8 @@
 	running.Wait()
 }
 
+// newFollower creates and stores the follower that passes the changes from relays to the
+// merger.
 func (i *Informer) newFollower(merger *relay.Merger) *relay.Follower {
 	follower := &relay.Follower{Nodes: i.Directory, Pool: i.Pool, Merger: merger, Timing: i.Timing, Lost: i.Contact.Lost}
 	if i.Interest != (subset.Interest{}) {
@@ -161,7 +168,7 @@
 	return follower
 }
 
-// sinks returns the receivers of the store's contents.
+// sinks returns the receivers of the store's contents. The mirror receives every key.
 func (i *Informer) sinks() sinksByPrefix {
 	sinks := sinksByPrefix{
 		{i.Schema.OperatorPrefix, (*operatorSink)(i)}, {i.Schema.RunnersPrefix, i.runners}, {productPrefix, (*productSink)(i)},
--- a/internal/cluster/informer/metrics.go
+++ b/internal/cluster/informer/metrics.go
@@ -7,8 +7,9 @@
 )
 
 // RegisterMetrics registers gauges of this node's sources, level and revision, of the
-// server's followers, and of the number of runners that the node knows.
-func (i *Informer) RegisterMetrics(registry prometheus.Registerer, server *relay.Source) {
+// server's followers, of the runners that the node knows and their total number, and of
+// the factor by which its subset of the runners is enlarged.
+func (i *Informer) RegisterMetrics(registry prometheus.Registerer, source *relay.Source) {
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 	}
@@ -30,7 +31,7 @@
 			return float64(len(i.Sources()))
 		}),
 		gauge("cobaltramp_store_followers", "Nodes that this node keeps up to date with the store.", func() float64 {
-			return float64(server.Followers())
+			return float64(source.Followers())
 		}),
 		gauge("cobaltramp_store_revision", "Revision of the store up to which this node knows it.", func() float64 {
 			return float64(i.storeRevision())
--- a/internal/cluster/informer/operator.go
+++ b/internal/cluster/informer/operator.go
@@ -51,6 +51,8 @@
 	}
 }
 
+// setRetiring passes the nodes to retire to the directory. It logs them only if their
+// number has changed.
 func (i *Informer) setRetiring(retiring map[string]bool) {
 	if len(retiring) != len(i.Directory.Retiring()) {
 		klog.InfoS("list of nodes to retire changed", "nodes", retiring)
@@ -59,6 +61,7 @@
 }
 
 // updateConfig activates a configuration if it is valid and newer than the current one.
+// source names its origin for the log: "store" or a peer.
 func (i *Informer) updateConfig(document []byte, revision int64, source string) {
 	next, err := i.Schema.ParseConfig(document)
 	if err != nil {
--- a/internal/cluster/informer/own.go
+++ b/internal/cluster/informer/own.go
@@ -41,8 +41,8 @@
 	s.Directory.PutAll(records, "store")
 }
 
-// handleValue processes a value. If the value is a node record, it returns the record
-// instead.
+// handleValue passes the layout and the quarantine document to their owners. It returns
+// the record if the value is a readable node record, and otherwise nil.
 func (s *productSink) handleValue(value ports.Value) *wirev1.NodeRecord {
 	switch {
 	case s.Layouts.HasKey(value.Key):
--- a/internal/cluster/informer/registration.go
+++ b/internal/cluster/informer/registration.go
@@ -13,15 +13,14 @@
 )
 
 // registerRetryInterval is the pause after a failed attempt to write the node's record.
-// registeredCheckInterval is how often a node checks whether its record has changed since
-// the last write.
+// registeredCheckInterval is how often a node checks whether it has to write its record.
 const (
 	registerRetryInterval   = 500 * time.Millisecond
 	registeredCheckInterval = 2 * time.Second
 )
 
-// register writes this node's record to the store when it has changed, until the context
-// ends.
+// register writes this node's record to the store whenever its incarnation has changed,
+// until the context ends. A node without a disk writes no record.
 func (i *Informer) register(ctx context.Context) {
 	written := uint64(0)
 	for ctx.Err() == nil {
@@ -38,11 +37,13 @@
 	}
 }
 
+// writeRecord writes this node's record, and reports whether it was written. It does not
+// write over a record of an earlier run that raises the incarnation of this one.
 func (i *Informer) writeRecord(ctx context.Context, self *wirev1.NodeRecord) bool {
 	key := nodesPrefix + self.NodeId
 	existing, _, err := i.Store.Get(ctx, key)
 	if err != nil {
-		klog.V(1).InfoS("node record could not be read; it will be retried", "node", self.NodeId, "err", err)
+		klog.V(1).InfoS("node record could not be read; the write will be retried", "node", self.NodeId, "err", err)
 		return false
 	}
 	stored := &wirev1.NodeRecord{}
@@ -55,21 +56,22 @@
 		return false
 	}
 	done, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: existing.Revision}}, []ports.Put{{Key: key, Value: encoded}})
-	klog.InfoS("node record written", "node", self.NodeId, "incarnation", self.Incarnation, "disk", self.DiskId, "done", done, "err", err)
+	klog.InfoS("write of the node record ended", "node", self.NodeId, "incarnation", self.Incarnation, "disk", self.DiskId, "done", done, "err", err)
 	return done && err == nil
 }
 
-// Report implements queuestore.Retirement. It writes each state once and never returns to
-// an earlier state.
+// Report implements queuestore.Retirement. It writes the state unless the stored report has
+// the same or a later state; done is the later one. It overwrites an unreadable report. A
+// failed read or write is logged and not repeated here.
 func (i *Informer) Report(ctx context.Context, node string, done bool) {
 	key := i.Schema.RetirementPrefix + node
 	existing, found, err := i.Store.Get(ctx, key)
 	if err != nil {
-		klog.V(1).InfoS("retirement report could not be read; it will be retried", "node", node, "err", err)
+		klog.V(1).InfoS("retirement report could not be read", "node", node, "err", err)
 		return
 	}
 	if found {
-		if reported, known := i.Schema.DecodeRetirement(existing.Value); known && (reported == done || reported) {
+		if reportedDone, readable := i.Schema.DecodeRetirement(existing.Value); readable && (reportedDone == done || reportedDone) {
 			return
 		}
 	}
--- a/internal/cluster/informer/routing.go
+++ b/internal/cluster/informer/routing.go
@@ -8,8 +8,8 @@
 )
 
 // sinksByPrefix distributes the results of one watch to several sinks by key prefix, so
-// that a node needs only one watch. Apply calls a sink only if a change has the sink's
-// prefix.
+// that a node needs only one watch. Reset calls every sink, Apply calls a sink only if a
+// change has the sink's prefix, and Select calls every selective sink.
 type sinksByPrefix []prefixSink
 
 type prefixSink struct {
--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -14,10 +14,12 @@
 	"cobaltramp.example/cobaltramp/internal/serving/runnerset"
 )
 
-// runnerCache keeps the set of runners up to date with the store: either with all
-// runners' entries or with this node's subset.
+// runnerCache passes this node's subset of the runners to the runnerset.Set. Either the
+// cache receives the entries of all runners and picks the subset itself
+// (selectedByRelay is false), or a relay picks it and the cache receives only the subset
+// (selectedByRelay is true).
 //
-// Invariant: the revision never decreases; raw holds the entries of the known runners.
+// Invariant: the revision never decreases.
 type runnerCache struct {
 	schema *Schema
 	set    *runnerset.Set
@@ -26,19 +28,23 @@
 
 	mutex    sync.Mutex
 	widening subset.Scaler
-	// selector picks this node's subset from the entries of all runners. It is nil before
-	// the first use, and not in use while selected is true.
+	// selector picks this node's subset from the entries of all runners while
+	// selectedByRelay is false. It is nil before the first use.
 	selector *subset.Selector[runnerset.Record]
-	// selected is true while a relay picks the subset.
-	selected bool
-	raw      map[string][]byte // stored entries by key
+	// selectedByRelay is true while a relay picks the subset.
+	selectedByRelay bool
+	// storedEntries holds the readable entries that the cache received, in their encoded
+	// form, by key.
+	storedEntries map[string][]byte
+	// revision is the revision of the last list, selection or change of an entry; 0 before
+	// the first.
 	revision int64
 }
 
 var _ relay.SelectiveSink = (*runnerCache)(nil)
 
 func newRunnerCache(schema *Schema, set *runnerset.Set, interest subset.Interest) *runnerCache {
-	return &runnerCache{schema: schema, set: set, interest: interest, raw: map[string][]byte{}}
+	return &runnerCache{schema: schema, set: set, interest: interest, storedEntries: map[string][]byte{}}
 }
 
 // parse returns the entries that can be decoded, and their stored form by key.
@@ -71,7 +77,8 @@
 	c.replace(values, revision, "store")
 }
 
-// Select implements relay.SelectiveSink.
+// Select implements relay.SelectiveSink. It ignores a selection whose revision is older
+// than the cache's, and retains entries only if it holds a selection already.
 func (c *runnerCache) Select(selection relay.Selection, revision int64) {
 	now := time.Now()
 	c.mutex.Lock()
@@ -80,19 +87,20 @@
 		return
 	}
 	values := selection.Values
-	for key, value := range c.raw {
-		if held := (ports.Value{Key: key, Value: value}); c.selected && selection.Retains(held, c.schema.Classify) {
+	for key, value := range c.storedEntries {
+		if held := (ports.Value{Key: key, Value: value}); c.selectedByRelay && selection.Retains(held, c.schema.Classify) {
 			values = append(values, held)
 		}
 	}
 	var entries []subset.ListedRunner[runnerset.Record]
-	entries, c.raw = c.parse(values, now)
-	c.selected, c.revision = true, revision
+	entries, c.storedEntries = c.parse(values, now)
+	c.selectedByRelay, c.revision = true, revision
 	if c.set.Select(runnerRecords(entries), selection.Totals, revision, now) {
 		klog.InfoS("selection of runners taken", "runners", len(entries), "of", sumTotals(selection.Totals), "revision", revision)
 	}
 }
 
+// sumTotals returns the sum of the rounded numbers of runners (see subset.Totals).
 func sumTotals(totals subset.Totals) int {
 	sum := 0
 	for _, count := range totals {
@@ -110,7 +118,8 @@
 	return c.selector
 }
 
-// replace replaces the entries of all runners, unless the given ones are older.
+// replace replaces the entries of all runners, unless the given revision is older than the
+// cache's. source names the origin of the entries for the log.
 func (c *runnerCache) replace(values []ports.Value, revision int64, source string) {
 	now := time.Now()
 	c.mutex.Lock()
@@ -119,12 +128,13 @@
 		return
 	}
 	var entries []subset.ListedRunner[runnerset.Record]
-	entries, c.raw = c.parse(values, now)
-	c.selected, c.revision = false, revision
+	entries, c.storedEntries = c.parse(values, now)
+	c.selectedByRelay, c.revision = false, revision
 	c.applyChange(c.allRunnersSelector().Reset(entries), revision, source, now)
 }
 
-// applyChange applies a change of this node's subset to the set. The mutex is held.
+// applyChange applies a change of this node's subset to the set, and logs it. The mutex is
+// held.
 func (c *runnerCache) applyChange(change subset.Change[runnerset.Record], revision int64, source string, now time.Time) {
 	if !change.Full {
 		logRunnerChanges(change, revision)
@@ -140,13 +150,14 @@
 // If more runners change at once, only their number is logged.
 const maxLoggedRunners = 8
 
-// Apply implements relay.Sink.
+// Apply implements relay.Sink. It ignores events that are all no newer than the cache's
+// revision. If a changed entry is unreadable, the previous entry stays.
 func (c *runnerCache) Apply(events []ports.WatchEvent, _ int64) {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	// The list has the revision of its own last change. Changes of other keys do not make
-	// it newer.
+	// The revision of the entries rises only with a change of an entry, not with changes
+	// of other keys.
 	revision := maxRevision(events)
 	if revision <= c.revision {
 		return
@@ -156,17 +167,17 @@
 	for _, event := range latestPerKey(events) {
 		id := strings.TrimPrefix(event.Value.Key, c.schema.RunnersPrefix)
 		if event.Deleted {
-			delete(c.raw, event.Value.Key)
+			delete(c.storedEntries, event.Value.Key)
 			removed = append(removed, id)
 			continue
 		}
 		if record, ok := c.schema.parseRunner(event.Value, now); ok {
-			c.raw[event.Value.Key] = event.Value.Value
+			c.storedEntries[event.Value.Key] = event.Value.Value
 			put = append(put, listedRunner(record))
 		}
 	}
 	c.revision = revision
-	if c.selected {
+	if c.selectedByRelay {
 		logRunnerChanges(subset.Change[runnerset.Record]{Put: put, Removed: removed}, revision)
 		c.set.ApplyChanges(runnerRecords(put), removed, revision, now)
 		return
@@ -181,20 +192,22 @@
 	return c.revision
 }
 
-// newerThan returns the entries of all runners and their revision. found is false if the
-// revision is not newer, or if a relay picks this node's subset.
+// newerThan returns the entries of all runners and their revision. found is false if that
+// revision is not newer than the given one, or if a relay picks this node's subset.
 func (c *runnerCache) newerThan(revision int64) (entries []*wirev1.KeyValue, newer int64, found bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.revision <= revision || c.selected {
+	if c.revision <= revision || c.selectedByRelay {
 		return nil, 0, false
 	}
-	for key, value := range c.raw {
+	for key, value := range c.storedEntries {
 		entries = append(entries, &wirev1.KeyValue{Key: []byte(key), Value: value})
 	}
 	return entries, c.revision, true
 }
 
+// logRunnerChanges logs each changed runner, or only their number if there are more than
+// maxLoggedRunners.
 func logRunnerChanges(change subset.Change[runnerset.Record], revision int64) {
 	if len(change.Put)+len(change.Removed) > maxLoggedRunners {
 		klog.InfoS("runners changed", "changed", len(change.Put), "gone", len(change.Removed), "revision", revision)
@@ -226,6 +239,7 @@
 	return kept
 }
 
+// maxRevision returns the newest revision of the events; 0 if there are none.
 func maxRevision(events []ports.WatchEvent) int64 {
 	newest := int64(0)
 	for _, event := range events {
--- a/internal/cluster/informer/schema.go
+++ b/internal/cluster/informer/schema.go
@@ -21,8 +21,8 @@
 	OperatorPrefix string
 	ConfigKey      string
 	RetirePrefix   string
-	// RetirementPrefix is the prefix of the keys under which operators read the progress
-	// of retirements.
+	// RetirementPrefix is the prefix of the keys under which nodes write the progress of
+	// retirements for operators to read.
 	RetirementPrefix string
 	// RunnersPrefix is the prefix of the keys of the runners' entries; the rest of a key
 	// is the runner's id.
@@ -34,9 +34,10 @@
 	// ParseRunner decodes the entry of the runner with the given id, read at now.
 	ParseRunner func(id string, entry []byte, now time.Time) (runnerset.Record, error)
 	// EncodeRetirement and DecodeRetirement convert the report of a retirement's
-	// progress. known is false if the report can't be decoded.
+	// progress; done is true if the retirement is complete. readable is false if the report
+	// can't be decoded.
 	EncodeRetirement func(done bool) ([]byte, error)
-	DecodeRetirement func(report []byte) (done, known bool)
+	DecodeRetirement func(report []byte) (done, readable bool)
 }
 
 // Key prefixes. allKeys matches every key, and productPrefix matches the keys that this
@@ -47,6 +48,8 @@
 	nodesPrefix   = productPrefix + "nodes/"
 )
 
+// parseRunner decodes a runner's entry. If the entry is unreadable, it logs the error and
+// returns false.
 func (s *Schema) parseRunner(value ports.Value, now time.Time) (runnerset.Record, bool) {
 	record, err := s.ParseRunner(strings.TrimPrefix(value.Key, s.RunnersPrefix), value.Value, now)
 	if err != nil {
@@ -55,7 +58,8 @@
 	return record, err == nil
 }
 
-// Classify implements relay.Classifier.
+// Classify implements relay.Classifier. isRunner is false if the value is under another
+// prefix or is an unreadable entry.
 func (s *Schema) Classify(value ports.Value) (id string, serviceZone subset.ServiceZone, isRunner bool) {
 	if !strings.HasPrefix(value.Key, s.RunnersPrefix) {
 		return "", subset.ServiceZone{}, false
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -13,8 +13,9 @@
 // widenInterval is how often a node checks whether it needs more or fewer runners.
 const widenInterval = time.Second
 
-// widen adjusts the size of this node's subset to the number of choices that found no
-// free slot, until the context ends.
+// widen enlarges this node's subset of the runners while choices of a runner find no free
+// slot, and reduces it again later, until the context ends. If a relay picks the subset,
+// widen has the selection requested again.
 func (i *Informer) widen(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, widenInterval)
@@ -30,21 +31,24 @@
 	}
 }
 
-// widen records whether a choice since the last call found no free slot. It returns the
-// factor by which this node's subset is enlarged, and whether the factor has changed.
+// widen records whether a choice since the last call found no free slot; this has no effect
+// if the node knows all runners. It returns the factor by which this node's subset is
+// enlarged, and whether the factor has changed. If the cache holds the entries of all
+// runners, it applies the changed subset at once.
 func (c *runnerCache) widen(slotsMissing bool, now time.Time) (factor int, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	changed = c.widening.Update(slotsMissing && c.isPartial(), now)
 	if changed && c.selector != nil {
-		if change, subsetChanged := c.selector.SetInterest(c.widenedInterestLocked()); subsetChanged && !c.selected && c.revision > 0 {
+		if change, subsetChanged := c.selector.SetInterest(c.widenedInterestLocked()); subsetChanged && !c.selectedByRelay && c.revision > 0 {
 			c.applyChange(change, c.revision, "widened", now)
 		}
 	}
 	return c.widening.Factor(), changed
 }
 
-// isPartial reports whether this node knows only some of the runners.
+// isPartial reports whether the set contains fewer runners than the rounded total of all
+// runners. The mutex is held.
 func (c *runnerCache) isPartial() bool {
 	listed, _ := c.set.Count()
 	return listed < c.set.Total()
@@ -62,6 +66,7 @@
 	return c.interest.Scaled(c.widening.Factor())
 }
 
+// wideningFactor returns the factor by which this node's subset is enlarged.
 func (c *runnerCache) wideningFactor() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
