--- a/internal/cluster/listwatch/coalescing.go
+++ b/internal/cluster/listwatch/coalescing.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minCoalescing is the pause between two watches. Changes that arrive during the
-	// pause are read by one call.
+	// minCoalescing is the pause after a watch that returned changes outside of a burst, and
+	// the minimum pause during a burst. The next call reads all changes of the pause.
 	minCoalescing = 80 * time.Millisecond
 	// coalescingShare is the pause during a burst of changes, as a share of the drain
 	// time, during which a leaving runner still accepts requests. Bursts occur when many
@@ -16,14 +16,15 @@
 	burstWindow = 700 * time.Millisecond
 )
 
-// During startupPeriod a node pauses for startupCoalescing: all nodes and runners of the
-// deployment may be starting, and each writes its own entry.
+// During the startupPeriod after its own start, a node pauses for startupCoalescing: all
+// nodes and runners of the deployment may be starting, and each writes its own entry.
 const (
 	startupPeriod     = 2500 * time.Millisecond
 	startupCoalescing = 700 * time.Millisecond
 )
 
-// coalescer determines how long a node pauses after changes before it watches again.
+// coalescer determines how long a node pauses after changes before it watches again. Only
+// the goroutine of listAndWatch uses it.
 type coalescer struct {
 	started time.Time
 	// lastChange is when the last changes arrived; zero if none have arrived yet.
@@ -43,7 +44,8 @@
 	return &coalescer{started: started, burstDelay: burstDelay}
 }
 
-// delayAfter returns how long to pause after changes that arrived at now.
+// delayAfter records that changes arrived at now, and returns how long to pause before the
+// next watch.
 func (c *coalescer) delayAfter(now time.Time) time.Duration {
 	if now.Sub(c.started) < startupPeriod {
 		c.lastChange = now
--- a/internal/cluster/listwatch/contact.go
+++ b/internal/cluster/listwatch/contact.go
@@ -9,17 +9,18 @@
 	"cobaltramp.example/cobaltramp/internal/app/boottime"
 )
 
-// StoreContact records a node's contact with the platform's store, either direct or
-// through the nodes that relay its changes.
+// StoreContact records whether a node is in contact with the platform's store, either
+// directly or through relays (nodes that pass on its changes), and since when the copy of
+// the store may be outdated.
 //
-// Invariant: a successful probe renews the age of the contact, but a lost contact is
-// regained only by a list, a watch or a relay.
+// Invariant: a successful list or watch, and an up-to-date relay, renew the contact and end
+// its loss. A successful probe renews the contact but does not end its loss.
 type StoreContact struct {
 	renewedAt atomic.Int64 // time of the last renewal, in nanoseconds after processStart
 	lost      atomic.Bool
 	mutex     sync.Mutex
-	// callsContext ends when the store is found not to answer; calls that wait end with
-	// it.
+	// callsContext ends at the next recordFailure, which thereby ends the waiting watch. The
+	// mutex protects callsContext and cancelCalls.
 	callsContext context.Context
 	cancelCalls  context.CancelFunc
 }
@@ -28,7 +29,8 @@
 // machine was suspended, because keys may have been revoked in that time.
 var processStart = boottime.Now()
 
-// NewStoreContact returns a StoreContact without contact.
+// NewStoreContact returns a StoreContact whose contact counts as lost until Confirm is
+// called.
 func NewStoreContact() *StoreContact {
 	contact := &StoreContact{}
 	contact.callsContext, contact.cancelCalls = context.WithCancel(context.Background())
@@ -36,28 +38,32 @@
 	return contact
 }
 
-// Lost reports whether the node has no contact: the store did not answer in time, and no
-// other node relays its changes.
+// Lost reports whether the node is not in contact with the store: since the last call of
+// Confirm a call of the store has failed or the node has begun to wait for a relay, or
+// Confirm was never called.
 func (c *StoreContact) Lost() bool { return c.lost.Load() }
 
-// Age returns the time since the contact was last renewed.
+// Age returns the time since the contact was last renewed; before the first renewal, it is
+// the time since the process started.
 func (c *StoreContact) Age() time.Duration {
 	return boottime.Since(processStart) - time.Duration(c.renewedAt.Load())
 }
 
-// Confirm records that the node is up to date with the store.
+// Confirm records that the node is up to date with the store and in contact with it.
 func (c *StoreContact) Confirm() {
 	c.renew()
 	c.lost.Store(false)
 }
 
-// renew records that the store answered.
+// renew records that the store answered, without ending a loss of contact.
 func (c *StoreContact) renew() { c.renewedAt.Store(int64(boottime.Since(processStart))) }
 
-// markLost records that neither the store nor a relay keeps this node up to date.
+// markLost records that neither the store nor a relay keeps this node up to date. Waiting
+// calls continue.
 func (c *StoreContact) markLost() { c.lost.Store(true) }
 
-// recordFailure records that the store did not answer, and cancels the waiting calls.
+// recordFailure records that a call of the store failed, and ends the contexts that
+// untilFailure returned.
 func (c *StoreContact) recordFailure() {
 	c.lost.Store(true)
 	c.mutex.Lock()
@@ -66,7 +72,7 @@
 	c.callsContext, c.cancelCalls = context.WithCancel(context.Background())
 }
 
-// untilFailure returns a context that also ends when the store is found not to answer.
+// untilFailure returns a child of parent that also ends at the next recordFailure.
 func (c *StoreContact) untilFailure(parent context.Context) (context.Context, context.CancelFunc) {
 	c.mutex.Lock()
 	callsContext := c.callsContext
--- a/internal/cluster/listwatch/probe.go
+++ b/internal/cluster/listwatch/probe.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// probeInterval and probeTimeout limit how long a failure of the store stays
-	// undetected. A probe is a read that may return stale data, the cheapest call of the
-	// store.
+	// probeInterval is the pause between two probes, and probeTimeout is the timeout of a
+	// probe. Together they limit how long a failure of the store stays undetected.
 	probeInterval = time.Second
 	probeTimeout  = 800 * time.Millisecond
 )
 
-// probe probes the store at intervals until the context ends. A waiting watch alone can't
-// distinguish a store that does not answer from one without changes.
+// probe probes the store at intervals until the context ends, except while contact is lost
+// or relays keep the node up to date. A waiting watch alone can't distinguish a store that
+// does not answer from one without changes.
 func (r *Reflector) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, probeInterval)
@@ -36,6 +36,7 @@
 	}
 }
 
+// probeOnce makes one probe with probeTimeout.
 func (r *Reflector) probeOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -1,5 +1,6 @@
 // Package listwatch keeps a node up to date with the platform's store: it lists the store
-// and then watches it from the revision of the list. The package decides when a node
+// and then watches it from the revision of the list. A list reads all values; a watch is a
+// call that waits for changes after a revision. The package decides when a node
 // lists, watches, probes and retries, how long it coalesces changes, when it relies on
 // relays instead of the store, and when it counts as in contact with the store.
 //
@@ -32,14 +33,17 @@
 }
 
 // ListerWatcher is a client of the platform's store. Its errors wrap
-// ports.ErrUnavailable or ports.ErrOutcomeUnknown.
+// ports.ErrUnavailable or ports.ErrOutcomeUnknown, except for the ports.ErrCompacted of
+// Changes.
 type ListerWatcher interface {
 	// FirstPage reads the first page of the values under a prefix. ListFrom reads the
-	// remaining pages, and returns all values and the revision of the first page.
+	// remaining pages. It returns the values of all pages, including the first, and the
+	// revision of the first page.
 	FirstPage(ctx context.Context, prefix string) (*Page, error)
 	ListFrom(ctx context.Context, prefix string, first *Page) ([]ports.Value, int64, error)
 	// Changes waits up to the given time for changes after a revision. It returns the
-	// changes and the revision from which to continue, or ports.ErrCompacted.
+	// changes, possibly none, and the revision from which to continue. The error is
+	// ports.ErrCompacted if the store no longer has all changes after the revision.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]ports.WatchEvent, int64, error)
 	// Probe makes the cheapest call of the store. It returns nil if the store responds,
 	// even if it refuses the call.
@@ -60,11 +64,11 @@
 	Drain time.Duration
 	// Relays follows the nodes that relay the store's changes; nil if there are none.
 	Relays *relay.Follower
-	// MarkLarge is called when the length of the list shows that the fleet is large. It
-	// may be nil.
+	// MarkLarge is called when the first page of a list shows that the fleet is large (see
+	// largeListLength). If it is nil, lists always read all pages.
 	MarkLarge func()
-	// PeerAnswered reports whether another node has answered this one. If it is nil, the
-	// node does not wait for a peer before its first list.
+	// PeerAnswered reports whether another node has answered a request of this node. If it
+	// is nil, the node does not wait for a peer before its first list.
 	PeerAnswered func() bool
 }
 
@@ -76,8 +80,11 @@
 	// watches the store itself.
 	sourceTimeout time.Duration
 
+	// The fields below are used only by the goroutine of listAndWatch. storeLost is true
+	// while calls fail, and needsList is true if the store has compacted its history, so
+	// that the node has to list again.
 	storeLost bool
-	needsList bool // the store's history is compacted: the node has to list again
+	needsList bool
 	coalescer *coalescer
 }
 
@@ -98,7 +105,7 @@
 
 // listAndWatch lists the store, watches it from the revision of the list, and lists it
 // again if the store has compacted its history. It makes no calls while relays keep the
-// node up to date.
+// node up to date, or while the node waits for a peer or a relay.
 func (r *Reflector) listAndWatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.waitsForPeer(time.Now()) {
@@ -130,24 +137,25 @@
 // usesRelay reports whether relays keep this node up to date.
 func (r *Reflector) usesRelay() bool { return r.Relays != nil && r.Relays.UsesRelay() }
 
-// waitsForSource reports whether this node waits for a relay although it has none at
-// present: in a large fleet, calls from all nodes at once would overload the store.
+// waitsForSource reports whether this node, which no relay keeps up to date at present,
+// still waits for a relay: in a large fleet, until it has been isolated for sourceTimeout.
+// Calls from all nodes of a large fleet at once would overload the store.
 func (r *Reflector) waitsForSource() bool {
 	return r.Relays != nil && r.Relays.InTree() && r.Relays.IsolatedFor() < r.sourceTimeout
 }
 
 const (
-	// peerTimeout is how long a node without contents waits for the answer of another
-	// node before it lists the store, and peerCheckInterval is how often it checks for
-	// the answer.
+	// peerTimeout is how long after its start a node without contents waits for the
+	// response of another node before it lists the store, and peerCheckInterval is how
+	// often it checks for the response.
 	peerTimeout       = time.Second
 	peerCheckInterval = 20 * time.Millisecond
 )
 
-// waitsForPeer reports whether this node delays its first list until another node has
-// reported whether the fleet is large. In a large fleet a page of the list has 150 KB; a
-// thousand first pages at once would saturate the store's network link and cut off the
-// relays.
+// waitsForPeer reports whether this node delays its first list because no other node has
+// answered it yet and peerTimeout has not passed. The response tells it whether the fleet
+// is large. In a large fleet, the first pages read by all starting nodes would saturate
+// the store's network link.
 func (r *Reflector) waitsForPeer(now time.Time) bool {
 	if r.PeerAnswered == nil || r.Merger.Revision() >= 0 {
 		return false
@@ -158,23 +166,24 @@
 const (
 	// minSourceTimeout is the minimum time for which a node of a large fleet looks for a
 	// relay before it watches the store itself. A random time up to sourceTimeoutJitter
-	// is added. A relay that does not answer is replaced within a second.
+	// is added.
 	minSourceTimeout    = 2500 * time.Millisecond
 	sourceTimeoutJitter = 2 * time.Second
 )
 
 func randomSourceTimeout() time.Duration { return minSourceTimeout + rand.N(sourceTimeoutJitter) }
 
-// The pause between two attempts while the store does not answer is random between
-// minRetry and maxRetry.
+// The pause after a failed call of the store is random between minRetry and maxRetry.
+// minRetry is also the interval at which a node checks whether it still waits for a relay.
 const (
 	minRetry = 100 * time.Millisecond
 	maxRetry = 600 * time.Millisecond
-	// relayedRetryFactor multiplies the pause of a node that relays usually keep up to
-	// date, to reduce the load on a failing store.
+	// relayedRetryFactor multiplies the pause in a fleet with relays, to reduce the load on
+	// a failing store.
 	relayedRetryFactor = 4
 )
 
+// retryDelay returns the pause after a failed call of the store.
 func (r *Reflector) retryDelay() time.Duration {
 	wait := minRetry + rand.N(maxRetry-minRetry)
 	if r.Relays != nil && r.Relays.NeedsRelays() {
@@ -183,12 +192,12 @@
 	return wait
 }
 
-// errLargeFleet ends the first list of a node in a large fleet: a relay will send the
-// contents.
-var errLargeFleet = errors.New("the fleet is large: a relay will send the store's contents")
+// errLargeFleet ends a list after its first page, because the fleet is large and the node
+// still waits for a relay to send the contents.
+var errLargeFleet = errors.New("the fleet is large; waiting for a relay to send the store's contents")
 
-// recordResult handles the result of a list or watch, and logs when contact with the
-// store is lost or regained.
+// recordResult updates the state after a list or a watch with the given result, and logs
+// when the store begins and ceases to fail.
 func (r *Reflector) recordResult(err error) {
 	revision := r.Merger.Revision()
 	switch {
@@ -213,7 +222,9 @@
 	}
 }
 
-// listOrWatchOnce makes one list or one watch, and passes the result to the merger.
+// listOrWatchOnce makes one list or one watch, and passes the result to the merger. It
+// lists if the merger has no contents or holds only a selection of the runners, or if the
+// store has compacted its history. After a watch that returned changes, it pauses.
 func (r *Reflector) listOrWatchOnce(ctx context.Context) error {
 	revision := r.Merger.Revision()
 	if revision < 0 || r.needsList || r.Merger.Partial() {
@@ -223,7 +234,7 @@
 	defer cancel()
 	wait := r.WatchTimeout
 	if r.Contact.Lost() {
-		wait = time.Millisecond // returns at once if the store answers again
+		wait = time.Millisecond // the call returns soon after the store answers again
 	}
 	events, at, err := r.Store.Changes(ctx, r.Prefix, revision, wait)
 	if err != nil {
@@ -237,12 +248,13 @@
 	return nil
 }
 
-// largeListLength is the number of values on the first of several pages from which a node
-// concludes that the fleet is large. A page of the store holds about 500 values.
+// largeListLength is the minimum number of values on the first page of a list from which a
+// node concludes that the fleet is large, provided that further pages follow. A full page
+// has about 500 values.
 const largeListLength = 400
 
-// listAll lists the store. If the first page shows that the fleet is large and a relay
-// may still keep this node up to date, it stops after that page.
+// listAll lists the store. If the first page shows that the fleet is large and the node
+// waits for a relay, it stops after that page and returns errLargeFleet.
 func (r *Reflector) listAll(ctx context.Context) error {
 	first, err := r.Store.FirstPage(ctx, r.Prefix)
 	if err != nil {
