--- a/internal/cluster/notify/notify.go
+++ b/internal/cluster/notify/notify.go
@@ -1,5 +1,5 @@
-// Package notify coalesces the reports that a node sends to other nodes: reports that
-// arrive within a short time are sent to each node in one notice. Notices are one-way
+// Package notify coalesces the reports that a node sends to other nodes: the reports of a
+// short interval are sent together, in one notice to each node. Notices are one-way
 // messages and may be lost. The sender has to repeat them or accept the loss.
 //
 // The package owns the times at which notices are sent. Its users own their contents and
@@ -33,7 +33,7 @@
 // Schedule configures a Batcher.
 type Schedule struct {
 	// Delay is how long reports are coalesced after the first report. With 0 they are not
-	// coalesced.
+	// coalesced, and Flush is called at once.
 	Delay time.Duration
 	// Flush sends the pending reports. A report that arrives while Flush runs causes
 	// another call.
@@ -46,7 +46,8 @@
 	Repeat func(now time.Time)
 }
 
-// Batcher calls Flush once Schedule.Delay has passed after a report becomes pending.
+// Batcher calls Schedule.Flush when Schedule.Delay has passed after the first pending
+// report, and Schedule.Repeat at regular intervals. It does not hold the reports.
 type Batcher struct {
 	schedule Schedule
 	// due receives a signal when a report becomes pending.
@@ -66,7 +67,8 @@
 	}
 }
 
-// Run calls Flush and Repeat until the context ends.
+// Run calls Flush and Repeat until the context ends. Reports that are pending then are not
+// flushed.
 func (b *Batcher) Run(ctx context.Context) {
 	var repeat <-chan time.Time // nil: never
 	if b.schedule.RepeatInterval > 0 {
@@ -90,7 +92,7 @@
 	}
 }
 
-// waitDelay waits while reports are coalesced. It returns false if the context has ended.
+// waitDelay waits for Schedule.Delay. It returns false if the context ends during the wait.
 func (b *Batcher) waitDelay(ctx context.Context) bool {
 	if b.schedule.Delay == 0 {
 		return true
