--- a/internal/cluster/ports/ports.go
+++ b/internal/cluster/ports/ports.go
@@ -16,7 +16,7 @@
 // was not made.
 var ErrUnavailable = errors.New("platform service unavailable")
 
-// ErrOutcomeUnknown reports that the request was sent but its answer was lost. A
+// ErrOutcomeUnknown reports that the request was sent but its response was lost. A
 // requested change may have been made; the caller has to read the store to find out.
 var ErrOutcomeUnknown = errors.New("platform answer lost")
 
@@ -31,7 +31,8 @@
 	Revision int64
 }
 
-// Condition requires that a key has a revision; revision 0 means that the key is absent.
+// Condition requires that the value of a key was written at a revision; revision 0 means
+// that the key is absent.
 type Condition struct {
 	Key      string
 	Revision int64
@@ -43,8 +44,10 @@
 	Value []byte
 }
 
-// WatchEvent is a change that a watch returns.
+// WatchEvent is a change of one key, as returned by a watch.
 type WatchEvent struct {
+	// Value is the new value. If Deleted is true, only its Key and its Revision, which is
+	// the revision of the deletion, are valid.
 	Value   Value
 	Deleted bool
 }
@@ -55,9 +58,9 @@
 	Get(ctx context.Context, key string) (value Value, found bool, err error)
 	// List returns the values under a prefix, and the revision at which they were read.
 	List(ctx context.Context, prefix string) ([]Value, int64, error)
-	// Commit makes all writes if every condition holds, and none otherwise. It returns
-	// whether the writes were made. If the error is ErrOutcomeUnknown they may have been
-	// made.
+	// Commit makes all writes in one transaction if every condition is met, and none
+	// otherwise. It returns whether the writes were made. If the error is
+	// ErrOutcomeUnknown they may have been made although the result is false.
 	Commit(ctx context.Context, conditions []Condition, puts []Put) (bool, error)
 	// Watch calls handle for each change under prefix after the revision. It returns when
 	// the context ends or the watch breaks; the caller then has to list and compare.
@@ -69,6 +72,7 @@
 	Address string
 	Zone    string
 	Region  string
+	// Leaving is true if the machine is about to be removed.
 	Leaving bool
 }
 
@@ -82,6 +86,7 @@
 	Region  string
 	// Service is the pool to which the runner belongs, for example "asistente".
 	Service string
+	// Leaving is true if the runner is about to end and should get no new requests.
 	Leaving bool
 }
 
