--- a/internal/cluster/spread/spread.go
+++ b/internal/cluster/spread/spread.go
@@ -18,14 +18,15 @@
 	// WatchersPerRegion is the maximum number of nodes of a region that watch the
 	// platform's service.
 	WatchersPerRegion = 3
-	// Fanout is the number of nodes that a node notifies of a new revision. With four, a
-	// node is missed with a probability of about e^-4; membership messages reach it
+	// Fanout is the number of nodes that a node notifies of a new revision. The notices
+	// miss a node with a probability of about e^-Fanout; membership messages reach it
 	// later.
 	Fanout = 4
 )
 
 // IsWatcher reports whether a node is one of the nodes of its region that watch the
-// platform's service. These are the nodes with the highest watchWeight.
+// platform's service: fewer than WatchersPerRegion of the candidates in its region have a
+// higher watchWeight.
 func IsWatcher(self ownership.Node, candidates []ownership.Node) bool {
 	higher := 0
 	own := watchWeight(self.ID)
@@ -37,19 +38,21 @@
 	return higher < WatchersPerRegion
 }
 
+// watchWeight returns the hash by which nodes are ranked as watchers.
 func watchWeight(id string) uint64 { return xxhash.Sum64String("bundle-watch\x00" + id) }
 
-// DigestFanout is the number of nodes of its zone to which a node sends its load every
-// second. Nodes that send it requests receive its load with each answer. The digests
-// reach the other nodes, at a cost that does not grow with the zone.
+// DigestFanout is the number of nodes of its zone to which a node sends a digest of its
+// load every second. Nodes that send it requests also receive its load with each response.
 const DigestFanout = 4
 
-// Targets returns the nodes to notify of a new revision.
+// Targets returns the ids of up to Fanout random candidates other than self, which are to
+// be notified of a new revision.
 func Targets(self string, candidates []ownership.Node, random *rand.Rand) []string {
 	return Sample(self, candidates, Fanout, random)
 }
 
-// Sample returns up to count random candidates other than self.
+// Sample returns the ids of up to count random candidates other than self, in random
+// order.
 func Sample(self string, candidates []ownership.Node, count int, random *rand.Rand) []string {
 	others := make([]string, 0, len(candidates))
 	for _, candidate := range candidates {
