--- a/internal/cluster/informer/documents.go
+++ b/internal/cluster/informer/documents.go
@@ -27,8 +27,9 @@
 	request.LayoutDigest = i.Layouts.Digest()
 }
 
-// FillReply implements peers.Documents. It adds the layout and the quarantine's holds if
-// their digests differ from those in the request, since digests don't show which is newer.
+// FillReply implements peers.Documents. It adds the configuration and the runners if they
+// are newer than the revisions in the request, and the layout and the quarantine's holds if
+// their digests differ from those in the request.
 func (i *Informer) FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply) {
 	if current := i.Catalogs.Current(); current != nil && current.Version > request.CatalogVersion {
 		reply.Catalog, reply.CatalogRevision = i.Catalogs.Document()
--- a/internal/cluster/informer/operator.go
+++ b/internal/cluster/informer/operator.go
@@ -61,7 +61,7 @@
 }
 
 // updateConfig activates a configuration if it is valid and newer than the current one.
-// source names its origin for the log: "store" or a peer.
+// source names the origin of the configuration for the log: "store" or a peer.
 func (i *Informer) updateConfig(document []byte, revision int64, source string) {
 	next, err := i.Schema.ParseConfig(document)
 	if err != nil {
--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -15,8 +15,8 @@
 )
 
 // runnerCache passes this node's subset of the runners to the runnerset.Set. Either the
-// cache receives the entries of all runners and picks the subset itself
-// (selectedByRelay is false), or a relay picks it and the cache receives only the subset
+// cache receives the entries of all runners and picks the subset itself (selectedByRelay
+// is false), or a relay picks the subset and the cache receives only its entries
 // (selectedByRelay is true).
 //
 // Invariant: the revision never decreases.
--- a/internal/cluster/listwatch/contact.go
+++ b/internal/cluster/listwatch/contact.go
@@ -39,8 +39,8 @@
 }
 
 // Lost reports whether the node is not in contact with the store: since the last call of
-// Confirm a call of the store has failed or the node has begun to wait for a relay, or
-// Confirm was never called.
+// Confirm, a probe, list or watch has failed (compacted history does not count as a
+// failure) or the node has begun to wait for a relay; or Confirm was never called.
 func (c *StoreContact) Lost() bool { return c.lost.Load() }
 
 // Age returns the time since the contact was last renewed; before the first renewal, it is
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -38,8 +38,8 @@
 
 // Follower receives the store's changes from other nodes, which are called sources. Up to
 // maxDirectNodes nodes, every node watches the store and has no sources. In a fleet of a
-// few hundred nodes, one node with a disk in each zone watches the store, and each node
-// follows two of these nodes.
+// few hundred nodes, one node with a disk in each zone watches the store, and every node
+// follows up to two of these nodes. A node that watches the store also follows others.
 //
 // In a large fleet the nodes form a tree of three levels. At level 0, one node with a
 // disk in each zone watches the store. At level 1, the other relays of the zone, which
@@ -84,7 +84,8 @@
 	minRetry = 100 * time.Millisecond
 	maxRetry = 1600 * time.Millisecond
 	// maxIdle limits the interval at which a node that needs no source checks whether it
-	// needs one. The interval starts at minRetry and doubles with each such check.
+	// needs one. The interval starts at minRetry, doubles with each such check and is never
+	// reset.
 	maxIdle = time.Second
 	// maxDirectNodes is the largest number of nodes at which every node watches the store
 	// itself.
--- a/internal/cluster/relay/isolation.go
+++ b/internal/cluster/relay/isolation.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// lostReportTTL is how long a source's report that it has lost the store remains valid. It is
-	// longer than the pause before the next source is tried.
+	// lostReportTTL is how long a source's report of a lost store (FollowReply.Lost) remains
+	// valid. It is longer than the pause before the next source is tried.
 	lostReportTTL = 4 * time.Second
 	// maxLostDuration is how long, from the first report of a lost store, such reports keep
 	// a node from counting as isolated. An isolated node soon calls the store itself, and
@@ -13,9 +13,9 @@
 )
 
 // isolation measures how long a node has been isolated. A node is isolated if it has no
-// live source, and either no source reported a lost store within lostReportTTL or the
-// first such report is older than maxLostDuration. The Follower's mutex protects the
-// fields.
+// live source, and either no source has reported a lost store within lostReportTTL or the
+// first such report since a source was last live is older than maxLostDuration. The
+// Follower's mutex protects the fields.
 type isolation struct {
 	since time.Time // the start of the isolation; zero while the node is not isolated
 	// lastLostReport is when a source last reported that the store does not answer it.
--- a/internal/cluster/relay/mirror.go
+++ b/internal/cluster/relay/mirror.go
@@ -1,12 +1,12 @@
 // Package relay lets a few nodes watch the platform's store and pass its contents on to
 // the other nodes, so that the number of calls to the store does not grow with the fleet.
 //
-// A node with a disk keeps a copy of the store in a Mirror, sends the contents and changes
-// of the Mirror to other nodes (Source), and saves them on its disk (DiskCache). Nodes
-// receive the changes through a Follower. In a fleet of a few hundred nodes, a node
-// follows two sources at once, so that it misses nothing if one of them fails. In a larger fleet the nodes form a tree of three levels
-// (see Follower), and most nodes receive only the runners that they work with (see
-// FollowerView).
+// A node with a disk keeps a copy of the store in a Mirror, sends the contents and
+// changes of the Mirror to other nodes (Source), and saves them on its disk (DiskCache).
+// Nodes receive the changes through a Follower. In a fleet of a few hundred nodes, a node
+// follows two sources at once, so that it misses nothing if one of them fails. In a
+// larger fleet the nodes form a tree of three levels (see Follower), and most nodes
+// receive only the runners that they work with (see FollowerView).
 //
 // The package owns the mirror, the contents of the disk cache and the choice of sources.
 // It relies on package peers for the node records, on package subset for which node works
@@ -23,8 +23,9 @@
 )
 
 // maxTombstones is the number of tombstones, of some 100 bytes each, that compaction of a
-// mirror's log leaves; up to compactSlack more may accumulate until then. A follower that needs older tombstones receives the complete contents instead. A release
-// that replaces half of 30,000 runners stays within the limit.
+// mirror's log leaves; up to compactSlack more may accumulate until then. A follower that
+// needs older tombstones receives the complete contents instead. A release that replaces
+// half of 30,000 runners stays within the limit.
 const maxTombstones = 16384
 
 // Mirror holds a copy of the store for the node's followers. It implements SelectiveSink.
--- a/internal/cluster/relay/sources.go
+++ b/internal/cluster/relay/sources.go
@@ -11,7 +11,7 @@
 type sourceState struct {
 	address string
 	zone    string
-	// confirmed is when this node last received a reply that reported no lost store and
+	// confirmedAt is when this node last received a reply that reported no lost store and
 	// left the merger with the requested contents: all runners or a selection.
 	confirmedAt time.Time
 	// interest is the interest sent in the request; the zero value stands for all runners.
--- a/internal/cluster/relay/timing.go
+++ b/internal/cluster/relay/timing.go
@@ -34,6 +34,7 @@
 	return FollowTiming{Heartbeat: heartbeat, HeartbeatTimeout: missedHeartbeats * heartbeat, AliveTimeout: defaultAliveTimeout}
 }
 
+// orDefault returns t, or TimingWithin(0) if t is the zero value.
 func (t FollowTiming) orDefault() FollowTiming {
 	if t == (FollowTiming{}) {
 		return TimingWithin(0)
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -95,9 +95,9 @@
 // treePosition holds the data from which a node derives its level in the tree.
 type treePosition struct {
 	generation uint64
-	// precedingNodes holds the zone's nodes with disks that have a higher watchWeight than this
-	// node, by descending watchWeight. For a node without a disk it holds all of the zone's
-	// nodes with disks.
+	// precedingNodes holds the zone's nodes with disks that have a higher watchWeight than
+	// this node, by descending watchWeight. For a node without a disk it holds all of the
+	// zone's nodes with disks.
 	precedingNodes []*wirev1.NodeRecord
 	relayCount     int // number of relays of the zone
 }
--- a/internal/cluster/relay/update.go
+++ b/internal/cluster/relay/update.go
@@ -29,8 +29,8 @@
 // After returns the update after a revision, and a channel that closes with the next
 // change. The update is nil if the mirror is empty, if the revision is newer than the
 // mirror's, or if neither the contents nor the view's subset have changed. A negative
-// revision stands for a follower
-// without contents. A nil view stands for a follower that receives all runners.
+// revision stands for a follower without contents. A nil view stands for a follower that
+// receives all runners.
 func (m *Mirror) After(revision int64, view *FollowerView) (*Update, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
