--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -11,8 +11,8 @@
 	_ "cobaltramp.example/cobaltramp/internal/app/fixedseed"
 )
 
-// Kept members come first and in order, added members are distinct and spread evenly over
-// the zones, and the result does not depend on the order of the disks.
+// The result begins with the kept members, has no member twice, spreads the added members
+// evenly over the zones, and does not depend on the order of the disks.
 func TestMembersAreSpreadOverZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
@@ -23,11 +23,11 @@
 			disks = append(disks, disk)
 			zoneOf[disk.ID] = disk.Zone
 		}
-		known := func(disk string) (string, bool) { zone, ok := zoneOf[disk]; return zone, ok }
+		zoneOfDisk := func(disk string) (string, bool) { zone, ok := zoneOf[disk]; return zone, ok }
 		rule := Rule{MemberCount: rapid.IntRange(1, 5).Draw(t, "members"), ZoneRank: FewestFirst}
 		shard := rapid.Uint32().Draw(t, "shard")
 		kept := []string{"disk-gone"}[:rapid.IntRange(0, 1).Draw(t, "kept")]
-		chosen := rule.Choose(shard, disks, kept, known)
+		chosen := rule.Choose(shard, disks, kept, zoneOfDisk)
 
 		if !slices.Equal(chosen[:len(kept)], kept) {
 			t.Fatalf("%v does not begin with %v", chosen, kept)
@@ -38,26 +38,26 @@
 		if unique := slices.Compact(slices.Sorted(slices.Values(chosen))); len(unique) != len(chosen) {
 			t.Fatalf("%v has a member twice", chosen)
 		}
-		in := map[string]int{}
+		membersPerZone := map[string]int{}
 		for _, member := range chosen[len(kept):] {
-			in[zoneOf[member]]++
+			membersPerZone[zoneOf[member]]++
 		}
-		for _, disk := range disks { // a zone with an unused disk has at most one member fewer than any other
-			for _, count := range in {
-				if !slices.Contains(chosen, disk.ID) && in[disk.Zone] < count-1 {
-					t.Fatalf("%v of %v: %s could have been chosen", chosen, disks, disk.ID)
+		for _, disk := range disks { // a zone with an unused disk has at most one added member fewer than any other
+			for _, count := range membersPerZone {
+				if !slices.Contains(chosen, disk.ID) && membersPerZone[disk.Zone] < count-1 {
+					t.Fatalf("%v of %v: %s is unused although its zone has fewer members", chosen, disks, disk.ID)
 				}
 			}
 		}
 		slices.Reverse(disks)
-		if again := rule.Choose(shard, disks, kept, known); !slices.Equal(again, chosen) {
-			t.Fatalf("%v, in another order %v", chosen, again)
+		if again := rule.Choose(shard, disks, kept, zoneOfDisk); !slices.Equal(again, chosen) {
+			t.Fatalf("chose %v, but %v from the reversed disks", chosen, again)
 		}
 	})
 }
 
-// Weights determine the placement of shards and the shard of a job, so they must stay the
-// same in every version.
+// Weights determine the members of shards and the shard of each job, so every version must
+// compute the same weights.
 func TestWeightsAreStable(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Weight(0, "job-1"), uint64(6878543372071759679))
