--- a/internal/batch/queuestore/allotments.go
+++ b/internal/batch/queuestore/allotments.go
@@ -12,15 +12,17 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// The leader of a shard grants allotments of the request limits of all tenants whose names
-// map to the shard by ShardOf. Granted allotments are not stored in the log: a new leader
-// starts with an empty keeper (package allotment).
+// The leader of a shard grants allotments, which are shares of a tenant's request rate
+// limit, for all tenants whose names ShardOf maps to the shard. The leader's
+// allotment.Keeper tracks the granted allotments in memory only: a leadership that starts
+// or resumes has an empty keeper.
 
 func (n *StorageNode) newAllotmentKeeper() *allotment.Keeper {
 	return allotment.NewKeeper(time.Now(), n.Tolerance)
 }
 
-// serveAllotment serves claims and credit requests of nodes that admit tenants' requests.
+// serveAllotment handles the claims and credit requests of nodes that admit tenants'
+// requests. All tenants of a message must map to the same shard.
 func (n *StorageNode) serveAllotment(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.AllotmentRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -49,6 +51,9 @@
 	return stream.Send(reply)
 }
 
+// grantAllotments adds the grants for all claims and credits of a request to the reply. It
+// returns an error if this replica is not the serving leader, if a claim is stale, or if
+// credits are requested for an unknown tenant.
 func (s *shard) grantAllotments(request *wirev1.AllotmentRequest, reply *wirev1.AllotmentReply) error {
 	l := s.leader
 	if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
@@ -56,8 +61,8 @@
 	}
 	now := time.Now()
 	holder := allotment.HolderID{Node: request.Node, Incarnation: request.Incarnation}
-	for _, wanted := range request.Claims {
-		claim := allotment.Claim{Tenant: wanted.Tenant, Held: wanted.Held, Wanted: wanted.Wanted, Spare: wanted.Spare}
+	for _, requested := range request.Claims {
+		claim := allotment.Claim{Tenant: requested.Tenant, Held: requested.Held, Wanted: requested.Wanted, Spare: requested.Spare}
 		grant, err := s.renewShare(now, holder, request.Number, claim)
 		if err != nil {
 			return err
@@ -81,10 +86,11 @@
 	return nil
 }
 
+// renewShare processes one claim. The claim of an unknown tenant releases the allotment.
 func (s *shard) renewShare(now time.Time, holder allotment.HolderID, number uint64, claim allotment.Claim) (allotment.Grant, error) {
 	limit, known := s.node.TenantLimit(claim.Tenant)
 	if !known {
-		claim.Wanted = 0 // releases the allotment of a removed tenant
+		claim.Wanted = 0 // the tenant has been removed
 	}
 	grant, valid := s.leader.allotments.Renew(now, holder, number, limit, claim)
 	if !valid {
--- a/internal/batch/queuestore/allotments_test.go
+++ b/internal/batch/queuestore/allotments_test.go
@@ -13,26 +13,29 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// limitedTenant is the only tenant that the nodes of test clusters know.
+// limitedTenant is the only tenant with a limit that the nodes of test clusters know.
 const limitedTenant = "tenant"
 
+// testLimit is the TenantLimit option of the nodes.
 func testLimit(tenant string) (allotment.RateLimit, bool) {
 	return allotment.RateLimit{Rate: 1000, Burst: 1000}, tenant == limitedTenant
 }
 
+// requestCredits requests credits for limitedTenant and returns how many were granted.
 func (c *testCluster) requestCredits(count uint32) (uint32, error) {
 	reply := &wirev1.AllotmentReply{}
 	err := c.call(wirev1.Method_METHOD_ALLOTMENT, &wirev1.AllotmentRequest{Node: "edge", Incarnation: 1, Number: 1, Tenant: limitedTenant, Credits: count}, reply)
 	return reply.Credits, err
 }
 
+// callLeader sends a request to the leader of shard 0.
 func (c *testCluster) callLeader(request *wirev1.AllotmentRequest, reply *wirev1.AllotmentReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return c.client.Call(ctx, c.nodes[c.leader()].address, rpc.ClassOnline, wirev1.Method_METHOD_ALLOTMENT, request, reply)
 }
 
-// The leader grants credits, and its successor starts with an empty keeper and grants too.
+// The leader grants credits, and so does its successor, but not any number at once.
 func TestLeaderGrantsCredits(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -50,7 +53,7 @@
 	is.True(given < 1<<20)
 }
 
-// A leader without contact with a quorum grants nothing, even before it steps down.
+// A leader that loses contact with a quorum grants no more credits, even before it steps down.
 func TestIsolatedLeaderGrantsNoCredits(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.eventually("a credit is granted", func() bool {
@@ -70,7 +73,7 @@
 	}
 }
 
-// Requests for unknown tenants and messages that arrive out of order are refused.
+// Credit requests for unknown tenants are refused, and so is a claim that arrives twice.
 func TestUnknownTenantAndStaleMessageAreRefused(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
--- a/internal/batch/queuestore/applied.go
+++ b/internal/batch/queuestore/applied.go
@@ -9,7 +9,8 @@
 	"cobaltramp.example/cobaltramp/internal/batch/queue"
 )
 
-// recordApplied updates the leader's state after a command was applied.
+// recordApplied updates the state of the leadership, if there is one, after a command was
+// applied.
 func (s *shard) recordApplied(applied *queue.ApplyResult) {
 	l := s.leader
 	if l == nil || applied == nil {
@@ -23,8 +24,8 @@
 	for _, finished := range applied.Finished {
 		s.recordFinished(finished)
 	}
-	for _, refused := range applied.Rejected {
-		s.resendRefused(refused)
+	for _, rejected := range applied.Rejected {
+		s.reproposeRejected(rejected)
 	}
 	if applied.Ended {
 		s.recordJobEnded(applied.Record.Id)
@@ -34,6 +35,7 @@
 	}
 }
 
+// recordFinished removes an item whose result was applied from the work of the leader.
 func (s *shard) recordFinished(finished *wirev1.QueueResult) {
 	l := s.leader
 	key := queue.ItemKey{Job: finished.JobId, Number: finished.Item}
@@ -48,18 +50,20 @@
 	l.notifyWatchers(finished.JobId)
 }
 
-// resendRefused proposes the complete result again after an incremental one was refused
-// because it did not continue the saved progress.
-func (s *shard) resendRefused(refused *wirev1.QueueResult) {
+// reproposeRejected handles a result or progress that was rejected because it does not
+// continue the saved output. If the item's result has been decided, it proposes the complete
+// result, unless the leadership is suspended; resumeLeadership does so then.
+func (s *shard) reproposeRejected(rejected *wirev1.QueueResult) {
 	l := s.leader
-	key := queue.ItemKey{Job: refused.JobId, Number: refused.Item}
+	key := queue.ItemKey{Job: rejected.JobId, Number: rejected.Item}
 	l.table.ResetSaved(key)
 	if decided := l.decided[key]; decided != nil && l.suspendedAt.IsZero() {
-		klog.InfoS("item result proposed again with its complete text", "job", key.Job, "item", decided.ItemId, "from", refused.From)
+		klog.InfoS("item result proposed again with its complete output", "job", key.Job, "item", decided.ItemId, "from", rejected.From)
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{decided}}}})
 	}
 }
 
+// recordJobEnded removes all items of an ended job from the work of the leader.
 func (s *shard) recordJobEnded(job string) {
 	l := s.leader
 	for key := range l.runs {
--- a/internal/batch/queuestore/cluster_test.go
+++ b/internal/batch/queuestore/cluster_test.go
@@ -16,6 +16,7 @@
 
 type protoMessage = proto.Message
 
+// A job whose ID was accepted before is not accepted again, even with other items.
 func TestJobsRunAndAreAcceptedOnce(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -28,15 +29,15 @@
 	c.waitFinished("one", 5)
 }
 
-// The limit of waiting tokens also counts submissions that are not applied yet, and does not
-// apply to resubmitted jobs.
+// A job is refused if it would raise the waiting tokens of its route above the limit. Jobs that
+// fit and jobs that were accepted before are not refused.
 func TestWaitingTokensAreLimited(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
-	c.executor.hold = true
+	c.executor.full = true
 	c.eventually("the first job is accepted", func() bool { return c.trySubmit("one", 5, 60) == nil })
 	var refused error
-	c.eventually("the second job is decided on", func() bool {
+	c.eventually("the second job is accepted or refused", func() bool {
 		refused = c.trySubmit("two", 2, 60)
 		return result.Is(refused, result.TenantTokens) || refused == nil
 	})
@@ -45,7 +46,8 @@
 	is.NoErr(c.trySubmit("three", 1, 60))
 }
 
-// A lost disk is replaced by its node's new disk, after which another disk may be lost.
+// A lost disk is replaced by its node's new disk, and jobs survive the loss of all disks one
+// after another.
 func TestDisksAreReplacedOneAfterAnother(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.submit("one", 3)
@@ -64,7 +66,8 @@
 	c.waitFinished("one", 3)
 }
 
-// Consecutive hand-overs are not fenced: the freeze timeout starts anew for each.
+// Hand-overs that follow each other are not fenced, because the freeze timeout starts anew for
+// each of them.
 func TestHandOversAreNotFencedEarly(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -79,11 +82,10 @@
 	c.waitFinished("one", 1)
 	c.store.mutex.Lock()
 	defer c.store.mutex.Unlock()
-	is.Equal(c.store.fenced, 0)
+	is.Equal(c.store.fenceCommits, 0)
 }
 
-// A retiring node whose disk is lost is not reported as done while the lost disk is still a
-// member.
+// A node whose lost disk is still a member counts as holding replicas.
 func TestNodeIsNotRetiredWhileItsLostDiskIsMember(t *testing.T) {
 	is := is.New(t)
 	directory := peers.NewDirectory(&wirev1.NodeRecord{NodeId: "b", DiskId: "disk-b", Incarnation: 1})
@@ -97,8 +99,8 @@
 	is.True(n.hasNoReplicas(layout, "a"))
 }
 
-// A node is retired without a spare disk, which leaves two members. When one of them loses
-// its disk, the other continues with all data, whether or not it was the leader.
+// After a node is retired without a spare disk, two members remain. If one of them loses its
+// disk, no job is lost, whether the leader or the follower loses it.
 func TestDiskLossAfterNodeRetired(t *testing.T) {
 	for _, lostLeads := range []bool{true, false} {
 		c := newCluster(t, "a", "b", "c")
@@ -121,8 +123,8 @@
 	}
 }
 
-// A retiring node that holds the only copy of the data stays a member and serves jobs until
-// there are enough other copies.
+// A retiring node that holds the only copy of the data stays a member, and jobs are accepted
+// and run, while there are too few other copies.
 func TestRetiringNodeWithLastCopyStaysMember(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -136,13 +138,13 @@
 	c.waitFinished("one", 3)
 	c.submit("two", 2)
 	c.waitFinished("two", 2)
-	is.True(!c.store.isRetired("c")) // one other copy is not enough
+	is.True(!c.store.isRetired("c")) // there is only one other copy
 }
 
-// Accepted but unfinished jobs survive the simultaneous stop of all nodes.
+// Jobs that are accepted but unfinished are finished after all nodes have stopped and started.
 func TestUnfinishedJobsSurviveRestartOfAllNodes(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.executor.hold = true
+	c.executor.full = true
 	c.submit("one", 4)
 	for name := range c.nodes {
 		c.stop(name)
@@ -151,13 +153,13 @@
 		c.start(name)
 	}
 	c.executor.mutex.Lock()
-	c.executor.hold = false
+	c.executor.full = false
 	c.executor.mutex.Unlock()
 	c.waitFinished("one", 4)
 }
 
-// While the platform's store is down, jobs are accepted and run, and a lost leader is
-// replaced.
+// While the platform's store is down, jobs are accepted and run, and another member takes over
+// from a stopped leader.
 func TestJobsRunWhileStoreIsDown(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.submit("one", 2)
@@ -171,11 +173,11 @@
 	c.waitFinished("two", 2)
 }
 
-// An ended job lists no results and its items are not run.
+// A job that is ended before its items run lists no results, and its items are not run.
 func TestEndedJobListsNoResults(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
-	c.executor.hold = true
+	c.executor.full = true
 	c.submit("one", 2)
 	ended := &wirev1.QueueEndReply{}
 	c.eventually("the job ends", func() bool {
@@ -183,7 +185,7 @@
 	})
 	is.True(ended.Found)
 	c.executor.mutex.Lock()
-	c.executor.hold = false
+	c.executor.full = false
 	c.executor.mutex.Unlock()
 	c.submit("two", 1)
 	c.waitFinished("two", 1)
@@ -193,8 +195,8 @@
 	is.Equal(c.executor.runs["one-0"], 0)
 }
 
-// A replica that restarts with a long applied log does not truncate it before it knows the
-// commit index.
+// Nodes that restart with a long log that is applied but not truncated lose no jobs: a replica
+// does not truncate the log before it knows the commit index.
 func TestLongLogSurvivesRestartOfAllNodes(t *testing.T) {
 	c := newCluster(t)
 	c.truncateInterval = time.Hour // no truncation
@@ -233,12 +235,12 @@
 	c.waitFinished("two", 2)
 }
 
-// A service without a free slot is not tried for every waiting item at each tick. When a run
-// of the shard ends, the service is tried again at once.
+// While a service has no free slot, runs are not attempted for every waiting item at each tick.
+// All items finish once the service has free slots.
 func TestFullServiceIsNotTriedForEachItem(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
-	c.executor.hold = true
+	c.executor.full = true
 	const items = 40
 	c.submit("one", items)
 	count := func() int {
@@ -246,10 +248,10 @@
 		defer c.executor.mutex.Unlock()
 		return c.executor.refused
 	}
-	c.eventually("each item was tried once", func() bool { return count() >= items })
-	before, began := count(), time.Now()
-	c.eventually("the service is tried again", func() bool { return count() >= before+10 })
-	is.True(count()-before <= int(time.Since(began)/fullServicePause)+2)
-	c.executor.setHold(false)
+	c.eventually("as many starts as items were refused", func() bool { return count() >= items })
+	refusedBefore, began := count(), time.Now()
+	c.eventually("the service is tried again", func() bool { return count() >= refusedBefore+10 })
+	is.True(count()-refusedBefore <= int(time.Since(began)/fullServicePause)+2)
+	c.executor.setFull(false)
 	c.waitFinished("one", items)
 }
--- a/internal/batch/queuestore/disk_test.go
+++ b/internal/batch/queuestore/disk_test.go
@@ -18,27 +18,30 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// slowDisk is a file system whose syncs take an adjustable time and block while its gate is
+// slowDisk is a file system whose syncs take an additional time and block while syncLock is
 // locked.
 type slowDisk struct {
 	vfs.FS
-	delay atomic.Int64
-	syncs atomic.Int64
-	gate  sync.RWMutex
+	delay    atomic.Int64
+	syncs    atomic.Int64
+	syncLock sync.RWMutex
 }
 
+// slowFile is a file of a slowDisk.
 type slowFile struct {
 	vfs.File
 	disk *slowDisk
 }
 
-func (d *slowDisk) wait() {
+// beforeSync counts a sync and delays it.
+func (d *slowDisk) beforeSync() {
 	d.syncs.Add(1)
 	time.Sleep(time.Duration(d.delay.Load()))
-	d.gate.RLock()
-	defer d.gate.RUnlock()
+	d.syncLock.RLock()
+	defer d.syncLock.RUnlock()
 }
 
+// wrap returns a slowFile for a file that was opened without an error.
 func (d *slowDisk) wrap(file vfs.File, err error) (vfs.File, error) {
 	if err != nil {
 		return nil, err
@@ -58,25 +61,25 @@
 
 // Sync implements vfs.File.
 func (f *slowFile) Sync() error {
-	f.disk.wait()
+	f.disk.beforeSync()
 	return f.File.Sync()
 }
 
 // SyncData implements vfs.File.
 func (f *slowFile) SyncData() error {
-	f.disk.wait()
+	f.disk.beforeSync()
 	return f.File.SyncData()
 }
 
-// With a slow disk on the leader, jobs are still accepted, run and read, and one sync serves
-// many submissions.
+// With a slow disk on the leader, jobs are still accepted, run and read. If the leader does not
+// change, several submissions share a sync of its disk.
 func TestJobsRunWithSlowLeaderDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
 	c.submit("first", 1)
 	leader := c.nodes[c.leader()]
 	leader.disk.delay.Store(int64(60 * time.Millisecond))
-	before := leader.disk.syncs.Load()
+	syncsBefore := leader.disk.syncs.Load()
 	const jobs = 24
 	var group sync.WaitGroup
 	var failed atomic.Int64
@@ -84,7 +87,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for range 100 { // until it is accepted
+			for range 100 { // until the job is accepted
 				if c.trySubmit(fmt.Sprintf("job-%d", i), 1, 0) == nil {
 					return
 				}
@@ -95,28 +98,28 @@
 	group.Wait()
 	is.Equal(failed.Load(), int64(0))
 	if c.leader() == leader.name {
-		is.True(leader.disk.syncs.Load()-before < jobs) // one sync serves many
+		is.True(leader.disk.syncs.Load()-syncsBefore < jobs) // fewer syncs than submissions
 	}
 	for i := range jobs {
 		c.waitFinished(fmt.Sprintf("job-%d", i), 1)
 	}
 }
 
-// While the leader's disk hangs, jobs are accepted once, run and read on the other members.
-// When the disk recovers, its member catches up, and another disk may hang.
+// While the leader's disk hangs, the other members accept and run jobs and return their results.
+// After the disk recovers, its replica catches up. The disk of the next leader then hangs.
 func TestJobsRunWhileDiskHangs(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.submit("first", 2)
 	for round := range 2 {
 		hanging := c.nodes[c.leader()]
-		hanging.disk.gate.Lock()
+		hanging.disk.syncLock.Lock()
 		name := fmt.Sprintf("while-%d", round)
 		c.submit(name, 3)
 		c.waitFinished(name, 3)
-		hanging.disk.gate.Unlock()
+		hanging.disk.syncLock.Unlock()
 		c.eventually("the member has caught up", func() bool {
 			leader := c.leader()
-			return leader != "" && hanging.node.shard(reportingShard) != nil && hanging.applied() >= c.nodes[leader].applied()
+			return leader != "" && hanging.node.shard(retirementShard) != nil && hanging.applied() >= c.nodes[leader].applied()
 		})
 	}
 	c.waitFinished("first", 2)
@@ -125,22 +128,22 @@
 // applied returns the applied index of the node's replica of shard 0.
 func (n *testNode) applied() uint64 {
 	applied := uint64(0)
-	_ = n.node.shard(reportingShard).RunInLoop(context.Background(), func() { applied = n.node.shard(reportingShard).AppliedIndex() })
+	_ = n.node.shard(retirementShard).RunInLoop(context.Background(), func() { applied = n.node.shard(retirementShard).AppliedIndex() })
 	return applied
 }
 
-// A job that does not fit on the leader's disk is refused as not run and is not stored. Jobs
-// accepted before complete.
-func TestFullDiskRefusesJobs(t *testing.T) {
+// A job that does not fit on the leader's disk is refused with StoreFull and is not stored. Jobs
+// that were accepted earlier still finish.
+func TestLeaderRefusesJobsThatDoNotFitOnItsDisk(t *testing.T) {
 	is := is.New(t)
 	c := newClusterWithLimits(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
-	c.executor.setHold(true)
+	c.executor.setFull(true)
 	c.submit("small", 1)
 	var refusal error
 	accepted := []string{}
 	for i := range 40 {
 		id := fmt.Sprintf("big-%d", i)
-		c.eventually("decision on "+id, func() bool {
+		c.eventually("acceptance or refusal of "+id, func() bool {
 			refusal = c.trySubmitPadded(id, 1, 0, 256<<10)
 			return refusal == nil || result.Is(refusal, result.StoreFull)
 		})
@@ -155,7 +158,7 @@
 	reply, err := c.read(fmt.Sprintf("big-%d", len(accepted)))
 	is.NoErr(err)
 	is.True(!reply.Found)
-	c.executor.setHold(false)
+	c.executor.setFull(false)
 	for _, id := range append(accepted, "small") {
 		c.eventually(id+" is finished", func() bool {
 			reply, err := c.read(id)
@@ -164,30 +167,30 @@
 	}
 }
 
-// A job is also refused as not run if it does not fit on the disk of another member, whose
-// replica would stop otherwise.
-func TestFullMemberRefusesJobs(t *testing.T) {
+// The leader refuses a job with StoreFull and does not store it if the job does not fit on the
+// disk of a follower, whose replica would stop when its disk is full.
+func TestLeaderRefusesJobsThatDoNotFitOnFollower(t *testing.T) {
 	is := is.New(t)
 	c := newClusterWithLimits(t, logstore.DiskLimits{MaxBytes: 4 << 20}, "a", "b", "c")
-	c.executor.setHold(true)
+	c.executor.setFull(true)
 	c.submit("small", 1)
 	const size = 400 << 10
-	full := ""
+	fullDisk := ""
 	for name, n := range c.nodes {
 		if name == c.leader() {
 			continue
 		}
 		filling := ports.Value{Key: "filling", Value: randomBytes(2500 << 10)}
 		is.NoErr(n.db.SaveDocuments(false, []ports.Value{filling}, nil, 1))
-		full = n.db.DiskID()
+		fullDisk = n.db.DiskID()
 		break
 	}
 	c.eventually("the leader knows the free space of the full disk", func() bool {
 		leader := c.nodes[c.leader()]
-		return leader != nil && leader.node.shard(0).freeSpaceOf(full) < logstore.WriteAmplification*size
+		return leader != nil && leader.node.shard(0).reportedFreeBytes(fullDisk) < logstore.WriteAmplification*size
 	})
 	var err error
-	c.eventually("the job is decided on", func() bool {
+	c.eventually("the job is accepted or refused", func() bool {
 		err = c.trySubmitPadded("big", 1, 0, size)
 		return err == nil || result.Is(err, result.StoreFull)
 	})
@@ -195,19 +198,20 @@
 	reply, err := c.read("big")
 	is.NoErr(err)
 	is.True(!reply.Found)
-	c.executor.setHold(false)
+	c.executor.setFull(false)
 	c.waitFinished("small", 1)
 }
 
-// freeSpaceOf returns the free space that a member has reported.
-func (s *shard) freeSpaceOf(member string) uint64 {
-	room := uint64(math.MaxUint64)
+// reportedFreeBytes returns the free space that the member with the given disk ID has reported
+// to this replica, or MaxUint64 if it has reported none.
+func (s *shard) reportedFreeBytes(disk string) uint64 {
+	freeBytes := uint64(math.MaxUint64)
 	_ = s.RunInLoop(context.Background(), func() {
-		if reported, known := s.memberFreeBytes[member]; known {
-			room = reported
+		if reported, found := s.memberFreeBytes[disk]; found {
+			freeBytes = reported
 		}
 	})
-	return room
+	return freeBytes
 }
 
 // randomBytes returns incompressible data.
--- a/internal/batch/queuestore/freespace.go
+++ b/internal/batch/queuestore/freespace.go
@@ -7,18 +7,19 @@
 	"cobaltramp.example/cobaltramp/internal/batch/logstore"
 )
 
-// freeSpaceCache caches the free space of this node's disk, because computing it is too
-// expensive to do for every message to a leader.
+// freeSpaceCache caches the free space of this node's disk, because it is expensive to
+// compute and is sent with every acknowledgment to a leader.
 type freeSpaceCache struct {
 	mutex  sync.Mutex
 	readAt time.Time
 	bytes  uint64
 }
 
-// freeSpaceMaxAge is how long the cached free space is used.
+// freeSpaceMaxAge is how long the cached free space is used before it is computed again.
 const freeSpaceMaxAge = 100 * time.Millisecond
 
-// freeBytes returns the free space of this node's disk in bytes, possibly cached.
+// freeBytes returns how many bytes can be written to this node's disk before new data is
+// refused. The value may be up to freeSpaceMaxAge old.
 func (n *StorageNode) freeBytes() uint64 {
 	now := time.Now()
 	n.freeSpace.mutex.Lock()
@@ -29,7 +30,8 @@
 	return n.freeSpace.bytes
 }
 
-// recordFreeBytes records the free disk space that a member has reported.
+// recordFreeBytes records the free space that a member has reported, in bytes. The member is
+// given by its disk ID.
 func (s *shard) recordFreeBytes(member string, bytes uint64) {
 	if s.memberFreeBytes == nil {
 		s.memberFreeBytes = map[string]uint64{}
@@ -37,9 +39,9 @@
 	s.memberFreeBytes[member] = bytes
 }
 
-// fits reports whether a submission of the given size fits on the disks of all members that
-// have reported their free space. A replica whose disk is full stops, and all its data must
-// then be copied to another disk.
+// fits reports whether a submission of the given size fits on this node's disk and on the
+// disks of all other members that have reported their free space. A replica whose disk is
+// full stops, and all its data must then be copied to another disk.
 func (s *shard) fits(bytes int) bool {
 	need := uint64(logstore.WriteAmplification * bytes)
 	for _, member := range s.Replica.MemberSet().Members {
--- a/internal/batch/queuestore/harness_test.go
+++ b/internal/batch/queuestore/harness_test.go
@@ -24,16 +24,16 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// testStore is an in-memory platform store that sends changes to its followers. While it is
-// down, all calls fail.
+// testStore is an in-memory platform store that sends changes to its watchers. While it is down,
+// reads and commits fail. It is also the StoreContact and the Retirement of the nodes.
 type testStore struct {
-	mutex     sync.Mutex
-	values    map[string]ports.Value
-	revision  int64
-	down      bool
-	fenced    int // commits that fence a hand-over
-	followers []*Layouts
-	retired   map[string]bool
+	mutex        sync.Mutex
+	values       map[string]ports.Value
+	revision     int64
+	down         bool
+	fenceCommits int // number of commits that fence a hand-over
+	watchers     []*Layouts
+	retired      map[string]bool
 }
 
 func (s *testStore) Get(_ context.Context, key string) (ports.Value, bool, error) {
@@ -70,9 +70,9 @@
 	}
 	s.values[value.Key] = value
 	if bytes.Contains(value.Value, []byte(`"attempt"`)) {
-		s.fenced++
+		s.fenceCommits++
 	}
-	for _, layouts := range s.followers {
+	for _, layouts := range s.watchers {
 		layouts.UpdateIfNewer(value.Key, value.Value, value.Revision, "test")
 	}
 	return true, nil
@@ -109,19 +109,20 @@
 	return s.retired[node]
 }
 
-// testExecutor outputs each item's body in two events. While hold is set, it has no free slot.
+// testExecutor runs items without a runner. The output of an item is its body, followed by the
+// number of the event, in each of two events. While full is set, there is no free slot.
 type testExecutor struct {
 	mutex sync.Mutex
-	hold  bool
+	full  bool
 	runs  map[string]int
-	// refused counts the refused attempts to start a run.
+	// refused is the number of refused attempts to start a run.
 	refused int
 }
 
 func (e *testExecutor) TryStart(ctx context.Context, work *Work, done func(Outcome)) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.hold {
+	if e.full {
 		e.refused++
 		work.FullService = "service"
 		return false
@@ -137,10 +138,10 @@
 	return true
 }
 
-func (e *testExecutor) setHold(hold bool) {
+func (e *testExecutor) setFull(full bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.hold = hold
+	e.full = full
 }
 
 // testNode is one storage node of a test cluster.
@@ -165,7 +166,7 @@
 	nodes       map[string]*testNode
 	records     map[string]*wirev1.NodeRecord
 	retiring    map[string]bool
-	layouts     *Layouts // as on an edge
+	layouts     *Layouts // receives all changes of the store, as on an edge
 	client      *rpc.Pool
 	incarnation uint64
 	limits      logstore.DiskLimits
@@ -188,7 +189,7 @@
 		nodes: map[string]*testNode{}, records: map[string]*wirev1.NodeRecord{}, retiring: map[string]bool{},
 		retention: time.Hour, layouts: NewLayouts(), client: rpc.NewPool("test", "test", nil, &rpc.Counters{}),
 	}
-	c.store.followers = append(c.store.followers, c.layouts)
+	c.store.watchers = append(c.store.watchers, c.layouts)
 	for _, name := range names {
 		c.start(name)
 	}
@@ -223,7 +224,7 @@
 	layouts := NewLayouts()
 	c.store.sendAll(layouts)
 	c.store.mutex.Lock()
-	c.store.followers = append(c.store.followers, layouts)
+	c.store.watchers = append(c.store.watchers, layouts)
 	c.store.mutex.Unlock()
 	n.server = rpc.NewServer(name, "test", &rpc.Counters{})
 	n.pool = rpc.NewPool(name, "test", nil, &rpc.Counters{})
@@ -244,7 +245,8 @@
 	c.exchangeRecords()
 }
 
-// exchangeRecords sends every node record to every running node.
+// exchangeRecords gives every running node all node records and the retiring nodes, and records
+// contact with all running nodes.
 func (c *testCluster) exchangeRecords() {
 	now := time.Now()
 	for _, n := range c.nodes {
@@ -274,7 +276,7 @@
 	_ = n.db.Close()
 }
 
-// wipe stops a node and empties its disk.
+// wipe stops a node and deletes its data folder, so that the node starts with a new disk.
 func (c *testCluster) wipe(name string) {
 	c.t.Helper()
 	c.stop(name)
@@ -283,12 +285,14 @@
 	}
 }
 
+// retire marks a node as the only retiring node.
 func (c *testCluster) retire(name string) {
 	c.retiring = map[string]bool{name: true}
 	c.exchangeRecords()
 }
 
-// eventually waits for a condition and fails the test if it takes too long.
+// eventually waits until a condition is true and fails the test after a minute. what names the
+// condition in the failure.
 func (c *testCluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(60 * time.Second)
@@ -301,10 +305,11 @@
 	}
 }
 
-// leader returns the name of the node that leads shard 0, or "" if none does.
+// leader returns the name of the node that leads shard 0 and is in contact with a quorum, or ""
+// if there is none.
 func (c *testCluster) leader() string {
 	for name, n := range c.nodes {
-		if n.running && n.node.leads(reportingShard) {
+		if n.running && n.node.leads(retirementShard) {
 			return name
 		}
 	}
@@ -313,21 +318,22 @@
 
 const testHost = "h.example"
 
-// call sends a request to the running nodes until one accepts it.
+// call sends a request to the running nodes until one accepts it or refuses it because of the
+// token limit or a full disk. It returns the last error.
 func (c *testCluster) call(method wirev1.Method, request, reply protoMessage) error {
-	var last error
+	var lastErr error
 	for _, n := range c.nodes {
 		if !n.running {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		last = c.client.Call(ctx, n.address, rpc.ClassOnline, method, request, reply)
+		lastErr = c.client.Call(ctx, n.address, rpc.ClassOnline, method, request, reply)
 		cancel()
-		if last == nil || result.Is(last, result.TenantTokens) || result.Is(last, result.StoreFull) {
-			return last
+		if lastErr == nil || result.Is(lastErr, result.TenantTokens) || result.Is(lastErr, result.StoreFull) {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
 // submit retries the submission of a job until it is accepted.
@@ -338,11 +344,12 @@
 	})
 }
 
+// trySubmit submits a job once. A limit of 0 means no limit of waiting tokens.
 func (c *testCluster) trySubmit(id string, items int, limit uint64) error {
 	return c.trySubmitPadded(id, items, limit, 0)
 }
 
-// trySubmitPadded submits a job once, with item bodies padded to the given size.
+// trySubmitPadded is like trySubmit, with item bodies padded to the given number of bytes.
 func (c *testCluster) trySubmitPadded(id string, items int, limit uint64, bytes int) error {
 	job := &wirev1.QueueJob{Id: id, Host: testHost, Route: "route", DueAfterMs: 60000, GiveUpMs: 120000}
 	for i := range items {
@@ -360,7 +367,7 @@
 	return reply, c.call(wirev1.Method_METHOD_QUEUE_READ, &wirev1.QueueReadRequest{JobId: id, Host: testHost, MaxBytes: 1 << 20}, reply)
 }
 
-// waitFinished waits until a job has all results and checks each of them.
+// waitFinished waits until a job has a result for each of its items, and checks the results.
 func (c *testCluster) waitFinished(id string, items int) {
 	c.t.Helper()
 	var reply *wirev1.QueueReadReply
--- a/internal/batch/queuestore/home.go
+++ b/internal/batch/queuestore/home.go
@@ -10,15 +10,16 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// homeCache caches which node is the home of each runner.
+// homeCache caches for which runners this node is the home; see IsHomeOf.
 type homeCache struct {
 	mutex            sync.Mutex
 	checkedAt        time.Time
 	totals           *subset.Totals
 	candidatesByZone map[string][]homeCandidate
 	candidates       []homeCandidate
-	// decisions holds the results of isHome by runner since the candidates last changed.
-	// Each choice of a runner asks for every runner that it considers.
+	// decisions holds the results of isHome by runner ID since the candidates or totals
+	// last changed. They are cached because choosing a runner for an item calls IsHomeOf
+	// for many runners.
 	decisions map[string]bool
 }
 
@@ -28,18 +29,22 @@
 	subset *subset.Subset // nil if the node knows all runners
 }
 
+// knowsRunner reports whether the node knows the runner with the given zone and position.
 func (h *homeCandidate) knowsRunner(serviceZone subset.ServiceZone, position uint64) bool {
 	return h.subset == nil || h.subset.Contains(serviceZone, position)
 }
 
-// homeCacheTTL is how long the list of live disks is reused.
+// homeCacheTTL is how long the list of live disks is reused, unless the totals change.
 const homeCacheTTL = 250 * time.Millisecond
 
-// IsHomeOf reports whether this node is the home of a runner, which is the node that
-// dispatches batch items to the runner in preference to other nodes. The home is the node
-// with the highest rendezvous weight among the live storage nodes that know the runner, in
-// the runner's zone if that zone has any. With a single shard, only one node dispatches
-// items, so it is the home of every runner.
+// IsHomeOf reports whether this node is the home of a runner. The home of a runner is the
+// node that dispatches batch items to the runner in preference to other nodes. Candidates
+// are the live nodes in the runner's zone whose disks hold shards, or those of all zones if
+// the runner's zone has none. The home is the candidate with the highest rendezvous weight
+// among those that know the runner.
+//
+// The result is also true if no candidate knows the runner, if no layout is known, and if
+// there is a single shard, because only one node dispatches items then.
 func (n *StorageNode) IsHomeOf(runner string, serviceZone subset.ServiceZone) bool {
 	layout := n.Layouts.Current()
 	if layout == nil || len(layout.Shards) < 2 {
@@ -57,7 +62,7 @@
 	return decision
 }
 
-// isHome computes the result of IsHomeOf. The caller holds the mutex.
+// isHome computes the result of IsHomeOf from the candidates. The caller holds the mutex.
 func (h *homeCache) isHome(self, runner string, serviceZone subset.ServiceZone) bool {
 	position := subset.PositionOf(runner)
 	list := h.candidatesByZone[serviceZone.Zone]
@@ -76,9 +81,9 @@
 	return bestNode == "" || bestNode == self
 }
 
-// refresh updates the candidates to the live nodes whose disks hold shards. A node without
-// shards dispatches no items, so its runners would receive none. The caller holds the
-// mutex.
+// refresh updates the candidates if they are older than homeCacheTTL or the totals have
+// changed. Nodes whose disks hold no shards are not candidates, because they dispatch no
+// items. The caller holds the mutex.
 func (h *homeCache) refresh(n *StorageNode, layout *Layout, now time.Time) {
 	totals := n.totals()
 	if h.candidatesByZone != nil && now.Sub(h.checkedAt) <= homeCacheTTL && h.totals == totals {
@@ -107,6 +112,7 @@
 	}
 }
 
+// totals returns the current numbers of runners, or nil if every node knows all runners.
 func (n *StorageNode) totals() *subset.Totals {
 	if n.Totals == nil {
 		return nil
@@ -114,9 +120,9 @@
 	return n.Totals()
 }
 
-// homeCandidateDisks returns the usable disks of live nodes. In a large fleet, where each node is
-// in contact with few others, it returns all disks whose nodes are not known to be
-// unresponsive.
+// homeCandidateDisks returns the usable disks of live nodes. In a large fleet, where each
+// node is in contact with few others, it returns all usable disks except those of nodes that
+// are known to be unresponsive.
 func (n *StorageNode) homeCandidateDisks(now time.Time) []*wirev1.NodeRecord {
 	if !n.Directory.Large() {
 		return n.liveDisks(now)
--- a/internal/batch/queuestore/layouts.go
+++ b/internal/batch/queuestore/layouts.go
@@ -16,10 +16,11 @@
 )
 
 // Keys of the layout in the platform's store. The initial layout is one value that is
-// written once. Each shard whose member set has changed since has a value of its own, so
-// the size of a change does not depend on the number of shards, and changes of different
-// shards do not conflict.
+// written once. A shard whose member set has changed since then has a value of its own, so
+// that the size of a change does not depend on the number of shards, and changes of
+// different shards do not conflict.
 const (
+	// LayoutKey is the key of the initial layout.
 	LayoutKey = "cobaltramp/queues/layout"
 	// shardKeyPrefix is followed by the number of a shard.
 	shardKeyPrefix = "cobaltramp/queues/shards/"
@@ -27,38 +28,38 @@
 
 func shardKey(id uint32) string { return shardKeyPrefix + strconv.FormatUint(uint64(id), 10) }
 
-// Layout holds the member set of every queue shard. It changes by compare-and-swap in the
-// platform's store when it is created and when a disk joins, is lost or is retired; it does
-// not change with jobs.
+// Layout holds the member set of every queue shard, indexed by shard number. It is stored in
+// the platform's store and changes only when members are added, replaced or removed.
 type Layout struct {
 	Shards []replica.MemberSet `json:"shards"`
-	// changed holds the revision of each shard's own value, or 0 if there is none.
-	changed []int64
+	// shardRevisions holds for each shard the revision of the shard's own value, or 0 if the
+	// member set is that of the initial layout.
+	shardRevisions []int64
 }
 
-// Layouts holds the newest known layout.
+// Layouts holds the newest known values of the layout and the Layout that they result in.
 //
-// Invariant: the revision of each stored value never decreases.
+// Invariant: the revision of each value that it holds never decreases.
 type Layouts struct {
 	mutex sync.Mutex
-	// initialItem is the stored initial layout and initial its decoded form; own holds
-	// the values of single shards.
+	// initialItem is the stored initial layout, nil if not known yet, and initial its
+	// decoded form.
 	initialItem *wirev1.StoredItem
 	initial     *Layout
-	own         map[uint32]shardValue
+	shardValues map[uint32]shardValue
 	current     *Layout
 	changed     chan struct{}
 }
 
 // shardValue is the stored value of a single shard with its decoded member set.
 type shardValue struct {
-	item   *wirev1.StoredItem
-	config replica.MemberSet
+	item      *wirev1.StoredItem
+	memberSet replica.MemberSet
 }
 
 // NewLayouts returns a Layouts that knows no layout.
 func NewLayouts() *Layouts {
-	return &Layouts{own: map[uint32]shardValue{}, changed: make(chan struct{})}
+	return &Layouts{shardValues: map[uint32]shardValue{}, changed: make(chan struct{})}
 }
 
 // Current returns the newest layout, or nil if none is known. Callers must not modify it.
@@ -68,7 +69,8 @@
 	return l.current
 }
 
-// Documents returns the stored values of the layout, to be sent to peers.
+// Documents returns the stored values of the layout, to be sent to peers. It returns nil if
+// the initial layout is not known.
 func (l *Layouts) Documents() []*wirev1.StoredItem {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -76,13 +78,14 @@
 		return nil
 	}
 	items := []*wirev1.StoredItem{l.initialItem}
-	for _, own := range l.own {
+	for _, own := range l.shardValues {
 		items = append(items, own.item)
 	}
 	return items
 }
 
-// Digest returns a hash of the keys and revisions of all values; 0 if there are none.
+// Digest returns a hash of the keys and revisions of all values that Documents returns, or 0
+// if there are none. It does not depend on their order.
 func (l *Layouts) Digest() uint64 {
 	digest := uint64(0)
 	for _, item := range l.Documents() {
@@ -91,12 +94,13 @@
 	return digest
 }
 
-// HasKey reports whether a key belongs to the layout.
+// HasKey reports whether a key of the platform's store belongs to the layout.
 func (l *Layouts) HasKey(key string) bool {
 	return key == LayoutKey || strings.HasPrefix(key, shardKeyPrefix)
 }
 
-// UpdateIfNewer replaces a value of the layout if the given revision is newer.
+// UpdateIfNewer replaces a value of the layout if the given revision is newer than the known
+// one. A value that cannot be decoded is logged and ignored. The source is for the log.
 func (l *Layouts) UpdateIfNewer(key string, value []byte, revision int64, source string) {
 	item := &wirev1.StoredItem{Key: key, Value: value, Revision: revision}
 	var err error
@@ -110,6 +114,7 @@
 	}
 }
 
+// updateInitial replaces the initial layout if the given one is newer.
 func (l *Layouts) updateInitial(item *wirev1.StoredItem, source string) error {
 	initial := &Layout{}
 	if err := json.Unmarshal(item.Value, initial); err != nil {
@@ -122,39 +127,41 @@
 	}
 	l.initialItem, l.initial = item, initial
 	l.publish()
-	klog.InfoS("initial queue layout loaded", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.own))
+	klog.InfoS("initial queue layout loaded", "revision", item.Revision, "source", source, "shards", len(l.current.Shards), "changedSince", len(l.shardValues))
 	return nil
 }
 
+// updateShard replaces the value of a single shard if the given one is newer.
 func (l *Layouts) updateShard(item *wirev1.StoredItem) error {
 	id, err := strconv.ParseUint(strings.TrimPrefix(item.Key, shardKeyPrefix), 10, 32)
 	if err != nil {
 		return err
 	}
 	own := shardValue{item: item}
-	if err := json.Unmarshal(item.Value, &own.config); err != nil {
+	if err := json.Unmarshal(item.Value, &own.memberSet); err != nil {
 		return err
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.own[uint32(id)].item; known != nil && known.Revision >= item.Revision {
+	if previous := l.shardValues[uint32(id)].item; previous != nil && previous.Revision >= item.Revision {
 		return nil
 	}
-	l.own[uint32(id)] = own
+	l.shardValues[uint32(id)] = own
 	l.publish()
 	return nil
 }
 
-// publish builds the current layout from the values and signals the change. The caller holds
-// the mutex.
+// publish builds the current layout from the values and signals the change. It does nothing
+// until the initial layout is known, and ignores values of single shards that are older than
+// the initial layout. The caller holds the mutex.
 func (l *Layouts) publish() {
 	if l.initialItem == nil {
 		return
 	}
-	next := &Layout{Shards: slices.Clone(l.initial.Shards), changed: make([]int64, len(l.initial.Shards))}
-	for id, own := range l.own {
+	next := &Layout{Shards: slices.Clone(l.initial.Shards), shardRevisions: make([]int64, len(l.initial.Shards))}
+	for id, own := range l.shardValues {
 		if int(id) < len(next.Shards) && own.item.Revision > l.initialItem.Revision {
-			next.Shards[id], next.changed[id] = own.config, own.item.Revision
+			next.Shards[id], next.shardRevisions[id] = own.memberSet, own.item.Revision
 		}
 	}
 	l.current = next
@@ -162,7 +169,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed when the layout changes next.
+// Changed returns a channel that is closed at the next update of the layout.
 func (l *Layouts) Changed() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/batch/queuestore/layouts_test.go
+++ b/internal/batch/queuestore/layouts_test.go
@@ -15,19 +15,20 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
+// testLayout returns a layout with the given number of shards of five members each.
 func testLayout(shards int) *Layout {
 	layout := &Layout{}
 	for id := range shards {
-		config := replica.MemberSet{Generation: 1, Copies: 3}
+		memberSet := replica.MemberSet{Generation: 1, Copies: 3}
 		for member := range 5 {
-			config.Members = append(config.Members, fmt.Sprintf("disk-%016x", id*7+member))
+			memberSet.Members = append(memberSet.Members, fmt.Sprintf("disk-%016x", id*7+member))
 		}
-		layout.Shards = append(layout.Shards, config)
+		layout.Shards = append(layout.Shards, memberSet)
 	}
 	return layout
 }
 
-// countingStore counts the bytes written and the refused commits.
+// countingStore counts the bytes in commits and the commits that were not stored.
 type countingStore struct {
 	testStore
 	bytes, refused int
@@ -48,20 +49,20 @@
 // changes of different shards do not conflict.
 func TestShardChangesDoNotConflict(t *testing.T) {
 	is := is.New(t)
-	each := map[int]int{}
+	bytesPerChange := map[int]int{}
 	for _, shards := range []int{10, 150, 300} {
 		store := &countingStore{}
 		var nodes []*StorageNode
-		for range 3 { // all are up to date with the store
+		for range 3 { // the store sends all changes to each of them
 			layouts := NewLayouts()
-			store.followers = append(store.followers, layouts)
+			store.watchers = append(store.watchers, layouts)
 			nodes = append(nodes, &StorageNode{NodeOptions: NodeOptions{Layouts: layouts, Store: store, Directory: peers.NewDirectory(&wirev1.NodeRecord{NodeId: "n"})}})
 		}
 		ctx := context.Background()
 		committed, err := nodes[0].commitInitialLayout(ctx, testLayout(shards))
 		is.NoErr(err)
 		is.True(committed)
-		founded := store.bytes
+		initialBytes := store.bytes
 		before := nodes[0].Layouts.Current()
 		for id := range shards {
 			after := before.Shards[id]
@@ -71,21 +72,22 @@
 			is.True(committed)
 		}
 		is.Equal(store.refused, 0)
-		each[shards] = (store.bytes - founded) / shards
-		t.Logf("%d shards: %d bytes per change, %d for the initial layout", shards, each[shards], founded)
-		for _, config := range nodes[1].Layouts.Current().Shards {
-			is.Equal(config.Generation, uint64(2))
+		bytesPerChange[shards] = (store.bytes - initialBytes) / shards
+		t.Logf("%d shards: %d bytes per change, %d for the initial layout", shards, bytesPerChange[shards], initialBytes)
+		for _, memberSet := range nodes[1].Layouts.Current().Shards {
+			is.Equal(memberSet.Generation, uint64(2))
 		}
 	}
-	is.True(each[300] <= each[10]+10)
+	is.True(bytesPerChange[300] <= bytesPerChange[10]+10)
 }
 
-// Of two concurrent changes of the same shard one succeeds, and both nodes learn which.
+// Of two concurrent changes of the same shard only the first succeeds, and the node whose change
+// fails learns the stored member set.
 func TestOneConcurrentShardChangeWins(t *testing.T) {
 	is := is.New(t)
 	store := &countingStore{}
 	slow, quick := NewLayouts(), NewLayouts()
-	store.followers = []*Layouts{quick}
+	store.watchers = []*Layouts{quick}
 	node := func(layouts *Layouts) *StorageNode {
 		return &StorageNode{NodeOptions: NodeOptions{Layouts: layouts, Store: store}}
 	}
@@ -94,19 +96,19 @@
 	is.NoErr(err)
 	store.sendAll(slow)
 	before := quick.Current().Shards[1]
-	one, other := before, before
-	one.Generation, other.Attempt = 2, 1
-	committed, err := node(quick).swapMemberSet(ctx, 1, before, one)
+	winner, loser := before, before
+	winner.Generation, loser.Attempt = 2, 1
+	committed, err := node(quick).swapMemberSet(ctx, 1, before, winner)
 	is.NoErr(err)
 	is.True(committed)
-	committed, err = node(slow).swapMemberSet(ctx, 1, before, other)
+	committed, err = node(slow).swapMemberSet(ctx, 1, before, loser)
 	is.NoErr(err)
 	is.True(!committed)
 	is.Equal(slow.Current().Shards[1].Generation, uint64(2))
 }
 
-// Holders that receive the same values in any order converge to the same layout, and no
-// member set is replaced by an older one.
+// Two Layouts that receive the same values in different orders end with the newest member set of
+// each shard and the same digest, and never replace a member set by an older one.
 func TestLayoutsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, err := json.Marshal(testLayout(4))
@@ -127,11 +129,11 @@
 			for _, item := range rapid.Permutation(items).Draw(t, "order") {
 				holder.UpdateIfNewer(item.Key, item.Value, item.Revision, "test")
 				if layout := holder.Current(); layout != nil {
-					for id, config := range layout.Shards {
-						if config.Generation < seen[id] {
-							t.Fatalf("shard %d went back", id)
+					for id, memberSet := range layout.Shards {
+						if memberSet.Generation < seen[id] {
+							t.Fatalf("shard %d was replaced by an older generation", id)
 						}
-						seen[id] = config.Generation
+						seen[id] = memberSet.Generation
 					}
 				}
 			}
@@ -141,7 +143,7 @@
 		}
 		for id, generation := range newest {
 			if held := holders[0].Current().Shards[id].Generation; held != generation {
-				t.Fatalf("shard %d is at %d, want %d", id, held, generation)
+				t.Fatalf("shard %d is at generation %d, want %d", id, held, generation)
 			}
 		}
 	})
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -12,34 +12,37 @@
 	"cobaltramp.example/cobaltramp/internal/serving/allotment"
 )
 
-// leadership is the state of a serving leader: the table of unfinished items, the runs in
-// progress and the watchers of jobs. When the replica loses its epoch, the leadership is
-// suspended until another replica leads or maxSuspension has passed, so that a member set
-// change does not interrupt runs.
+// leadership is the state that a leader keeps in memory: the table of unfinished items, the
+// runs in progress and the watchers of jobs. When the replica loses its epoch, the leadership
+// is suspended, and runs continue, so that a member set change does not interrupt them. The
+// leadership resumes if this replica leads again. It is dropped, and its runs are canceled,
+// if another replica leads or maxSuspension has passed.
 type leadership struct {
 	epoch   uint64
 	table   *queue.ItemTable
 	context context.Context
 	cancel  context.CancelFunc
 	runs    map[queue.ItemKey]context.CancelFunc
-	// saves holds progress of runs that has not been proposed yet.
-	saves queue.ProgressBatch
-	// decided holds results that are not applied yet.
+	// pendingProgress holds progress of runs that has not been proposed yet.
+	pendingProgress queue.ProgressBatch
+	// decided holds the complete results of items whose result is not applied yet.
 	decided map[queue.ItemKey]*wirev1.QueueResult
-	// changed holds a channel for each watched job, closed on the job's next change.
-	changed map[string]chan struct{}
-	// acceptedAt holds the acceptance times of all jobs in Unix milliseconds.
+	// watched holds a channel for each watched job. It is closed on the job's next change.
+	watched map[string]chan struct{}
+	// acceptedAt holds the acceptance time of each stored job in Unix milliseconds.
 	acceptedAt map[string]int64
-	// pendingTokens holds the tokens of submissions that are not applied yet.
+	// pendingTokens holds the tokens of reserved submissions that are not applied yet.
 	pendingTokens map[queue.TokenAccount]uint64
-	// pendingBytes is the total size of those submissions.
+	// pendingBytes is the total size of the item bodies of those submissions.
 	pendingBytes int
-	// ledger holds the reports of all shards; only the leader of ledgerShard has one.
+	// ledger holds the reports of all shards. It is nil until the first report arrives;
+	// only the leader of ledgerShard receives reports.
 	ledger *queue.Ledger
-	// allotments grants shares of the tenants' request limits.
+	// allotments grants allotments of the tenants' request limits.
 	allotments *allotment.Keeper
-	// reportNumber is the number of the last report to the ledger; reportedTotal and
-	// reportedAt are the total and the time of the last periodic report.
+	// reportNumber is the number of the last report to the ledger. reportedTotal is the
+	// number of waiting tokens in the last periodic report and reportedAt its time; a zero
+	// time makes the next check report.
 	reportNumber        uint64
 	reportedTotal       uint64
 	reportedAt          time.Time
@@ -47,18 +50,20 @@
 	preferenceCheckedAt time.Time // last check by transferToPreferredLeader
 	// fullUntil holds, for each service without a free slot, when it is tried again.
 	fullUntil map[string]time.Time
-	// quorumLostAt is when contact with a quorum was lost; zero while there is contact.
+	// quorumLostAt is when the loss of contact with a quorum was detected; zero while there
+	// is contact.
 	quorumLostAt time.Time
-	// suspendedAt is when the epoch was lost; zero while this replica serves.
+	// suspendedAt is when the leadership was suspended; zero while it is not.
 	suspendedAt time.Time
 }
 
-// maxSuspension is how long runs continue while the shard has no leader.
+// maxSuspension is how long a leadership stays suspended, with its runs in progress, while
+// no leader of the shard is known.
 const maxSuspension = 1200 * time.Millisecond
 
-// FollowLeadership implements shardhost.LeaderWork. It starts or resumes leadership when
-// this replica begins to serve, suspends it when the replica loses its epoch, and drops it
-// when another replica leads.
+// FollowLeadership implements shardhost.LeaderWork. It starts or resumes the leadership once
+// this replica serves as leader and has applied all committed entries. If the replica does
+// not lead, it suspends or drops the leadership.
 func (s *shard) FollowLeadership() {
 	if s.Replica.Role() != replica.Leader {
 		s.suspendLeadership()
@@ -77,6 +82,8 @@
 	s.startLeadership()
 }
 
+// suspendLeadership suspends the leadership if there is one, and drops it if another replica
+// leads or the suspension has exceeded maxSuspension.
 func (s *shard) suspendLeadership() {
 	l := s.leader
 	if l == nil {
@@ -95,8 +102,9 @@
 	}
 }
 
-// resumeLeadership ends a suspension. The table is up to date with the log; only proposals
-// that may have been lost are repeated.
+// resumeLeadership continues the leadership in a new epoch. The table is up to date with the
+// log. Results that are not applied are proposed again in full, because their proposals and
+// earlier progress may have been lost.
 func (s *shard) resumeLeadership() {
 	l := s.leader
 	l.epoch, l.suspendedAt = s.Replica.Epoch(), time.Time{}
@@ -112,12 +120,14 @@
 	}
 }
 
+// startLeadership creates the leadership from the applied state. It stops the replica if the
+// state cannot be read.
 func (s *shard) startLeadership() {
 	ctx, cancel := context.WithCancel(s.node.context)
 	l := &leadership{
 		epoch: s.Replica.Epoch(), allotments: s.node.newAllotmentKeeper(), table: queue.NewItemTable(), context: ctx, cancel: cancel,
 		runs: map[queue.ItemKey]context.CancelFunc{}, decided: map[queue.ItemKey]*wirev1.QueueResult{},
-		changed: map[string]chan struct{}{}, acceptedAt: map[string]int64{}, pendingTokens: map[queue.TokenAccount]uint64{}, fullUntil: map[string]time.Time{}, preferenceCheckedAt: time.Now(),
+		watched: map[string]chan struct{}{}, acceptedAt: map[string]int64{}, pendingTokens: map[queue.TokenAccount]uint64{}, fullUntil: map[string]time.Time{}, preferenceCheckedAt: time.Now(),
 	}
 	if err := s.fillTable(l); err != nil {
 		cancel()
@@ -129,7 +139,8 @@
 	klog.InfoS("queue shard led", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
 }
 
-// fillTable builds the table from the stored records and the saved progress of runs.
+// fillTable fills the table and the acceptance times of a new leadership from the stored
+// records and the saved progress of runs.
 func (s *shard) fillTable(l *leadership) error {
 	now := time.Now()
 	view := s.Store.View()
@@ -155,14 +166,15 @@
 	return err
 }
 
-// DropLeadership implements shardhost.LeaderWork.
+// DropLeadership implements shardhost.LeaderWork. It cancels all runs and notifies all
+// watchers. The reason is for the log.
 func (s *shard) DropLeadership(reason string) {
 	if s.leader == nil {
 		return
 	}
 	s.leader.cancel()
-	for _, changed := range s.leader.changed {
-		close(changed)
+	for _, watched := range s.leader.watched {
+		close(watched)
 	}
 	klog.InfoS("queue leadership dropped", "shard", s.ID, "epoch", s.leader.epoch, "reason", reason, "runs", len(s.leader.runs))
 	s.leader = nil
@@ -171,12 +183,13 @@
 }
 
 // quorumLossGracePeriod is how long runs continue on a leader without contact with a quorum.
-// It is short because another leader may already have ended the job or started the same
-// item.
+// Another replica may lead by then, and may have ended the job or started the same item.
 const quorumLossGracePeriod = 250 * time.Millisecond
 
-// tickLeader does the periodic work of a leader: it starts ready items and proposes
-// progress, expired items and expired jobs.
+// tickLeader does the periodic work of a leader: it proposes progress, starts ready items,
+// gives up expired items, drops expired jobs, and transfers leadership to the preferred
+// member. It does nothing while the leadership is suspended, and only cancels runs without
+// contact with a quorum.
 func (s *shard) tickLeader(now time.Time) {
 	l := s.leader
 	if l == nil || !l.suspendedAt.IsZero() {
@@ -193,8 +206,9 @@
 	s.node.metrics.unfinished.Set(float64(l.table.Len()))
 }
 
-// hasQuorumContact reports whether a quorum has responded recently. It cancels all runs
-// once contact has been lost for longer than quorumLossGracePeriod.
+// hasQuorumContact reports whether a write quorum, this replica included, has responded
+// within the election timeout. It cancels all runs once contact has been lost for longer
+// than quorumLossGracePeriod.
 func (s *shard) hasQuorumContact(now time.Time) bool {
 	l := s.leader
 	if s.Replica.LiveMembers(now) >= s.Replica.MemberSet().WriteQuorum() {
@@ -213,20 +227,21 @@
 	return false
 }
 
-// notifyWatchers notifies all watchers of a job that it has changed.
+// notifyWatchers notifies all watchers of a job of a change of the job.
 func (l *leadership) notifyWatchers(job string) {
-	if changed := l.changed[job]; changed != nil {
+	if changed := l.watched[job]; changed != nil {
 		close(changed)
-		delete(l.changed, job)
+		delete(l.watched, job)
 	}
 }
 
-// watch returns a channel that is closed on the job's next change.
+// watch returns a channel that is closed on the job's next change, or when the leadership is
+// dropped.
 func (l *leadership) watch(job string) <-chan struct{} {
-	changed := l.changed[job]
+	changed := l.watched[job]
 	if changed == nil {
 		changed = make(chan struct{})
-		l.changed[job] = changed
+		l.watched[job] = changed
 	}
 	return changed
 }
--- a/internal/batch/queuestore/limits.go
+++ b/internal/batch/queuestore/limits.go
@@ -13,29 +13,33 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// Limits of waiting tokens apply to the sum over all shards. The leader of ledgerShard keeps
-// a ledger of the tokens that wait in each shard, and the other leaders ask it before they
-// accept a job of a limited route. The ledger is soft state: a new one grants nothing until
-// the leader of every shard has reported.
+// The limit of an account, which is a tenant with a route, applies to the tokens of
+// unfinished items ("waiting tokens") over all shards. The leader of ledgerShard keeps the
+// ledger (queue.Ledger), to which the leaders of all shards report their waiting tokens.
+// Before a leader accepts a job that raises the waiting tokens of its shard above the shard's
+// local allowance (queue.LocalAllowance), it asks the ledger. The ledger is kept in memory
+// only; a new ledger grants nothing until the leader of every shard has reported.
 
 // ledgerShard is the shard whose leader keeps the ledger.
 const ledgerShard = 0
 
 const (
-	// reportCheckInterval is the time between checks for changed totals, and
-	// maxReportInterval the maximum time between two reports.
+	// reportCheckInterval is the time between checks for a changed number of waiting
+	// tokens. A leader reports at a check if the number has changed or if
+	// maxReportInterval has passed since its last periodic report.
 	reportCheckInterval = 200 * time.Millisecond
 	maxReportInterval   = time.Second
-	// ledgerCallTimeout bounds one call to a node that may keep the ledger.
+	// ledgerCallTimeout bounds one call to one candidate for keeping the ledger.
 	ledgerCallTimeout = 300 * time.Millisecond
-	// ledgerRetryTimeout is how long a submission retries its request to the ledger, and
-	// ledgerRetryInterval the time between two tries.
+	// ledgerRetryTimeout is the time after which a submission does not repeat a failed
+	// request to the ledger, and ledgerRetryInterval the delay before a repetition.
 	ledgerRetryTimeout  = 700 * time.Millisecond
 	ledgerRetryInterval = 40 * time.Millisecond
 )
 
-// reportLoop periodically reports the waiting tokens of the shards led here.
-func (n *StorageNode) reportLoop(ctx context.Context) {
+// waitingReportLoop reports the waiting tokens of the shards led here until the context ends.
+// With a single shard no reports are needed.
+func (n *StorageNode) waitingReportLoop(ctx context.Context) {
 	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -53,8 +57,8 @@
 	}
 }
 
-// reportWaiting reports the waiting tokens of a shard that is led here if their total has
-// changed or maxReportInterval has passed.
+// reportWaiting reports the waiting tokens of a shard that is led here if their number has
+// changed or maxReportInterval has passed. It must not be called on the shard's goroutine.
 func (s *shard) reportWaiting(ctx context.Context) {
 	var request *wirev1.QueueReserveRequest
 	err := s.RunInLoop(ctx, func() {
@@ -77,14 +81,15 @@
 	}
 }
 
-// scheduleReport makes the next check report unconditionally, because the ledger may be new.
+// scheduleReport makes the next check report even if nothing has changed. It is called when
+// a report failed or the ledger is incomplete.
 func (s *shard) scheduleReport() {
 	if s.leader != nil {
 		s.leader.reportedAt = time.Time{}
 	}
 }
 
-// totalWaiting returns the number of tokens that wait on all routes.
+// totalWaiting returns the number of waiting tokens of all accounts.
 func (l *leadership) totalWaiting() uint64 {
 	totalWaiting := uint64(0)
 	for _, tokens := range l.waiting() {
@@ -93,7 +98,8 @@
 	return totalWaiting
 }
 
-// waiting returns the waiting tokens by account, including pending submissions.
+// waiting returns the shard's waiting tokens by account, including those of submissions that
+// are reserved but not applied yet.
 func (l *leadership) waiting() map[queue.TokenAccount]uint64 {
 	waiting := l.table.WaitingByAccount()
 	for account, tokens := range l.pendingTokens {
@@ -102,7 +108,8 @@
 	return waiting
 }
 
-// nextReport returns a new report of the waiting tokens. The shard must be led here.
+// nextReport returns a report of the waiting tokens with a new number. The shard must have a
+// leadership.
 func (s *shard) nextReport() *wirev1.QueueReserveRequest {
 	l := s.leader
 	l.reportNumber++
@@ -113,24 +120,27 @@
 	return request
 }
 
-// callLedger sends a report or a request for tokens to the node that keeps the ledger.
+// callLedger sends a report, which may include a request for tokens, to the node that keeps
+// the ledger. It tries the candidates until one accepts the report or responds that it keeps
+// the ledger but cannot grant tokens yet.
 func (n *StorageNode) callLedger(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
-	var last error = result.New(result.NotReady, "no ledger of waiting tokens is known")
+	var lastErr error = result.New(result.NotReady, "no ledger of waiting tokens is known")
 	for _, member := range n.ledgerCandidates() {
 		reply, err := n.callLedgerAt(ctx, member, request)
 		if err == nil {
 			n.recordLedgerDisk(member)
 			return reply, nil
 		}
-		last = err
+		lastErr = err
 		if result.Is(err, result.NotReady) {
 			n.recordLedgerDisk(member)
-			break // this node keeps the ledger, but the ledger is incomplete
+			break // the node leads ledgerShard, but its ledger is incomplete or it knows no layout
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
+// callLedgerAt sends a report to the node of a member of ledgerShard.
 func (n *StorageNode) callLedgerAt(ctx context.Context, member string, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerCallTimeout)
 	defer cancel()
@@ -145,8 +155,8 @@
 	return reply, n.Pool.Call(ctx, record.Address, rpc.ClassControl, wirev1.Method_METHOD_QUEUE_RESERVE, request, reply)
 }
 
-// ledgerCandidates returns the members of ledgerShard, beginning with the last known
-// keeper of the ledger.
+// ledgerCandidates returns the members of ledgerShard, beginning with the disk of the node
+// that was last known to keep the ledger.
 func (n *StorageNode) ledgerCandidates() []string {
 	layout := n.Layouts.Current()
 	if layout == nil {
@@ -167,6 +177,7 @@
 	return list
 }
 
+// recordLedgerDisk records that the node with the given disk keeps the ledger.
 func (n *StorageNode) recordLedgerDisk(member string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -176,7 +187,7 @@
 	}
 }
 
-// serveReserve serves reports and requests for tokens from the leaders of other shards.
+// serveReserve handles the reports and token requests of shard leaders on other nodes.
 func (n *StorageNode) serveReserve(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReserveRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -189,8 +200,9 @@
 	return stream.Send(reply)
 }
 
-// reserveLocally processes a report, and decides on the submission in it if there is one.
-// It fails unless this node keeps the ledger.
+// reserveLocally processes a report, and decides on the token request in it if there is one.
+// It fails unless this node keeps the ledger. The reply to a token request that fails because
+// the ledger is incomplete is NotReady.
 func (n *StorageNode) reserveLocally(ctx context.Context, request *wirev1.QueueReserveRequest) (*wirev1.QueueReserveReply, error) {
 	s := n.shard(ledgerShard)
 	if s == nil {
@@ -204,10 +216,13 @@
 	if refused != nil || !reply.Granted {
 		return reply, refused
 	}
-	// Another node may keep the ledger by now; only the current keeper may grant.
+	// Another node may lead ledgerShard by now; only its current leader may grant tokens.
 	return reply, s.Confirm(ctx)
 }
 
+// reserveInLedger records a report in the ledger, which it creates if there is none, and
+// fills in the reply. A request without a route is a report without a token request. The
+// report already counts the requested tokens; they are released if they are not granted.
 func (s *shard) reserveInLedger(request *wirev1.QueueReserveRequest, reply *wirev1.QueueReserveReply) error {
 	l := s.leader
 	if l == nil || !l.suspendedAt.IsZero() || !s.Replica.Serving() {
--- a/internal/batch/queuestore/members.go
+++ b/internal/batch/queuestore/members.go
@@ -11,52 +11,58 @@
 
 const (
 	// unresponsiveDiskTimeout is how long a member must be unresponsive before a spare
-	// disk replaces it; it is longer than a restart of a node.
+	// disk replaces it. It is longer than a restart of a node.
 	unresponsiveDiskTimeout = 2500 * time.Millisecond
-	handOverInterval        = 250 * time.Millisecond
-	handOverTimeout         = 20 * time.Second
-	freezeTimeout           = 1500 * time.Millisecond
-	swapTimeout             = 3 * time.Second
+	// A hand-over is a change of the member set; see shardhost.HandOverTiming for its
+	// intervals and timeouts.
+	handOverInterval = 250 * time.Millisecond
+	handOverTimeout  = 20 * time.Second
+	freezeTimeout    = 1500 * time.Millisecond
+	swapTimeout      = 3 * time.Second
 )
 
 var handOverTiming = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: freezeTimeout, SwapTimeout: swapTimeout}
 
-// NextMembers implements shardhost.MemberPolicy. It replaces retiring members and members
-// whose disk is lost, and adds spare disks up to the wanted number of members. An
-// unresponsive member stays until a disk is available to replace it.
-func (s *shard) NextMembers(now time.Time, config replica.MemberSet) []string {
+// NextMembers implements shardhost.MemberPolicy. It replaces lost, unresponsive and retiring
+// members, and adds spare disks up to the wanted number of members. It returns the current
+// members if no layout is known, while this node is draining, and if fewer than Copies
+// members would remain.
+func (s *shard) NextMembers(now time.Time, current replica.MemberSet) []string {
 	if s.node.Layouts.Current() == nil || s.node.draining.Load() {
-		return config.Members
+		return current.Members
 	}
-	next := s.planMembers(now, config)
-	if len(next) < config.Copies {
-		return config.Members
+	next := s.planMembers(now, current)
+	if len(next) < current.Copies {
+		return current.Members
 	}
 	return next
 }
 
-func (s *shard) planMembers(now time.Time, config replica.MemberSet) []string {
+// planMembers returns the healthy members and the spare disks that are added to them. If there
+// are too few, it adds unresponsive members up to the wanted number and then retiring members
+// up to the number of copies.
+func (s *shard) planMembers(now time.Time, current replica.MemberSet) []string {
 	byStatus := map[memberStatus][]string{}
-	for _, member := range config.Members {
+	for _, member := range current.Members {
 		status := s.memberStatus(now, member)
 		byStatus[status] = append(byStatus[status], member)
 	}
-	if len(byStatus[statusHealthy]) == len(config.Members) && len(config.Members) >= s.node.wantedMemberCount() {
-		return config.Members
+	if len(byStatus[statusHealthy]) == len(current.Members) && len(current.Members) >= s.node.wantedMemberCount() {
+		return current.Members
 	}
-	s.node.probeSpares(s.ID, config.Members, now)
+	s.node.probeSpares(s.ID, current.Members, now)
 	next := s.node.chooseMembers(s.ID, s.node.liveDisks(now), byStatus[statusHealthy], s.node.Layouts.Current().shardsPerDisk())
 	next = addMembers(next, byStatus[statusUnresponsive], s.node.wantedMemberCount())
-	// Retiring nodes stay members until the other members hold enough copies.
-	next = addMembers(next, byStatus[statusRetiring], config.Copies)
-	// Only a retiring member may be removed without a replacement.
-	if len(next) < len(config.Members) && !s.anyRetiring(config) {
-		return config.Members
+	// A disk of a retiring node stays a member while there are too few other members.
+	next = addMembers(next, byStatus[statusRetiring], current.Copies)
+	// The number of members may decrease only while a member is retiring.
+	if len(next) < len(current.Members) && !s.anyRetiring(current) {
+		return current.Members
 	}
 	return next
 }
 
-// addMembers adds members to a set until it has the wanted number.
+// addMembers adds members to a set until it has the wanted number or none are left.
 func addMembers(set, members []string, wanted int) []string {
 	for _, member := range members {
 		if len(set) < wanted && !slices.Contains(set, member) {
@@ -66,8 +72,9 @@
 	return set
 }
 
-func (s *shard) anyRetiring(config replica.MemberSet) bool {
-	for _, member := range config.Members {
+// anyRetiring reports whether the node of any member is retiring.
+func (s *shard) anyRetiring(memberSet replica.MemberSet) bool {
+	for _, member := range memberSet.Members {
 		if record, known := s.node.Directory.Disk(member); known && s.node.Directory.IsRetiring(record.NodeId) {
 			return true
 		}
@@ -81,12 +88,14 @@
 	statusHealthy memberStatus = iota
 	// statusUnresponsive: the member has not responded within unresponsiveDiskTimeout.
 	statusUnresponsive
-	// statusRetiring: the member responds, but its node is retiring.
+	// statusRetiring: the member has responded in time, but its node is retiring.
 	statusRetiring
 	// statusLost: the member's node has a different disk now.
 	statusLost
 )
 
+// memberStatus returns the first status that applies of lost, unresponsive, retiring and
+// healthy. This node's own disk is never unresponsive.
 func (s *shard) memberStatus(now time.Time, member string) memberStatus {
 	if s.node.Directory.DiskLost(member) {
 		return statusLost
@@ -101,15 +110,16 @@
 	return statusHealthy
 }
 
-// isResponsive reports whether a member responds, including members on retiring nodes.
+// isResponsive reports whether a member is neither lost nor unresponsive.
 func (s *shard) isResponsive(now time.Time, member string) bool {
 	status := s.memberStatus(now, member)
 	return status == statusHealthy || status == statusRetiring
 }
 
 // MaySeal implements shardhost.MemberPolicy. It requires that all responsive members of the
-// next set have caught up and form a write quorum, and that the store is reachable: a
-// shard that is sealed while the store is unavailable cannot accept jobs.
+// next set have caught up, that they form a write quorum, and that this node is in contact
+// with the platform's store. Without the store, a sealed shard could not be unsealed, and
+// would accept no jobs.
 func (s *shard) MaySeal(now time.Time, next replica.MemberSet) bool {
 	for _, member := range next.Members {
 		if s.isResponsive(now, member) && !s.Replica.CaughtUp(member) {
@@ -119,7 +129,8 @@
 	return !s.node.Contact.Lost() && s.hasCaughtUpQuorum(now, next)
 }
 
-// hasCaughtUpQuorum reports whether a write quorum of the next member set has caught up.
+// hasCaughtUpQuorum reports whether a write quorum of the next member set is responsive and
+// has caught up.
 func (s *shard) hasCaughtUpQuorum(now time.Time, next replica.MemberSet) bool {
 	count := 0
 	for _, member := range next.Members {
@@ -135,7 +146,8 @@
 	return s.node.swapMemberSet(ctx, s.ID, before, after)
 }
 
-// Fence implements shardhost.MemberPolicy.
+// Fence implements shardhost.MemberPolicy. It first reads the stored member set, because the
+// node's copy may be out of date.
 func (s *shard) Fence(ctx context.Context, before, after replica.MemberSet) (bool, error) {
 	s.node.refreshValue(ctx, shardKey(s.ID))
 	return s.node.swapMemberSet(ctx, s.ID, before, after)
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -1,12 +1,17 @@
-// Package queuestore stores batch jobs in queue shards that are replicated over the disks
-// of the storage nodes. It runs in the storage nodes' process; edges use its Layouts and
-// ShardOf to find the shard of a job.
+// Package queuestore stores batch jobs in queue shards and runs their items. The log of a
+// shard is replicated over several disks of storage nodes, the members of the shard. The
+// package runs in the process of the storage nodes; edges use its Layouts and ShardOf to find
+// the shard of a job.
 //
-// The package owns the jobs (through the log of their shard), the layout of the shards,
-// the ledger of waiting tokens and the allotments of tenants' limits that leaders grant.
-// The leader of a shard also runs the shard's items. Package shardhost runs the replicas,
-// package queue defines the commands, the platform's store holds only the member sets, and
-// an Executor sends items to runners.
+// The leader of a shard accepts the shard's jobs, starts runs of their items through an
+// Executor, and grants allotments, which are shares of the request rate limits of tenants.
+// The leader of shard 0 also keeps the ledger, which adds up the tokens of unfinished items
+// over all shards to enforce limits on them.
+//
+// Package shardhost runs the replicas and package queue defines the commands of their log.
+// The platform's store holds only the Layout, the member sets of all shards. A hand-over
+// changes a member set: the leader freezes the members, which then accept no entries, and
+// replaces the member set in the store. A fence cancels an unfinished hand-over.
 package queuestore
 
 import (
@@ -33,52 +38,62 @@
 
 // Work describes one run of an item.
 type Work struct {
-	Key   queue.ItemKey
+	Key queue.ItemKey
+	// Host and Route are those of the job.
 	Host  string
 	Route string
 	// Tenant is the owner of the job; empty if the deployment has no tenants.
 	Tenant string
 	Item   *wirev1.QueueItem
+	// Output is the output of earlier runs; the run continues after it.
 	Output queue.ItemOutput
 	Due    time.Time
-	// Slack is the time to spare until the item's due time when the run starts; it is
-	// negative if the item will be late.
-	Slack    time.Duration
+	// Slack is the estimated time between the end of the run and the item's due time. It
+	// is negative if the item is expected to be late.
+	Slack time.Duration
+	// Failures is the number of earlier runs that failed.
 	Failures int
 	// Save records the output produced so far, so that a later run can continue from it.
+	// It may block, and must not be called before TryStart returns.
 	Save func(output queue.ItemOutput)
-	// FullService is set by the executor to the service that had no free slot.
+	// FullService is the service that had no free slot, or "" if no service is to be
+	// avoided. TryStart sets it when it returns false.
 	FullService string
 }
 
 // Outcome is the result of a run.
 type Outcome struct {
-	// Done reports that Output is complete, Dead that the item can never succeed.
+	// Done reports that Output is complete, Dead that the item can never succeed. If
+	// neither is set, the item is run again unless it has used up its attempts.
 	Done, Dead bool
-	// Failed reports a failure of the runner, which counts as an attempt. Attempts is
-	// the number of attempts that the route allows.
+	// Failed reports a failure of the runner, which counts as a failed attempt. Attempts
+	// is the number of failed attempts after which the item is dead; it applies only if
+	// Failed is set.
 	Failed   bool
 	Attempts int
 	// Output is the output so far; the next run continues from it.
 	Output queue.ItemOutput
-	// RetryDelay is the time to wait before the next run.
+	// RetryDelay is the time to wait before the next run, if there is one.
 	RetryDelay time.Duration
 	// Events is the number of events that the run produced, Duration its running time.
 	Events   int64
 	Duration time.Duration
-	Reason   string
+	// Reason is a short code of the outcome for logs and metrics.
+	Reason string
 }
 
 // Executor runs items at runners.
 type Executor interface {
-	// TryStart starts a run if a runner has a free slot for the item, and calls done
-	// once when the run has ended. It does not block. If there is no free slot, it
-	// returns false and sets work.FullService.
+	// TryStart starts a run and returns true if a runner has a free slot for the item.
+	// It calls done once, on another goroutine, when the run has ended. If there is no
+	// free slot, TryStart returns false without calling done; it may set
+	// work.FullService. The shard's goroutine calls TryStart, which must not block.
 	TryStart(ctx context.Context, work *Work, done func(Outcome)) bool
 }
 
 // Retirement reports to operators whether a retiring node still holds replicas.
 type Retirement interface {
+	// Report reports the state of a retiring node. done means that it holds no replicas.
 	Report(ctx context.Context, node string, done bool)
 }
 
@@ -87,13 +102,17 @@
 
 // NodeOptions configures a StorageNode.
 type NodeOptions struct {
-	Node       string
-	Region     string
+	// Node is the node's name.
+	Node   string
+	Region string
+	// DiskLosses is the number of members that a shard can lose at once without losing its
+	// quorum.
 	DiskLosses int
-	// Retention is how long a finished job is kept, counted from its acceptance.
+	// Retention is how long a job is kept after its acceptance. A job with unfinished
+	// items is kept longer.
 	Retention time.Duration
-	// LogBytes is the size of the applied log entries kept for lagging replicas, summed
-	// over all shards.
+	// LogBytes is the number of log bytes to keep for lagging replicas, divided evenly
+	// among the local shards; see TruncationPoint.
 	LogBytes uint64
 	// TruncateInterval is the time between checks for log truncation; zero means one
 	// second.
@@ -106,8 +125,7 @@
 	Contact          StoreContact
 	// Totals returns the numbers of runners if each node knows only a subset of them.
 	// A nil function or result means that every node knows all runners.
-	Totals func() *subset.Totals
-	// Retirement is notified of the progress of retiring nodes.
+	Totals     func() *subset.Totals
 	Retirement Retirement
 	Executor   Executor
 	// TenantLimit returns a tenant's request rate limit, and false for an unknown
@@ -122,12 +140,12 @@
 	NodeOptions
 
 	metrics   *metrics
-	mutex     sync.Mutex
+	mutex     sync.Mutex // guards ledgerDisk
 	host      *shardhost.Host[*wirev1.QueueCommand, *queue.ApplyResult]
 	tasks     tasks.Group
 	homeCache homeCache
 	freeSpace freeSpaceCache
-	// ledgerDisk is the disk of the last known leader of ledgerShard.
+	// ledgerDisk is the disk of the last known leader of ledgerShard; empty if unknown.
 	ledgerDisk string
 	context    context.Context
 	cancel     context.CancelFunc
@@ -177,14 +195,14 @@
 	server.Handle(wirev1.Method_METHOD_ALLOTMENT, n.serveAllotment)
 }
 
-// Start starts the replicas on the disk without waiting for the platform's store:
-// elections need only the replicas themselves.
+// Start starts the replicas on the disk and the background tasks. It does not wait for the
+// platform's store, which elections do not need.
 func (n *StorageNode) Start() error {
 	if err := n.host.Restore(); err != nil {
 		return trace.Wrap(err)
 	}
 	n.tasks.Go(func() { n.layoutLoop(n.context) })
-	n.tasks.Go(func() { n.reportLoop(n.context) })
+	n.tasks.Go(func() { n.waitingReportLoop(n.context) })
 	return nil
 }
 
@@ -197,6 +215,7 @@
 	return s.Application().(*shard)
 }
 
+// allShards returns all local replicas.
 func (n *StorageNode) allShards() []*shard {
 	var list []*shard
 	for _, s := range n.host.Shards() {
@@ -205,8 +224,8 @@
 	return list
 }
 
-// Drain transfers leadership of all shards to other nodes. From then on the node starts
-// no items and plans no member changes.
+// Drain makes the node start no more runs and plan no more member set changes, and then
+// tries to transfer the leadership of its shards to other members.
 func (n *StorageNode) Drain(ctx context.Context) {
 	n.draining.Store(true)
 	for _, s := range n.allShards() {
@@ -214,7 +233,7 @@
 	}
 }
 
-// Stop stops all replicas.
+// Stop stops all replicas and waits for the background tasks.
 func (n *StorageNode) Stop() {
 	n.cancel()
 	n.host.Stop()
--- a/internal/batch/queuestore/placement.go
+++ b/internal/batch/queuestore/placement.go
@@ -9,8 +9,8 @@
 	"cobaltramp.example/cobaltramp/internal/batch/placement"
 )
 
-// chooseMembers returns the members of a shard: the kept ones and then disks in the order of
-// zoneRank.
+// chooseMembers returns the members of a shard: the kept members and, up to the wanted number,
+// some of the given disks. placement.Rule chooses them with zoneRank.
 func (n *StorageNode) chooseMembers(shard uint32, disks []*wirev1.NodeRecord, keep []string, shardsPerDisk map[string]int) []string {
 	candidates := make([]placement.Disk, 0, len(disks))
 	for _, disk := range disks {
@@ -30,9 +30,10 @@
 }
 
 // zoneRank ranks zones by their number of members of a shard, for placement.Rule. Zones with
-// fewer members than DiskLosses, but at least one, come first, which saves traffic between
-// zones. Then come the zones with the fewest members. If there are enough zones, none has
-// more than DiskLosses members, and the shard keeps a quorum when a zone is lost.
+// at least one member, but fewer than DiskLosses, come first, so that replication causes less
+// traffic between zones. All other zones are ranked by their number of members, so that in a
+// new member set no zone has more than DiskLosses members if there are enough zones and
+// disks. The shard then keeps a quorum when a zone is lost.
 func (n *StorageNode) zoneRank(members int) int {
 	switch {
 	case members > 0 && members < n.DiskLosses:
@@ -42,25 +43,27 @@
 	}
 }
 
-// shardsPerDisk returns the number of shards on each disk.
+// shardsPerDisk returns the number of shards on each disk, by disk ID. For a nil layout it
+// returns an empty map.
 func (l *Layout) shardsPerDisk() map[string]int {
 	shardsPerDisk := map[string]int{}
 	if l == nil {
 		return shardsPerDisk
 	}
-	for _, config := range l.Shards {
-		for _, member := range config.Members {
+	for _, memberSet := range l.Shards {
+		for _, member := range memberSet.Members {
 			shardsPerDisk[member]++
 		}
 	}
 	return shardsPerDisk
 }
 
-// maxProbedSpares bounds the number of spare disks that are probed at once.
+// maxProbedSpares bounds the number of spare disks that are probed for a shard.
 const maxProbedSpares = 4
 
-// probeSpares requests probes of some disks that could replace members of a shard. It is
-// needed in a large fleet, where each node is in contact with few others.
+// probeSpares requests probes of some disks that could replace members of a shard, so that
+// liveDisks contains them if they respond. It does nothing unless the fleet is large, because
+// in other fleets every node is in contact with all disks.
 func (n *StorageNode) probeSpares(shard uint32, members []string, now time.Time) {
 	if !n.Directory.Large() {
 		return
@@ -76,7 +79,8 @@
 	}
 }
 
-// liveDisks returns the usable disks whose nodes have responded recently.
+// liveDisks returns the usable disks whose nodes this node has been in contact with within
+// unresponsiveDiskTimeout.
 func (n *StorageNode) liveDisks(now time.Time) []*wirev1.NodeRecord {
 	var live []*wirev1.NodeRecord
 	for _, disk := range n.usableDisks() {
--- a/internal/batch/queuestore/rounds_test.go
+++ b/internal/batch/queuestore/rounds_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A round serves the callers that joined before it began; later callers get a new round.
-func TestConfirmationServesEarlierCallersOnly(t *testing.T) {
+// Callers that join before a round begins share the round; later callers get a new one.
+func TestConfirmationIsSharedByEarlierCallersOnly(t *testing.T) {
 	is := is.New(t)
 	var r confirmations
 	var mutex sync.Mutex
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -15,19 +15,22 @@
 	expirySlack = 6 * time.Second
 	// maxStartsPerTick bounds the runs started per tick.
 	maxStartsPerTick = 32
-	// maxRefusalsPerTick bounds the failed attempts to start a run per tick. It is more
-	// than one because later items may be for a service that has free slots.
+	// maxRefusalsPerTick bounds the attempts per tick to start a run for which there is no
+	// free slot. It is more than one because later items may be for a service that has
+	// free slots.
 	maxRefusalsPerTick = 8
-	// fullServicePause is how long a service without a free slot is not tried again,
-	// unless a run of this shard ends. It matches the interval at which nodes exchange
-	// their load (package loadshare). Each try reads the item's body and evaluates all
-	// runners, which is expensive.
+	// fullServicePause is how long no run is started for a service without a free slot,
+	// unless a run of this shard ends. Each attempt reads the item's body and evaluates all
+	// runners, which is expensive. The pause matches the interval at which nodes exchange
+	// their load (package loadshare).
 	fullServicePause = 60 * time.Millisecond
-	// missingBodyRetryDelay is the delay before an item is tried again whose body could
-	// not be read.
+	// missingBodyRetryDelay is the delay before the next attempt to start an item if its
+	// body could not be read.
 	missingBodyRetryDelay = time.Second
 )
 
+// startReadyItems starts runs of the items that are ready, in their starting order, up to the
+// limits per tick. It starts none while the node is draining.
 func (s *shard) startReadyItems(now time.Time) {
 	l := s.leader
 	started, refused := 0, 0
@@ -46,7 +49,8 @@
 	}
 }
 
-// startRun starts a run of an item. It returns false if no runner has a free slot.
+// startRun tries to start a run of an item. It returns false only if no runner has a free
+// slot. If the item cannot be read, it starts no run and returns true.
 func (s *shard) startRun(entry *queue.ItemEntry) bool {
 	l := s.leader
 	view := s.Store.View()
@@ -82,21 +86,24 @@
 	return true
 }
 
-// recordProgress records the output of a run, to be proposed by proposeProgress.
+// recordProgress records the output of a run, to be proposed by proposeProgress. It does
+// nothing if the leadership has been dropped or the item has a result, applied or not.
 func (s *shard) recordProgress(l *leadership, key queue.ItemKey, item string, output queue.ItemOutput) {
 	if s.leader == l && l.table.Entry(key) != nil && l.decided[key] == nil {
-		l.saves.Add(key, item, output, time.Now())
+		l.pendingProgress.Add(key, item, output, time.Now())
 	}
 }
 
 // proposeProgress proposes to save the recorded progress that is due.
 func (s *shard) proposeProgress(now time.Time) {
-	if due := s.leader.saves.Flush(s.leader.table, now); due != nil {
+	if due := s.leader.pendingProgress.Flush(s.leader.table, now); due != nil {
 		s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Progress{Progress: due}})
 	}
 }
 
-// runEnded processes the outcome of a run.
+// runEnded processes the outcome of a run: it proposes the item's result if the item is done
+// or dead, and makes the item available for another run otherwise. It only counts the run if
+// the leadership has been dropped.
 func (s *shard) runEnded(l *leadership, key queue.ItemKey, work *Work, outcome Outcome) {
 	s.node.metrics.runs.WithLabelValues(outcome.Reason).Inc()
 	if s.leader != l {
@@ -120,10 +127,11 @@
 	s.proposeResult(key, work.Item.Id, !outcome.Done, outcome.Output)
 }
 
-// proposeResult proposes an item's result. The item counts as running until the result is
-// applied, so that it is not started again. If progress was proposed before, the proposal
-// contains only the rest of the output; the complete result is kept in case that progress
-// was not committed.
+// proposeResult records an item's result and proposes it, unless the leadership is suspended;
+// resumeLeadership proposes it then. If progress was proposed before, the proposal contains
+// only the rest of the output; the complete result is kept in case the progress was not
+// committed. The item of a run that has ended counts as running until the result is applied,
+// so that it is not started again.
 func (s *shard) proposeResult(key queue.ItemKey, item string, dead bool, output queue.ItemOutput) {
 	l := s.leader
 	complete := &wirev1.QueueResult{JobId: key.Job, Item: key.Number, ItemId: item, Dead: dead, Last: output.LastEventID, Text: output.Text}
@@ -131,7 +139,7 @@
 		complete.Text, complete.Last = nil, 0
 	}
 	l.decided[key] = complete
-	l.saves.Remove(key)
+	l.pendingProgress.Remove(key)
 	if !l.suspendedAt.IsZero() {
 		return
 	}
@@ -142,6 +150,8 @@
 	s.Propose(&wirev1.QueueCommand{Kind: &wirev1.QueueCommand_Finish{Finish: &wirev1.QueueResults{Results: []*wirev1.QueueResult{result}}}})
 }
 
+// expireItems proposes the result "dead" for items that have been past their expiry time for
+// expirySlack. An item that is running may still finish before the proposal is applied.
 func (s *shard) expireItems(now time.Time) {
 	for _, entry := range s.leader.table.Expired(now.Add(-expirySlack)) {
 		klog.InfoS("item given up", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
@@ -150,6 +160,7 @@
 	}
 }
 
+// cancelRun cancels the run of an item, if there is one.
 func (s *shard) cancelRun(key queue.ItemKey) {
 	if cancel := s.leader.runs[key]; cancel != nil {
 		cancel()
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -13,14 +13,16 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// tokenLimitRetryAfter is the retry delay sent with submissions over the token limit.
+// tokenLimitRetryAfter is the retry delay sent to callers whose submission exceeds the limit
+// of waiting tokens.
 const tokenLimitRetryAfter = 500 * time.Millisecond
 
-// diskFullRetryAfter is the retry delay sent with submissions that do not fit on a disk.
+// diskFullRetryAfter is the retry delay sent to callers whose submission does not fit on a
+// disk.
 const diskFullRetryAfter = time.Second
 
-// localShardOf returns the local replica of the shard of a job or tenant, and ends the
-// shard's idle state.
+// localShardOf returns the local replica of the shard of a job or tenant, given by job ID or
+// tenant name, and ends the shard's idle state. The replica need not be the leader.
 func (n *StorageNode) localShardOf(name string) (*shard, error) {
 	layout := n.Layouts.Current()
 	if layout == nil {
@@ -34,11 +36,13 @@
 	return nil, result.New(result.NotLeader, "shard %d is not here", id)
 }
 
-// ShardOf returns the shard of a job id or tenant name. It depends only on the name and the
-// number of shards, so every node finds the same shard.
-func ShardOf(job string, shards int) uint32 { return uint32(placement.Weight(0, job) % uint64(shards)) }
+// ShardOf returns the shard of a key, which is a job ID or a tenant name. shards is the number
+// of shards in the layout, at least 1. The result depends on nothing else, so every node finds
+// the same shard.
+func ShardOf(key string, shards int) uint32 { return uint32(placement.Weight(0, key) % uint64(shards)) }
 
-// serveSubmit accepts a job. Resubmitting an accepted job succeeds regardless of limits.
+// serveSubmit handles the submission of a job. A job that was accepted before is not accepted
+// again; its submission succeeds regardless of limits and of its contents.
 func (n *StorageNode) serveSubmit(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueSubmitRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -63,6 +67,7 @@
 	return stream.Send(reply)
 }
 
+// submit checks the limits for a job, proposes the job, and waits until it is applied.
 func (s *shard) submit(ctx context.Context, request *wirev1.QueueSubmitRequest) (*wirev1.QueueSubmitReply, error) {
 	job := request.Job
 	want := reservation{account: queue.TokenAccount{Tenant: job.Tenant, Route: job.Route}, limit: request.MaxWaitingTokens}
@@ -93,24 +98,27 @@
 	return &wirev1.QueueSubmitReply{Known: applied.AlreadyAccepted}, nil
 }
 
-// reservation holds the tokens and bytes of a submission until it is applied or dropped.
+// reservation is the share of a submission in the leader's pending tokens and bytes, until the
+// outcome of the submission is known.
 type reservation struct {
 	account queue.TokenAccount
 	tokens  uint64
 	bytes   int
-	// limit bounds the account's waiting tokens; 0 means no limit.
+	// limit bounds the account's waiting tokens over all shards; 0 means no limit.
 	limit uint64
-	// belowFloor reports that the tokens waiting in this shard, including this submission,
-	// do not exceed the shard's floor, so the ledger need not be asked.
-	belowFloor bool
-	// reservedBy is the leadership that counts the reservation; leadershipLost is set
-	// when that leadership has ended.
+	// withinLocalAllowance reports that the account's tokens waiting in this shard,
+	// including this submission, do not exceed the shard's local allowance, so that the
+	// ledger need not be asked.
+	withinLocalAllowance bool
+	// reservedBy is the leadership that counts the reservation. leadershipLost is set when
+	// a request to the ledger finds that the leadership has been dropped.
 	reservedBy     *leadership
 	leadershipLost bool
 }
 
-// reserve counts a submission against its account's limit and the disks' free space until
-// the submission is applied. It returns true if the job has been accepted before.
+// reserve checks a submission against its account's limit in this shard and the disks' free
+// space, and counts it there until releaseReservation. It returns true, and reserves nothing,
+// if the job has been accepted before.
 func (s *shard) reserve(ctx context.Context, job string, want *reservation) (bool, error) {
 	var known bool
 	var refused error
@@ -133,7 +141,7 @@
 			return
 		}
 		want.reservedBy = l
-		want.belowFloor = waiting+want.tokens <= queue.LocalAllowance(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
+		want.withinLocalAllowance = waiting+want.tokens <= queue.LocalAllowance(want.limit, s.node.Tolerance.Overrun, s.node.shardCount())
 		l.pendingTokens[want.account] += want.tokens
 		l.pendingBytes += want.bytes
 	})
@@ -143,15 +151,18 @@
 	return known, refused
 }
 
+// tooManyTokens returns the error for a submission over the limit. waiting is the number of
+// tokens that wait without the submission.
 func tooManyTokens(want *reservation, waiting uint64) error {
 	return result.New(result.TenantTokens, "%d tokens wait on route %s of tenant %q, the job has %d, allowed are %d", waiting, want.account.Route, want.account.Tenant, want.tokens, want.limit).WithRetryAfter(tokenLimitRetryAfter)
 }
 
 // reserveOverAllShards asks the ledger whether a submission fits within the limit over all
-// shards. It retries for up to ledgerRetryTimeout while the ledger is unavailable or
-// incomplete.
+// shards. It does not ask if there is no limit, the submission is within the local allowance
+// or there is a single shard. While the ledger is unavailable or incomplete, it retries until
+// ledgerRetryTimeout has passed, the context has ended or the leadership has been dropped.
 func (s *shard) reserveOverAllShards(ctx context.Context, want *reservation) error {
-	if want.limit == 0 || want.belowFloor || s.node.shardCount() < 2 {
+	if want.limit == 0 || want.withinLocalAllowance || s.node.shardCount() < 2 {
 		return nil
 	}
 	for until := time.Now().Add(ledgerRetryTimeout); ; time.Sleep(ledgerRetryInterval) {
@@ -168,8 +179,8 @@
 	}
 }
 
-// requestTokens sends one request to the ledger. Each request carries a new report,
-// because the ledger may already have released the tokens of an earlier request.
+// requestTokens sends one token request to the ledger. Each request carries a new report,
+// because the ledger may have released the tokens of an earlier request.
 func (s *shard) requestTokens(ctx context.Context, want *reservation) (*wirev1.QueueReserveReply, error) {
 	var request *wirev1.QueueReserveRequest
 	err := s.RunInLoop(ctx, func() {
@@ -188,7 +199,8 @@
 	return s.node.callLedger(ctx, request)
 }
 
-// releaseReservation releases the reservation of a submission that was applied or dropped.
+// releaseReservation releases the reservation of a submission that was applied, refused or
+// lost. It must not be called on the shard's goroutine.
 func (s *shard) releaseReservation(want *reservation) {
 	s.runIfRunning(func() {
 		want.reservedBy.pendingTokens[want.account] -= want.tokens
@@ -196,7 +208,7 @@
 	})
 }
 
-// serveRead returns the results of a job after confirming leadership.
+// serveRead handles a request for the results of a job.
 func (n *StorageNode) serveRead(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueReadRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -213,8 +225,9 @@
 	return stream.Send(reply)
 }
 
-// read returns the results of a job. If there are none yet, it waits for up to the time
-// that the request allows.
+// read returns the results of a job from position Since on, after confirming leadership. If
+// there are none, it waits for up to the time that the request allows, unless the job does not
+// exist or Since is not below the number of its items.
 func (s *shard) read(ctx context.Context, request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	until := time.Now().Add(time.Duration(request.WaitMs) * time.Millisecond)
 	for {
@@ -248,6 +261,8 @@
 	}
 }
 
+// readResults reads the results of a job from the local state. Found is false in the reply if
+// the job does not exist.
 func (s *shard) readResults(request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	view := s.Store.Snapshot()
 	defer view.Close()
@@ -259,6 +274,7 @@
 	return &wirev1.QueueReadReply{Found: true, Total: uint32(len(record.Items)), Results: results}, err
 }
 
+// serveItem handles a request for the body of an item.
 func (n *StorageNode) serveItem(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueItemRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -278,6 +294,9 @@
 	return stream.Send(reply)
 }
 
+// itemBody reads the body of an item from the local state. Found is false in the reply if the
+// job or the item does not exist, and if the body has been deleted because the item has a
+// result.
 func (s *shard) itemBody(request *wirev1.QueueItemRequest) (*wirev1.QueueItemReply, error) {
 	view := s.Store.Snapshot()
 	defer view.Close()
@@ -298,6 +317,7 @@
 	return &wirev1.QueueItemReply{}, nil
 }
 
+// serveEnd ends a job, so that its unfinished items are not run.
 func (n *StorageNode) serveEnd(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.QueueEndRequest
 	if err := stream.DecodeRequest(&request); err != nil {
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -16,20 +16,21 @@
 // hostedShard is the shardhost replica of a queue shard.
 type hostedShard = shardhost.Shard[*wirev1.QueueCommand, *queue.ApplyResult]
 
-// shard is the local replica of a queue shard: the state machine of its jobs and, on the
-// leader, the work of the leader. Unless documented otherwise, methods must be called on
-// the shard's goroutine.
+// shard is the local replica of a queue shard. It implements the state machine of the shard's
+// jobs and, on the leader, the work of the leader. Methods must be called on the shard's
+// goroutine, except those that take a context or say otherwise.
 type shard struct {
 	*hostedShard
 	shardhost.NoEvents
 	node *StorageNode
 	// confirmations batches the leadership confirmations for allotments.
 	confirmations confirmations
-	leader        *leadership // nil unless this replica leads or its leadership is suspended
+	leader        *leadership // nil unless this replica has an active or suspended leadership
 	log           logSize
-	// memberFreeBytes holds the free disk space that members have reported.
+	// memberFreeBytes holds the free disk space in bytes that other replicas have reported,
+	// by disk ID.
 	memberFreeBytes map[string]uint64
-	// lastUsed is the time of the last request or proposal; see setIdle.
+	// lastUsed is the time of the last request or proposal at this replica; see setIdle.
 	lastUsed time.Time
 }
 
@@ -37,9 +38,10 @@
 
 const (
 	// retainedEntries is the number of applied log entries kept for lagging followers,
-	// unless they exceed the bytes that the disk has for the log. A follower that lags
-	// further behind receives a snapshot.
-	retainedEntries  = 4000
+	// unless they exceed the log bytes of the shard; see TruncationPoint. A follower that
+	// lags further behind receives a snapshot.
+	retainedEntries = 4000
+	// truncateInterval is the default of NodeOptions.TruncateInterval.
 	truncateInterval = time.Second
 	snapshotTimeout  = time.Minute
 )
@@ -61,9 +63,9 @@
 	})
 }
 
-// runIfRunning runs a function on the shard's goroutine and waits for it. It does nothing if
-// the shard or the node has stopped, because the state that the function would change is
-// gone. It must not be called on the shard's goroutine.
+// runIfRunning runs a function on the shard's goroutine and waits for it. The function may not
+// be run if the shard or the node has stopped. runIfRunning must not be called on the shard's
+// goroutine.
 func (s *shard) runIfRunning(call func()) {
 	_ = s.RunInLoop(s.node.context, call) // fails only if the shard or the node has stopped
 }
@@ -106,13 +108,13 @@
 
 // Started implements shardhost.Events.
 func (s *shard) Started(loaded *logstore.RecoveredState) {
-	klog.InfoS("queue replica started", "shard", s.ID, "disk", s.Disk, "generation", loaded.MemberSet.Generation, "members", loaded.MemberSet.Members,
+	klog.InfoS("queue replica starting", "shard", s.ID, "disk", s.Disk, "generation", loaded.MemberSet.Generation, "members", loaded.MemberSet.Members,
 		"log", s.Replica.LastIndex(), "applied", loaded.Applied, "known", loaded.Exists)
 }
 
 // Failed implements shardhost.Events.
 func (s *shard) Failed(err error) {
-	klog.ErrorS(err, "queue replica stopped: its disk is no longer trusted", "shard", s.ID, "disk", s.Disk)
+	klog.ErrorS(err, "queue replica stopped after an error of its disk or state", "shard", s.ID, "disk", s.Disk)
 }
 
 // Received implements shardhost.Events.
@@ -124,17 +126,17 @@
 
 // Dropped implements shardhost.Events.
 func (s *shard) Dropped(err error) {
-	klog.InfoS("removal of a former member's queue replica ended", "shard", s.ID, "err", err)
+	klog.InfoS("removal of a replica that is no longer a member ended", "shard", s.ID, "err", err)
 }
 
 // SnapshotRequested implements shardhost.Events.
 func (s *shard) SnapshotRequested(from shardhost.Peer, index uint64) {
-	klog.InfoS("snapshot requested", "shard", s.ID, "from", from.Node, "index", index, "applied", s.AppliedIndex())
+	klog.InfoS("snapshot fetch started", "shard", s.ID, "from", from.Node, "index", index, "applied", s.AppliedIndex())
 }
 
 // SnapshotReceived implements shardhost.Events.
 func (s *shard) SnapshotReceived(index uint64, err error) {
-	klog.InfoS("snapshot received", "shard", s.ID, "index", index, "err", err)
+	klog.InfoS("snapshot fetch ended", "shard", s.ID, "index", index, "err", err)
 }
 
 // HandOverEnded implements shardhost.Events.
--- a/internal/batch/queuestore/spread_test.go
+++ b/internal/batch/queuestore/spread_test.go
@@ -18,13 +18,13 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/subset"
 )
 
-// Jobs are spread over several shards. The limit of waiting tokens applies to all shards
-// together, also after the node that keeps the ledger is lost, and all jobs complete after
-// the loss of a disk.
-func TestJobsAreSpreadOverAllDisks(t *testing.T) {
+// Jobs are spread over more than one shard. The limit of waiting tokens applies to all shards
+// together, also after the disk of the node that keeps the ledger of waiting tokens is lost,
+// and no job is lost with the disk.
+func TestJobsAreSpreadOverShards(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c", "d", "e", "f")
-	c.executor.setHold(true)
+	c.executor.setFull(true)
 	const jobs, limit = 6, 60
 	usedShards := map[uint32]bool{}
 	for i := range jobs {
@@ -34,17 +34,17 @@
 	}
 	is.Equal(len(c.layouts.Current().Shards), 6)
 	is.True(len(usedShards) > 1)
-	full := func() bool { return result.Is(c.trySubmit("one-too-many", 1, limit), result.TenantTokens) }
-	c.eventually("the limit is reached", full)
-	keeper := c.leader()
-	c.wipe(keeper)
+	limitReached := func() bool { return result.Is(c.trySubmit("one-too-many", 1, limit), result.TenantTokens) }
+	c.eventually("the limit is reached", limitReached)
+	ledgerNode := c.leader()
+	c.wipe(ledgerNode)
 	for range 3 {
 		err := c.trySubmit("one-too-many", 1, limit)
-		is.True(err != nil) // refused, or the ledger is incomplete
+		is.True(err != nil) // over the limit, or refused because the ledger is unavailable or incomplete
 	}
-	c.start(keeper)
-	c.eventually("the limit is reached again", full)
-	c.executor.setHold(false)
+	c.start(ledgerNode)
+	c.eventually("the limit is reached again", limitReached)
+	c.executor.setFull(false)
 	for i := range jobs {
 		c.waitFinished(fmt.Sprintf("job-%d", i), 1)
 	}
@@ -52,8 +52,9 @@
 	c.waitFinished("one-too-many", 1)
 }
 
-// For any number of disks and zones, each shard has the wanted number of members, spread
-// over as few zones as tolerate the loss of one, and the disks hold similar numbers of shards.
+// For any number of disks and zones, each shard has the wanted number of members, or all disks if
+// there are fewer. If there are enough zones, the shard keeps a quorum when a zone is lost, and
+// uses no more zones than this takes. The numbers of shards on two disks differ by at most 2.
 func TestShardsAreSpreadEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 7).Draw(t, "zones")
@@ -69,69 +70,69 @@
 			zoneOf[record.DiskId] = record.Zone
 		}
 		layout := n.initialLayout(disks)
-		for _, config := range layout.Shards {
-			in := map[string]int{}
-			for _, member := range config.Members {
-				in[zoneOf[member]]++
+		for _, memberSet := range layout.Shards {
+			membersPerZone := map[string]int{}
+			for _, member := range memberSet.Members {
+				membersPerZone[zoneOf[member]]++
 			}
 			want := min(len(disks), n.wantedMemberCount())
-			if len(config.Members) != want {
-				t.Fatalf("shard of %v has %d members, want %d", config.Members, len(config.Members), want)
+			if len(memberSet.Members) != want {
+				t.Fatalf("shard of %v has %d members, want %d", memberSet.Members, len(memberSet.Members), want)
 			}
-			// A zone has at most as many members as may be lost, or an even part if there
-			// are too few zones. No more zones are used than necessary.
-			for zone, count := range in {
-				if most := max(min(losses, perZone), (want+zones-1)/zones); count > most {
-					t.Fatalf("%d members of %v are in %s, want at most %d", count, config.Members, zone, most)
+			// A zone has at most as many members as a shard may lose. If there are too few
+			// zones for that, it has at most an even part of the members.
+			for zone, count := range membersPerZone {
+				if maxMembers := max(min(losses, perZone), (want+zones-1)/zones); count > maxMembers {
+					t.Fatalf("%d members of %v are in %s, want at most %d", count, memberSet.Members, zone, maxMembers)
 				}
 			}
-			if fewest := min(zones, (want+min(losses, perZone)-1)/min(losses, perZone)); len(in) != fewest {
-				t.Fatalf("shard of %v is in %d zones, want %d", config.Members, len(in), fewest)
+			if wantZones := min(zones, (want+min(losses, perZone)-1)/min(losses, perZone)); len(membersPerZone) != wantZones {
+				t.Fatalf("shard of %v is in %d zones, want %d", memberSet.Members, len(membersPerZone), wantZones)
 			}
 		}
 		shardsPerDisk := layout.shardsPerDisk()
-		least, most := len(layout.Shards), 0
+		minShards, maxShards := len(layout.Shards), 0
 		for _, disk := range disks {
-			least, most = min(least, shardsPerDisk[disk.DiskId]), max(most, shardsPerDisk[disk.DiskId])
+			minShards, maxShards = min(minShards, shardsPerDisk[disk.DiskId]), max(maxShards, shardsPerDisk[disk.DiskId])
 		}
-		if len(layout.Shards) > 1 && most-least > 2 {
-			t.Fatalf("disks hold %d to %d shards of %d", least, most, len(layout.Shards))
+		if len(layout.Shards) > 1 && maxShards-minShards > 2 {
+			t.Fatalf("disks hold %d to %d shards of %d", minShards, maxShards, len(layout.Shards))
 		}
 	})
 }
 
-// Truncation leaves at least the given number of bytes, and the counted size matches the
-// entries that remain.
+// Truncation at the returned index leaves at least the given number of bytes, and the counted
+// size then equals the size of the remaining entries.
 func TestLogSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log logSize
 		sizes := map[uint64]uint64{}
-		last, base := uint64(0), uint64(0)
+		lastIndex, baseIndex := uint64(0), uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
 				bytes := uint64(0)
 				for range rapid.IntRange(1, 3).Draw(t, "entries") {
-					last++
-					sizes[last] = uint64(rapid.IntRange(0, 50).Draw(t, "bytes"))
-					bytes += sizes[last]
+					lastIndex++
+					sizes[lastIndex] = uint64(rapid.IntRange(0, 50).Draw(t, "bytes"))
+					bytes += sizes[lastIndex]
 				}
-				log.recordWrite(last, bytes)
+				log.recordWrite(lastIndex, bytes)
 			},
-			"drop": func(t *rapid.T) {
+			"truncate": func(t *rapid.T) {
 				keep := uint64(rapid.IntRange(0, 100).Draw(t, "bytes"))
 				index := log.truncationIndex(keep)
-				if index <= base {
+				if index <= baseIndex {
 					return
 				}
 				left := uint64(0)
-				for i := index + 1; i <= last; i++ {
+				for i := index + 1; i <= lastIndex; i++ {
 					left += sizes[i]
 				}
 				if left < keep {
 					t.Fatalf("%d bytes remain, want at least %d", left, keep)
 				}
 				log.discardUpTo(index)
-				base = index
+				baseIndex = index
 				if log.total != left {
 					t.Fatalf("counted %d bytes, %d remain", log.total, left)
 				}
@@ -140,8 +141,8 @@
 	})
 }
 
-// Nodes that start without a known layout while the store is down lead the shards on their
-// disks and refuse requests to the ledger.
+// Nodes that start while the platform's store is down, and so know no layout, lead the shards on
+// their disks and refuse requests to the ledger.
 func TestShardsAreLedWithoutLayout(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, "a", "b", "c")
@@ -163,6 +164,7 @@
 	is.True(result.Is(err, result.NotReady) || result.Is(err, result.NotLeader))
 	s := leader.shard(ledgerShard)
 	started := time.Now()
+	// transferToPreferredLeader must run without a layout.
 	c.eventually("the preferred leader was checked", func() bool {
 		checked := false
 		_ = s.RunInLoop(context.Background(), func() { checked = s.leader == nil || s.leader.preferenceCheckedAt.After(started) })
@@ -171,8 +173,8 @@
 	is.True(c.leader() != "")
 }
 
-// The home of each runner is exactly one live node that holds shards, in the runner's zone if
-// there is one there.
+// Each runner has exactly one home, the node that dispatches items to the runner in preference to
+// others. The home holds shards and is in the runner's zone if a node with shards is there.
 func TestHomesAreNodesThatHoldShards(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -183,7 +185,7 @@
 	}
 	text, err := json.Marshal(layout)
 	is.NoErr(err)
-	for self := range 7 { // the last one joined later
+	for self := range 7 { // the last node joined after the layout was created and holds no shards
 		directory := peers.NewDirectory(&wirev1.NodeRecord{NodeId: fmt.Sprint("n", self), DiskId: fmt.Sprint("disk-", self), Zone: fmt.Sprint("z", self%3), Incarnation: 1})
 		for i := range 7 {
 			directory.Put(&wirev1.NodeRecord{NodeId: fmt.Sprint("n", i), DiskId: fmt.Sprint("disk-", i), Zone: fmt.Sprint("z", i%3), Incarnation: 1})
--- a/internal/batch/queuestore/stored_test.go
+++ b/internal/batch/queuestore/stored_test.go
@@ -18,10 +18,12 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// The disk in testdata/queue-disk.zip was written by a storage node of an earlier version and
-// must not be regenerated, because it checks that existing disks remain readable. It holds a
-// truncated log of shard 0 with finished jobs, a job with saved progress and an ended job, and
-// shard 1 as held by a frozen member that installed a snapshot.
+// testdata/queue-disk.zip contains the data folder of a storage node of an earlier version. Do
+// not regenerate the archive: the tests check that this version reads the data of earlier ones.
+//
+// Shard 0 has a truncated log, jobs that are finished, one job that was ended and one with saved
+// progress. Shard 1 has the same jobs and is in the state of a member that has installed a
+// snapshot and is frozen, which means that it accepts no entries while the member set changes.
 const (
 	storedDisk   = "testdata/queue-disk.zip"
 	storedDiskID = "disk-7852727576314e55"
@@ -38,20 +40,20 @@
 	is.NoErr(err)
 	is.Equal(shards, []uint32{0, 1})
 
-	first, err := db.Shard(0).Load()
+	shard0, err := db.Shard(0).Load()
 	is.NoErr(err)
-	const epoch = 1<<40 + 1<<8 + 1 // generation 1, first election, first member
-	is.Equal(first, &logstore.RecoveredState{
+	const epoch = 1<<40 + 1<<8 + 1 // bits 40 and up: generation, bits 8 to 39: election, bits 0 to 7: member
+	is.Equal(shard0, &logstore.RecoveredState{
 		HardState: replica.HardState{Promised: epoch, Commit: 45, Generation: 1}, MemberSet: replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1},
 		BaseIndex: 37, BaseEpoch: epoch, Epochs: slices.Repeat([]uint64{epoch}, 14), Applied: 51, Exists: true,
 	})
-	second, err := db.Shard(1).Load()
+	shard1, err := db.Shard(1).Load()
 	is.NoErr(err)
-	const before = 4<<40 + 2<<8 + 2 // generation 4, second election, second member
-	is.Equal(second, &logstore.RecoveredState{
+	const snapshotEpoch = 4<<40 + 2<<8 + 2 // generation 4, second election, second member
+	is.Equal(shard1, &logstore.RecoveredState{
 		HardState: replica.HardState{Promised: 4<<40 + 3<<8 + 1, Commit: 40, Frozen: true, FrozenAttempt: 2, Generation: 4},
 		MemberSet: replica.MemberSet{Generation: 4, Members: []string{storedDiskID, "disk-other"}, Attempt: 2, Copies: 2},
-		BaseIndex: 40, BaseEpoch: before, Epochs: []uint64{before, before, before}, Applied: 40, Exists: true,
+		BaseIndex: 40, BaseEpoch: snapshotEpoch, Epochs: []uint64{snapshotEpoch, snapshotEpoch, snapshotEpoch}, Applied: 40, Exists: true,
 	})
 
 	documents, revision, err := db.LoadDocuments()
@@ -75,7 +77,8 @@
 	}
 }
 
-// checkStoredJobs checks the jobs of the stored disk: their items, results and saved progress.
+// checkStoredJobs checks that a shard of the stored disk has the expected jobs with their items,
+// results and saved progress.
 func checkStoredJobs(t *testing.T, state queue.StateReader) {
 	t.Helper()
 	is := is.New(t)
@@ -108,6 +111,7 @@
 	}
 }
 
+// checkStoredResults checks the results of a stored job, or the saved progress of the job "half".
 func checkStoredResults(t *testing.T, state queue.StateReader, id string, count int) {
 	t.Helper()
 	is := is.New(t)
@@ -133,8 +137,8 @@
 	}
 }
 
-// A node that starts on the stored disk leads its shard, serves reads of finished jobs, and
-// continues unfinished items after their last saved event.
+// A node that starts on the stored disk leads shard 0, returns the results of finished jobs, runs
+// unfinished items from their last saved event on, and accepts new jobs.
 func TestNodeStartsOnStoredDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t)
@@ -166,6 +170,6 @@
 	is.Equal(c.executor.runs["done-2"], 0)
 	c.submit("new", 2)
 	c.waitFinished("new", 2)
-	config := c.layouts.Current().Shards[0]
-	is.Equal(config, replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1})
+	memberSet := c.layouts.Current().Shards[0]
+	is.Equal(memberSet, replica.MemberSet{Generation: 1, Members: []string{storedDiskID}, Copies: 1})
 }
--- a/internal/batch/queuestore/truncate.go
+++ b/internal/batch/queuestore/truncate.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// longLogFactor and maxLogFactor are multiples of logBytesPerShard. A log longer than
-	// longLogFactor is truncated, as far as live members have it; a log longer than
-	// maxLogFactor is truncated regardless of members that lag.
+	// longLogFactor and maxLogFactor are multiples of logBytesPerShard. A log of more bytes
+	// than longLogFactor is truncated up to the entries that all live members have; a log
+	// of more bytes than maxLogFactor is truncated even if live members lack entries.
 	longLogFactor = 2
 	maxLogFactor  = 8
 )
 
-// TruncationPoint implements shardhost.LogPolicy. It returns an index at or below base if the
-// log is not long enough to be truncated.
+// TruncationPoint implements shardhost.LogPolicy. A log is truncated if it has at least
+// 2*retainedEntries settled entries, so that retainedEntries remain, or if it is longer than
+// longLogFactor allows, so that logBytesPerShard remain. The result is at or below base if
+// neither is the case, or if a live member still needs the entries.
 func (s *shard) TruncationPoint(now time.Time, base, settled uint64) uint64 {
 	index := uint64(0)
 	if settled >= base+2*retainedEntries {
@@ -30,7 +32,8 @@
 // Truncated implements shardhost.LogPolicy.
 func (s *shard) Truncated(index uint64) { s.log.discardUpTo(index) }
 
-// logBytesPerShard returns the number of log bytes that each local shard retains.
+// logBytesPerShard returns the number of log bytes that each local shard should retain, which
+// is an equal part of LogBytes.
 func (n *StorageNode) logBytesPerShard() uint64 {
 	return n.LogBytes / uint64(max(1, len(n.host.Shards())))
 }
