--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -48,7 +48,8 @@
 	reportedAt          time.Time
 	retentionCheckedAt  time.Time
 	preferenceCheckedAt time.Time // last check by transferToPreferredLeader
-	// fullUntil holds, for each service without a free slot, when it is tried again.
+	// fullUntil holds for each service without a free slot the time until which no runs are
+	// started for it.
 	fullUntil map[string]time.Time
 	// quorumLostAt is when the loss of contact with a quorum was detected; zero while there
 	// is contact.
@@ -188,8 +189,8 @@
 
 // tickLeader does the periodic work of a leader: it proposes progress, starts ready items,
 // gives up expired items, drops expired jobs, and transfers leadership to the preferred
-// member. It does nothing while the leadership is suspended, and only cancels runs without
-// contact with a quorum.
+// member. It does nothing while the leadership is suspended. Without contact with a quorum it
+// only cancels runs; see hasQuorumContact.
 func (s *shard) tickLeader(now time.Time) {
 	l := s.leader
 	if l == nil || !l.suspendedAt.IsZero() {
--- a/internal/batch/queuestore/node.go
+++ b/internal/batch/queuestore/node.go
@@ -10,8 +10,9 @@
 //
 // Package shardhost runs the replicas and package queue defines the commands of their log.
 // The platform's store holds only the Layout, the member sets of all shards. A hand-over
-// changes a member set: the leader freezes the members, which then accept no entries, and
-// replaces the member set in the store. A fence cancels an unfinished hand-over.
+// changes a member set: the leader freezes itself and other members, so that no more entries
+// are committed with the old member set, and then replaces the member set in the store. A
+// fence cancels an unfinished hand-over.
 package queuestore
 
 import (
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -30,7 +30,7 @@
 )
 
 // startReadyItems starts runs of the items that are ready, in their starting order, up to the
-// limits per tick. It starts none while the node is draining.
+// limits per tick. It starts no runs while the node is draining.
 func (s *shard) startReadyItems(now time.Time) {
 	l := s.leader
 	started, refused := 0, 0
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -262,7 +262,7 @@
 }
 
 // readResults reads the results of a job from the local state. Found is false in the reply if
-// the job does not exist.
+// the job does not exist. Any goroutine may call it.
 func (s *shard) readResults(request *wirev1.QueueReadRequest) (*wirev1.QueueReadReply, error) {
 	view := s.Store.Snapshot()
 	defer view.Close()
@@ -296,7 +296,7 @@
 
 // itemBody reads the body of an item from the local state. Found is false in the reply if the
 // job or the item does not exist, and if the body has been deleted because the item has a
-// result.
+// result or the job was ended. Any goroutine may call it.
 func (s *shard) itemBody(request *wirev1.QueueItemRequest) (*wirev1.QueueItemReply, error) {
 	view := s.Store.Snapshot()
 	defer view.Close()
--- a/internal/batch/queuestore/shard.go
+++ b/internal/batch/queuestore/shard.go
@@ -17,8 +17,9 @@
 type hostedShard = shardhost.Shard[*wirev1.QueueCommand, *queue.ApplyResult]
 
 // shard is the local replica of a queue shard. It implements the state machine of the shard's
-// jobs and, on the leader, the work of the leader. Methods must be called on the shard's
-// goroutine, except those that take a context or say otherwise.
+// jobs and, on the leader, the work of the leader. Methods that take a context may block and
+// must not be called on the shard's goroutine. All other methods must be called on the shard's
+// goroutine, unless their comments or those of the shardhost interfaces say otherwise.
 type shard struct {
 	*hostedShard
 	shardhost.NoEvents
@@ -63,8 +64,8 @@
 	})
 }
 
-// runIfRunning runs a function on the shard's goroutine and waits for it. The function may not
-// be run if the shard or the node has stopped. runIfRunning must not be called on the shard's
+// runIfRunning runs a function on the shard's goroutine and waits for it. If the shard or the
+// node has stopped, the function is skipped. runIfRunning must not be called on the shard's
 // goroutine.
 func (s *shard) runIfRunning(call func()) {
 	_ = s.RunInLoop(s.node.context, call) // fails only if the shard or the node has stopped
--- a/internal/batch/queuestore/stored_test.go
+++ b/internal/batch/queuestore/stored_test.go
@@ -23,7 +23,7 @@
 //
 // Shard 0 has a truncated log, jobs that are finished, one job that was ended and one with saved
 // progress. Shard 1 has the same jobs and is in the state of a member that has installed a
-// snapshot and is frozen, which means that it accepts no entries while the member set changes.
+// snapshot and is frozen, which means that it does not vote while the member set is changed.
 const (
 	storedDisk   = "testdata/queue-disk.zip"
 	storedDiskID = "disk-7852727576314e55"
