--- a/internal/cluster/peers/contacts.go
+++ b/internal/cluster/peers/contacts.go
@@ -6,14 +6,17 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// contact records when another node last responded and whether it is to be probed.
+// contact records the last contact with another node, failed calls to it and requests to
+// probe it.
 type contact struct {
-	// lastContact is the time of the last response or request from the node.
+	// lastContact is the time of the last response or request from the node; zero if there
+	// was none.
 	lastContact time.Time
 	// unansweredSince is the time of the first call that failed since the last contact;
 	// zero if there was none.
 	unansweredSince time.Time
-	// probeUntil is the time until which the Syncer probes the node on request.
+	// probeUntil is the end of the period in which the Syncer probes the node because of
+	// RequestProbe.
 	probeUntil time.Time
 }
 
@@ -24,14 +27,15 @@
 	d.recordContact(node, now)
 }
 
-// recordContact does the work of RecordContact. The mutex is held.
+// recordContact implements RecordContact. The caller holds the mutex.
 func (d *Directory) recordContact(node string, now time.Time) {
-	known := d.contacts[node]
-	known.lastContact, known.unansweredSince = now, time.Time{}
-	d.contacts[node] = known
+	current := d.contacts[node]
+	current.lastContact, current.unansweredSince = now, time.Time{}
+	d.contacts[node] = current
 }
 
-// RecordContactAt records a response from the node at an address.
+// RecordContactAt records a response from the node at an address. It has no effect if no
+// known node has the address.
 func (d *Directory) RecordContactAt(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -40,7 +44,8 @@
 	}
 }
 
-// RecordUnresponsive records that a call to the node at an address failed.
+// RecordUnresponsive records that a call to the node at an address failed. It has no
+// effect if no known node has the address.
 func (d *Directory) RecordUnresponsive(address string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -48,9 +53,9 @@
 	if !found {
 		return
 	}
-	if known := d.contacts[node]; known.unansweredSince.IsZero() {
-		known.unansweredSince = now
-		d.contacts[node] = known
+	if current := d.contacts[node]; current.unansweredSince.IsZero() {
+		current.unansweredSince = now
+		d.contacts[node] = current
 	}
 }
 
@@ -66,30 +71,31 @@
 func (d *Directory) InContactWithin(node string, now time.Time, within time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known := d.contacts[node]
-	return node == d.self.NodeId || !known.lastContact.IsZero() && now.Sub(known.lastContact) < within
+	current := d.contacts[node]
+	return node == d.self.NodeId || !current.lastContact.IsZero() && now.Sub(current.lastContact) < within
 }
 
 // probeRequestLifetime is how long the Syncer probes a node after RequestProbe.
 const probeRequestLifetime = 10 * time.Second
 
-// RequestProbe makes the Syncer probe a node for probeRequestLifetime. It matters in a
-// large fleet only; otherwise the Syncer probes all nodes with disks anyway.
+// RequestProbe makes the Syncer probe a node in each round for probeRequestLifetime. It has
+// an effect only in a large fleet and if this node has a disk.
 func (d *Directory) RequestProbe(node string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known := d.contacts[node]
-	known.probeUntil = now.Add(probeRequestLifetime)
-	d.contacts[node] = known
+	current := d.contacts[node]
+	current.probeUntil = now.Add(probeRequestLifetime)
+	d.contacts[node] = current
 }
 
-// requestedProbes returns the nodes for which a probe was requested.
+// requestedProbes returns the records of the other nodes for which a probe was requested
+// within probeRequestLifetime. Nodes without a record are left out.
 func (d *Directory) requestedProbes(now time.Time) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var requested []*wirev1.NodeRecord
-	for node, known := range d.contacts {
-		if record := d.records[node]; record != nil && now.Before(known.probeUntil) && node != d.self.NodeId {
+	for node, current := range d.contacts {
+		if record := d.records[node]; record != nil && now.Before(current.probeUntil) && node != d.self.NodeId {
 			requested = append(requested, record)
 		}
 	}
--- a/internal/cluster/peers/digests.go
+++ b/internal/cluster/peers/digests.go
@@ -9,7 +9,7 @@
 )
 
 // partCount is the number of parts into which the records are divided by a hash of the
-// node id. Two nodes whose records differ exchange only the parts whose digests differ.
+// node id. In a sync, only the parts whose digests differ are transferred.
 const partCount = 32
 
 func partOf(node string) uint32 { return uint32(xxhash.Sum64String(node) % partCount) }
@@ -26,8 +26,8 @@
 	return digest.Sum64()
 }
 
-// Digest returns a hash of the exchanged records. Directories that hold the same records
-// have the same digest. In a large fleet the digest covers the records of this node's zone.
+// Digest returns a hash of the node ids and incarnations of the exchanged records: in a
+// large fleet the records of this node's zone, otherwise all records.
 func (d *Directory) Digest() uint64 {
 	var concatenated []byte
 	for _, part := range d.PartDigests() {
@@ -36,7 +36,7 @@
 	return xxhash.Sum64(concatenated)
 }
 
-// PartDigests returns the digest of each part of the exchanged records.
+// PartDigests returns the digests of the exchanged records, indexed by part.
 func (d *Directory) PartDigests() []uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -44,7 +44,8 @@
 	return parts[:]
 }
 
-// DifferingParts returns the parts whose digests differ from the given ones.
+// DifferingParts returns the parts whose digests differ from the given digests, which are
+// indexed by part. Parts for which no digest is given are included.
 func (d *Directory) DifferingParts(digests []uint64) []uint32 {
 	var differing []uint32
 	for part, digest := range d.PartDigests() {
@@ -55,7 +56,8 @@
 	return differing
 }
 
-// RecordsInParts returns the exchanged records in the given parts.
+// RecordsInParts returns the exchanged records in the given parts, in random order. Numbers
+// that are not a part are ignored.
 func (d *Directory) RecordsInParts(parts []uint32) []*wirev1.NodeRecord {
 	wanted := [partCount]bool{}
 	for _, part := range parts {
@@ -74,16 +76,17 @@
 	return list
 }
 
-// sampleSize is the number of records in the reply to a node of another zone.
+// sampleSize is the maximum number of records in the reply to a node of another zone.
 const sampleSize = 12
 
-// SampleZone returns up to sampleSize records of a zone, nodes with disks first. A starting
-// node gets them from a seed in another zone and finds the rest of its zone through them.
+// SampleZone returns up to sampleSize random records of a zone, nodes with disks first. In a
+// large fleet a starting node receives such a sample of its own zone from a seed in another
+// zone, and learns of the other nodes of its zone from the nodes in the sample.
 func (d *Directory) SampleZone(zone string) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var disks, others []*wirev1.NodeRecord
-	for _, record := range d.records { // random order: different requests get different records
+	for _, record := range d.records { // random order
 		switch {
 		case record.Zone != zone:
 		case record.DiskId != "":
@@ -99,8 +102,8 @@
 	return list[:min(len(list), sampleSize)]
 }
 
-// RandomPartners returns up to count random nodes to exchange records with. In a large
-// fleet they are nodes of this node's zone.
+// RandomPartners returns the records of up to count random nodes other than this node. In
+// a large fleet these are nodes of this node's zone.
 func (d *Directory) RandomPartners(count int) []*wirev1.NodeRecord {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/peers/directory.go
+++ b/internal/cluster/peers/directory.go
@@ -1,11 +1,12 @@
 // Package peers holds the records of the nodes of a deployment and synchronizes them
-// between nodes by anti-entropy, so that nodes find each other while the platform's store
-// is unreachable. Nodes also exchange the documents that they read from the store.
+// between nodes by anti-entropy: two nodes compare digests of their records and transfer
+// the records that differ. Nodes find each other in this way while the platform's store is
+// unreachable. Nodes also exchange the documents that they read from the store.
 //
 // The Directory holds the node records and the time of the last contact with each node.
-// The Syncer decides which peers to call and how often. The package relies on package rpc
-// for calls and on an implementation of Documents for the documents. It runs on edges and
-// storage nodes.
+// The Syncer calls peers periodically and handles their calls. The package relies on package
+// rpc for calls and on an implementation of Documents for the documents. It runs on edges
+// and storage nodes.
 package peers
 
 import (
@@ -20,18 +21,19 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Directory holds the node records that this node knows: those of all nodes, or in a large
-// fleet those of this node's zone and of all nodes with disks.
+// Directory holds the node records that this node knows. In a large fleet it keeps the
+// records of this node's zone and of all nodes with disks, otherwise the records of all
+// nodes. A record is not changed after it is stored. All methods are safe for concurrent use.
 //
-// Invariant: a record is replaced only by a record of the same node with a higher
+// Invariant: the record of another node is replaced only by a record with a higher
 // incarnation, and the indexes and digests match the records.
 type Directory struct {
 	mutex     sync.Mutex
 	self      *wirev1.NodeRecord
-	records   map[string]*wirev1.NodeRecord
-	retiring  map[string]bool
-	lostDisks map[string]bool // disks whose node has a different disk now
-	contacts  map[string]contact
+	records   map[string]*wirev1.NodeRecord // by node id, including self
+	retiring  map[string]bool               // by node id
+	lostDisks map[string]bool               // ids of disks that a newer record of their node no longer names
+	contacts  map[string]contact            // by node id
 	// byAddress maps addresses to node ids, byDisk maps disk ids to records, and disks
 	// lists the nodes with disks, sorted by node id.
 	byAddress map[string]string
@@ -41,8 +43,10 @@
 	partDigests [partCount]uint64
 	// sorted caches the records sorted by node id; nil after a change.
 	sorted []*wirev1.NodeRecord
-	// large is set once the fleet is found to be large, and never cleared.
-	large      bool
+	// large is set when the limits of a large fleet are exceeded or MarkLarge is called, and
+	// never cleared.
+	large bool
+	// generation counts the stored records.
 	generation atomic.Uint64
 }
 
@@ -63,7 +67,8 @@
 	return d.self
 }
 
-// SetDisk sets the disk id in the node's own record.
+// SetDisk sets the disk id in the node's own record. It keeps the incarnation, so it has to
+// be called before the record is exchanged.
 func (d *Directory) SetDisk(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -73,7 +78,8 @@
 	d.store(next)
 }
 
-// store inserts a record, replacing the node's previous one. The mutex is held.
+// store inserts a record, replacing the previous record of the same node. It marks the fleet
+// as large if a limit is exceeded. The caller holds the mutex.
 func (d *Directory) store(record *wirev1.NodeRecord) {
 	d.remove(record.NodeId)
 	d.records[record.NodeId] = record
@@ -92,7 +98,7 @@
 	}
 }
 
-// remove deletes a node's record and its index entries. The mutex is held.
+// remove deletes a node's record and its index entries. The caller holds the mutex.
 func (d *Directory) remove(node string) {
 	d.sorted = nil
 	record := d.records[node]
@@ -123,9 +129,10 @@
 	}
 }
 
-// Put stores a record if it is newer than the known one, and reports whether a record
-// changed. A record that describes this node itself is never stored; instead refute
-// compares it with the own record.
+// Put stores a record if the directory retains such records and has none of the same node
+// with the same or a higher incarnation. It reports whether a record changed. A record that
+// describes this node itself is never stored, but may raise this node's incarnation (see
+// refute).
 func (d *Directory) Put(record *wirev1.NodeRecord) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -143,11 +150,12 @@
 	return true
 }
 
-// maxIndividualLogLines is the largest number of new records in a batch that are logged
-// individually. For a larger batch only the number is logged.
+// maxIndividualLogLines is the largest number of changed records in a batch that are logged
+// individually. If more records changed, only their number is logged.
 const maxIndividualLogLines = 4
 
-// PutAll stores a batch of records from a source and logs which of them were new.
+// PutAll calls Put for each record of a batch and logs the records for which Put reported a
+// change. source is the address from which the batch was received.
 func (d *Directory) PutAll(records []*wirev1.NodeRecord, source string) {
 	var stored []*wirev1.NodeRecord
 	for _, record := range records {
@@ -165,17 +173,18 @@
 	}
 }
 
-// DiskLost reports whether a disk is known to be lost because its node has a different
-// disk now.
+// DiskLost reports whether a disk is known to be lost because a newer record of its node
+// names a different disk or none.
 func (d *Directory) DiskLost(id string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.lostDisks[id]
 }
 
-// refute handles a record about this node, for instance of an earlier run. If that record
-// has a higher incarnation, or the same one with other contents, this node's incarnation is
-// raised above it. The mutex is held.
+// refute handles a received record about this node, for instance of an earlier run. If the
+// received record has a higher incarnation, or the same incarnation with another disk,
+// address or leaving state, refute raises the incarnation of this node's own record above it
+// and returns true. The caller holds the mutex.
 func (d *Directory) refute(record *wirev1.NodeRecord) bool {
 	same := record.DiskId == d.self.DiskId && record.Address == d.self.Address && record.Leaving == d.self.Leaving
 	if record.Incarnation < d.self.Incarnation || same && record.Incarnation == d.self.Incarnation {
@@ -215,7 +224,7 @@
 	return slices.Clone(d.disks)
 }
 
-// Disk returns the record of the node that has the disk.
+// Disk returns the record of the node that has the disk, and false if no known node has it.
 func (d *Directory) Disk(id string) (*wirev1.NodeRecord, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -223,7 +232,8 @@
 	return record, known
 }
 
-// SetRetiring replaces the set of nodes whose data is being moved to other nodes.
+// SetRetiring replaces the set of ids of the nodes whose data is being moved to other nodes.
+// The caller must not change the map afterwards.
 func (d *Directory) SetRetiring(nodes map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/cluster/peers/large_test.go
+++ b/internal/cluster/peers/large_test.go
@@ -11,6 +11,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
+// largeRecord returns the record of a node of one kind, "edge" or "disk". Nodes are spread
+// evenly over the zones by their number.
 func largeRecord(kind string, number, zones int) *wirev1.NodeRecord {
 	record := &wirev1.NodeRecord{NodeId: fmt.Sprint(kind, "-", number), Address: fmt.Sprint(kind, number), Zone: fmt.Sprint("z", number%zones), Incarnation: 1}
 	if kind == "disk" {
@@ -19,7 +21,7 @@
 	return record
 }
 
-// fleetDirectory returns the directory of a node that received the records of all nodes.
+// fleetDirectory returns a node's directory after the records of all nodes were put into it.
 func fleetDirectory(self *wirev1.NodeRecord, edges, disks, zones int) *Directory {
 	directory := NewDirectory(self)
 	for number := range edges {
@@ -69,7 +71,7 @@
 		}
 		perSecond := float64(calls) / elapsed.Seconds()
 		t.Logf("%d nodes with disks: %.1f calls a second", 150*times, perSecond)
-		is.True(perSecond < 8) // probing every node with a disk takes 149 calls per round even with 150 of them
+		is.True(perSecond < 8) // far below one call per node with a disk
 	}
 }
 
--- a/internal/cluster/peers/partners.go
+++ b/internal/cluster/peers/partners.go
@@ -7,27 +7,28 @@
 
 const (
 	// partnerCount is the number of nodes with which a node of a large fleet exchanges
-	// records in turn. If each node has four random partners, all nodes are almost certainly
-	// connected by a logarithmic number of hops. Each partner costs one idle connection.
+	// records in turn.
 	partnerCount = 4
-	// turnsPerPartner is the number of calls after which the oldest partner is replaced,
-	// so that no group of nodes stays isolated.
-	turnsPerPartner = 20
+	// callsPerReplacement is the number of calls of next after which the oldest partner is
+	// replaced, so that no group of nodes stays isolated.
+	callsPerReplacement = 20
 )
 
-// partners holds the addresses of the nodes with which this node exchanges records.
+// partners holds the addresses of the nodes with which this node exchanges records in a
+// large fleet.
 type partners struct {
 	mutex     sync.Mutex
-	addresses []string
-	turn      int
+	addresses []string // oldest partner first
+	turn      int      // number of calls of next
 }
 
-// next returns the address of the partner to call next, or "" if no other node is known.
+// next returns the address of the partner to call next, or "" if no other node of this
+// node's zone is known.
 func (p *partners) next(directory *Directory) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.turn++
-	if len(p.addresses) > 0 && p.turn%turnsPerPartner == 0 {
+	if len(p.addresses) > 0 && p.turn%callsPerReplacement == 0 {
 		p.addresses = p.addresses[1:]
 	}
 	if len(p.addresses) < partnerCount {
@@ -39,7 +40,8 @@
 	return p.addresses[p.turn%len(p.addresses)]
 }
 
-// fill adds random nodes until there are partnerCount partners. The mutex is held.
+// fill adds random nodes until there are partnerCount partners or no more candidates. The
+// caller holds the mutex.
 func (p *partners) fill(directory *Directory) {
 	for _, record := range directory.RandomPartners(2 * partnerCount) {
 		if len(p.addresses) == partnerCount {
@@ -51,7 +53,7 @@
 	}
 }
 
-// remove deletes a partner that did not respond.
+// remove deletes the partner at an address, if there is one.
 func (p *partners) remove(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -16,7 +16,7 @@
 // Documents gives access to the documents that nodes exchange: the configuration, the
 // runner list and the layout of the queues, each with its revision.
 type Documents interface {
-	// FillRequest sets the revisions that this node holds.
+	// FillRequest sets the revisions of the local documents in a request.
 	FillRequest(request *wirev1.PeerStateRequest)
 	// FillReply adds the documents that are newer here than at the requesting node.
 	FillReply(request *wirev1.PeerStateRequest, reply *wirev1.PeerStateReply)
@@ -26,7 +26,7 @@
 	// Stale reports whether contact with the store is lost, so that documents may be
 	// outdated.
 	Stale() bool
-	// Empty reports whether no configuration is known yet, so that the node can't serve.
+	// Empty reports whether no configuration is known yet.
 	Empty() bool
 }
 
@@ -35,7 +35,7 @@
 	Directory *Directory
 	Documents Documents
 	Pool      *rpc.Pool
-	Seeds     []string
+	Seeds     []string // addresses of nodes to call while few other nodes are known
 	// Watched returns the nodes with disks to probe in a large fleet; nil means none.
 	Watched func() []*wirev1.NodeRecord
 
@@ -45,27 +45,34 @@
 }
 
 const (
+	// syncInterval is the usual time between rounds; Syncer.interval lists the exceptions.
 	syncInterval = 500 * time.Millisecond
 	callTimeout  = 400 * time.Millisecond
 	// unconfiguredInterval is the time between rounds until a configuration is known.
 	unconfiguredInterval = 120 * time.Millisecond
-	// roundsPerSync is the number of rounds per call to a peer, and per probe of the nodes
-	// with disks, while the store is reachable.
+	// roundsPerSync is the usual number of rounds between two calls to a random peer; see
+	// syncsWithPeer for the exceptions. It is also the number of rounds between two probes
+	// of all nodes with disks, which take place only if the fleet is not large.
 	roundsPerSync = 2
 	// largeFleetInterval and largeFleetDiskInterval are the times between rounds in a large
-	// fleet, for nodes without and with a disk. They are longer because changes of documents
-	// arrive through relays; a node with a disk also probes other nodes in each round.
+	// fleet, for nodes without and with a disk, while the store is reachable and after the
+	// startup rounds.
 	largeFleetInterval     = 2 * time.Second
 	largeFleetDiskInterval = time.Second
-	// startupRounds is the number of rounds after the start in which a node always calls
-	// a peer, and a node with a disk also the seeds.
+	// startupRounds is the number of first rounds in which a node always calls a peer. If the
+	// fleet is not large, a node with a disk also calls all seeds in these rounds.
 	startupRounds = 6
-	// largeFleetSeedRounds is the number of rounds after the start in which a node with a
-	// disk calls the seeds in a large fleet, where few seeds serve many nodes.
+	// largeFleetSeedRounds is the number of first rounds in which a node with a disk calls
+	// all seeds in a large fleet. It is small to limit the load on the seeds.
 	largeFleetSeedRounds = 2
 )
 
-// Serve handles a request from a peer's Syncer.
+// Serve handles a request from a peer's Syncer. It stores the peer's own record and replies
+// with newer documents and, by the first rule that applies, with the following records:
+//   - for a probe: this node's own record, unless the prober knows its incarnation
+//   - in a large fleet, for a peer of another zone: a sample of the records of that zone
+//   - for a request for parts: the exchanged records in these parts
+//   - for a digest that differs from this node's: no records, but the digests of the parts
 func (s *Syncer) Serve(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PeerStateRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -96,13 +103,15 @@
 }
 
 // Run exchanges records and documents with peers in rounds until the context ends. A node
-// calls one random peer every roundsPerSync rounds, and in every round after the start or
-// while the store is unreachable. A node with a disk also probes the other nodes with disks,
-// and after the start it calls the seeds, so that nodes that start while the store is
-// unreachable find it through a seed. Rounds are shorter until a configuration is known.
+// calls one random peer every roundsPerSync rounds, but in every round during the first
+// startupRounds and while the store is unreachable. A node with a disk also probes the other
+// nodes with disks every roundsPerSync rounds, and calls all seeds in the first rounds, so
+// that the seeds know its record even if the store is unreachable. Rounds are shorter until a
+// configuration is known.
 //
-// In a large fleet rounds are longer, a node calls a few partners of its zone in turn, and
-// a node with a disk probes only watched nodes and those for which a probe was requested.
+// In a large fleet rounds are longer, and a node calls a few partners of its zone in turn; a
+// node without a disk calls one in every round. A node with a disk probes only the watched
+// nodes and the nodes for which a probe was requested, in every round.
 func (s *Syncer) Run(ctx context.Context) {
 	var calls tasks.Group
 	defer calls.Wait()
@@ -135,7 +144,7 @@
 	return round%roundsPerSync == 0
 }
 
-// seedsToSync returns the seeds that a node with a disk calls in a round.
+// seedsToSync returns the addresses of the seeds that a node with a disk calls in a round.
 func (s *Syncer) seedsToSync(round int, large bool) []string {
 	if large && round >= largeFleetSeedRounds || round >= startupRounds {
 		return nil
@@ -143,7 +152,8 @@
 	return s.Seeds
 }
 
-// nodesToProbe returns the nodes with disks that are probed in a round.
+// nodesToProbe returns the records of the other nodes that a node with a disk probes in a
+// round.
 func (s *Syncer) nodesToProbe(round int, large bool) []*wirev1.NodeRecord {
 	var list []*wirev1.NodeRecord
 	switch {
@@ -173,7 +183,8 @@
 	}
 }
 
-// peer returns the address of the peer to call next, or "" if none is known.
+// peer returns the address of the peer to call next, or "" if none is known. In a large
+// fleet it is the next partner, or a random seed if there is no partner.
 func (s *Syncer) peer(large bool) string {
 	if !large {
 		return s.randomPeer()
@@ -187,8 +198,9 @@
 	return s.Seeds[rand.IntN(len(s.Seeds))]
 }
 
-// randomPeer returns the address of a random known node. Seeds are included in a quarter
-// of the calls, and always while no other node is known.
+// randomPeer returns the address of a random known node other than this node, or "" if there
+// is none. The seeds are among the candidates in a quarter of the calls, and always while no
+// other node is known.
 func (s *Syncer) randomPeer() string {
 	self := s.Directory.Self()
 	var addresses []string
@@ -207,7 +219,7 @@
 }
 
 // syncWith fetches newer documents and records from a peer. It compares digests of the
-// records first and then requests the parts that differ.
+// records first and then requests the parts that differ. An empty address has no effect.
 func (s *Syncer) syncWith(ctx context.Context, address string) {
 	if address == "" {
 		return
@@ -221,16 +233,17 @@
 	}
 }
 
-// probe checks that a node with a disk responds, and records it as unresponsive if it does
-// not. The node returns its record if its incarnation is not the one known here.
+// probe calls a node and records it as unresponsive if the call fails before the context
+// ends. The node returns its own record if the incarnation known here is not the current one.
 func (s *Syncer) probe(ctx context.Context, node *wirev1.NodeRecord) {
 	if s.call(ctx, node.Address, &wirev1.PeerStateRequest{PeerIncarnation: node.Incarnation}) == nil && ctx.Err() == nil {
 		s.Directory.RecordUnresponsive(node.Address, time.Now())
 	}
 }
 
-// call sends a request to a peer, applies the reply and returns it. It returns nil if the
-// call failed.
+// call adds this node's record and document revisions to a request, sends it to a peer,
+// applies the reply and returns it. If the call fails, the peer is removed from the partners
+// and call returns nil.
 func (s *Syncer) call(ctx context.Context, address string, request *wirev1.PeerStateRequest) *wirev1.PeerStateReply {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(s.timeout, callTimeout))
 	defer cancel()
@@ -239,7 +252,7 @@
 	reply := &wirev1.PeerStateReply{}
 	if err := s.Pool.Call(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_PEER_STATE, request, reply); err != nil {
 		s.partners.remove(address)
-		return nil // the time of the last contact shows which peers do not respond
+		return nil
 	}
 	if reply.Large {
 		s.Directory.MarkLarge()
