--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -11,7 +11,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// removeMember deletes an expired tombstone.
+// removeMember deletes an expired tombstone from the table. piggyback and nextTarget skip
+// the removed entry.
 func (s *State) removeMember(known *member) {
 	s.hashes[known.bucket] ^= known.hash
 	delete(s.members, known.record.Id)
@@ -22,7 +23,8 @@
 }
 
 // startSync sends the table hashes to a random member, and to a random seed that is unknown
-// or considered dead. Contacting such seeds lets a node join and heals partitions.
+// or considered dead, so that a node joins the fleet and partitions heal. A node that knows
+// only itself sends the next hashes after ProbeInterval instead of SyncInterval.
 func (s *State) startSync(out *Output) {
 	if target := s.randomMember(s.self.Id); target != nil {
 		s.send(out, target.record.Address, s.syncMessage())
@@ -39,7 +41,8 @@
 	return &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_SYNC, BucketHashes: s.hashes[:]}
 }
 
-// missingSeed returns the address of a random seed that is not a live member, or "".
+// missingSeed returns the address of a random seed that belongs to no member or only to dead
+// members, or "" if there is no such seed.
 func (s *State) missingSeed() string {
 	live := make(map[string]bool, len(s.members))
 	for _, known := range s.list {
@@ -59,16 +62,18 @@
 	return missing[s.random.IntN(len(missing))]
 }
 
-// handleSyncReply sends this node's records for the buckets that still differ after the
-// peer's records were merged. A non-empty Target marks the last reply of an exchange.
+// handleSyncReply replies with this node's records of the buckets that still differ after
+// the records in the message were merged. A message with a non-empty Target is itself the
+// last one of the exchange and gets no reply.
 func (s *State) handleSyncReply(message *wirev1.MembershipMessage, out *Output) {
 	if message.Target == "" {
 		s.sendDifferences(out, message, "last")
 	}
 }
 
-// sendDifferences sends the records of the buckets whose hashes differ. The mark becomes the
-// Target of the message.
+// sendDifferences replies to a message with the records of the buckets whose hashes differ
+// from those in the message. It sends nothing if all hashes are equal or the number of
+// buckets is not the same. The mark becomes the Target of the reply.
 func (s *State) sendDifferences(out *Output, message *wirev1.MembershipMessage, mark string) {
 	if len(message.BucketHashes) != buckets {
 		return
@@ -106,7 +111,7 @@
 	known := s.members[received.Id]
 	if known == nil {
 		if received.State == Dead {
-			// Keep the tombstone, since an older "alive" record may arrive later.
+			// The tombstone keeps an older "alive" record that arrives later from being stored.
 			known = &member{}
 			s.store(received, known)
 			s.setTimers(known, now)
@@ -125,8 +130,8 @@
 	s.setTimers(known, now)
 }
 
-// supersedes reports whether a received record takes precedence over the known one, as in
-// SWIM: the higher incarnation wins, then the state with the higher precedence.
+// supersedes reports whether a received record takes precedence over the known record, as
+// in SWIM: the higher incarnation wins; within one incarnation, the higher state wins.
 func supersedes(received, known *wirev1.MemberRecord) bool {
 	if received.Incarnation != known.Incarnation {
 		return received.Incarnation > known.Incarnation
@@ -134,7 +139,8 @@
 	return received.State > known.State
 }
 
-// setTimers starts or stops a member's suspicion and tombstone timers to match its state.
+// setTimers starts the suspicion timer of a suspected member or the tombstone timer of a
+// dead member. For a member in another state it stops the suspicion timer.
 func (s *State) setTimers(known *member, now time.Time) {
 	switch known.record.State {
 	case Suspect:
@@ -148,8 +154,9 @@
 	}
 }
 
-// refute reacts to a wrong record about this node by raising the incarnation of this node's
-// own record, which then supersedes the wrong record at every member.
+// refute handles a received record about this node. If the received record would supersede
+// this node's own record, refute raises the incarnation of the own record above it. The own
+// record then supersedes the received record at every member.
 func (s *State) refute(received *wirev1.MemberRecord, out *Output) {
 	same := received.Incarnation == s.self.Incarnation && received.State == s.self.State
 	if received.Incarnation < s.self.Incarnation || same {
@@ -161,7 +168,7 @@
 	s.updateSelf(s.self.State, received.Incarnation+1, out)
 }
 
-// updateSelf replaces this node's own record.
+// updateSelf replaces this node's own record by one with the given state and incarnation.
 func (s *State) updateSelf(state wirev1.MemberState, incarnation uint64, out *Output) {
 	next := proto.Clone(s.self).(*wirev1.MemberRecord)
 	next.State = state
@@ -170,14 +177,15 @@
 	s.replace(s.members[next.Id], next, out)
 }
 
-// replace stores a newer record of a member and adds the change to the output.
+// replace stores a new record of a known member and adds the change to the output.
 func (s *State) replace(known *member, next *wirev1.MemberRecord, out *Output) {
 	before := known.record
 	s.store(next, known)
 	out.Changes = append(out.Changes, Change{before, next})
 }
 
-// store puts a record into the table and queues it for gossip.
+// store puts a record into the table and queues it for gossip. The entry is the member's
+// entry in the table, or an empty one for a new member.
 func (s *State) store(record *wirev1.MemberRecord, entry *member) {
 	if s.members[record.Id] == nil {
 		entry.bucket = int(xxhash.Sum64String(record.Id) % buckets)
@@ -196,6 +204,7 @@
 	}
 }
 
+// hashRecord returns a hash of a record's id, incarnation and state.
 func hashRecord(record *wirev1.MemberRecord) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(record.Incarnation<<3 | uint64(record.State))
@@ -203,12 +212,13 @@
 	return digest.Sum64()
 }
 
-// transmitLimit returns how often a record is piggybacked: three times the logarithm of
-// the number of members.
+// transmitLimit returns how many times a record is piggybacked: three times the number of binary
+// digits of the number of members.
 func (s *State) transmitLimit() int { return 3 * bits.Len(uint(len(s.members))) }
 
-// piggyback returns the queued records that were transmitted least often, and removes the
-// records that reached the transmit limit from the queue.
+// piggyback returns up to MaxPiggyback queued records, those transmitted least often first.
+// It removes the records that reached the transmit limit and those of removed members from
+// the queue.
 func (s *State) piggyback() []*wirev1.MemberRecord {
 	if len(s.gossipQueue) == 0 {
 		return nil
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -4,9 +4,11 @@
 // modules/fleet/membership.
 //
 // The package does no I/O and reads no clock: Tick and Handle take the time and
-// return messages to send. The traffic of a node does not depend on the size of the fleet:
-// the node sends one probe per interval, attaches a bounded number of records to each
-// message, and sends only the parts of the table that differ in an anti-entropy exchange.
+// return messages to send. The number of messages that a node sends regularly does not
+// depend on the size of the fleet: the node probes one member per ProbeInterval and compares
+// its table with one random member per SyncInterval. A probe carries a bounded number of
+// records. The replies in a table comparison, called an anti-entropy exchange, carry all
+// records in those parts of the table that differ.
 package membership
 
 import (
@@ -29,21 +31,24 @@
 
 // Config holds the durations and limits of the failure detector.
 type Config struct {
-	// ProbeInterval is the time between direct probes of one random member.
+	// ProbeInterval is the time between direct probes, each of one member. A member that
+	// does not acknowledge a probe within this time is suspected.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long a direct probe may take before indirect probes start.
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is how long a suspected member has to refute the suspicion before
 	// it is declared dead.
 	SuspicionTimeout time.Duration
-	// IndirectProbes is the number of members that are asked to probe an unresponsive
-	// member.
+	// IndirectProbes is the maximum number of members that are asked to probe an
+	// unresponsive member. Leave announces the departure to the same number of members.
 	IndirectProbes int
-	// MaxPiggyback is the maximum number of records attached to a message.
+	// MaxPiggyback is the maximum number of queued records attached to a message.
 	MaxPiggyback int
-	// SyncInterval is the time between anti-entropy exchanges.
+	// SyncInterval is the minimum time between the anti-entropy exchanges that a node starts.
+	// Up to a quarter of it is added at random.
 	SyncInterval time.Duration
-	// TombstoneTime is how long a dead member's record is kept.
+	// TombstoneTime is how long the record of a dead member is kept as a tombstone, which
+	// keeps older records of the member from being stored again.
 	TombstoneTime time.Duration
 }
 
@@ -67,7 +72,8 @@
 	Message *wirev1.MembershipMessage
 }
 
-// Change describes a new or replaced member record. Before is nil for a new member.
+// Change describes a new or replaced member record. Before is nil for a new member. Removed
+// tombstones and members that were already dead in their first received record cause no change.
 type Change struct {
 	Before, After *wirev1.MemberRecord
 }
@@ -78,7 +84,8 @@
 	Changes []Change
 }
 
-// Seed is a machine of the platform's machine list, which may be outdated.
+// Seed is a machine through which a node joins the fleet. It is taken from the platform's
+// machine list, which may be outdated.
 type Seed struct {
 	Address string
 }
@@ -86,36 +93,38 @@
 // member is a member's record with its timer and its gossip state.
 type member struct {
 	record    *wirev1.MemberRecord
-	deadline  time.Time // end of the suspicion, or expiry of the tombstone
+	deadline  time.Time // end of the suspicion, or expiry of the tombstone; otherwise unused
 	suspected bool      // whether this node's suspicion timer is running
 	transmits int       // how often the current record was piggybacked
-	hash      uint64
-	bucket    int
-	index     int  // position in State.list
-	queued    bool // whether the member is in State.gossipQueue
+	hash      uint64    // hash of the record; see hashRecord
+	bucket    int       // part of the table to which the member belongs
+	index     int       // position in State.list
+	queued    bool      // whether the member is in State.gossipQueue
 }
 
 // buckets is the number of parts of the table that the anti-entropy exchange compares.
 const buckets = 16
 
-// probe is an unacknowledged probe of this node.
+// probe is a probe that this node sent and that is not acknowledged yet.
 type probe struct {
 	target   string
 	started  time.Time
-	indirect bool // whether indirect probes were sent
+	indirect bool // whether other members were asked to probe the target
 }
 
-// relayedProbe is a probe on behalf of another node, which receives the acknowledgement.
+// relayedProbe is a probe on behalf of another node, to which the acknowledgement is
+// forwarded.
 type relayedProbe struct {
-	requester string
-	sequence  uint64
+	requester string // address of the requesting node
+	sequence  uint64 // sequence number of the requesting node's own probe
 	started   time.Time
 }
 
-// State is one node's view of the fleet.
+// State is one node's view of the fleet. It is not safe for concurrent use.
 //
-// Invariant: a record is replaced only by a record that supersedes it, so all views
-// converge to the same table whatever the order of messages.
+// Invariant: a record is replaced only by a record that supersedes it. The resulting table
+// therefore does not depend on the order in which records arrive, except for expired
+// tombstones.
 type State struct {
 	config      Config
 	random      *rand.Rand
@@ -128,8 +137,8 @@
 	probeOrder    []*member // shuffled order of the current probe round
 	probePosition int
 	sequence      uint64
-	probes        map[uint64]probe
-	relayedProbes map[uint64]relayedProbe
+	probes        map[uint64]probe        // by sequence number
+	relayedProbes map[uint64]relayedProbe // by sequence number
 	nextProbe     time.Time
 	nextSync      time.Time
 	lastTick      time.Time
@@ -158,17 +167,20 @@
 // SetSeeds replaces the list of seeds.
 func (s *State) SetSeeds(seeds []Seed) { s.seeds = seeds }
 
-// SetBundleGeneration sets the bundle generation that every message advertises.
+// SetBundleGeneration sets the generation of this node's configuration bundle, which every
+// message advertises.
 func (s *State) SetBundleGeneration(generation uint64) { s.bundleGeneration = generation }
 
-// AheadPeer returns the highest bundle generation that a member reported and
-// the address of that member.
+// AheadPeer returns the highest bundle generation that a member has reported so far and the
+// address of that member, or 0 and "" if none was reported. The generation may be lower than
+// this node's own.
 func (s *State) AheadPeer() (uint64, string) { return s.peerGeneration, s.peerAddress }
 
-// Self returns this node's record.
+// Self returns this node's record. The caller must not modify it.
 func (s *State) Self() *wirev1.MemberRecord { return s.self }
 
-// Records returns the records of all members, sorted by id.
+// Records returns the records of all members, including this node and tombstones, sorted by
+// id.
 func (s *State) Records() []*wirev1.MemberRecord {
 	records := make([]*wirev1.MemberRecord, 0, len(s.members))
 	for _, known := range s.members {
@@ -178,8 +190,8 @@
 	return records
 }
 
-// Leave marks this node as leaving and announces it to a few members. A leaving node does
-// not become alive again until its process restarts.
+// Leave marks this node as leaving and sends its record to a few random members. A leaving
+// node does not become alive again until its process restarts.
 func (s *State) Leave() Output {
 	var out Output
 	s.updateSelf(Leaving, s.self.Incarnation+1, &out)
@@ -191,7 +203,8 @@
 	return out
 }
 
-// Tick advances the timers. The caller calls it several times per ProbeInterval.
+// Tick advances the timers and starts the probes and anti-entropy exchanges that are due. It
+// has to be called several times per ProbeInterval.
 func (s *State) Tick(now time.Time) Output {
 	var out Output
 	s.handlePause(now, &out)
@@ -232,6 +245,7 @@
 	return out
 }
 
+// recordPeerGeneration keeps the highest bundle generation that a member reported.
 func (s *State) recordPeerGeneration(message *wirev1.MembershipMessage) {
 	if message.BundleGeneration > s.peerGeneration {
 		s.peerGeneration = message.BundleGeneration
@@ -239,8 +253,8 @@
 	}
 }
 
-// clearLocalSuspicion stops this node's suspicion timer for a leaving member that still
-// sends messages. Gossiped suspicions are cleared only by a refutation.
+// clearLocalSuspicion stops this node's suspicion timer for a member that is leaving but
+// still sends messages. A member in the state Suspect has to refute the suspicion instead.
 func (s *State) clearLocalSuspicion(id string) {
 	known := s.members[id]
 	if known != nil && known.record.State == Leaving {
@@ -248,11 +262,13 @@
 	}
 }
 
+// send adds a message with piggybacked records to the output.
 func (s *State) send(out *Output, address string, message *wirev1.MembershipMessage) {
 	message.Updates = s.piggyback()
 	s.sendWithoutPiggyback(out, address, message)
 }
 
+// sendWithoutPiggyback fills in the sender and adds a message to the output.
 func (s *State) sendWithoutPiggyback(out *Output, address string, message *wirev1.MembershipMessage) {
 	message.From = s.self.Id
 	message.FromAddress = s.self.Address
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -17,17 +17,18 @@
 
 // fleet simulates nodes on a network that drops and delays messages and blocks links.
 type fleet struct {
-	t       *rapid.T
-	now     time.Time
-	random  *rand.Rand
-	nodes   map[string]*State
-	paused  map[string]bool
-	stopped map[string]bool
-	cut     map[[2]string]bool // blocked links, by sender and receiver
-	loss    float64
-	pending []delivery
+	t            *rapid.T
+	now          time.Time
+	random       *rand.Rand
+	nodes        map[string]*State
+	paused       map[string]bool
+	stopped      map[string]bool
+	blockedLinks map[[2]string]bool // by sender and receiver
+	loss         float64            // share of messages that are lost
+	pending      []delivery
 }
 
+// delivery is a message that arrives at a given time.
 type delivery struct {
 	at      time.Time
 	from    string
@@ -40,7 +41,7 @@
 func newFleet(t *rapid.T, size int, seed uint64) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(0, 0), random: rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[string]*State{}, paused: map[string]bool{}, stopped: map[string]bool{}, cut: map[[2]string]bool{},
+		nodes: map[string]*State{}, paused: map[string]bool{}, stopped: map[string]bool{}, blockedLinks: map[[2]string]bool{},
 	}
 	for i := range size {
 		f.start(fmt.Sprintf("n%02d", i), 1)
@@ -55,6 +56,7 @@
 	f.reseed()
 }
 
+// reseed sets the seeds of all nodes to the addresses of all nodes.
 func (f *fleet) reseed() {
 	var seeds []Seed
 	for _, id := range f.ids() {
@@ -78,7 +80,7 @@
 
 func (f *fleet) send(from string, out Output) {
 	for _, envelope := range out.Send {
-		if f.cut[[2]string{from, envelope.Address}] || f.random.Float64() < f.loss {
+		if f.blockedLinks[[2]string{from, envelope.Address}] || f.random.Float64() < f.loss {
 			continue
 		}
 		delay := time.Duration(f.random.Int64N(int64(60 * time.Millisecond)))
@@ -140,10 +142,11 @@
 	return wrong
 }
 
+// settleTime is the time for views to converge after faults have ended.
 const settleTime = 60 * time.Second
 
-// After any mix of stopped nodes, paused nodes, blocked links and lost messages has ended,
-// every view lists stopped nodes as dead and running nodes as alive.
+// After faults of all kinds have ended, each running node sees every running node as alive,
+// and every stopped node as dead or not at all.
 func TestViewsConvergeAfterFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(3, 9).Draw(t, "size")
@@ -154,7 +157,7 @@
 			f.advance(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
 		}
 		f.loss = 0
-		clear(f.cut)
+		clear(f.blockedLinks)
 		clear(f.paused)
 		f.advance(settleTime)
 		for _, id := range f.ids() {
@@ -179,11 +182,11 @@
 		f.paused[id] = true
 	case 2: // block a link in one direction
 		other := rapid.SampledFrom(f.ids()).Draw(f.t, "other")
-		f.cut[[2]string{id, other}] = true
+		f.blockedLinks[[2]string{id, other}] = true
 	case 3: // block all links of a node
 		for _, other := range f.ids() {
-			f.cut[[2]string{id, other}] = true
-			f.cut[[2]string{other, id}] = true
+			f.blockedLinks[[2]string{id, other}] = true
+			f.blockedLinks[[2]string{other, id}] = true
 		}
 	case 4:
 		f.loss = 0.3
@@ -226,15 +229,15 @@
 		f.advance(10 * time.Second)
 		for _, left := range []string{"n00", "n01", "n02"} {
 			for _, right := range []string{"n03", "n04", "n05"} {
-				f.cut[[2]string{left, right}] = true
-				f.cut[[2]string{right, left}] = true
+				f.blockedLinks[[2]string{left, right}] = true
+				f.blockedLinks[[2]string{right, left}] = true
 			}
 		}
 		f.advance(20 * time.Second)
 		if f.stateOf("n00", "n05") != Dead {
 			t.Fatal("the partition was not detected")
 		}
-		clear(f.cut)
+		clear(f.blockedLinks)
 		f.advance(settleTime)
 		for _, id := range f.ids() {
 			if wrong := f.disagreements(id, Alive); len(wrong) > 0 {
@@ -252,13 +255,13 @@
 		f := newFleet(t, 5, rapid.Uint64().Draw(t, "seed"))
 		f.advance(10 * time.Second)
 		for _, other := range f.ids() {
-			f.cut[[2]string{"n00", other}] = true
-			f.cut[[2]string{other, "n00"}] = true
+			f.blockedLinks[[2]string{"n00", other}] = true
+			f.blockedLinks[[2]string{other, "n00"}] = true
 		}
 		f.advance(time.Duration(rapid.IntRange(0, 1400).Draw(t, "ms")) * time.Millisecond)
 		f.paused["n00"] = true
 		f.advance(30 * time.Second)
-		clear(f.cut)
+		clear(f.blockedLinks)
 		f.paused["n00"] = false
 		for range 40 {
 			f.advance(100 * time.Millisecond)
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -9,10 +9,11 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// handlePause detects that this process was paused, for instance by a suspended machine.
-// Missing acknowledgements then say nothing about other members, so it discards outstanding
-// probes and restarts the suspicion timers. It pings suspected members at once so that they
-// can refute in time.
+// handlePause detects that this process was paused, for instance because the machine was
+// suspended: the last tick is more than three probe intervals ago. A missing acknowledgement
+// then does not indicate a failed member, so handlePause discards outstanding probes and
+// restarts the suspicion timers. It pings the suspected members at once, so that they can
+// refute the suspicion before the timers end.
 func (s *State) handlePause(now time.Time, out *Output) {
 	elapsed := now.Sub(s.lastTick)
 	paused := !s.lastTick.IsZero() && elapsed > 3*s.config.ProbeInterval
@@ -30,8 +31,8 @@
 	}
 }
 
-// ping sends a probe to a member and returns its sequence number. A ping to a suspected
-// member always carries the member's own record, so that the member can refute it (the
+// ping sends a ping to a member and returns its sequence number. A ping to a suspected
+// member always carries the record of that member, so that the member can refute it (the
 // "buddy system" of Lifeguard, Dadgar and others 2017).
 func (s *State) ping(target *member, out *Output) uint64 {
 	sequence := s.nextSequence()
@@ -43,8 +44,9 @@
 	return sequence
 }
 
-// expireProbes starts indirect probes after ProbeTimeout and suspects a member that has not
-// acknowledged a probe within ProbeInterval.
+// expireProbes starts indirect probes of a member that has not acknowledged a probe within
+// ProbeTimeout, and suspects the member after ProbeInterval. It discards relayed probes after
+// two probe intervals.
 func (s *State) expireProbes(now time.Time, out *Output) {
 	for _, sequence := range sortedKeys(s.probes) {
 		running := s.probes[sequence]
@@ -78,7 +80,8 @@
 	return keys
 }
 
-// sendIndirectProbes asks random members to probe the target of an unanswered probe.
+// sendIndirectProbes asks random members to probe the target of an unacknowledged probe. The
+// same member may be selected more than once.
 func (s *State) sendIndirectProbes(sequence uint64, target string, out *Output) {
 	subject := s.members[target]
 	if subject == nil {
@@ -98,6 +101,8 @@
 	}
 }
 
+// suspect starts a member's suspicion timer, unless it is running or the member is dead. An
+// alive member becomes suspect; a leaving member stays leaving.
 func (s *State) suspect(id string, now time.Time, out *Output) {
 	known := s.members[id]
 	if known == nil || known.suspected || known.record.State == Dead {
@@ -132,6 +137,7 @@
 	}
 }
 
+// startProbe probes the next member of the probe round.
 func (s *State) startProbe(now time.Time, out *Output) {
 	target := s.nextTarget()
 	if target == nil {
@@ -141,8 +147,8 @@
 	s.probes[sequence] = probe{target: target.record.Id, started: now}
 }
 
-// nextTarget returns the next member in a shuffled order of all members that are not dead,
-// so that each member is probed within two rounds.
+// nextTarget returns the next member to probe, or nil if all other members are dead. Each
+// round visits all members once in a new random order and skips this node and dead members.
 func (s *State) nextTarget() *member {
 	for range 2 {
 		for s.probePosition < len(s.probeOrder) {
@@ -158,12 +164,15 @@
 	return nil
 }
 
+// reshuffle starts a probe round with all current members.
 func (s *State) reshuffle() {
 	s.probeOrder = append(s.probeOrder[:0], s.list...)
 	s.random.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
 	s.probePosition = 0
 }
 
+// handleAck ends this node's probe that a message acknowledges. The acknowledgement of a
+// relayed probe is forwarded to the requesting node.
 func (s *State) handleAck(message *wirev1.MembershipMessage, out *Output) {
 	if running, found := s.probes[message.Sequence]; found && running.target == message.Target {
 		delete(s.probes, message.Sequence)
@@ -177,6 +186,7 @@
 	s.send(out, pending.requester, &wirev1.MembershipMessage{Kind: wirev1.MembershipKind_MEMBERSHIP_KIND_ACK, Sequence: pending.sequence, Target: message.Target})
 }
 
+// handlePingRequest probes a member on behalf of another node.
 func (s *State) handlePingRequest(now time.Time, message *wirev1.MembershipMessage, out *Output) {
 	sequence := s.nextSequence()
 	s.relayedProbes[sequence] = relayedProbe{requester: message.FromAddress, sequence: message.Sequence, started: now}
