--- a/internal/cluster/subset/index.go
+++ b/internal/cluster/subset/index.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// ListedRunner is a runner of the platform's list with an associated value.
+// ListedRunner is a runner of the platform's list with a value chosen by the user of the
+// package.
 type ListedRunner[V any] struct {
 	ID          string
 	ServiceZone ServiceZone
@@ -13,15 +14,14 @@
 }
 
 // Index holds runners sorted by position, so that the runners of a subset are found without
-// scanning all runners. Inserting or removing a runner costs a binary search among the
-// runners of its service and zone.
+// scanning all runners. It is not safe for concurrent use.
 type Index[V any] struct {
 	byID  map[string]ListedRunner[V]
-	rings map[ServiceZone][]ringEntry
+	rings map[ServiceZone][]ringEntry // without empty rings
 }
 
-// ringEntry is a runner's position on the circle. Rings are sorted by position, then by
-// id.
+// ringEntry is a runner's position on the circle. A ring is the list of the runners of one
+// service in one zone, sorted by position, then by id.
 type ringEntry struct {
 	position uint64
 	id       string
@@ -42,7 +42,7 @@
 // Len returns the number of runners in the index.
 func (i *Index[V]) Len() int { return len(i.byID) }
 
-// Get returns the entry with an id.
+// Get returns the entry with an id, and false if there is none.
 func (i *Index[V]) Get(id string) (ListedRunner[V], bool) {
 	entry, known := i.byID[id]
 	return entry, known
@@ -97,7 +97,8 @@
 	return list
 }
 
-// selectFromRing returns the entries of a ring that are in a subset.
+// selectFromRing returns the entries of a ring that are in a subset. The key is the service
+// and zone of the ring. The result may share memory with the ring.
 func selectFromRing(ring []ringEntry, subset *Subset, key ServiceZone) []ringEntry {
 	nodeArc, counted := subset.arcs[key]
 	if !counted || nodeArc.full {
@@ -112,7 +113,8 @@
 	return append(slices.Clone(ring[from:]), ring[:to]...) // the arc wraps around the largest position
 }
 
-// indexAtOrAfter returns the index of the first entry of a ring at or after a position.
+// indexAtOrAfter returns the index of the first entry of a ring at or after a position, or
+// the length of the ring if there is none.
 func indexAtOrAfter(ring []ringEntry, position uint64) int {
 	index, _ := slices.BinarySearchFunc(ring, position, func(entry ringEntry, wanted uint64) int { return cmp.Compare(entry.position, wanted) })
 	return index
--- a/internal/cluster/subset/selector.go
+++ b/internal/cluster/subset/selector.go
@@ -11,12 +11,14 @@
 // Change describes an update of the runners that a node knows.
 type Change[V any] struct {
 	// Full marks a change whose Put is the complete new subset and replaces the old one.
-	Full    bool
-	Put     []ListedRunner[V]
+	Full bool
+	// Put lists the inserted or replaced runners.
+	Put []ListedRunner[V]
+	// Removed lists the ids of removed runners. Some may not have been in the subset.
 	Removed []string
 }
 
-// NewSelector returns a selector without runners.
+// NewSelector returns a selector without runners for a node with the given interest.
 func NewSelector[V any](interest Interest) *Selector[V] {
 	return &Selector[V]{interest: interest, index: NewIndex[V]()}
 }
@@ -30,8 +32,9 @@
 	return s.recompute()
 }
 
-// Apply inserts or replaces the put entries, removes the runners with the removed ids,
-// and returns the resulting change of the node's subset.
+// Apply inserts or replaces the put entries, then removes the runners with the removed ids.
+// It returns the resulting change of the node's subset, which is full if an arc of the node
+// changed or no subset was computed before.
 func (s *Selector[V]) Apply(put []ListedRunner[V], removed []string) Change[V] {
 	for _, entry := range put {
 		s.index.Put(entry)
@@ -51,8 +54,8 @@
 	return change
 }
 
-// SetInterest replaces the node's interest. It returns the new subset, and false if the
-// interest is unchanged.
+// SetInterest replaces the node's interest and returns the new subset as a full change. If
+// the interest is unchanged, it returns an empty change and false.
 func (s *Selector[V]) SetInterest(interest Interest) (Change[V], bool) {
 	if interest == s.interest {
 		return Change[V]{}, false
--- a/internal/cluster/subset/subset_test.go
+++ b/internal/cluster/subset/subset_test.go
@@ -20,31 +20,31 @@
 	return index
 }
 
-// A subset holds all runners up to FullListLimit, and with more runners at most about
-// twice the wanted number, whatever the size of the fleet.
+// A subset contains all runners up to FullListLimit. With more runners it contains about
+// the wanted number to twice the wanted number, whatever the size of the fleet.
 func TestSubsetSizeIsBounded(t *testing.T) {
 	for _, size := range []int{12, 100, FullListLimit, 1000, 10_000, 20_000, 40_000} {
 		is := is.New(t)
 		index := fleetIndex(size, 5)
-		most, least := 0, size
+		largest, smallest := 0, size
 		for node := range 200 {
 			interest := DefaultInterest(fmt.Sprint("edge-", node), "z1", false)
 			known := len(index.Select(Compute(interest, index.Totals())))
-			most, least = max(most, known), min(least, known)
+			largest, smallest = max(largest, known), min(smallest, known)
 		}
-		t.Logf("%d runners: a node knows %d to %d", size, least, most)
+		t.Logf("%d runners: a node knows %d to %d", size, smallest, largest)
 		if size <= FullListLimit {
-			is.Equal(least, size)
+			is.Equal(smallest, size)
 			continue
 		}
 		const tolerance = 40 // positions are random
-		is.True(most <= 2*(minNearEdge+minFar)+tolerance)
-		is.True(least >= minNearEdge+minFar-tolerance)
+		is.True(largest <= 2*(minNearEdge+minFar)+tolerance)
+		is.True(smallest >= minNearEdge+minFar-tolerance)
 	}
 }
 
-// Subsets cover the runners evenly: nearly every runner of a zone is known to several
-// nodes of the zone, and a node still knows enough runners after a tenth of them is lost.
+// Subsets cover the runners evenly: nearly every runner of a zone is known to two or more
+// nodes of the zone, and a node still knows enough runners after a tenth of all is lost.
 func TestSubsetsOverlap(t *testing.T) {
 	const zones, edgesOfZone = 5, 167
 	for _, size := range []int{10_000, 20_000} {
@@ -54,16 +54,16 @@
 		knownBy := map[string]int{}
 		for node := range edges {
 			subset := Compute(DefaultInterest(fmt.Sprint("edge-", node), "z0", false), index.Totals())
-			left := 0
+			remaining := 0
 			for _, entry := range index.Select(subset) {
 				if entry.ServiceZone.Zone == "z0" {
 					knownBy[entry.ID]++
 				}
 				if entry.Value%10 != 0 {
-					left++
+					remaining++
 				}
 			}
-			is.True(left >= minNearEdge/2) // after the loss of a tenth of all runners
+			is.True(remaining >= minNearEdge/2)
 		}
 		poorlyKnown := 0
 		for id := range index.byID {
@@ -77,8 +77,9 @@
 	}
 }
 
-// A wider subset contains the narrower one, a zone with too few runners is filled up from
-// other zones, and a service with few runners is known completely.
+// A subset computed with twice the wanted numbers contains the smaller subset. Runners of
+// other zones make up for a zone with too few, and a service with few runners is in the
+// subset completely.
 func TestWiderSubsetContainsSmallerOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex[int]()
@@ -114,7 +115,8 @@
 	})
 }
 
-// Applying all changes of a selector in turn yields the subset of the listed runners.
+// A node that applies all changes of a selector in turn knows exactly the listed runners in
+// its subset.
 func TestSelectorChangesMatchSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		interest := Interest{Node: "n", Zone: "z0", Near: 20, Far: 5}
