--- a/internal/cluster/ownership/ownership.go
+++ b/internal/cluster/ownership/ownership.go
@@ -1,11 +1,11 @@
 // Package ownership assigns runners to nodes by rendezvous hashing (highest random weight,
 // Thaler and Ravishankar 1998). The owner of a runner is the node with the highest weight
-// among the live nodes of the runner's zone. If the zone has none, the nodes of the region
-// are the candidates, and if the region has none, all nodes. The package is stateless.
+// among the candidates in the runner's zone. If the zone has no candidates, the owner is
+// chosen among those in the runner's region, and if the region has none, among all. The
+// package is stateless.
 //
 // Ownership is only a hint: while views of the fleet differ, two nodes may consider
-// themselves the owner of the same runner. This costs efficiency but does not affect
-// correctness, which relies on engine stream ids, log epochs and claims.
+// themselves the owner of the same runner.
 //
 // The plain node assigns runners with this package. The edge and the storage node use its
 // weights and rankings.
@@ -18,7 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a candidate owner: a live member that is not leaving.
+// Node is a candidate owner. The caller decides which nodes are candidates.
 type Node struct {
 	ID     string
 	Zone   string
@@ -32,16 +32,17 @@
 	Region string
 }
 
-// Rendezvous finds owners among a fixed set of nodes.
+// Rendezvous finds owners among a fixed set of candidates. It is safe for concurrent use.
 type Rendezvous struct {
 	nodes    []Node
 	byZone   map[string][]Node
 	byRegion map[string][]Node
-	// zoneHash holds, per zone, a hash of the set of candidates.
+	// zoneHash holds, per zone, a hash of the ids of its candidates.
 	zoneHash map[string]uint64
 }
 
-// NewRendezvous returns a Rendezvous over the given candidates.
+// NewRendezvous returns a Rendezvous over the given candidates. The caller must not change
+// the slice afterwards.
 func NewRendezvous(nodes []Node) *Rendezvous {
 	r := &Rendezvous{nodes: nodes, byZone: map[string][]Node{}, byRegion: map[string][]Node{}, zoneHash: map[string]uint64{}}
 	for _, node := range nodes {
@@ -52,15 +53,16 @@
 	return r
 }
 
-// SameCandidates reports whether a zone has the same candidates in other, so that its runners
-// have the same owners. It returns false for a zone without candidates, because the owners of
-// its runners are in other zones.
+// SameCandidates reports whether a zone has the same candidates in r and other, so that its
+// runners have the same owners. It compares the number of candidates and a hash of their ids.
+// It returns false for a zone without candidates, because the owners of its runners are in
+// other zones, and if other is nil.
 func (r *Rendezvous) SameCandidates(other *Rendezvous, zone string) bool {
 	hash, has := r.zoneHash[zone]
 	return has && other != nil && len(r.byZone[zone]) == len(other.byZone[zone]) && hash == other.zoneHash[zone]
 }
 
-// Owner returns the id of the runner's owner, or "" if there are no nodes.
+// Owner returns the id of the runner's owner, or "" if there are no candidates.
 func (r *Rendezvous) Owner(runner Runner) string {
 	candidates := r.byZone[runner.Zone]
 	if len(candidates) == 0 {
@@ -75,13 +77,14 @@
 // NodesInZone returns the candidates in a zone.
 func (r *Rendezvous) NodesInZone(zone string) []Node { return r.byZone[zone] }
 
-// Ranked returns the nodes of the zone by descending weight for the key. The first node owns
-// the key, and each next node becomes the owner if all before it are lost.
+// Ranked returns the candidates in a zone by descending weight for a key. The first node
+// owns the key, and each other node becomes its owner when all nodes before it are lost.
 func (r *Rendezvous) Ranked(key, zone string) []Node {
 	return Ranked(key, r.byZone[zone])
 }
 
-// Ranked returns the nodes by descending weight for the key.
+// Ranked returns the nodes by descending weight for a key. The order of nodes with equal
+// weights is not specified.
 func Ranked(key string, nodes []Node) []Node {
 	type weightedNode struct {
 		Node
@@ -99,7 +102,8 @@
 	return ranked
 }
 
-// highestWeight returns the id of the candidate with the highest weight for the key.
+// highestWeight returns the id of the candidate with the highest weight for the key. Among
+// candidates with equal weights it returns the smallest id, and "" if there are no candidates.
 func highestWeight(key string, candidates []Node) string {
 	var owner string
 	var best uint64
@@ -124,8 +128,8 @@
 	return digest.Sum64()
 }
 
-// Weight returns the rendezvous weight of a candidate for a prefix hash. The candidate with
-// the highest weight is the preferred one for the prefix.
+// Weight returns the rendezvous weight of a candidate for the hash of a prompt prefix.
+// Requests with the same prefix prefer the candidate with the highest weight.
 func Weight(prefix uint64, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(prefix)
