--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet defines immutable snapshots of the fleet for the request path: the members
-// (View), and the runners with their owners (Runners). It relies on package ownership to
-// assign owners. The package does no I/O and holds no state; modules of the plain node build
-// the snapshots and own them.
+// Package fleet defines immutable snapshots of the fleet, which are read for each request:
+// the members (View), and the runners with their owners (Runners). It relies on package
+// ownership to assign owners. The package does no I/O and holds no state. The module
+// fleet.membership of the plain node builds the views, and fleet.runners the runner tables.
 package fleet
 
 import (
@@ -14,7 +14,9 @@
 
 // View is a snapshot of the members as one node sees them.
 type View struct {
-	Self    *wirev1.MemberRecord
+	Self *wirev1.MemberRecord
+	// Members maps ids to the records of all members, including this node and members that
+	// are leaving or dead.
 	Members map[string]*wirev1.MemberRecord
 	// Rendezvous assigns owners among the members that may own runners: those that are
 	// alive or suspect.
@@ -23,7 +25,8 @@
 	Candidates []ownership.Node
 }
 
-// NewView returns a view of the members with the given records.
+// NewView returns a view of the members with the given records. self is this node's own
+// record, which is also among the records.
 func NewView(self *wirev1.MemberRecord, records []*wirev1.MemberRecord) *View {
 	v := &View{Self: self, Members: make(map[string]*wirev1.MemberRecord, len(records))}
 	for _, record := range records {
@@ -42,8 +45,8 @@
 	return record.State == wirev1.MemberState_MEMBER_STATE_ALIVE || record.State == wirev1.MemberState_MEMBER_STATE_SUSPECT
 }
 
-// Address returns the internal address of a member, and false if the member is unknown or
-// dead.
+// Address returns the internal address of a member, or "" and false if the member is unknown
+// or dead.
 func (v *View) Address(id string) (string, bool) {
 	record, known := v.Members[id]
 	if !known || record.State == wirev1.MemberState_MEMBER_STATE_DEAD {
@@ -67,32 +70,35 @@
 // Runner is a runner with its owner.
 type Runner struct {
 	ports.RunnerEntry
-	Owner string
+	Owner string // id of the owner; "" if the view has no candidates
 }
 
-// Pool describes the runners of one service in one zone that have the same owner.
+// Pool describes the runners of one service in one zone that have the same owner and are not
+// leaving.
 type Pool struct {
-	Owner  string
-	Zone   string
-	Region string
-	// Runners is the number of runners that are not leaving.
-	Runners int
+	Owner  string // id of the owner
+	Zone   string // zone of the runners
+	Region string // region of the runners
+	// RunnerCount is at least one.
+	RunnerCount int
 }
 
-// Runners is a snapshot of the runner list with the owner of each runner.
+// Runners is a table of the listed runners with the owner of each. It is not changed after
+// it is built.
 type Runners struct {
-	ByID map[string]*Runner
+	ByID map[string]*Runner // by runner id
 	// Owned lists the runners that this node owns, sorted by id.
 	Owned []*Runner
-	// Pools maps each service to its pools, sorted by owner and zone.
+	// Pools maps each service to its pools, sorted by owner and zone. It has no entry for a
+	// service without pools.
 	Pools map[string][]Pool
 
 	rendezvous *ownership.Rendezvous
 }
 
-// NewRunners assigns owners to the listed runners among the candidates of the view. Owners
-// are copied from the previous table, if there is one, for unchanged runners in zones whose
-// candidates have not changed.
+// NewRunners returns a table that assigns owners among the candidates of the view to the
+// listed runners. It reuses entries of the previous table, which may be nil, for unchanged
+// runners in zones whose candidates have not changed.
 func NewRunners(view *View, listed []ports.RunnerEntry, previous *Runners) *Runners {
 	r := &Runners{ByID: make(map[string]*Runner, len(listed)), Pools: map[string][]Pool{}, rendezvous: view.Rendezvous}
 	type poolKey struct{ service, owner, zone string }
@@ -111,7 +117,7 @@
 		if pools[key] == nil {
 			pools[key] = &Pool{Owner: owner, Zone: entry.Zone, Region: entry.Region}
 		}
-		pools[key].Runners++
+		pools[key].RunnerCount++
 	}
 	for key, pool := range pools {
 		r.Pools[key.service] = append(r.Pools[key.service], *pool)
@@ -120,8 +126,8 @@
 	return r
 }
 
-// assign returns the runner with its owner, reusing the previous assignment where it is still
-// valid.
+// assign returns a listed runner with its owner. It reuses the entry of the previous table if
+// neither the listed runner nor the candidates in its zone have changed.
 func (r *Runners) assign(entry ports.RunnerEntry, previous *Runners) *Runner {
 	if previous != nil {
 		known := previous.ByID[entry.ID]
--- a/modules/serving/router/choose.go
+++ b/modules/serving/router/choose.go
@@ -77,7 +77,7 @@
 	state := m.owner(pool.Owner)
 	candidate := framework.Candidate{
 		ID: pool.Owner, Affinity: ownership.Weight(prefix, pool.Owner),
-		Capacity: pool.Runners * model.Slots, Load: int(state.inFlight.Load()), EjectedUntil: state.ejectedUntil(),
+		Capacity: pool.RunnerCount * model.Slots, Load: int(state.inFlight.Load()), EjectedUntil: state.ejectedUntil(),
 	}
 	digest := state.load.Load()
 	if digest == nil {
