--- a/modules/fleet/links/links.go
+++ b/modules/fleet/links/links.go
@@ -75,6 +75,8 @@
 	return nil
 }
 
+// clientTLS returns the source of the TLS configuration for outgoing connections, or nil if
+// connections are not encrypted.
 func (m *Module) clientTLS() func() *tls.Config {
 	if m.keys == nil {
 		return nil
@@ -96,7 +98,8 @@
 	counter("dial_failures_total", "Dials to other nodes that failed.", m.counters.DialFailures.Load)
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It accepts connections of other nodes on the internal address
+// until Cleanup.
 func (m *Module) Start(context.Context) error {
 	listener, err := net.Listen("tcp", m.settings.Node.InternalAddress)
 	if err != nil {
@@ -115,10 +118,11 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner.
+// Cleanup implements kernel.Cleaner. It closes the listener and all connections, and waits
+// for the server to end.
 func (m *Module) Cleanup() {
 	if m.listener != nil {
-		_ = m.listener.Close() // an error does not matter while the node shuts down
+		_ = m.listener.Close() // the node shuts down in any case
 	}
 	if m.pool != nil {
 		m.pool.Close()
--- a/modules/fleet/membership/membership.go
+++ b/modules/fleet/membership/membership.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// DiskIdentity provides the id of the node's disk. Module batch.disk implements it; it is not
-// available on nodes without a disk.
+// DiskIdentity provides the id of the node's disk. Module batch.disk provides an
+// implementation on nodes with a disk.
 type DiskIdentity interface{ DiskID() string }
 
 // Module runs the failure detector and provides views of the fleet.
@@ -51,7 +51,7 @@
 	discovery ports.Discovery
 	metrics   *metrics
 
-	mutex sync.Mutex
+	mutex sync.Mutex // protects state
 	state *membership.State
 
 	view      atomic.Pointer[fleet.View]
@@ -106,13 +106,14 @@
 	return m
 }
 
+// initState creates the detector with this node's record and publishes the first view.
 func (m *Module) initState(diskID string) {
 	self := &wirev1.MemberRecord{
 		Id: m.settings.Node.ID, Address: m.settings.Node.InternalAddress,
 		Zone: m.settings.Node.Zone, Region: m.settings.Node.Region, DiskId: diskID,
-		// The start time as incarnation supersedes the record of an earlier run. If the
-		// clock was set back meanwhile, gossip about the earlier run makes the detector
-		// raise the incarnation.
+		// With the start time as incarnation, this record supersedes the record of an
+		// earlier run. If the clock was set back since then, the detector raises the
+		// incarnation when it receives the record of the earlier run.
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 	m.state = membership.New(self, membership.DefaultConfig(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
@@ -122,30 +123,34 @@
 // View returns the current view.
 func (m *Module) View() *fleet.View { return m.view.Load() }
 
-// OnView registers a listener that is called with every new view. Listeners must be
-// registered while modules are provisioned.
+// OnView registers a listener that is called with the view at the start and then with every
+// new view. Calls may run concurrently, so that an older view may follow a newer one; View
+// returns the newest. Listeners must be registered while modules are provisioned.
 func (m *Module) OnView(listener func(*fleet.View)) { m.listeners = append(m.listeners, listener) }
 
-// SetBundleRevision sets the bundle revision that is advertised to other members.
+// SetBundleRevision sets the revision of this node's configuration bundle, which is
+// advertised to other members. The detector calls it the bundle generation.
 func (m *Module) SetBundleRevision(revision uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.state.SetBundleGeneration(revision)
 }
 
-// AheadPeer returns the highest bundle revision that a member reported, and the address of
-// that member.
+// AheadPeer returns the highest bundle revision that a member has reported so far and the
+// address of that member, or 0 and "" if none was reported. The revision may be lower than
+// this node's own.
 func (m *Module) AheadPeer() (uint64, string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.AheadPeer()
 }
 
-// tickInterval is the time between two ticks of the detector; there are several ticks in
-// each probe interval.
+// tickInterval is the time between two ticks of the detector. It has to be several times
+// shorter than the detector's probe interval.
 const tickInterval = 100 * time.Millisecond
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It passes the first view to the listeners and starts the
+// loops.
 func (m *Module) Start(ctx context.Context) error {
 	m.notifyListeners(m.view.Load())
 	m.background.Go(func() { m.tickLoop(ctx) })
@@ -157,6 +162,7 @@
 // Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
+// tickLoop calls the detector's Tick every tickInterval.
 func (m *Module) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -170,14 +176,15 @@
 	}
 }
 
-// seedLoop reads the machine list periodically and sets the detector's seeds from it.
+// seedLoop reads the machine list periodically and sets the detector's seeds from it. If
+// reading fails, the seeds stay as they are.
 func (m *Module) seedLoop(ctx context.Context) {
 	for {
 		machines, err := m.discovery.Machines(ctx)
 		if err == nil {
 			m.setSeeds(machines)
 		} else {
-			klog.V(1).InfoS("reading the machine list failed; keeping the last one", "node", m.settings.Node.ID, "err", err)
+			klog.V(1).InfoS("reading the machine list failed; the seeds stay unchanged", "node", m.settings.Node.ID, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -187,6 +194,7 @@
 	}
 }
 
+// setSeeds sets the detector's seeds to the machines that are not leaving, without this node.
 func (m *Module) setSeeds(machines []ports.MachineEntry) {
 	var seeds []membership.Seed
 	for _, machine := range machines {
@@ -199,6 +207,7 @@
 	m.state.SetSeeds(seeds)
 }
 
+// receive passes a membership message of another node to the detector.
 func (m *Module) receive(from string, payload []byte) {
 	var message wirev1.MembershipMessage
 	if err := proto.Unmarshal(payload, &message); err != nil {
@@ -208,8 +217,9 @@
 	m.step(func(state *membership.State) membership.Output { return state.Handle(time.Now(), &message) })
 }
 
-// step runs one transition of the detector, sends the resulting messages and, if members
-// changed, publishes a new view.
+// step runs one transition of the detector and sends the resulting messages. If member
+// records changed, it publishes a new view and calls the listeners. It takes the mutex for
+// the transition and the publication only.
 func (m *Module) step(transition func(*membership.State) membership.Output) {
 	m.mutex.Lock()
 	out := transition(m.state)
@@ -246,8 +256,8 @@
 	}
 }
 
-// recordChanges updates the metrics, logs changed states and closes the connections to dead
-// members.
+// recordChanges counts the changes in the metrics, logs new members and changed states, and
+// closes the connections to members that died.
 func (m *Module) recordChanges(changes []membership.Change) {
 	for _, change := range changes {
 		m.metrics.changes.WithLabelValues(stateName(change.After.State)).Inc()
--- a/modules/fleet/runners/runners.go
+++ b/modules/fleet/runners/runners.go
@@ -44,9 +44,9 @@
 	discovery ports.Discovery
 	views     Views
 
-	mutex       sync.Mutex
+	mutex       sync.Mutex // protects listed and orders the rebuilds
 	listed      []ports.RunnerEntry
-	viewChanged chan struct{}
+	viewChanged chan struct{} // has room for one signal
 	table       atomic.Pointer[fleet.Runners]
 	listeners   []func(*fleet.Runners)
 
@@ -76,8 +76,8 @@
 // Table returns the current table.
 func (m *Module) Table() *fleet.Runners { return m.table.Load() }
 
-// OnTable registers a listener that is called with every new table. Listeners must be
-// registered while modules are provisioned.
+// OnTable registers a listener that is called with every new table, one call at a time and
+// in order. Listeners must be registered while modules are provisioned.
 func (m *Module) OnTable(listener func(*fleet.Runners)) { m.listeners = append(m.listeners, listener) }
 
 // Start implements kernel.Starter.
@@ -91,8 +91,8 @@
 // Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
-// rebuildInterval is the minimum time between two rebuilds for changed views, so that many
-// changes at once, as when a zone is lost, cause few rebuilds.
+// rebuildInterval is the minimum time between two rebuilds for changed views. It limits the
+// number of rebuilds when many members change at once.
 const rebuildInterval = 250 * time.Millisecond
 
 // signalViewChange wakes viewLoop without blocking.
@@ -103,8 +103,8 @@
 	}
 }
 
-// viewLoop rebuilds the table immediately for the first change of the view, and once after
-// rebuildInterval for all changes that follow within it.
+// viewLoop rebuilds the table when the view has changed. After a rebuild it waits for
+// rebuildInterval, and rebuilds once for all changes during the wait.
 func (m *Module) viewLoop(ctx context.Context) {
 	for {
 		select {
@@ -121,14 +121,14 @@
 	}
 }
 
-// listLoop reads the runner list periodically and rebuilds the table if it changed.
+// listLoop reads the runner list periodically and rebuilds the table if the list changed.
 func (m *Module) listLoop(ctx context.Context) {
 	for {
 		listed, err := m.discovery.Runners(ctx)
 		if err == nil {
 			m.rebuild(listed)
 		} else {
-			klog.V(1).InfoS("reading the runner list failed; keeping the last one", "node", m.settings.Node.ID, "err", err)
+			klog.V(1).InfoS("reading the runner list failed; the table keeps the last list", "node", m.settings.Node.ID, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -138,8 +138,9 @@
 	}
 }
 
-// rebuild computes a new table and passes it to the listeners. A nil list means the last list
-// read; a list equal to the last one changes nothing.
+// rebuild computes a new table from the given list and the current view, and passes it to
+// the listeners. If the list equals the last one, rebuild does nothing. A nil list stands for
+// the last list; the table is then rebuilt in any case.
 func (m *Module) rebuild(listed []ports.RunnerEntry) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
