--- a/internal/cluster/peers/sync.go
+++ b/internal/cluster/peers/sync.go
@@ -35,7 +35,7 @@
 	Directory *Directory
 	Documents Documents
 	Pool      *rpc.Pool
-	Seeds     []string // addresses of nodes to call while few other nodes are known
+	Seeds     []string // configured addresses to call even if the nodes there are not known
 	// Watched returns the nodes with disks to probe in a large fleet; nil means none.
 	Watched func() []*wirev1.NodeRecord
 
@@ -67,12 +67,13 @@
 	largeFleetSeedRounds = 2
 )
 
-// Serve handles a request from a peer's Syncer. It stores the peer's own record and replies
-// with newer documents and, by the first rule that applies, with the following records:
-//   - for a probe: this node's own record, unless the prober knows its incarnation
+// Serve handles a request from a peer's Syncer. It passes the peer's own record to the
+// directory and replies with newer documents. By the first rule that applies, the reply also
+// contains:
+//   - for a probe: this node's own record, unless the prober knows its current incarnation
 //   - in a large fleet, for a peer of another zone: a sample of the records of that zone
 //   - for a request for parts: the exchanged records in these parts
-//   - for a digest that differs from this node's: no records, but the digests of the parts
+//   - for a digest that differs from this node's digest: the digests of the parts
 func (s *Syncer) Serve(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.PeerStateRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -106,8 +107,8 @@
 // calls one random peer every roundsPerSync rounds, but in every round during the first
 // startupRounds and while the store is unreachable. A node with a disk also probes the other
 // nodes with disks every roundsPerSync rounds, and calls all seeds in the first rounds, so
-// that the seeds know its record even if the store is unreachable. Rounds are shorter until a
-// configuration is known.
+// that it and the seeds know each other even if the store is unreachable. Rounds are shorter
+// until a configuration is known.
 //
 // In a large fleet rounds are longer, and a node calls a few partners of its zone in turn; a
 // node without a disk calls one in every round. A node with a disk probes only the watched
