--- a/internal/batch/replica/elect.go
+++ b/internal/batch/replica/elect.go
@@ -7,7 +7,8 @@
 )
 
 // LeaderLost tells a follower that its leader's node is lost or stopping. The follower
-// campaigns soon instead of waiting for the election time.
+// campaigns within initialElectionDelay instead of waiting for the election time. The call
+// has no effect on a leader, and on a replica that knows no leader.
 func (r *Replica) LeaderLost(now time.Time) {
 	if r.role == Leader || r.leader == "" {
 		return
@@ -17,6 +18,7 @@
 	r.deadline = now.Add(time.Duration(r.random.Int64N(int64(initialElectionDelay))))
 }
 
+// resetDeadline sets the time of the next campaign.
 func (r *Replica) resetDeadline(now time.Time) {
 	if r.quickCampaigns > 0 {
 		r.quickCampaigns--
@@ -27,8 +29,9 @@
 	r.deadline = now.Add(election + time.Duration(r.random.Int64N(int64(election))))
 }
 
-// campaign requests pre-votes, which do not raise the epoch, so that a replica that was
-// partitioned does not depose a live leader when it returns.
+// campaign requests pre-votes from the other members, or starts an election at once if the
+// replica's own pre-vote suffices. A pre-vote does not raise the epoch, so a replica that
+// returns from a partition does not depose a live leader.
 func (r *Replica) campaign(now time.Time) {
 	r.endIdle()
 	r.resetDeadline(now)
@@ -39,22 +42,23 @@
 		r.requestVotes(now)
 		return
 	}
-	r.failedCampaigns++
+	r.campaignsWithoutLeader++
 	r.broadcast(wirev1.ReplicaKind_REPLICA_KIND_PRE_PREPARE, r.hard.Promised)
 }
 
-// hasEnoughPreVotes reports whether the pre-votes allow an election. A majority is needed
-// at first. After several failed campaigns the election quorum suffices; safety depends
-// on that quorum only.
+// hasEnoughPreVotes reports whether the pre-votes allow an election. They must reach both a
+// majority and the election quorum. After three campaigns without contact to a leader, the
+// election quorum suffices. Safety depends on the election quorum only.
 func (r *Replica) hasEnoughPreVotes() bool {
 	needed := len(r.memberSet.Members)/2 + 1
-	if r.failedCampaigns >= 3 {
+	if r.campaignsWithoutLeader >= 3 {
 		needed = r.memberSet.ElectionQuorum()
 	}
 	return len(r.votes) >= max(needed, r.memberSet.ElectionQuorum())
 }
 
-// requestVotes starts an election in a new epoch.
+// requestVotes starts an election in a new epoch. The replica votes for itself and requests
+// the votes of the other members.
 func (r *Replica) requestVotes(now time.Time) {
 	r.endIdle()
 	r.resetDeadline(now)
@@ -65,6 +69,8 @@
 	r.countVotes(now)
 }
 
+// nextEpoch returns an epoch of the current generation that is higher than the promised
+// epoch and that no other member uses.
 func (r *Replica) nextEpoch() uint64 {
 	base := r.memberSet.Generation << (counterBits + indexBits)
 	counter := uint64(0)
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -11,15 +11,18 @@
 //
 //  1. New members catch up as learners, which store entries but do not count towards
 //     any quorum.
-//  2. The sealer freezes itself and an election quorum of the old members. From then
-//     on no entry can be committed in the old generation, because every write quorum
-//     has a frozen member.
+//  2. The sealer freezes itself and asks the other old members to freeze. A frozen
+//     leader rejects proposals. A frozen member does not vote or campaign, and accepts
+//     entries only in its promised epoch. Once an election quorum is frozen, no new
+//     entry can be committed in the old generation, because every write quorum has a
+//     frozen member.
 //  3. Once a write quorum of the new members holds the sealer's whole log, the driver
 //     replaces the member set in the platform's store by compare-and-swap. Of several
 //     concurrent changes only one succeeds.
-//  4. Members activate the new generation. If the sealer fails before the swap, any
-//     frozen member raises the attempt by compare-and-swap. The sealer's own swap then
-//     fails, and the members of the old generation thaw and continue.
+//  4. Members activate the new generation when they read the new member set. If a member
+//     stays frozen for too long, its driver raises the attempt by compare-and-swap. A
+//     later swap by the sealer then fails, and the members of the old generation thaw
+//     and continue when they read the raised attempt.
 
 const (
 	// sealerCampaignDelay and sealerCampaigns are the delay and the number of the sealer's
@@ -30,7 +33,8 @@
 	sealerCampaigns     = 10
 )
 
-// SetLearners sets the disks that receive entries without counting towards a quorum.
+// SetLearners replaces the set of learners, the disks that receive entries without counting
+// towards a quorum. Only a leader sends them entries.
 func (r *Replica) SetLearners(now time.Time, learners []string) {
 	r.learners = learners
 	if r.role != Leader {
@@ -43,8 +47,9 @@
 	}
 }
 
-// CaughtUp reports whether a member or learner lacks at most a few entries. If this replica
-// does not lead, it reports false for all others.
+// CaughtUp reports whether a member or learner has confirmed a matching log and lacks at
+// most 64 entries. It reports true for this replica's own disk, and false for all others
+// if this replica does not lead.
 func (r *Replica) CaughtUp(member string) bool {
 	const slack = 64
 	if member == r.self {
@@ -54,8 +59,9 @@
 	return r.role == Leader && p != nil && p.confirmed && p.match+slack >= r.lastIndex()
 }
 
-// Freeze freezes this leader and asks the other members to freeze. Proposals are rejected
-// from then on. It reports false if this replica does not lead.
+// Freeze freezes this leader and asks the other members to freeze. The leader rejects
+// proposals until it thaws. Freeze has no effect and reports false if this replica does not
+// lead.
 func (r *Replica) Freeze() bool {
 	if r.role != Leader {
 		return false
@@ -71,8 +77,9 @@
 	return true
 }
 
-// Sealed reports whether the old generation can commit no more entries and a write quorum
-// of the next member set holds the whole log.
+// Sealed reports whether this replica leads and is frozen, an election quorum of the current
+// member set is frozen, and a write quorum of the next member set has the leader's whole log
+// on disk. The current generation can then commit no new entries.
 func (r *Replica) Sealed(next MemberSet) bool {
 	if r.role != Leader || !r.hard.Frozen || len(r.frozenBy) < r.memberSet.ElectionQuorum() {
 		return false
@@ -90,8 +97,9 @@
 // Frozen reports whether this member is frozen.
 func (r *Replica) Frozen() bool { return r.hard.Frozen }
 
-// Observe handles a member set read from the platform's store. It activates a newer
-// generation. A higher attempt thaws a member that an earlier attempt froze.
+// Observe handles a member set from the platform's store. It activates a newer generation.
+// A higher attempt in the current generation is adopted, and thaws a member that an earlier
+// attempt froze. An older member set is ignored.
 func (r *Replica) Observe(now time.Time, stored MemberSet) {
 	if stored.Generation > r.memberSet.Generation {
 		r.activate(now, stored)
@@ -106,6 +114,7 @@
 	}
 }
 
+// thaw ends the freeze and makes the replica a follower.
 func (r *Replica) thaw(now time.Time) {
 	r.hard.Frozen = false
 	r.hardStateChanged = true
@@ -115,7 +124,8 @@
 	r.resetDeadline(now)
 }
 
-// activate changes to a newer member set. The log stays unchanged.
+// activate changes to the member set of a newer generation. The replica thaws and becomes a
+// follower; its log stays unchanged.
 func (r *Replica) activate(now time.Time, next MemberSet) {
 	sealer := r.frozenBy != nil
 	r.quickCampaigns = 0
--- a/internal/batch/replica/handover_test.go
+++ b/internal/batch/replica/handover_test.go
@@ -47,8 +47,8 @@
 	return next
 }
 
-// handOver drives the catch-up, the freeze and the compare-and-swap of a hand-over, with
-// random faults between.
+// handOver drives the catch-up, the freeze and the compare-and-swap of a hand-over while it
+// injects random faults. The sealer may be paused before the compare-and-swap.
 func (c *cluster) handOver(next MemberSet) {
 	var sealer *Replica
 	for range 400 {
@@ -88,8 +88,9 @@
 	return true
 }
 
-// finishOrThaw raises the attempt if the hand-over is not complete, as the members do. This
-// fences the sealer, and the members thaw.
+// finishOrThaw raises the attempt if the hand-over is not complete, as the drivers of the
+// members do, and checks that the fenced sealer cannot replace the member set. Three members
+// then repeat the hand-over.
 func (c *cluster) finishOrThaw(next MemberSet) {
 	if c.stored.Generation == 1 {
 		c.stored.Attempt++
@@ -196,8 +197,8 @@
 	return next
 }
 
-// partitionMembers partitions the members at random, or along the boundary of the next
-// member set, which is the most critical case for a hand-over.
+// partitionMembers partitions the members at random, or separates the members of the next
+// set from the others.
 func (c *cluster) partitionMembers(next MemberSet) {
 	byMemberSet := rapid.Bool().Draw(c.t, "by member set")
 	for _, id := range c.ids() {
@@ -248,7 +249,7 @@
 }
 
 // Checks that the sealer of the old member set also leads the new one when the other
-// members observe the new set later. A change of leaders would interrupt running work.
+// members observe the new set later.
 func TestSealerLeadsNewMemberSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
--- a/internal/batch/replica/idle.go
+++ b/internal/batch/replica/idle.go
@@ -6,17 +6,16 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Most shards of a large cluster are idle at any time, and their heartbeats would be
-// most of the traffic between nodes with disks. The leader of an idle shard therefore
-// tells its members that the shard is idle, and all of them multiply their heartbeat and
-// election times by idleFactor until the shard has work again. Safety does not depend on
-// these times.
+// The driver of a leader marks a shard without work as idle, which reduces the number of
+// heartbeats between nodes with disks. The leader tells the other members, and all of them
+// multiply their heartbeat and election times by idleFactor until the shard is busy again.
+// Safety does not depend on these times.
 
 // idleFactor is the factor by which the heartbeat and election times of an idle shard are
 // longer. It must be small enough for a lost member to be noticed and replaced in time.
 const idleFactor = 8
 
-// idleScaled returns a time multiplied by idleFactor while the shard is idle.
+// idleScaled returns a time, multiplied by idleFactor if the shard is idle.
 func (r *Replica) idleScaled(time time.Duration) time.Duration {
 	if r.Idle() {
 		return idleFactor * time
@@ -28,22 +27,23 @@
 
 func (r *Replica) electionTime() time.Duration { return r.idleScaled(r.timing.Election) }
 
-// Idle reports whether the shard is idle.
+// Idle reports whether the shard is idle as far as this replica knows.
 func (r *Replica) Idle() bool { return r.idleChanges%2 == 1 }
 
-// endIdle marks the shard as busy at this replica.
+// endIdle marks the shard as busy at this replica only.
 func (r *Replica) endIdle() {
 	if r.Idle() {
 		r.idleChanges++
 	}
 }
 
-// followIdle handles a leader's report that its shard is idle or busy. Older reports are
-// ignored.
+// followIdle adopts the leader's count of changes between idle and busy, unless the count
+// is older than this replica's.
 func (r *Replica) followIdle(changes uint64) { r.idleChanges = max(r.idleChanges, changes) }
 
-// SetIdle marks the leader's shard as idle or busy. A shard does not become idle while a
-// member or learner lacks entries.
+// SetIdle marks the shard as idle or busy and tells the members and learners. It has no
+// effect if this replica does not lead. A shard does not become idle before every member
+// and learner has confirmed the whole log.
 func (r *Replica) SetIdle(now time.Time, idle bool) {
 	if r.role != Leader || idle == r.Idle() || idle && !r.allCaughtUp() {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// allCaughtUp reports whether every member and learner has confirmed the whole log.
+// allCaughtUp reports whether every other member and every learner has confirmed the whole log.
 func (r *Replica) allCaughtUp() bool {
 	for _, member := range r.followers() {
 		if p := r.progress[member]; p == nil || !p.confirmed || p.match != r.lastIndex() {
@@ -65,8 +65,9 @@
 	return true
 }
 
-// Wake makes an idle shard busy. A follower asks its leader to do so; if the leader is
-// lost, the members elect another one as fast as in a busy shard.
+// Wake makes an idle shard busy. A replica that does not lead marks the shard as busy
+// itself, so that it detects a lost leader within the normal election time, and asks its
+// leader, if it knows one, to wake the others. Wake has no effect on a busy shard.
 func (r *Replica) Wake(now time.Time) {
 	if !r.Idle() {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// handleWake handles a member's request to make the shard busy.
+// handleWake handles a member's request that the leader make the shard busy.
 func (r *Replica) handleWake(now time.Time, message *wirev1.ReplicaMessage) {
 	if r.role == Leader && message.Epoch == r.hard.Promised {
 		r.SetIdle(now, false)
--- a/internal/batch/replica/idle_test.go
+++ b/internal/batch/replica/idle_test.go
@@ -75,7 +75,8 @@
 	})
 }
 
-// Checks that an idle shard sends a fraction of the messages and keeps its leader.
+// Checks that an idle shard sends at most 3/idleFactor of a busy shard's messages and keeps
+// its leader.
 func TestIdleShardSendsFewerMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, leader := newIdleCluster(t)
@@ -101,8 +102,9 @@
 	})
 }
 
-// Checks that a follower can wake an idle shard without a change of its leader, and that
-// the members elect another leader as fast as in a busy shard if the leader is lost.
+// Checks that a follower can wake an idle shard without a change of its leader. If the
+// leader is lost, the woken members elect another one without the longer times of an idle
+// shard.
 func TestWakeFindsLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, leader := newIdleCluster(t)
--- a/internal/batch/replica/lead.go
+++ b/internal/batch/replica/lead.go
@@ -11,21 +11,23 @@
 type progress struct {
 	match uint64 // last index known to be on the member's disk
 	next  uint64 // next index to send
-	// resendFrom is the presumed next index of the member's log. If the member does not
-	// respond and match is lower, the leader sends entries from this index again.
+	// resendFrom is the index after the end of the member's log, as assumed when this leader
+	// was elected or as reported by the member's last rejection. If the member becomes
+	// unresponsive, the leader sends entries again from resendFrom or from match+1,
+	// whichever is higher.
 	resendFrom   uint64
-	lastResponse time.Time
-	diskSeenAt   time.Time
-	sentAt       time.Time
-	confirmed    bool // a matching log was confirmed in this epoch
-	probe        uint64
+	lastResponse time.Time // initially the time at which the leader began to replicate to it
+	diskSeenAt   time.Time // time of the last call of RecordSeen
+	sentAt       time.Time // time of the last message with entries or heartbeat
+	confirmed    bool      // a matching log was confirmed in this epoch, and no rejection followed
+	probe        uint64    // highest probe that the member has responded to
 	inFlight     []inFlightEntries
 }
 
 // inFlightEntries are the entries of one message that the member has not acknowledged.
 type inFlightEntries struct {
-	last  uint64
-	bytes int
+	last  uint64 // index of the last entry
+	bytes int    // size of the commands
 }
 
 func (p *progress) inFlightBytes() int {
@@ -43,8 +45,9 @@
 	}
 }
 
-// BeginProbe sends a probe to all followers and returns its number. Once ConfirmedProbe
-// reaches the number, it is certain that no other replica led when the probe began.
+// BeginProbe returns the number of a new probe. A leader sends the probe to all followers.
+// Once ConfirmedProbe reaches the number, it is certain that no other replica had been
+// elected in a later epoch when the probe began.
 func (r *Replica) BeginProbe(now time.Time) uint64 {
 	r.probe++
 	if r.role == Leader {
@@ -55,8 +58,9 @@
 	return r.probe
 }
 
-// ConfirmedProbe returns the number of the last probe that a write quorum has answered.
-// Every election quorum shares a member with that write quorum.
+// ConfirmedProbe returns the number of the last probe that a write quorum, this leader
+// included, has responded to. Every election quorum shares a member with that write quorum.
+// It returns 0 if there is no such probe or this replica does not lead.
 func (r *Replica) ConfirmedProbe() uint64 {
 	if r.role != Leader {
 		return 0
@@ -76,7 +80,8 @@
 }
 
 // LiveMembers returns how many members, this leader included, have responded within the
-// election time. It returns 0 if this replica does not lead.
+// election time. After an election, all members count as live for that time. It returns 0
+// if this replica does not lead.
 func (r *Replica) LiveMembers(now time.Time) int {
 	if r.role != Leader {
 		return 0
@@ -90,9 +95,10 @@
 	return live
 }
 
-// LiveMatch returns the highest index up to which all live members and learners have the
-// log on disk. A member is live if it has confirmed a matching log in this epoch and has
-// responded within the election time. A follower returns its own last index.
+// LiveMatch returns the highest index up to which all other live members and learners have
+// the leader's log on disk. A member or learner is live here if it has confirmed a matching
+// log in this epoch and has responded within the election time. If there are none, or this
+// replica does not lead, LiveMatch returns this replica's own last index.
 func (r *Replica) LiveMatch(now time.Time) uint64 {
 	match := r.lastIndex()
 	for _, p := range r.progress {
@@ -103,6 +109,9 @@
 	return match
 }
 
+// heartbeat sends a heartbeat, with entries if possible, to the followers. It does so at most
+// once per heartbeat time. It skips a follower that was sent a message within this time and
+// has acknowledged all entries sent to it.
 func (r *Replica) heartbeat(now time.Time) {
 	if now.Before(r.heartbeatAt) {
 		return
@@ -110,13 +119,13 @@
 	r.heartbeatAt = now.Add(r.heartbeatTime())
 	for _, member := range r.followers() {
 		p := r.progress[member]
-		// The entries in flight may be lost: send them again.
+		// The entries in flight may be lost. They are sent again once the member responds.
 		if p.next > max(p.match+1, p.resendFrom) && r.unresponsive(p, now) {
 			p.next = max(p.match+1, p.resendFrom)
 			p.inFlight = nil
 		}
-		busy := p.confirmed && now.Sub(p.sentAt) < r.heartbeatTime()
-		if !busy || p.next > p.match+1 {
+		recentlySent := p.confirmed && now.Sub(p.sentAt) < r.heartbeatTime()
+		if !recentlySent || p.next > p.match+1 {
 			r.sendAppend(member, p, now, true)
 		}
 	}
@@ -131,19 +140,20 @@
 	minTransferBytesPerSecond = 2 << 20
 )
 
-// unresponsive reports whether a member has not responded for some heartbeat times. The
-// leader sends such a member no entries: they would fill the send queue of a machine
-// that is down or paused.
+// unresponsive reports whether a member has not responded for unresponsiveHeartbeats and the
+// transfer time of the entries in flight. The leader sends such a member heartbeats without
+// entries: entries for a machine that is down or paused would fill the leader's send queue.
 func (r *Replica) unresponsive(p *progress, now time.Time) bool {
 	transfer := time.Duration(p.inFlightBytes()) * time.Second / minTransferBytesPerSecond
 	return now.Sub(p.lastResponse) > unresponsiveHeartbeats*r.heartbeatTime()+transfer
 }
 
+// becomeLeader makes the replica the leader of its promised epoch.
 func (r *Replica) becomeLeader(now time.Time) {
 	r.role = Leader
 	r.idleChanges = 0
 	r.leader = r.self
-	r.failedCampaigns = 0
+	r.campaignsWithoutLeader = 0
 	r.quickCampaigns = 0
 	r.progress = map[string]*progress{}
 	for _, member := range r.followers() {
@@ -172,8 +182,9 @@
 	return list
 }
 
-// Propose appends commands to the log and returns the index of the first one. It returns
-// false if this replica does not lead or is frozen.
+// Propose appends commands to the log and returns the index of the first one. An idle shard
+// becomes busy. It returns false if this replica does not lead or is frozen, or if there are
+// no commands.
 func (r *Replica) Propose(now time.Time, commands [][]byte) (uint64, bool) {
 	if r.role != Leader || r.hard.Frozen || len(commands) == 0 {
 		return 0, false
@@ -199,7 +210,10 @@
 	return first
 }
 
-// sendAppend sends a member the entries that it lacks, or an empty message as heartbeat.
+// sendAppend sends a member the entries that it lacks, within the limits for entries in
+// flight. If there are none to send, it sends an empty message if heartbeat is set, and
+// nothing otherwise. If the log no longer has the next entry, it offers a snapshot if
+// heartbeat is set.
 func (r *Replica) sendAppend(member string, p *progress, now time.Time, heartbeat bool) {
 	if p.next <= r.baseIndex {
 		if heartbeat {
@@ -208,8 +222,8 @@
 		return
 	}
 	for {
-		// Until a member has confirmed a matching log in this epoch, it is sent one message
-		// at a time.
+		// A member that has not confirmed a matching log in this epoch gets entries only with
+		// a heartbeat, in one message.
 		blocked := !p.confirmed && !heartbeat || r.unresponsive(p, now) || p.next-p.match > maxInFlight || p.inFlightBytes() > maxInFlightBytes
 		var entries []*wirev1.LogEntry
 		if !blocked && p.next <= r.lastIndex() {
@@ -219,8 +233,8 @@
 			return
 		}
 		previous := p.next - 1
-		previousEpoch, known := r.epochAt(previous)
-		if !known {
+		previousEpoch, inLog := r.epochAt(previous)
+		if !inLog {
 			return
 		}
 		r.sendEarly(&wirev1.ReplicaMessage{
@@ -247,8 +261,9 @@
 	})
 }
 
-// entriesFrom returns entries from an index on, either from memory if they are not
-// persisted yet, or from disk.
+// entriesFrom returns entries from an index on for one message. It takes them from memory if
+// the driver has not fetched them yet, otherwise from disk. It returns nil if they cannot be
+// read.
 func (r *Replica) entriesFrom(from uint64) []*wirev1.LogEntry {
 	if len(r.pending) > 0 && from >= r.pending[0].Index {
 		return limitToMessage(r.pending[from-r.pending[0].Index:])
@@ -259,8 +274,8 @@
 	}
 	entries, err := r.store.Entries(from, to, maxAppendBytes)
 	if err != nil {
-		// Send nothing now. The driver stops the replica when it applies the same entries
-		// and cannot read them.
+		// Send nothing now. If the driver still has to apply these entries, its own read
+		// fails and it stops the replica.
 		return nil
 	}
 	return entries
@@ -286,7 +301,8 @@
 	return entries
 }
 
-// Persisted records that all entries up to an index are on this replica's disk.
+// Persisted records that all entries up to an index are on this replica's disk. The driver
+// calls it after the fsync. A leader may commit entries as a result.
 func (r *Replica) Persisted(index uint64) {
 	r.persisted = max(r.persisted, index)
 	r.advanceCommit()
@@ -310,14 +326,16 @@
 	}
 	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
 	candidate := matches[quorum-1]
-	epoch, known := r.epochAt(candidate)
-	if known && candidate > r.hard.Commit && epoch == r.hard.Promised {
+	epoch, inLog := r.epochAt(candidate)
+	if inLog && candidate > r.hard.Commit && epoch == r.hard.Promised {
 		r.hard.Commit = candidate
 	}
 }
 
-// TransferLeadership asks a live, caught-up and preferred member to become leader, as
-// before a planned stop. It reports whether there is such a member.
+// TransferLeadership asks another member to become leader, for instance before a planned
+// stop. The member must be accepted by preferred, have the whole log, and have responded
+// within the election time. It reports whether a member was asked; it reports false if this
+// replica does not lead.
 func (r *Replica) TransferLeadership(now time.Time, preferred func(string) bool) bool {
 	if r.role != Leader {
 		return false
@@ -338,16 +356,17 @@
 	return true
 }
 
-// RecordSeen records that a member's disk is present in the cluster, even if its replica
-// does not respond.
+// RecordSeen records that the disk of a member or learner is present in the cluster, even if
+// its replica does not respond. It has no effect if this replica does not lead.
 func (r *Replica) RecordSeen(member string, now time.Time) {
 	if p := r.progress[member]; p != nil {
 		p.diskSeenAt = now
 	}
 }
 
-// UnseenFor returns the time since the leader last received a response from a member or saw
-// its disk in the cluster.
+// UnseenFor returns the time since the leader last received a response from a member or
+// learner, or recorded its disk as seen, whichever was later. It returns 0 if this replica
+// does not lead or does not replicate to the disk.
 func (r *Replica) UnseenFor(member string, now time.Time) time.Duration {
 	p := r.progress[member]
 	if p == nil {
--- a/internal/batch/replica/replica.go
+++ b/internal/batch/replica/replica.go
@@ -1,12 +1,15 @@
-// Package replica implements one replica of a replicated log: leader election,
+// Package replica implements one replica of a shard's replicated log: leader election,
 // replication and commit as in Raft (Ongaro, Ousterhout 2014), with the flexible
 // quorums of Howard, Malkhi and Spiegelman 2016.
 //
 // An entry is committed once WriteQuorum members have it on disk. A leader is elected
 // by ElectionQuorum members. Every write quorum shares a member with every election
-// quorum. With five members both quorums are three. With three members the write quorum
-// is three and the election quorum is one, so that every acknowledged entry is on three
-// disks and any single surviving member can lead.
+// quorum. With DefaultCopies and five members, both quorums are three. With DefaultCopies
+// and three members, the write quorum is three and the election quorum is one, so that
+// every acknowledged entry is on three disks and any single surviving member can lead.
+//
+// An epoch is the number of one leader's term. A generation is the number of a member set.
+// The member set of a shard is replaced by a hand-over, which is described in handover.go.
 //
 // The package does no I/O and reads no clock. Its driver is package shardhost. The
 // driver must persist the data in Ready before it sends Ready.Messages; durability
@@ -47,16 +50,17 @@
 type MemberSet struct {
 	Generation uint64   `json:"generation"`
 	Members    []string `json:"members"`
-	// Attempt counts the cancelled hand-overs of this generation. Raising the attempt in
-	// the platform's store fences the sealer, which is the leader that drives the
-	// hand-over of the previous attempt.
+	// Attempt counts the cancelled hand-overs of this generation. Raising it in the
+	// platform's store fences the sealer, the leader that drives a hand-over: the sealer's
+	// compare-and-swap of the stored member set then fails.
 	Attempt uint64 `json:"attempt,omitempty"`
 	// Copies is the number of fsynced copies before an acknowledgement; 0 means
-	// DefaultCopies. It never changes during the life of a shard.
+	// DefaultCopies. A smaller member set limits the number. Copies never changes during
+	// the life of a shard.
 	Copies int `json:"copies,omitempty"`
 }
 
-// WriteQuorum returns the number of disks that must hold an entry to commit it.
+// WriteQuorum returns the number of members that must have an entry on disk to commit it.
 func (m MemberSet) WriteQuorum() int {
 	copies := m.Copies
 	if copies == 0 {
@@ -73,8 +77,8 @@
 func (m MemberSet) Has(member string) bool { return m.index(member) >= 0 }
 
 func (m MemberSet) index(member string) int {
-	for i, known := range m.Members {
-		if known == member {
+	for i, other := range m.Members {
+		if other == member {
 			return i
 		}
 	}
@@ -83,9 +87,11 @@
 
 // HardState is the state of a replica that must be durable.
 type HardState struct {
-	// Promised is the highest epoch that the replica has followed or voted for.
+	// Promised is the highest epoch that the replica has adopted. It rejects entries of
+	// lower epochs, and grants a vote only in a higher epoch.
 	Promised uint64
-	// Commit is a lower bound of the commit index.
+	// Commit is the highest index known to be committed. The value on disk may be lower
+	// than the value in memory, because an advance of Commit alone is not persisted.
 	Commit uint64
 	// Frozen is set while Generation is being handed over to a new member set. A frozen
 	// member does not vote, and accepts entries only in its promised epoch.
@@ -103,12 +109,14 @@
 	Entries(lo, hi uint64, maxBytes int) ([]*wirev1.LogEntry, error)
 }
 
-// ElectionTiming holds the heartbeat and election times of a replica.
+// ElectionTiming holds the heartbeat and election times of a replica. Both are multiplied by
+// idleFactor while the shard is idle.
 type ElectionTiming struct {
-	// Heartbeat is the time between a leader's messages when idle.
+	// Heartbeat is the time between a leader's messages to a member if there are no
+	// entries to send.
 	Heartbeat time.Duration
 	// Election is the shortest time without contact to a leader before a campaign. The
-	// longest is twice as long.
+	// time is chosen at random up to twice this value.
 	Election time.Duration
 }
 
@@ -142,7 +150,8 @@
 
 // Ready is the work that a replica requests from its driver, in this order: send Early;
 // persist HardState, delete entries from TruncateFrom on and append Entries, all with an
-// fsync; call Persisted; send Messages; apply entries up to Commit.
+// fsync; call Persisted; send Messages; apply entries up to Commit. A nil HardState is not to
+// be persisted, and TruncateFrom is 0 if there are no entries to delete.
 type Ready struct {
 	HardState    *HardState
 	TruncateFrom uint64
@@ -157,7 +166,7 @@
 	return r.HardState == nil && r.TruncateFrom == 0 && len(r.Entries) == 0 && len(r.Early) == 0 && len(r.Messages) == 0
 }
 
-// Replica is one member or learner of a shard.
+// Replica is one member or learner of a shard. It is not safe for concurrent use.
 //
 // Invariants: the promised epoch never decreases; entries up to the commit index never
 // change; an entry counts towards commit only after its fsync was reported.
@@ -183,23 +192,23 @@
 	messages     []*wirev1.ReplicaMessage
 	early        []*wirev1.ReplicaMessage
 
-	role              ElectionRole
-	leader            string
-	deadline          time.Time // time of the next campaign, postponed by each contact to a leader
-	heartbeatAt       time.Time
-	lastLeaderContact time.Time
-	votes             map[string]bool
-	failedCampaigns   int // campaigns since the last contact to a leader
-	quickCampaigns    int // remaining campaigns with a short delay, see sealerCampaigns
-	progress          map[string]*progress
-	learners          []string
+	role                   ElectionRole
+	leader                 string
+	deadline               time.Time // time of the next campaign, see resetDeadline
+	heartbeatAt            time.Time
+	lastLeaderContact      time.Time
+	votes                  map[string]bool // members that granted a pre-vote or a vote in this campaign
+	campaignsWithoutLeader int             // campaigns since the last contact to a leader or own election
+	quickCampaigns         int             // remaining campaigns with a short delay, see sealerCampaigns
+	progress               map[string]*progress
+	learners               []string
 	// idleChanges counts the leader's changes between idle and busy in this epoch. It is
 	// odd while the shard is idle, see SetIdle. The counter orders reports, because an
 	// older message may arrive after a newer one.
 	idleChanges uint64
 	epochStart  uint64          // index of the leader's first entry
 	probe       uint64          // number of the last probe, see BeginProbe
-	frozenBy    map[string]bool // members that confirmed the freeze; nil unless this replica is the sealer
+	frozenBy    map[string]bool // members that confirmed the freeze; set at the sealer, nil at others
 }
 
 // Restore returns a replica with the state that was loaded from its disk: the hard state,
@@ -214,8 +223,8 @@
 	r.hard.Generation = memberSet.Generation
 	r.hard.Commit = max(hard.Commit, baseIndex)
 	r.persisted = r.lastIndex()
-	// A replica that has just started knows no leader and campaigns soon. If there is a
-	// leader, the others reject the pre-vote and nothing changes.
+	// A replica that has just started knows no leader and campaigns soon. Members in contact
+	// with a leader reject the pre-vote.
 	r.deadline = now.Add(time.Duration(random.Int64N(int64(2 * initialElectionDelay))))
 	return r
 }
@@ -238,7 +247,7 @@
 // LastIndex returns the index of the last entry of the log.
 func (r *Replica) LastIndex() uint64 { return r.lastIndex() }
 
-// Base returns the index and epoch of the entry that the log starts after.
+// Base returns the index and epoch of the base entry. The log starts after the base.
 func (r *Replica) Base() (uint64, uint64) { return r.baseIndex, r.baseEpoch }
 
 // Serving reports whether the replica leads, has committed an entry of its own epoch, and
@@ -250,7 +259,8 @@
 
 func (r *Replica) lastIndex() uint64 { return r.baseIndex + uint64(len(r.epochs)) }
 
-// epochAt returns the epoch of an entry, and false if the entry is not in the log.
+// epochAt returns the epoch of the base or of an entry after the base, and false if the log
+// does not contain the entry.
 func (r *Replica) epochAt(index uint64) (uint64, bool) {
 	if index == r.baseIndex {
 		return r.baseEpoch, true
@@ -266,7 +276,8 @@
 	return epoch
 }
 
-// Tick sends heartbeats or starts a campaign when the time for it has come.
+// Tick sends heartbeats if this replica leads, or starts a campaign if the deadline has
+// passed. A frozen replica, and a replica outside the member set, does not campaign.
 func (r *Replica) Tick(now time.Time) {
 	if !r.memberSet.Has(r.self) || r.hard.Frozen {
 		if r.role == Leader {
@@ -319,11 +330,12 @@
 	return ready
 }
 
-// Truncate removes the entries up to an index from the log in memory. The driver deletes
-// them from disk.
+// Truncate removes the entries up to and including an index from the log in memory, and
+// makes the index the base. The driver deletes the entries from disk. It returns an error,
+// and changes nothing, if the entry is not committed or not in the log.
 func (r *Replica) Truncate(index uint64) error {
-	epoch, known := r.epochAt(index)
-	if !known || index > r.hard.Commit {
+	epoch, inLog := r.epochAt(index)
+	if !inLog || index > r.hard.Commit {
 		return trace.BadParameter("cannot truncate at %d: log is %d to %d, commit %d", index, r.baseIndex, r.lastIndex(), r.hard.Commit)
 	}
 	r.epochs = append([]uint64(nil), r.epochs[index-r.baseIndex:]...)
@@ -331,8 +343,8 @@
 	return nil
 }
 
-// InstallSnapshot replaces the log by a snapshot whose last entry has the given index and
-// epoch.
+// InstallSnapshot replaces the log by a snapshot of the state after the entry with the given
+// index and epoch. This entry becomes the base, and the log is then empty.
 func (r *Replica) InstallSnapshot(index, epoch uint64) {
 	r.baseIndex, r.baseEpoch = index, epoch
 	r.epochs, r.pending = nil, nil
@@ -345,7 +357,8 @@
 // HardState returns the current hard state.
 func (r *Replica) HardState() HardState { return r.hard }
 
-// EpochAt returns the epoch of an entry, or 0 if the entry is not in the log.
+// EpochAt returns the epoch of the base or of an entry after the base, or 0 if the log does
+// not contain the entry.
 func (r *Replica) EpochAt(index uint64) uint64 {
 	epoch, _ := r.epochAt(index)
 	return epoch
--- a/internal/batch/replica/replica_test.go
+++ b/internal/batch/replica/replica_test.go
@@ -69,6 +69,7 @@
 	network   []*wirev1.ReplicaMessage
 	// committed holds every command that a replica has reported as committed, by index.
 	committed map[uint64][]byte
+	// acked holds the commands that were committed while no disk was lost, by index.
 	acked     map[uint64][]byte
 	proposals int
 	// sentBytes counts the bytes of entries sent to each replica.
@@ -131,8 +132,8 @@
 	c.checkCommitted(id, r.Commit())
 }
 
-// checkCommitted checks that a committed entry never changes, and that enough disks hold
-// each newly committed entry.
+// checkCommitted checks that a committed entry never changes, and that a write quorum of
+// disks has each newly committed entry. Lost disks count towards the quorum.
 func (c *cluster) checkCommitted(id string, commit uint64) {
 	d := c.disks[id]
 	for index := uint64(1); index <= min(commit, uint64(len(d.entries))); index++ {
@@ -328,8 +329,8 @@
 	})
 }
 
-// Checks that a member that does not respond is sent no entries, which would fill the
-// leader's memory, and that it receives all of them after it has returned.
+// Checks that an unresponsive member is sent no entries, which would fill the leader's
+// memory, and that it receives all of them after its restart.
 func TestUnresponsiveMemberIsSentNoEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 5)
@@ -384,7 +385,7 @@
 	})
 }
 
-// leaderWithAllAcked returns a leader that holds all acknowledged entries, or "" if there
+// leaderWithAllAcked returns a leader that has all acknowledged entries, or "" if there
 // is none.
 func (c *cluster) leaderWithAllAcked() string {
 	for id, r := range c.replicas {
@@ -433,8 +434,8 @@
 	})
 }
 
-// Checks that no epoch has two leaders, even when partitioned members can elect themselves
-// because the election quorum is one.
+// Checks that no epoch has two leaders and no acknowledged entry is lost, even when
+// partitioned members can elect themselves because the election quorum is one.
 func TestNoTwoLeadersInOneEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 5).Draw(t, "members"))
--- a/internal/batch/replica/step.go
+++ b/internal/batch/replica/step.go
@@ -13,8 +13,8 @@
 // whenever the entry is read.
 func Checksum(command []byte) uint32 { return crc32.Checksum(command, castagnoli) }
 
-// Step handles one message. It drops messages of other generations, because a member set
-// changes only by a sealed hand-over.
+// Step handles one message of another replica. It drops messages of other generations and
+// messages to other disks. Snapshot offers are handled by the driver, not by Step.
 func (r *Replica) Step(now time.Time, message *wirev1.ReplicaMessage) {
 	if message.Generation != r.memberSet.Generation || message.To != r.self {
 		return
@@ -43,8 +43,8 @@
 	}
 }
 
-// upToDate reports whether a candidate's log contains every entry that this replica may
-// have acknowledged.
+// upToDate reports whether the last entry of a candidate's log has a higher epoch than this
+// replica's last entry, or the same epoch and an index that is not lower.
 func (r *Replica) upToDate(message *wirev1.ReplicaMessage) bool {
 	if message.LastEpoch != r.lastEpoch() {
 		return message.LastEpoch > r.lastEpoch()
@@ -55,7 +55,7 @@
 func (r *Replica) handlePrePrepare(now time.Time, message *wirev1.ReplicaMessage) {
 	leaderAlive := r.role == Leader || now.Sub(r.lastLeaderContact) < r.electionTime()
 	if r.Idle() && r.role != Leader {
-		r.Wake(now) // the shard is needed, and a busy shard detects a lost leader sooner
+		r.Wake(now) // another member has lost its leader; a busy shard elects a leader sooner
 	}
 	granted := !leaderAlive && !r.hard.Frozen && r.upToDate(message)
 	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_PRE_PROMISE, To: message.From, Epoch: r.hard.Promised, Granted: granted})
@@ -65,7 +65,7 @@
 	if r.role != PreCandidate || !message.Granted {
 		return
 	}
-	// The campaign needs an epoch above the ones that others have promised.
+	// The election must use an epoch higher than the promised epochs of the other members.
 	r.raisePromised(message.Epoch)
 	r.votes[message.From] = true
 	if r.hasEnoughPreVotes() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// follow makes the replica a follower in an epoch at or above the promised epoch. The
-// leader is "" if it is not known.
+// follow makes the replica a follower in an epoch that is not lower than the promised epoch.
+// The leader is "" if it is not known.
 func (r *Replica) follow(now time.Time, epoch uint64, leader string) {
 	r.raisePromised(epoch)
 	r.role = Follower
@@ -118,12 +118,12 @@
 	r.followIdle(message.Rest)
 	r.follow(now, message.Epoch, message.From)
 	r.lastLeaderContact = now
-	r.failedCampaigns = 0
-	previousEpoch, known := r.epochAt(message.LastIndex)
+	r.campaignsWithoutLeader = 0
+	previousEpoch, inLog := r.epochAt(message.LastIndex)
 	if message.LastIndex < r.baseIndex {
-		known, previousEpoch = true, message.LastEpoch // entries below the base are committed, so they match
+		inLog, previousEpoch = true, message.LastEpoch // entries below the base are committed, so they match
 	}
-	if !known || previousEpoch != message.LastEpoch {
+	if !inLog || previousEpoch != message.LastEpoch {
 		r.reject(message, r.matchIndexHint(message.LastIndex))
 		return
 	}
@@ -137,12 +137,13 @@
 	})
 }
 
-// matchIndexHint returns an index before the mismatch at which the leader's log may match.
-// It goes back to the first entry of an epoch, so that few rejections are needed.
+// matchIndexHint returns the last index at which this replica's log may match the leader's,
+// after a mismatch at the given index. It goes back to the first entry of an epoch, so that
+// few rejections are needed, but not below the commit index.
 func (r *Replica) matchIndexHint(mismatch uint64) uint64 {
 	candidate := min(r.lastIndex(), mismatch-min(mismatch, 1))
-	epoch, known := r.epochAt(candidate)
-	for known && candidate > r.hard.Commit && candidate > r.baseIndex {
+	epoch, inLog := r.epochAt(candidate)
+	for inLog && candidate > r.hard.Commit && candidate > r.baseIndex {
 		previous, ok := r.epochAt(candidate - 1)
 		if !ok || previous != epoch {
 			break
@@ -152,14 +153,17 @@
 	return max(candidate, r.hard.Commit)
 }
 
+// reject responds to an append or a snapshot offer that was not accepted. The leader
+// continues after the index in hint, unless this replica has acknowledged a higher one.
 func (r *Replica) reject(message *wirev1.ReplicaMessage, hint uint64) {
 	r.send(&wirev1.ReplicaMessage{
 		Kind: wirev1.ReplicaKind_REPLICA_KIND_ACCEPTED, To: message.From, Epoch: r.hard.Promised, MatchIndex: hint, Probe: message.Probe,
 	})
 }
 
-// DeclineSnapshot rejects the offer of a snapshot that this replica does not need. The
-// reply contains the last index of the log, so that the leader continues from there.
+// DeclineSnapshot rejects a snapshot offer that the driver does not need. The response
+// contains the last index of the log, and the leader continues after it. The offer of an
+// earlier epoch or of another generation is ignored, and so is any offer to a frozen member.
 func (r *Replica) DeclineSnapshot(now time.Time, offer *wirev1.ReplicaMessage) {
 	if offer.Generation != r.memberSet.Generation || offer.To != r.self || offer.Epoch < r.hard.Promised || r.hard.Frozen {
 		return
@@ -169,8 +173,9 @@
 	r.reject(offer, r.lastIndex())
 }
 
-// appendReceived appends entries that are missing in the log and truncates conflicting
-// ones. It reports false, and changes nothing, if an entry is damaged.
+// appendReceived appends the entries that the log does not contain, and first removes
+// entries that conflict with them. It reports false, and changes nothing, if the checksum
+// of any received entry is wrong.
 func (r *Replica) appendReceived(entries []*wirev1.LogEntry) bool {
 	for _, entry := range entries {
 		if entry.Checksum != Checksum(entry.Command) {
@@ -181,11 +186,11 @@
 		if entry.Index <= r.baseIndex {
 			continue
 		}
-		epoch, known := r.epochAt(entry.Index)
-		if known && epoch == entry.Epoch {
+		epoch, inLog := r.epochAt(entry.Index)
+		if inLog && epoch == entry.Epoch {
 			continue
 		}
-		if known {
+		if inLog {
 			r.truncateTail(entry.Index)
 		}
 		r.epochs = append(r.epochs, entry.Epoch)
