--- a/internal/batch/shardhost/handover.go
+++ b/internal/batch/shardhost/handover.go
@@ -8,24 +8,26 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// handOver is the state of a change of the member set that this leader drives. Package
-// replica describes the steps and why they are safe.
+// handOver is the state of a hand-over to a new member set at one replica, which drives the
+// hand-over as leader or takes part in it as a frozen member. Package replica describes the
+// steps.
 type handOver struct {
-	next      replica.MemberSet
+	next      replica.MemberSet // generation 0 if this replica drives no hand-over
 	startedAt time.Time
-	frozenAt  time.Time
-	swapping  bool
-	fencing   bool
-	lastCheck time.Time
+	frozenAt  time.Time // start of FreezeTimeout; zero unless the replica is frozen
+	swapping  bool      // Swap is running
+	fencing   bool      // Fence is running
+	lastCheck time.Time // last call of NextMembers
 }
 
-// HandingOver reports whether a change of the member set is in progress.
+// HandingOver reports whether this replica drives a hand-over or is frozen by one.
 func (s *Shard[Command, Result]) HandingOver() bool {
 	return s.handOver.next.Generation != 0 || s.Replica.Frozen()
 }
 
-// tickHandOver plans a change of members if one is needed, advances a change in progress,
-// and cancels a hand-over that keeps the shard frozen for too long.
+// tickHandOver starts a hand-over if the leader's shard should have other members, or
+// advances the one in progress. It cancels a hand-over that keeps this replica frozen for
+// too long, except while Swap is running.
 func (s *Shard[Command, Result]) tickHandOver(now time.Time) {
 	h := &s.handOver
 	times := s.host.options.HandOver
@@ -74,8 +76,8 @@
 	}
 }
 
-// freezeWhenReady freezes the shard once the next members are ready, and ends the hand-over
-// if they do not catch up in time.
+// freezeWhenReady freezes the shard once the application allows it, and ends the hand-over
+// if the shard is not frozen within CatchUpTimeout.
 func (s *Shard[Command, Result]) freezeWhenReady(now time.Time, h *handOver) {
 	if now.Sub(h.startedAt) > s.host.options.HandOver.CatchUpTimeout {
 		s.Replica.SetLearners(now, nil)
@@ -94,7 +96,8 @@
 	h.swapping = false
 }
 
-// swap replaces the member set in the platform's store in a background task.
+// swap replaces the stored member set in a background task, and activates the new set if the
+// change is known to be stored.
 func (s *Shard[Command, Result]) swap(h *handOver) {
 	before, after := s.Replica.MemberSet(), h.next
 	h.swapping = s.host.tasks.Go(func() {
@@ -111,8 +114,9 @@
 	})
 }
 
-// tickFrozen cancels a hand-over that does not finish within FreezeTimeout. It raises the
-// attempt in the platform's store, which fences the sealer; then the members thaw.
+// tickFrozen cancels a hand-over that has kept this replica frozen for FreezeTimeout. It
+// raises the stored attempt in a background task, which fences the sealer. A member thaws
+// when it observes the raised attempt.
 func (s *Shard[Command, Result]) tickFrozen(now time.Time, h *handOver) {
 	if h.frozenAt.IsZero() {
 		h.frozenAt = now
@@ -138,12 +142,12 @@
 	})
 }
 
-// removedRetention is how long a replica keeps its data after it was removed from the
-// member set.
+// removedRetention is how long a replica keeps its data after it has observed a member set
+// without its disk.
 const removedRetention = 60 * time.Second
 
-// tickRemoved drops a replica whose disk is no longer in the member set. It keeps a
-// learner, whose member set is still empty.
+// tickRemoved drops a replica whose disk has been outside the member set for
+// removedRetention. It keeps a learner, whose member set is still empty.
 func (s *Shard[Command, Result]) tickRemoved(now time.Time) {
 	current := s.Replica.MemberSet()
 	if len(current.Members) == 0 || current.Has(s.Disk) {
@@ -159,16 +163,17 @@
 	}
 }
 
-// transferAttempts and transferInterval are the number of requests by which a leader asks
-// another member to lead before a planned stop, and the time between them.
+// transferAttempts and transferInterval are the number of times that HandOnLeadership tries
+// to find and ask a new leader, and the time between two tries.
 const (
 	transferAttempts = 20
 	transferInterval = 100 * time.Millisecond
 )
 
-// HandOnLeadership asks a preferred member to become leader, as before a planned stop. It
-// returns once this replica does not lead, or after transferAttempts requests. Any
-// goroutine but the shard's own may call it.
+// HandOnLeadership asks another member that preferred accepts to become leader, for instance
+// before a planned stop. It returns once this replica does not lead, after transferAttempts
+// tries, or when the context or the shard has ended. Any goroutine but the shard's own may
+// call it.
 func (s *Shard[Command, Result]) HandOnLeadership(ctx context.Context, preferred func(disk string) bool) {
 	for range transferAttempts {
 		leading := false
--- a/internal/batch/shardhost/host.go
+++ b/internal/batch/shardhost/host.go
@@ -3,6 +3,9 @@
 // truncation of logs. It owns the goroutines of its shards. It uses package replica to
 // decide what to persist and send, and package logstore to store data on disk.
 //
+// A learner is a replica that receives entries but is not a member yet. The sealer is the
+// leader that drives a hand-over. Package replica describes both.
+//
 // The program supplies an Application, which applies the commands, chooses the members
 // and runs the tasks of a leader. Package queuestore supplies it for the queue shards of
 // a storage node, and modules/batch/store for the file and job shards of a plain node.
@@ -30,19 +33,22 @@
 
 // HandOverTiming holds the times of a hand-over to a new member set.
 type HandOverTiming struct {
-	// CheckInterval is the time between two checks for a wanted change of members.
+	// CheckInterval is the shortest time between two calls of MemberPolicy.NextMembers.
 	CheckInterval time.Duration
-	// CatchUpTimeout is the time within which new members have to catch up.
+	// CatchUpTimeout is the time from the start of a hand-over within which the shard has
+	// to freeze. The hand-over ends after this time if the new members are not ready.
 	CatchUpTimeout time.Duration
-	// FreezeTimeout is how long a member stays frozen before it fences the hand-over.
+	// FreezeTimeout is how long a member stays frozen before it cancels the hand-over with
+	// MemberPolicy.Fence.
 	FreezeTimeout time.Duration
-	// SwapTimeout limits the time of one change of the stored member set.
+	// SwapTimeout limits the time of one call of MemberPolicy.Swap or MemberPolicy.Fence.
 	SwapTimeout time.Duration
 }
 
 // HostOptions configures a Host.
 type HostOptions struct {
-	DB   *logstore.DB
+	DB *logstore.DB
+	// Pool holds the connections over which snapshots are fetched.
 	Pool *rpc.Pool
 	// Timing holds the election and heartbeat times.
 	Timing replica.ElectionTiming
@@ -52,22 +58,23 @@
 	Send func(message *wirev1.ReplicaMessage)
 	// SnapshotTimeout limits the time for fetching a snapshot.
 	SnapshotTimeout time.Duration
-	// TruncateInterval is the time between two checks whether a log can be truncated.
+	// TruncateInterval is the shortest time between two checks whether a log can be
+	// truncated.
 	TruncateInterval time.Duration
 	HandOver         HandOverTiming
-	// PlanWhileServing allows only a serving leader to plan a change of members. Without
-	// it, a leader that cannot commit may plan a change too. This is safe: the leader was
-	// elected by an election quorum, so its log has every acknowledged entry, and sealing
-	// needs no commit.
+	// PlanWhileServing allows only a serving leader to start a change of members. Without
+	// it, any leader may start one, also a leader that cannot commit: it was elected by an
+	// election quorum, so its log has every acknowledged entry, and sealing needs no commit.
 	PlanWhileServing bool
-	// DeclineSnapshots is set if a replica replies to the offer of a snapshot that it does
-	// not need. The reply contains the end of its log, and the leader continues from
-	// there. Without it, the replica ignores the offer.
+	// DeclineSnapshots makes a replica respond to the offer of a snapshot that it does not
+	// need. The response contains the last index of its log, and the leader continues after
+	// it. Without DeclineSnapshots, the replica ignores the offer.
 	DeclineSnapshots bool
-	// BatchLoopCalls runs several queued calls of RunInLoop before the next durable write.
-	// Without it, each iteration of the run loop runs at most one.
+	// BatchLoopCalls lets one iteration of a shard's run loop run several functions that
+	// were queued with RunInLoop or TryRunInLoop. Without it, each iteration runs at most
+	// one.
 	BatchLoopCalls bool
-	// LogKeys holds the key-value pairs that come first in each log line.
+	// LogKeys holds key-value pairs that are added to log lines.
 	LogKeys []any
 }
 
@@ -93,8 +100,8 @@
 	}
 }
 
-// Restore starts the shards that are on disk. It does not need the platform's store, so
-// replicas can elect a leader before the store is reachable.
+// Restore starts the shards that are on disk, and stops at the first error. It does not need
+// the platform's store, so replicas can elect a leader before the store is reachable.
 func (h *Host[Command, Result]) Restore() error {
 	ids, err := h.options.DB.Shards()
 	if err != nil {
@@ -113,7 +120,7 @@
 
 // Start restores a shard from disk and runs it. If the shard is not on disk, Start creates
 // it with the initial member set, or does nothing if initial is nil. It also does nothing
-// if the shard runs already.
+// if the shard runs already. It returns an error if the host is stopping.
 func (h *Host[Command, Result]) Start(id uint32, initial *replica.MemberSet) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -145,7 +152,7 @@
 	return nil
 }
 
-// create writes the first member set of a shard.
+// create writes the first member set of a shard to disk and to loaded.
 func create(store *logstore.ShardLog, loaded *logstore.RecoveredState, memberSet replica.MemberSet) error {
 	loaded.MemberSet = memberSet
 	loaded.HardState.Generation = memberSet.Generation
@@ -189,7 +196,8 @@
 	return list
 }
 
-// drop stops a replica that is no longer a member and deletes its data.
+// drop stops a replica that is no longer a member, waits for its run loop, and deletes its
+// data. It must not be called by the run loop.
 func (h *Host[Command, Result]) drop(s *Shard[Command, Result]) {
 	s.stop()
 	h.mutex.Lock()
@@ -201,7 +209,7 @@
 	s.application.Dropped(s.Store.Drop())
 }
 
-// Stop stops all shards and waits for their background tasks.
+// Stop stops all shards, and waits for their run loops and the host's background tasks.
 func (h *Host[Command, Result]) Stop() {
 	h.cancel()
 	for _, s := range h.Shards() {
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -14,7 +14,7 @@
 // proposal is a command whose result is pending.
 type proposal[Command proto.Message, Result any] struct {
 	command Command
-	epoch   uint64
+	epoch   uint64 // epoch of the entry, set when the replica accepts the command
 	result  chan proposalResult[Result]
 }
 
@@ -36,6 +36,8 @@
 	p.finish(zero, err)
 }
 
+// propose passes a batch to the replica. It fails all proposals of the batch if the replica
+// rejects them.
 func (s *Shard[Command, Result]) propose(batch ...*proposal[Command, Result]) {
 	if len(batch) == 0 {
 		return
@@ -44,7 +46,7 @@
 	for _, p := range batch {
 		encoded, err := proto.Marshal(p.command)
 		if err != nil {
-			// An empty command has no effect.
+			// An empty command, which has no effect, is proposed instead.
 			klog.ErrorS(err, "command cannot be encoded", "shard", s.ID)
 			encoded = nil
 		}
@@ -62,7 +64,8 @@
 	}
 }
 
-// Propose proposes commands without waiting for their results.
+// Propose proposes commands without waiting for their results. A rejection
+// is reported only to LogPolicy.Proposed.
 func (s *Shard[Command, Result]) Propose(commands ...Command) {
 	batch := make([]*proposal[Command, Result], 0, len(commands))
 	for _, command := range commands {
@@ -87,8 +90,8 @@
 	p.finish(applied, nil)
 }
 
-// failPending fails all pending proposals and reads when the shard stops, and runs the
-// queued calls.
+// failPending fails all pending and queued proposals and all reads when the shard stops, and
+// runs the queued calls.
 func (s *Shard[Command, Result]) failPending() {
 	s.application.DropLeadership("stopped")
 	for index, p := range s.pendingProposals {
@@ -110,9 +113,10 @@
 	}
 }
 
-// RunInLoop runs a function on the shard's goroutine and waits until it returns. An error
-// means that the function was not run, or that the shard stopped before it was known to
-// have run. Any goroutine but the shard's own may call it.
+// RunInLoop runs a function on the shard's goroutine and waits until it returns. The context
+// limits only the wait until the function is queued. If the error is StoreUnavailable, the
+// function does not run. If it is NotLeader, the shard has stopped, and the function may
+// have run or not. Any goroutine but the shard's own may call RunInLoop.
 func (s *Shard[Command, Result]) RunInLoop(ctx context.Context, call func()) error {
 	finished := make(chan struct{})
 	wrapped := func() {
@@ -135,7 +139,8 @@
 }
 
 // TryRunInLoop queues a function for the shard's goroutine without waiting for it. It
-// reports false if the queue is full. Any goroutine may call it.
+// reports false if the queue is full. A queued function may never run if the shard stops.
+// Any goroutine may call TryRunInLoop.
 func (s *Shard[Command, Result]) TryRunInLoop(call func()) bool {
 	select {
 	case s.loopCalls <- call:
@@ -153,9 +158,10 @@
 	return s.ProposeWithCallback(ctx, command, nil)
 }
 
-// ProposeWithCallback is like ProposeAndWait, and calls settled, unless it is nil, once the
-// result of the command is known or the shard has stopped. That may be after the context
-// has ended.
+// ProposeWithCallback is like ProposeAndWait, and calls the function settled, unless it is
+// nil, exactly once: when the command was not proposed, when its result is known, or when
+// the shard has stopped. If the context ends first, the call may follow later from another
+// goroutine.
 func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, settled func()) (Result, error) {
 	if settled == nil {
 		settled = func() {}
@@ -172,9 +178,9 @@
 		return zero, result.New(result.StoreUnavailable, "shard %d is busy", s.ID)
 	}
 	select {
-	case answer := <-p.result:
+	case outcome := <-p.result:
 		settled()
-		return answer.value, answer.err
+		return outcome.value, outcome.err
 	case <-s.done:
 		settled()
 		return zero, result.New(result.CommitUnknown, "shard %d stopped here", s.ID)
@@ -195,6 +201,6 @@
 		settled()
 	})
 	if !started {
-		settled() // the host and the shard have stopped
+		settled() // the host is stopping, and so is the shard
 	}
 }
--- a/internal/batch/shardhost/read.go
+++ b/internal/batch/shardhost/read.go
@@ -11,14 +11,16 @@
 // pendingRead is a read that waits until the replica's leadership is confirmed and the
 // state contains the entry at index.
 type pendingRead struct {
-	probe    uint64
-	index    uint64
+	probe    uint64 // number of the probe that confirms the leadership
+	index    uint64 // commit index at the time of the read
 	complete func(confirmed bool)
 }
 
-// Confirm waits until a quorum has confirmed that this replica was leader at the time of
-// the call, and until the replica has applied every entry that was committed before the
-// call. Any goroutine but the shard's own may call it.
+// Confirm waits until a write quorum has confirmed that this replica was leader at the time
+// of the call, and until the replica has applied every entry that was committed before the
+// call. It returns NotLeader if the replica does not serve, loses its leadership or stops,
+// and StoreUnavailable if the context ends first. Any goroutine but the shard's own may call
+// it.
 func (s *Shard[Command, Result]) Confirm(ctx context.Context) error {
 	released := make(chan bool, 1)
 	err := s.RunInLoop(ctx, func() {
@@ -45,6 +47,8 @@
 	}
 }
 
+// completeReads completes the reads whose leadership is confirmed and whose index is applied.
+// It fails all reads if the replica does not lead.
 func (s *Shard[Command, Result]) completeReads() {
 	if len(s.reads) == 0 {
 		return
--- a/internal/batch/shardhost/shard.go
+++ b/internal/batch/shardhost/shard.go
@@ -19,14 +19,15 @@
 // use the exported fields and methods, unless their comments say otherwise; it runs the
 // application's methods and the functions passed to RunInLoop.
 //
-// Invariant: a message is sent only after the state that it depends on is on disk, and a
-// proposer gets its result only after the command was applied.
+// Invariants: a message is sent only after the state that it depends on is on disk; a
+// proposer gets the result of a command only after the command was applied.
 type Shard[Command proto.Message, Result any] struct {
 	// ID is the shard's number, and Disk the identity of the replica's disk. Any goroutine
 	// may read them; they never change.
 	ID   uint32
 	Disk string
-	// Store is the shard's part of the database. Any goroutine may read its snapshots.
+	// Store is the shard's part of the database. Any goroutine may read a snapshot that
+	// the shard's goroutine has taken.
 	Store   *logstore.ShardLog
 	Replica *replica.Replica
 
@@ -40,22 +41,26 @@
 	done      chan struct{}
 	quitOnce  sync.Once
 
-	applied           uint64
+	applied           uint64                                // index of the last applied entry
 	pendingProposals  map[uint64]*proposal[Command, Result] // by the index of the entry
 	reads             []pendingRead
 	lastTruncateCheck time.Time
-	removedSince      time.Time // since when the disk is not in the member set; zero if it is
-	installing        bool
-	handOver          handOver
-	stopped           bool
+	// removedSince is when the disk was first found outside the member set, or when the
+	// data was last to be dropped. It is zero for a member or a learner.
+	removedSince time.Time
+	installing   bool // a snapshot is being fetched, and the replica handles no messages or ticks
+	handOver     handOver
+	stopped      bool // set by Fail, ends the run loop
 }
 
 const (
 	// queueLength is the capacity of each queue: messages, proposals and calls.
 	queueLength = 1024
-	// maxBatch is the largest number of queued items handled before a durable write.
+	// maxBatch is the largest number of further queued items, after the first, that are
+	// handled before a durable write.
 	maxBatch = 256
-	// applyBytes is the largest size of the commands that are applied in one batch.
+	// applyBytes is the largest size of the commands that are applied in one batch, unless
+	// a single command is larger.
 	applyBytes = 8 << 20
 )
 
@@ -74,6 +79,7 @@
 	return len(s.pendingProposals) == 0 && len(s.reads) == 0 && !s.HandingOver() && !s.installing
 }
 
+// stop ends the run loop and waits until it has ended.
 func (s *Shard[Command, Result]) stop() {
 	s.quitOnce.Do(func() { close(s.quit) })
 	<-s.done
@@ -111,7 +117,8 @@
 	}
 }
 
-// drainQueues handles further queued items, so that one fsync serves all of them.
+// drainQueues handles up to maxBatch further queued items, so that one fsync covers all of
+// them.
 func (s *Shard[Command, Result]) drainQueues() {
 	calls := s.loopCalls
 	if !s.host.options.BatchLoopCalls {
@@ -204,7 +211,7 @@
 	}
 }
 
-// apply applies committed entries in batches and passes the results to their proposers.
+// apply applies the committed entries in batches and passes the results to the proposers.
 func (s *Shard[Command, Result]) apply(commit uint64) error {
 	for s.applied < commit {
 		entries, err := s.Store.Entries(s.applied+1, commit, applyBytes)
@@ -256,7 +263,8 @@
 	return zero.ProtoReflect().New().Interface().(Command)
 }
 
-// Fail stops the replica after an error of its disk or state.
+// Fail stops the replica after an error of its disk or state. It has no effect while the
+// shard is being stopped.
 func (s *Shard[Command, Result]) Fail(err error) {
 	select {
 	case <-s.quit:
--- a/internal/batch/shardhost/shardhost_test.go
+++ b/internal/batch/shardhost/shardhost_test.go
@@ -94,7 +94,7 @@
 	return host
 }
 
-// awaitLeader waits until the only member serves.
+// awaitLeader waits until the leadership of the only member is confirmed.
 func awaitLeader(t *testing.T, s *Shard[*wirev1.QueueCommand, int]) {
 	t.Helper()
 	var err error
@@ -171,8 +171,8 @@
 	}))
 }
 
-// Checks that a replica always handles messages again after the fetch of a snapshot timed
-// out.
+// Checks that a replica handles messages again after each of several failed fetches of a
+// snapshot.
 func TestFailedSnapshotFetchEndsInstallation(t *testing.T) {
 	is := is.New(t)
 	s := startHost(t, t.TempDir()).Shard(0)
--- a/internal/batch/shardhost/snapshot.go
+++ b/internal/batch/shardhost/snapshot.go
@@ -15,8 +15,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ServeSnapshot streams the applied state of a leader to a follower that needs entries
-// which the leader's log no longer has.
+// ServeSnapshot handles a follower's request for a snapshot: it streams the applied state of
+// the leader. A follower needs a snapshot if the leader's log no longer has the entries that
+// the follower lacks.
 func (h *Host[Command, Result]) ServeSnapshot(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.SnapshotRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -51,8 +52,9 @@
 	})
 }
 
-// handleSnapshotOffer starts to fetch a snapshot that a leader offers, if this replica's
-// log or state ends before it.
+// handleSnapshotOffer starts to fetch a snapshot that a leader offers if this replica's log
+// or applied state ends before the snapshot. It ignores the offer of an older epoch or of
+// another generation, an offer during another fetch, and one from an unknown node.
 func (s *Shard[Command, Result]) handleSnapshotOffer(offer *wirev1.ReplicaMessage) {
 	stale := offer.Epoch < s.Replica.Epoch() || offer.Generation != s.Replica.MemberSet().Generation
 	if s.installing || stale {
@@ -82,7 +84,7 @@
 	defer cancel()
 	index, epoch, err := s.receiveSnapshot(ctx, address, installer)
 	// This call has no time limit: the replica handles no messages while installing is
-	// set, so installing must be cleared in any case.
+	// set, so installing must be cleared even if the fetch has timed out.
 	s.runInLoopUnlessStopped(func() {
 		s.installing = false
 		s.application.SnapshotReceived(index, err)
@@ -115,6 +117,8 @@
 	}
 }
 
+// finishSnapshot replaces the log and the state by a fetched snapshot, unless the state
+// contains the snapshot's last entry already.
 func (s *Shard[Command, Result]) finishSnapshot(installer *logstore.Installer, index, epoch uint64) {
 	if index <= s.applied {
 		return
--- a/internal/batch/shardhost/transport.go
+++ b/internal/batch/shardhost/transport.go
@@ -17,8 +17,9 @@
 	server.Handle(wirev1.Method_METHOD_SNAPSHOT, h.ServeSnapshot)
 }
 
-// receive passes messages to their shards. It creates the replica of a learner on the
-// first message to it.
+// receive passes messages to their shards. It creates the replica of a learner on the first
+// message to the learner. It drops a message to another disk, to a shard that does not run
+// here, or to a shard whose queue is full.
 func (h *Host[Command, Result]) receive(_ string, payload []byte) {
 	var batch wirev1.ReplicaBatch
 	if proto.Unmarshal(payload, &batch) != nil {
--- a/internal/batch/shardhost/truncate.go
+++ b/internal/batch/shardhost/truncate.go
@@ -6,7 +6,8 @@
 	"github.com/gravitational/trace"
 )
 
-// truncateLog deletes applied entries up to the application's truncation point.
+// truncateLog deletes applied and committed entries up to the application's truncation
+// point. It has no effect while a snapshot is being installed.
 func (s *Shard[Command, Result]) truncateLog(now time.Time) error {
 	base, _ := s.Replica.Base()
 	// After a restart, the known commit index may be lower than the applied index.
