--- a/internal/batch/logstore/db.go
+++ b/internal/batch/logstore/db.go
@@ -1,9 +1,10 @@
 // Package logstore stores the replicated logs and states of a node's shards in one
 // embedded pebble database in the data folder. The same database holds a copy of the
-// documents of the platform's store. The package owns the data folder and the disk's
-// identity. All shards share the database's write-ahead log, so that one fsync serves
-// several of them. Storage nodes and plain nodes with a data folder use the package.
-// Later versions must be able to read the stored data.
+// documents of the platform's store. The package also stores the disk's identity, by which
+// the member sets of package replica name a disk. All shards share the database's
+// write-ahead log, so that one fsync can cover the writes of several shards. Storage nodes
+// and plain nodes with a data folder use the package. Later versions must be able to read
+// the stored data.
 package logstore
 
 import (
@@ -31,9 +32,11 @@
 
 // DiskLimits limits the disk space that a database uses. A zero value means no limit.
 type DiskLimits struct {
-	// ReservedBytes is the space on the file system that must stay free.
+	// ReservedBytes is the space on the file system that must stay free. HasFreeSpace
+	// checks it; writes are not limited.
 	ReservedBytes int64
-	// MaxBytes is the largest size of the database.
+	// MaxBytes is the disk space that the database may use. New data is refused before
+	// this size is reached, see FreeBytes.
 	MaxBytes int64
 }
 
@@ -49,9 +52,10 @@
 	closed  bool
 }
 
-// Open opens or creates the database of a data folder. It moves a damaged database
-// aside and replaces it by an empty one. The disk then gets a new identity: promises
-// may be lost with the old database, so the disk must not vote as the same member.
+// Open opens or creates the database of a data folder. If the database cannot be opened
+// or verified, for whatever reason, Open moves it aside and creates an empty one. The disk
+// then gets a new identity: the epochs that its replicas have promised are lost with the
+// old database, so the disk must not vote as the same member.
 func Open(folder string, limits DiskLimits) (*DB, error) { return OpenOn(vfs.Default, folder, limits) }
 
 // OpenOn is like Open, but uses the given file system.
@@ -78,7 +82,7 @@
 	return d, nil
 }
 
-// openChecked opens a database and verifies every entry of every log.
+// openChecked opens a database, and loads every shard to verify every entry of its log.
 func (d *DB) openChecked(path string) (*pebble.DB, error) {
 	opened, err := d.openPebble(path)
 	if err != nil {
@@ -109,7 +113,6 @@
 		FS:           d.fs,
 		Logger:       errorLogger{},
 		MemTableSize: memTableBytes(d.limits.MaxBytes),
-		// A small table cache suffices: values are rarely read more than twice.
 		MaxOpenFiles: 256,
 	}
 	if d.limits.MaxBytes > 0 {
@@ -129,7 +132,8 @@
 	memTableFraction = 1.0 / 96
 )
 
-// memTableBytes returns the size at which a memory table is flushed to disk.
+// memTableBytes returns the size at which a memory table is flushed to disk. The argument is
+// DiskLimits.MaxBytes.
 func memTableBytes(disk int64) uint64 {
 	if disk <= 0 {
 		return maxMemTableBytes
@@ -137,15 +141,15 @@
 	return uint64(min(max(memTableFraction*float64(disk), minMemTableBytes), maxMemTableBytes))
 }
 
-// errorLogger drops pebble's routine messages. A fatal message ends the process,
-// because a node whose log cannot be written must not acknowledge entries.
+// errorLogger logs pebble's errors and drops its routine messages. A fatal message ends
+// the process, because a node whose log cannot be written must not acknowledge entries.
 type errorLogger struct{}
 
 // Infof implements pebble.Logger.
 func (errorLogger) Infof(string, ...any) {}
 
-// errorRetryDelay is the delay after an error of the database's background work.
-// Pebble retries without a delay of its own and would loop on a full disk.
+// errorRetryDelay is the delay after an error of the database's background work. Pebble
+// itself retries at once, which would be a busy loop on a full disk.
 const errorRetryDelay = 200 * time.Millisecond
 
 // Errorf implements pebble.Logger.
@@ -157,8 +161,8 @@
 // Fatalf implements pebble.Logger.
 func (errorLogger) Fatalf(format string, args ...any) { klog.Fatalf("storage: "+format, args...) }
 
-// identity returns the disk's identity. It creates the identity file, which lies
-// beside the database, if there is none.
+// identity returns the disk's identity from the identity file, which lies beside the
+// database. If the file is missing, empty or unreadable, it writes a new identity.
 func (d *DB) identity() (string, error) {
 	path := filepath.Join(d.folder, identityFile)
 	if text := d.readText(path); text != "" {
@@ -187,7 +191,7 @@
 }
 
 // diskIDBytes is the number of random bytes in a disk identity. It is small because
-// every replica message carries identities.
+// every replica message contains two identities.
 const diskIDBytes = 8
 
 func newDiskID() string {
@@ -196,8 +200,8 @@
 }
 
 // writeSynced replaces a file atomically: after a power loss the file has either its
-// old or its new content. It syncs the content before the rename, and the folders
-// before it returns.
+// old or its new content. It syncs the content before the rename, and the data folder and
+// its parents before it returns.
 func (d *DB) writeSynced(path string, content []byte) error {
 	temporary := path + ".new"
 	file, err := d.fs.Create(temporary, vfs.WriteCategoryUnspecified)
@@ -221,8 +225,8 @@
 	return d.syncFolders()
 }
 
-// syncFolders syncs the data folder and its parents, so that their entries survive a
-// power loss.
+// syncFolders syncs the data folder and its parents, so that their directory entries
+// survive a power loss.
 func (d *DB) syncFolders() error {
 	for folder := d.folder; ; folder = filepath.Dir(folder) {
 		if err := d.syncFolder(folder); err != nil && folder == d.folder {
@@ -247,8 +251,8 @@
 // a batch that was committed or dropped, or a file whose write has failed already.
 func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
-// moveAside renames a damaged database, so that it can be inspected, and removes the
-// disk's identity.
+// moveAside renames the database folder, so that it can be inspected, and removes the
+// disk's identity. A missing folder or identity is no error.
 func (d *DB) moveAside() error {
 	stamp := time.Now().UTC().Format("20060102-150405.000")
 	from := filepath.Join(d.folder, databaseFolder)
@@ -264,7 +268,7 @@
 // DiskID returns the disk's identity.
 func (d *DB) DiskID() string { return d.diskID }
 
-// Close closes the database.
+// Close waits for calls that have acquired the database and closes it.
 func (d *DB) Close() error {
 	d.closing.Lock()
 	defer d.closing.Unlock()
@@ -272,9 +276,9 @@
 	return trace.Wrap(d.pebble.Close())
 }
 
-// acquire keeps the database open until release is called. It returns an error if the
-// database is closed: a node that stops, or whose start has failed, closes the
-// database while other goroutines still read.
+// acquire keeps the database open until release is called, or returns an error if the
+// database is closed. Methods that other goroutines may call while the node closes the
+// database need it: pebble panics when a closed database is used.
 func (d *DB) acquire() (release func(), err error) {
 	d.closing.RLock()
 	if d.closed {
@@ -285,7 +289,7 @@
 }
 
 // HasFreeSpace reports whether the data folder's file system has more free space than
-// the reserved bytes.
+// ReservedBytes. It reports false if the free space cannot be read.
 func (d *DB) HasFreeSpace() bool {
 	usage, err := d.fs.GetDiskUsage(d.folder)
 	return err == nil && int64(usage.AvailBytes) > d.limits.ReservedBytes
@@ -296,14 +300,16 @@
 // delete the old ones.
 const usableFraction = 0.7
 
-// WriteAmplification is the number of copies of accepted data on a disk until the log
-// and older tables are deleted.
+// WriteAmplification is the number of copies of accepted data that a disk stores until the
+// log and older tables are deleted.
 const WriteAmplification = 2
 
-// Fits reports whether the database has space to accept data of the given size.
+// Fits reports whether WriteAmplification copies of data of the given size take less than
+// FreeBytes.
 func (d *DB) Fits(bytes int) bool { return uint64(WriteAmplification*bytes) < d.FreeBytes() }
 
-// FreeBytes returns how many bytes can be written before new data is refused.
+// FreeBytes returns how many bytes, copies included, can be written before the database
+// uses usableFraction of MaxBytes. Without MaxBytes, it returns a very large number.
 func (d *DB) FreeBytes() uint64 {
 	if d.limits.MaxBytes <= 0 {
 		return math.MaxUint64 >> 1
@@ -312,8 +318,8 @@
 	return usable - min(usable, d.Used())
 }
 
-// Used returns the disk space of the database. For a closed database it returns the
-// largest value, so that no data is accepted.
+// Used returns the disk space of the database in bytes. For a closed database it returns
+// the largest value, so that a database with MaxBytes accepts no data.
 func (d *DB) Used() uint64 {
 	release, err := d.acquire()
 	if err != nil {
@@ -323,14 +329,14 @@
 	return d.pebble.Metrics().DiskSpaceUsage()
 }
 
-// Metrics returns pebble's metrics.
+// Metrics returns pebble's metrics. The database must not be closed.
 func (d *DB) Metrics() *pebble.Metrics { return d.pebble.Metrics() }
 
-// Key spaces of a shard, each a byte that follows the shard's number.
+// Key spaces of a shard. A key starts with the shard's number and the byte of the space.
 const (
 	spaceMeta  = 0x01
 	spaceLog   = 0x02
-	spaceState = 0x03 // a byte with the slot follows
+	spaceState = 0x03 // a byte with the slot follows, see ShardLog
 )
 
 func shardPrefix(shard uint32, space byte) []byte {
--- a/internal/batch/logstore/documents.go
+++ b/internal/batch/logstore/documents.go
@@ -9,7 +9,7 @@
 	"cobaltramp.example/cobaltramp/internal/cluster/ports"
 )
 
-// documentShard is the reserved shard number in the keys of the documents that were
+// documentShard is a reserved shard number. It starts the keys of the documents that were
 // copied from the platform's store.
 const documentShard = ^uint32(0)
 
@@ -23,8 +23,9 @@
 	return append(append(binary.BigEndian.AppendUint32(nil, documentShard), kind), key...)
 }
 
-// SaveDocuments saves documents of the platform's store: all of them if replaceAll is
-// set, otherwise the changed and deleted ones. The data is durable on return.
+// SaveDocuments updates the copy of the platform's store to a revision of the store. If
+// replaceAll is set, the given documents replace the whole copy. Otherwise the copy keeps
+// documents that are neither given nor deleted. The data is durable if there is no error.
 func (d *DB) SaveDocuments(replaceAll bool, values []ports.Value, deleted []string, revision int64) error {
 	release, err := d.acquire()
 	if err != nil {
@@ -56,7 +57,8 @@
 }
 
 // LoadDocuments returns the saved documents and the revision of the platform's store
-// that they belong to. The revision is negative if no documents were saved.
+// that they belong to. The revision is negative if SaveDocuments was never called, or if
+// the database is closed or cannot be read.
 func (d *DB) LoadDocuments() ([]ports.Value, int64, error) {
 	release, err := d.acquire()
 	if err != nil {
--- a/internal/batch/logstore/documents_test.go
+++ b/internal/batch/logstore/documents_test.go
@@ -89,8 +89,8 @@
 	is.Equal(len(values), 1)
 }
 
-// Checks that a closed database returns errors and accepts no data. A goroutine that
-// still reads when a node stops must not end the process.
+// Checks that calls on a closed database return errors instead of panicking, and that a
+// closed database with MaxBytes accepts no data.
 func TestClosedDatabaseReturnsErrors(t *testing.T) {
 	is := is.New(t)
 	db, err := Open(t.TempDir(), DiskLimits{MaxBytes: 100 << 20})
--- a/internal/batch/logstore/logstore_test.go
+++ b/internal/batch/logstore/logstore_test.go
@@ -116,8 +116,8 @@
 	is.Equal(len(movedAside), 1) // the damaged database can be inspected
 }
 
-// Checks that a damaged entry found at the start also gives the disk a new identity, so
-// that the shard's other members replace the disk.
+// Checks that a damaged entry found when the database is opened also gives the disk a new
+// identity, so that the shard's other members replace the disk.
 func TestDamagedEntryReplacesDiskIdentity(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -213,7 +213,7 @@
 }
 
 // Checks that the disk's identity and the entries survive a power loss right after the
-// first durable write, even if folder entries that were not synced are lost.
+// first durable write, even if directory entries that were not synced are lost.
 func TestPowerLossKeepsIdentityAndEntries(t *testing.T) {
 	is := is.New(t)
 	disk := vfs.NewCrashableMem()
--- a/internal/batch/logstore/logstoretest/logstoretest.go
+++ b/internal/batch/logstore/logstoretest/logstoretest.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Unpack copies a zipped data folder to a temporary folder and returns its path.
+// Unpack extracts a zipped data folder to a temporary folder, which is deleted after the
+// test, and returns the folder's path.
 func Unpack(t *testing.T, archive string) string {
 	t.Helper()
 	file, err := os.Open(archive)
--- a/internal/batch/logstore/shard.go
+++ b/internal/batch/logstore/shard.go
@@ -13,24 +13,28 @@
 	"cobaltramp.example/cobaltramp/internal/batch/replica"
 )
 
-// CorruptError reports a log entry that is damaged or missing, or a snapshot chunk with
-// a wrong checksum.
+// CorruptError reports a log entry that is damaged, missing or cannot be decoded, or a
+// snapshot chunk with a wrong checksum.
 type CorruptError struct {
 	Shard uint32
+	// Index is the index of the entry. For a gap in the log, it is the entry after the gap
+	// or the first requested entry. For a chunk, it is the snapshot's last index.
 	Index uint64
 }
 
 // Error implements error.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("shard %d: log entry %d is damaged", e.Shard, e.Index)
+	return fmt.Sprintf("shard %d: log entry or snapshot at index %d is damaged", e.Shard, e.Index)
 }
 
-// ShardLog is one shard's part of the database. Only one goroutine may use its log and
-// state; any goroutine may read a snapshot.
+// ShardLog is one shard's part of the database. The shard has two key ranges for its
+// state, called slots: one contains the current state, the other is for installing a
+// snapshot. Only one goroutine may use a ShardLog; any goroutine may read a snapshot that
+// this goroutine has taken.
 type ShardLog struct {
 	db   *pebble.DB
 	id   uint32
-	slot byte // 0 or 1: which of two key ranges holds the current state
+	slot byte // slot of the current state, 0 or 1
 }
 
 // meta is the durable metadata of a shard's replica, stored as one record.
@@ -49,7 +53,7 @@
 	BaseEpoch uint64
 	// Epochs holds the epochs of the entries after the base.
 	Epochs []uint64
-	// Applied is the index of the last entry that the state contains.
+	// Applied is the index of the last entry that the state contains, at least BaseIndex.
 	Applied uint64
 	// Exists is set if the disk has metadata of the shard.
 	Exists bool
@@ -60,10 +64,11 @@
 	appliedRecordName = []byte("applied") // the value is the applied index and the state's slot
 )
 
-// Shard returns the part of the database that belongs to a shard.
+// Shard returns the part of the database that belongs to a shard. Load must be called
+// before the state of an existing shard is used, because it finds the slot of the state.
 func (d *DB) Shard(id uint32) *ShardLog { return &ShardLog{db: d.pebble, id: id} }
 
-// Shards lists the shards in the database.
+// Shards lists the shards in the database in ascending order.
 func (d *DB) Shards() ([]uint32, error) {
 	iterator, err := d.pebble.NewIter(&pebble.IterOptions{UpperBound: shardPrefix(documentShard, 0)})
 	if err != nil {
@@ -89,8 +94,8 @@
 
 func (s *ShardLog) statePrefix(slot byte) []byte { return append(shardPrefix(s.id, spaceState), slot) }
 
-// Load reads the shard and verifies the checksum of every entry. A gap in the log is
-// reported as corruption.
+// Load reads the shard's metadata and verifies the checksum of every entry after the base.
+// It returns a CorruptError for a damaged entry or a gap in the log.
 func (s *ShardLog) Load() (*RecoveredState, error) {
 	loaded := &RecoveredState{}
 	var stored meta
@@ -120,6 +125,8 @@
 	return loaded, err
 }
 
+// loadApplied returns the applied index and the slot of the state, or zeros if there is no
+// valid record.
 func (s *ShardLog) loadApplied() (uint64, byte, error) {
 	record, err := s.get(s.metaKey(appliedRecordName))
 	if err != nil || len(record) != 9 {
@@ -128,6 +135,7 @@
 	return binary.BigEndian.Uint64(record), record[8], nil
 }
 
+// get returns a copy of the value of a full key, or nil if the key does not exist.
 func (s *ShardLog) get(key []byte) ([]byte, error) {
 	value, closer, err := s.db.Get(key)
 	if err == pebble.ErrNotFound {
@@ -140,6 +148,8 @@
 	return append([]byte{}, value...), nil
 }
 
+// scanLog passes the entries from an index on to visit, in order. It stops at the first
+// error, also of visit, and returns it.
 func (s *ShardLog) scanLog(from uint64, visit func(*wirev1.LogEntry) error) error {
 	iterator, err := s.db.NewIter(&pebble.IterOptions{LowerBound: s.logKey(from), UpperBound: shardPrefix(s.id, spaceLog+1)})
 	if err != nil {
@@ -170,7 +180,8 @@
 	return entry, nil
 }
 
-// Entries implements replica.EntryReader.
+// Entries implements replica.EntryReader. It returns fewer entries, and no error, if the
+// log ends before hi.
 func (s *ShardLog) Entries(lo, hi uint64, maxBytes int) ([]*wirev1.LogEntry, error) {
 	var entries []*wirev1.LogEntry
 	size := 0
@@ -192,8 +203,9 @@
 	return entries, nil
 }
 
-// Persist deletes the truncated entries, writes the new entries and the hard state, and
-// returns after the fsync.
+// Persist deletes the entries from ready.TruncateFrom on, writes the new entries and the
+// hard state, and returns after the fsync. The member set and the base are written only
+// together with a hard state.
 func (s *ShardLog) Persist(ready *replica.Ready, memberSet replica.MemberSet, baseIndex, baseEpoch uint64) error {
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
@@ -232,8 +244,9 @@
 	return trace.Wrap(batch.Set(s.metaKey(metaRecordName), encoded, nil))
 }
 
-// TruncatePrefix deletes the entries up to an index; the state must contain them. Its
-// fsync also makes the state durable, which was written before without one.
+// TruncatePrefix deletes the entries up to and including an index, which becomes the base
+// with the given epoch. The state must contain these entries. StateBatch.Commit does not
+// sync the state; the fsync of TruncatePrefix makes it durable.
 func (s *ShardLog) TruncatePrefix(hard replica.HardState, memberSet replica.MemberSet, index, epoch uint64) error {
 	batch := s.db.NewBatch()
 	defer closeIgnoringError(batch)
@@ -246,7 +259,7 @@
 	return trace.Wrap(batch.Commit(pebble.Sync), "truncating shard %d", s.id)
 }
 
-// Drop removes the shard from the database.
+// Drop removes the shard from the database, durably.
 func (s *ShardLog) Drop() error {
 	return trace.Wrap(s.db.DeleteRange(shardPrefix(s.id, 0), shardPrefix(s.id+1, 0), pebble.Sync))
 }
--- a/internal/batch/logstore/state.go
+++ b/internal/batch/logstore/state.go
@@ -12,20 +12,21 @@
 )
 
 // StateBatch reads and writes a shard's state while a batch of entries is applied. It
-// implements shard.KeyStore. It is committed without an fsync: after a crash, the
-// entries after the stored applied index are applied again.
+// implements shard.KeyStore, and its reads see its own writes. It is committed without an
+// fsync: after a crash, the entries after the stored applied index are applied again.
 type StateBatch struct {
 	shard  *ShardLog
 	batch  *pebble.Batch
 	prefix []byte
 }
 
-// Begin starts a batch of applied entries.
+// Begin starts a batch of applied entries. The caller must end it with Commit or Discard.
 func (s *ShardLog) Begin() *StateBatch {
 	return &StateBatch{shard: s, batch: s.db.NewIndexedBatch(), prefix: s.statePrefix(s.slot)}
 }
 
-// Commit writes the batch together with the index of the last applied entry.
+// Commit writes the batch together with the index of the last applied entry, without an
+// fsync.
 func (s *StateBatch) Commit(applied uint64) error {
 	defer closeIgnoringError(s.batch)
 	record := append(binary.BigEndian.AppendUint64(nil, applied), s.shard.slot)
@@ -35,7 +36,7 @@
 	return trace.Wrap(s.batch.Commit(pebble.NoSync), "applying to shard %d", s.shard.id)
 }
 
-// Discard drops the batch.
+// Discard ends the batch without writing it.
 func (s *StateBatch) Discard() { closeIgnoringError(s.batch) }
 
 func (s *StateBatch) key(key []byte) []byte {
@@ -70,13 +71,14 @@
 	close  func()
 }
 
-// View returns a reader of the current state, for the shard's own goroutine.
+// View returns a reader of the current state. Only the shard's goroutine may use it. It
+// need not be closed.
 func (s *ShardLog) View() *StateView {
 	return &StateView{reader: s.db, prefix: s.statePrefix(s.slot), close: func() {}}
 }
 
-// Snapshot returns a reader of the state at the time of the call. Any goroutine may
-// use the reader, and must close it.
+// Snapshot returns a reader of the state at the time of the call. Only the shard's goroutine
+// may call Snapshot. Any goroutine may use the reader, which must be closed.
 func (s *ShardLog) Snapshot() *StateView {
 	snapshot := s.db.NewSnapshot()
 	return &StateView{reader: snapshot, prefix: s.statePrefix(s.slot), close: func() { closeIgnoringError(snapshot) }}
@@ -95,6 +97,7 @@
 	return scan(v.reader, v.prefix, from, to, visit)
 }
 
+// getCopy returns a copy of a key's value, or nil if the key does not exist.
 func getCopy(reader pebble.Reader, key []byte) ([]byte, error) {
 	value, closer, err := reader.Get(key)
 	if err == pebble.ErrNotFound {
@@ -107,6 +110,9 @@
 	return append([]byte{}, value...), nil
 }
 
+// scan passes the pairs of the state from one key up to, but without, another to visit until
+// visit returns false. If to is nil, it continues to the end of the state. The slices are
+// valid only during the call of visit.
 func scan(reader pebble.Reader, prefix, from, to []byte, visit func(key, value []byte) bool) error {
 	lower := append(append([]byte{}, prefix...), from...)
 	upper := append(append([]byte{}, prefix...), to...)
@@ -126,6 +132,8 @@
 	return trace.Wrap(iterator.Error())
 }
 
+// nextPrefix returns the end of the range of all keys with a prefix. The prefix must not end
+// with the byte 255.
 func nextPrefix(prefix []byte) []byte {
 	next := append([]byte{}, prefix...)
 	next[len(next)-1]++
@@ -134,10 +142,11 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// chunkBytes is the size at which a snapshot chunk is sent.
+// chunkBytes is the size of keys and values at which a snapshot chunk is sent.
 const chunkBytes = 512 << 10
 
-// SendChunks sends the state as snapshot chunks. The last chunk is marked.
+// SendChunks passes the state to send as snapshot chunks. The index and epoch are those of
+// the last applied entry. The last chunk is marked and may have no pairs.
 func (v *StateView) SendChunks(index, epoch uint64, send func(*wirev1.SnapshotChunk) error) error {
 	chunk := &wirev1.SnapshotChunk{LastIndex: index, LastEpoch: epoch}
 	size := 0
@@ -174,8 +183,8 @@
 	return sum
 }
 
-// Installer writes a received snapshot into the shard's unused slot and then switches
-// slots, so that the old state is kept until the new one is complete.
+// Installer writes a received snapshot into the shard's unused slot. Activate then switches
+// the slots, so that the old state is kept until the new one is complete.
 type Installer struct {
 	shard  *ShardLog
 	slot   byte
@@ -192,7 +201,7 @@
 	return &Installer{shard: s, slot: slot, prefix: prefix}, nil
 }
 
-// Add verifies and writes one chunk.
+// Add verifies the checksum of one chunk and writes its pairs, without an fsync.
 func (i *Installer) Add(chunk *wirev1.SnapshotChunk) error {
 	if chunk.Checksum != chunkChecksum(chunk) {
 		return &CorruptError{Shard: i.shard.id, Index: chunk.LastIndex}
@@ -207,7 +216,9 @@
 	return trace.Wrap(batch.Commit(pebble.NoSync))
 }
 
-// Activate durably switches to the new state, and deletes the log and the old state.
+// Activate durably switches to the new state, and deletes the log and the old state. The
+// index and epoch of the snapshot's last entry become the base. The caller must have added
+// all chunks.
 func (i *Installer) Activate(hard replica.HardState, memberSet replica.MemberSet, index, epoch uint64) error {
 	s := i.shard
 	batch := s.db.NewBatch()
