--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -16,7 +16,7 @@
 //     entries only in its promised epoch. Once an election quorum is frozen, no new
 //     entry can be committed in the old generation, because every write quorum has a
 //     frozen member.
-//  3. Once a write quorum of the new members holds the sealer's whole log, the driver
+//  3. Once a write quorum of the new members has the sealer's whole log, the driver
 //     replaces the member set in the platform's store by compare-and-swap. Of several
 //     concurrent changes only one succeeds.
 //  4. Members activate the new generation when they read the new member set. If a member
@@ -51,12 +51,12 @@
 // most 64 entries. It reports true for this replica's own disk, and false for all others
 // if this replica does not lead.
 func (r *Replica) CaughtUp(member string) bool {
-	const slack = 64
+	const maxMissingEntries = 64
 	if member == r.self {
 		return true
 	}
 	p := r.progress[member]
-	return r.role == Leader && p != nil && p.confirmed && p.match+slack >= r.lastIndex()
+	return r.role == Leader && p != nil && p.confirmed && p.match+maxMissingEntries >= r.lastIndex()
 }
 
 // Freeze freezes this leader and asks the other members to freeze. The leader rejects
@@ -84,14 +84,14 @@
 	if r.role != Leader || !r.hard.Frozen || len(r.frozenBy) < r.memberSet.ElectionQuorum() {
 		return false
 	}
-	holding := 0
+	copies := 0
 	for _, member := range next.Members {
 		p := r.progress[member]
 		if member == r.self && r.persisted >= r.lastIndex() || p != nil && p.match >= r.lastIndex() {
-			holding++
+			copies++
 		}
 	}
-	return holding >= next.WriteQuorum()
+	return copies >= next.WriteQuorum()
 }
 
 // Frozen reports whether this member is frozen.
--- a/internal/batch/replica/lead.go
+++ b/internal/batch/replica/lead.go
@@ -340,19 +340,19 @@
 	if r.role != Leader {
 		return false
 	}
-	best := ""
+	target := ""
 	for _, member := range r.followers() {
 		p := r.progress[member]
-		fresh := now.Sub(p.lastResponse) < r.electionTime() && p.match == r.lastIndex()
-		if r.memberSet.Has(member) && fresh && preferred(member) {
-			best = member
+		liveAndCaughtUp := now.Sub(p.lastResponse) < r.electionTime() && p.match == r.lastIndex()
+		if r.memberSet.Has(member) && liveAndCaughtUp && preferred(member) {
+			target = member
 			break
 		}
 	}
-	if best == "" {
+	if target == "" {
 		return false
 	}
-	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_TRANSFER, To: best, Epoch: r.hard.Promised})
+	r.send(&wirev1.ReplicaMessage{Kind: wirev1.ReplicaKind_REPLICA_KIND_TRANSFER, To: target, Epoch: r.hard.Promised})
 	return true
 }
 
--- a/internal/batch/shardhost/proposal.go
+++ b/internal/batch/shardhost/proposal.go
@@ -158,49 +158,48 @@
 	return s.ProposeWithCallback(ctx, command, nil)
 }
 
-// ProposeWithCallback is like ProposeAndWait, and calls the function settled, unless it is
-// nil, exactly once: when the command was not proposed, when its result is known, or when
-// the shard has stopped. If the context ends first, the call may follow later from another
-// goroutine.
-func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, settled func()) (Result, error) {
-	if settled == nil {
-		settled = func() {}
+// ProposeWithCallback is like ProposeAndWait, and calls onSettled exactly once, unless it is
+// nil: when the command was not proposed, when its result is known, or when the shard has
+// stopped. If the context ends first, the call may follow later from another goroutine.
+func (s *Shard[Command, Result]) ProposeWithCallback(ctx context.Context, command Command, onSettled func()) (Result, error) {
+	if onSettled == nil {
+		onSettled = func() {}
 	}
 	var zero Result
 	p := newProposal[Command, Result](command)
 	select {
 	case s.proposals <- p:
 	case <-s.done:
-		settled()
+		onSettled()
 		return zero, result.New(result.NotLeader, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
-		settled()
+		onSettled()
 		return zero, result.New(result.StoreUnavailable, "shard %d is busy", s.ID)
 	}
 	select {
 	case outcome := <-p.result:
-		settled()
+		onSettled()
 		return outcome.value, outcome.err
 	case <-s.done:
-		settled()
+		onSettled()
 		return zero, result.New(result.CommitUnknown, "shard %d stopped here", s.ID)
 	case <-ctx.Done():
-		s.settleInBackground(p, settled)
+		s.settleInBackground(p, onSettled)
 		return zero, result.New(result.CommitUnknown, "shard %d did not confirm in time", s.ID)
 	}
 }
 
 // settleInBackground waits for the result of a command whose proposer no longer waits, and
-// then calls settled.
-func (s *Shard[Command, Result]) settleInBackground(p *proposal[Command, Result], settled func()) {
+// then calls onSettled.
+func (s *Shard[Command, Result]) settleInBackground(p *proposal[Command, Result], onSettled func()) {
 	started := s.host.tasks.Go(func() {
 		select {
 		case <-p.result:
 		case <-s.done:
 		}
-		settled()
+		onSettled()
 	})
 	if !started {
-		settled() // the host is stopping, and so is the shard
+		onSettled() // the host is stopping, and so is the shard
 	}
 }
