--- a/internal/configuration/catalog/holder.go
+++ b/internal/configuration/catalog/holder.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Holder holds the active version of the configuration.
+// Holder keeps the active version of the configuration. Its methods are safe for
+// concurrent use.
 //
 // Invariant: the version number never decreases while the process runs.
 type Holder struct {
 	active  atomic.Pointer[activeVersion]
-	mutex   sync.Mutex
-	changed chan struct{}
+	mutex   sync.Mutex    // guards changed and serializes updates of active
+	changed chan struct{} // closed and replaced when a version becomes active
 }
 
 type activeVersion struct {
@@ -33,7 +34,8 @@
 	return nil
 }
 
-// Age returns how long the version has been active.
+// Age returns how long the active version has been active, or 0 if there is none
+// yet.
 func (h *Holder) Age(now time.Time) time.Duration {
 	if current := h.active.Load(); current != nil {
 		return now.Sub(current.since)
@@ -41,8 +43,8 @@
 	return 0
 }
 
-// Document returns the source text of the active version and its revision, so
-// that peers can fetch them.
+// Document returns the source text of the active version and its revision, or nil
+// and 0 if there is none yet. Both are the values given to UpdateIfNewer.
 func (h *Holder) Document() ([]byte, int64) {
 	if current := h.active.Load(); current != nil {
 		return current.document, current.revision
@@ -50,8 +52,8 @@
 	return nil, 0
 }
 
-// UpdateIfNewer activates a version if it is newer than the active one, and
-// reports whether it did.
+// UpdateIfNewer activates next if no version is active yet or if its version number
+// is higher than that of the active version, and reports whether next was activated.
 func (h *Holder) UpdateIfNewer(next *Catalog, document []byte, revision int64, now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/configuration/catalog/route.go
+++ b/internal/configuration/catalog/route.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// RouteKind says how a route's requests are answered and whether they may run more
-// than once.
+// RouteKind determines the form of the responses of a route and whether its requests
+// may run more than once.
 type RouteKind uint8
 
 // Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable RouteKind = iota
-	// Once requests run at most once. A request that the caller sends again is
-	// another request.
+	// Once requests run at most once. If a caller sends a request again, the second
+	// request is independent of the first and may run too.
 	Once
 	// Streaming requests are answered with a stream of events. They run at most
 	// once unless the route is resumable.
@@ -40,12 +40,12 @@
 	Kind       RouteKind
 	// Timeout is the maximum duration of a request; 0 means no limit.
 	Timeout time.Duration
-	// Target is the target response time: until the first event of a stream, until
-	// the acceptance of a job, and until the whole response otherwise.
+	// Target is the target for the time to the first event of a stream, to the
+	// acceptance of a job, or, on other routes, to the end of the response.
 	Target time.Duration
 	// GapTarget is the target for the time between two events of a stream.
 	GapTarget time.Duration
-	// Attempts is the maximum number of runners that one request may run on.
+	// Attempts is the maximum number of runs of one online request.
 	Attempts int
 	// Priority orders routes; 0 is the highest priority.
 	Priority int
@@ -55,10 +55,10 @@
 	Public bool
 	// Services lists the services that share the route's requests.
 	Services []WeightedService
-	// The next three fields apply to batch routes. ResultTarget is the time from
-	// a job's submission until all its results are due, and MaxWait the time until
-	// its unfinished items may expire. MaxWaitingTokens is the maximum number of
-	// tokens that may wait on all nodes together; 0 means no limit.
+	// The next three fields apply only to batch routes. All results of a job are due
+	// ResultTarget after its submission; its unfinished items may expire MaxWait after
+	// its submission. MaxWaitingTokens is the maximum number of tokens of waiting items
+	// on all nodes together; 0 means no limit.
 	ResultTarget     time.Duration
 	MaxWait          time.Duration
 	MaxWaitingTokens uint64
@@ -70,8 +70,10 @@
 	return r.Kind == Repeatable || r.Kind == Batch || r.Kind == Streaming && r.Resumable
 }
 
-// ServiceFor selects the service of a request by weight. The same request ID always
-// gets the same service.
+// ServiceFor selects the service of a request by weight. The choice depends only on
+// the route's name, its services with their weights, and the request ID. A route
+// with one service always selects that service; with several services whose weights
+// are all 0, ServiceFor returns an empty string.
 func (r *Route) ServiceFor(id string) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -96,8 +98,8 @@
 	return ""
 }
 
-// mixBits distributes the entropy of an FNV hash over all bits, because its low
-// bits alone are unevenly distributed.
+// mixBits distributes the entropy of an FNV hash over all bits, because the low bits
+// of an FNV hash are unevenly distributed.
 func mixBits(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
@@ -105,8 +107,8 @@
 	return value
 }
 
-// InvalidRouteError reports an invalid field of a route, which makes the whole
-// version invalid.
+// InvalidRouteError reports an invalid field of a route. A version with an invalid
+// route is refused as a whole.
 type InvalidRouteError struct {
 	Route, Field, Found, Allowed string
 }
--- a/internal/configuration/catalog/tenants.go
+++ b/internal/configuration/catalog/tenants.go
@@ -13,9 +13,9 @@
 	// Priority orders the tenant's requests and takes precedence over their
 	// route's priority; 0 is the highest.
 	Priority int
-	// RatePerSecond is the number of requests per second that the tenant may send
-	// to all nodes together; 0 means no limit. Burst is the number of requests
-	// that it may send at once beyond the rate.
+	// RatePerSecond is the maximum rate of the tenant's requests to all nodes
+	// together, in requests per second; 0 means no limit. Burst is the number of
+	// requests that the tenant may send at once beyond the rate.
 	RatePerSecond float64
 	Burst         float64
 }
@@ -26,16 +26,16 @@
 	Keys []string
 }
 
-// KeyDigest is the SHA-256 digest of a caller's key. Keys themselves are kept only
-// in the configuration's source text.
+// KeyDigest is the SHA-256 digest of a caller's key. A Catalog contains only the
+// digests; the keys are in the configuration's source text.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key. Look-ups use the digest so that their
-// duration reveals nothing about existing keys.
+// DigestKey returns the digest of a key. Keys are looked up by digest, so that the
+// duration of a look-up reveals nothing about existing keys.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// InvalidTenantError reports an invalid field of a tenant, which makes the whole
-// version invalid. It never contains a key.
+// InvalidTenantError reports an invalid field of a tenant. A version with an invalid
+// tenant is refused as a whole. The error text never contains a key.
 type InvalidTenantError struct {
 	Tenant, Field, Found, Allowed string
 }
@@ -45,8 +45,9 @@
 	return fmt.Sprintf("tenant %q: %s: found %s, allowed: %s", e.Tenant, e.Field, e.Found, e.Allowed)
 }
 
-// SetTenants validates and indexes the tenants of a version that is not active yet.
-// In a version without tenants, requests need no keys.
+// SetTenants replaces the tenants of the version. It must be called before the
+// version becomes active. It returns an *InvalidTenantError for the first invalid
+// tenant; the version must not be used then.
 func (c *Catalog) SetTenants(specs []TenantSpec) error {
 	c.tenants = map[string]*Tenant{}
 	c.keys = map[KeyDigest]*Tenant{}
@@ -98,10 +99,11 @@
 	})
 }
 
-// RequiresKeys reports whether requests need keys in this version.
+// RequiresKeys reports whether the version has tenants. Without tenants, no request
+// needs a key.
 func (c *Catalog) RequiresKeys() bool { return len(c.tenants) > 0 }
 
-// TenantOf returns the tenant that has the key, or nil if the key is unknown.
+// TenantOf returns the tenant that has the key, or nil if no tenant has it.
 func (c *Catalog) TenantOf(key string) *Tenant { return c.keys[DigestKey(key)] }
 
 // Tenant returns the tenant with the name, or nil if there is none.
@@ -110,10 +112,11 @@
 // TenantCount returns the number of tenants in the version.
 func (c *Catalog) TenantCount() int { return len(c.tenants) }
 
-// HasRateLimit reports whether the tenant has a rate limit.
+// HasRateLimit reports whether the tenant has a rate limit. A nil tenant has none.
 func (t *Tenant) HasRateLimit() bool { return t != nil && t.RatePerSecond > 0 }
 
-// HasPublicBatchRoute reports whether the host has a batch route that needs no key.
+// HasPublicBatchRoute reports whether the host has a batch route whose requests need
+// no key.
 func (c *Catalog) HasPublicBatchRoute(host string) bool {
 	for _, route := range c.hosts[hostName(host)] {
 		if route.Kind == Batch && route.Public {
--- a/internal/configuration/settings/check.go
+++ b/internal/configuration/settings/check.go
@@ -16,7 +16,7 @@
 type FieldError struct {
 	// Path is the field's path, for example "node.zone".
 	Path string
-	// Found is the field's value.
+	// Found is the field's value or a description of it.
 	Found string
 	// Allowed describes the allowed values.
 	Allowed string
@@ -31,7 +31,8 @@
 
 const nameAllowed = "1 to 63 letters, digits, dots, colons, dashes or underscores, starting with a letter or digit"
 
-// Validate checks all fields and returns a *FieldError for the first invalid one.
+// Validate checks the fields after SetDefaults and returns a *FieldError for the
+// first invalid field.
 func (s *Settings) Validate() error {
 	checks := []func() error{s.checkNames, s.checkAddresses, s.checkPlatform, s.checkNumbers, s.checkTLS}
 	for _, check := range checks {
@@ -113,9 +114,10 @@
 const (
 	// MaxShards is the maximum number of batch shards.
 	MaxShards = 4096
-	// minListInterval limits the load that a node puts on the platform's lists.
+	// minListInterval is the minimum of platform.list_interval. It limits the rate
+	// at which a node reads the platform's lists.
 	minListInterval = 100 * time.Millisecond
-	// minBodyBytes is large enough for a short request.
+	// minBodyBytes is the minimum of limits.body_bytes; a short request fits in it.
 	minBodyBytes = 1024
 )
 
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// addLineNumber adds the line of the invalid field to the error, or says that the
-// field is missing.
+// addLineNumber adds the line of the invalid field to a *FieldError, or says that
+// the field is missing from the text. It returns other errors unchanged.
 func addLineNumber(text []byte, err error) error {
 	field, ok := err.(*FieldError)
 	if !ok {
--- a/internal/configuration/settings/role.go
+++ b/internal/configuration/settings/role.go
@@ -16,8 +16,8 @@
 // Role is the settings file of an edge or a storage node. Such a node reads the
 // configuration, the runner list and the member sets from the platform's store.
 //
-// Some keys have no effect. They remain because decoding is strict and files
-// that contain them must load. The comments of their fields say so.
+// Some keys are accepted but have no effect, as the comments of their fields say:
+// decoding is strict, and files that contain these keys must load.
 type Role struct {
 	// Cluster is the name of the deployment. Nodes of different clusters refuse
 	// connections from each other.
@@ -38,10 +38,11 @@
 	Listen RoleListen `yaml:"listen"`
 	// DataFolder is the data folder of a storage node.
 	DataFolder string `yaml:"data_folder"`
-	// Seeds lists addresses (IP:port) of nodes to contact first. Some of them may
-	// be stale or down.
+	// Seeds lists addresses (IP:port) of nodes to contact first. Addresses at which
+	// no node answers are allowed.
 	Seeds []string `yaml:"seeds"`
-	// FirstStart is true when the whole deployment starts with empty disks.
+	// FirstStart is true when the whole deployment starts with empty disks. It is
+	// logged but has no other effect.
 	FirstStart bool `yaml:"first_start"`
 	// DiskLosses is the number of disks that may be lost at once without losing
 	// acknowledged data.
@@ -76,7 +77,7 @@
 	// nodes together. Both are accepted but have no effect.
 	WritesPerSecond float64 `yaml:"writes_per_second"`
 	ReadsPerSecond  float64 `yaml:"reads_per_second"`
-	// ValueBytes is the maximum size of a value.
+	// ValueBytes is the maximum size of a value. It is accepted but has no effect.
 	ValueBytes int `yaml:"value_bytes"`
 	// HistorySeconds is how long the store keeps past changes for watches; 0
 	// means unknown.
@@ -91,12 +92,12 @@
 
 // RoleMachine gives the resources that a node may use.
 type RoleMachine struct {
-	// MemoryMegabytes is the memory that the process may use.
+	// MemoryMegabytes is the memory that the process may use, in MiB.
 	MemoryMegabytes int `yaml:"memory_megabytes"`
 	// Descriptors is the number of files that the process may have open. It is
 	// accepted but has no effect.
 	Descriptors int `yaml:"descriptors"`
-	// DiskMegabytes is the size of a storage node's disk.
+	// DiskMegabytes is the size of a storage node's disk, in MiB.
 	DiskMegabytes int `yaml:"disk_megabytes"`
 }
 
@@ -113,8 +114,8 @@
 	// SettleMilliseconds is how long a read may miss an acknowledged write. It is
 	// accepted but has no effect.
 	SettleMilliseconds int `yaml:"settle_milliseconds"`
-	// CatchUpSeconds is how long a disk that returns may take until it holds all
-	// data that it should hold.
+	// CatchUpSeconds is the maximum time until a disk that returns has all the data
+	// it missed. It is accepted but has no effect.
 	CatchUpSeconds float64 `yaml:"catch_up_seconds"`
 	// ResultsKeptSeconds is how long a job remains readable after its submission.
 	ResultsKeptSeconds float64 `yaml:"results_kept_seconds"`
@@ -124,8 +125,9 @@
 	QuotaWindowSeconds float64 `yaml:"quota_window_seconds"`
 	QuotaOverrun       float64 `yaml:"quota_overrun"`
 	QuotaSlack         int     `yaml:"quota_slack"`
-	// RevokeFailClosed makes a node refuse requests that need a key when the
-	// configuration has not been confirmed for RevokeMilliseconds.
+	// RevokeFailClosed makes a node refuse requests that need a key when the node
+	// has been unable to confirm for RevokeMilliseconds that its configuration is
+	// current.
 	RevokeFailClosed   bool `yaml:"revoke_fail_closed"`
 	RevokeMilliseconds int  `yaml:"revoke_milliseconds"`
 }
@@ -240,7 +242,8 @@
 	return time.Duration(r.Bounds.ResultsKeptSeconds * float64(time.Second))
 }
 
-// QuotaTolerance returns by how much tenants may exceed their rate limits.
+// QuotaTolerance returns the quota settings of Bounds: by how much the requests of a
+// tenant may exceed its rate limit within a window.
 func (r *Role) QuotaTolerance() allotment.Tolerance {
 	return allotment.Tolerance{
 		Window:  time.Duration(r.Bounds.QuotaWindowSeconds * float64(time.Second)),
@@ -248,8 +251,8 @@
 	}
 }
 
-// RevokeTime returns how long the configuration may be unconfirmed before
-// requests that need a key are refused; 0 means without limit.
+// RevokeTime returns how long the configuration may be unconfirmed before requests
+// that need a key are refused; 0 means that they are never refused for this reason.
 func (r *Role) RevokeTime() time.Duration {
 	if !r.Bounds.RevokeFailClosed {
 		return 0
--- a/internal/configuration/settings/settings.go
+++ b/internal/configuration/settings/settings.go
@@ -4,12 +4,12 @@
 // may use. Policy is not part of the settings: a plain node reads it from the
 // bundle, an edge or a storage node from the platform's store.
 //
-// The package defines the keys with their defaults and allowed values, and
-// depends on no other node or service. Every program reads its file once, when
-// it starts.
+// The package defines the keys with their defaults and allowed values. Every
+// program reads its file once, when it starts.
 //
-// Decoding is strict: an unknown key or an invalid value stops the program with
-// an error that names the field, the line, the value and the allowed values.
+// Decoding is strict: an unknown key, a value of the wrong type or an invalid value
+// is an error. The error gives the line and, for an invalid value, the field, the
+// value and the allowed values.
 package settings
 
 import (
@@ -28,7 +28,7 @@
 	Cluster string `yaml:"cluster"`
 	// Node identifies the node and gives the addresses on which it listens.
 	Node NodeSettings `yaml:"node"`
-	// Data configures the disk of the nodes that store batch data.
+	// Data configures the node's disk for batch data.
 	Data DiskSettings `yaml:"data"`
 	// Platform gives the addresses of the platform's services.
 	Platform PlatformSettings `yaml:"platform"`
@@ -81,8 +81,8 @@
 	// RequestsPerSecond limits the rate of calls to the key-value service
 	// (default 5).
 	RequestsPerSecond float64 `yaml:"requests_per_second"`
-	// ListInterval is the time between two reads of the machine and runner lists
-	// (default 2s).
+	// ListInterval is the time between two reads of the machine list, and between
+	// two reads of the runner list (default 2s, at least 100ms).
 	ListInterval YAMLDuration `yaml:"list_interval"`
 }
 
@@ -106,12 +106,13 @@
 	Key string `yaml:"key"`
 }
 
-// IsSet reports whether at least one of the two paths is set.
+// IsSet reports whether the certificate's path, the key's path or both are set.
 func (p KeyPair) IsSet() bool { return p.Certificate != "" || p.Key != "" }
 
 // CallerLimits bounds the size of callers' requests and the duration of a stop.
 type CallerLimits struct {
-	// BodyBytes is the maximum size of a request body (default 4 MiB).
+	// BodyBytes is the maximum size of a request body other than a file upload
+	// (default 4 MiB, at least 1024 bytes).
 	BodyBytes int `yaml:"body_bytes"`
 	// FileBytes is the maximum size of an uploaded file (default 2 GiB).
 	FileBytes int64 `yaml:"file_bytes"`
@@ -177,7 +178,8 @@
 	DefaultStopTimeout       = 60 * time.Second
 )
 
-// SetDefaults sets the fields that are zero to their defaults.
+// SetDefaults sets fields that are zero to their defaults. A zero in the file
+// therefore also selects the default.
 func (s *Settings) SetDefaults() {
 	if s.Node.ID == "" {
 		s.Node.ID = s.Node.InternalAddress
--- a/modules/callers/quota/quota.go
+++ b/modules/callers/quota/quota.go
@@ -1,8 +1,9 @@
-// Package quota divides tenants' limits among the nodes. Each tenant has one node that
-// divides its limits, its divider. All nodes report the tenant's demand to the divider,
-// which returns each node's share of the limits (see internal/serving/quota). The
-// module keeps the shares in memory. It depends on the view of the fleet, which
-// determines the dividers, and on the connections between nodes. Plain nodes run it.
+// Package quota divides tenants' limits among the nodes. For each tenant, one node, the
+// tenant's divider, divides the limits. Every node that receives requests of the tenant
+// reports their number to the divider about once a second, and the divider replies with
+// the node's share of the limits (see internal/serving/quota). The module keeps the
+// shares in memory. It depends on the view of the fleet, which determines the dividers,
+// and on the connections between nodes. Plain nodes run it.
 package quota
 
 import (
@@ -40,7 +41,8 @@
 type Module struct {
 	views Views
 	pool  *rpc.Pool
-	// reportRequests wakes the report loop when the first request of a tenant arrives.
+	// reportRequests wakes the report loop when a request arrives from a tenant that has
+	// no entry in tenants.
 	reportRequests chan struct{}
 
 	dividerMutex sync.Mutex // guards divider
@@ -52,13 +54,12 @@
 	background tasks.Group
 }
 
-// tenantState holds a tenant's demand at this node since the last report, and this
-// node's share of the tenant's limits.
+// tenantState is the state of a tenant at this node.
 type tenantState struct {
-	demand     float64
-	share      float64
-	receivedAt time.Time
-	lastUsed   time.Time
+	demand     float64   // requests since the last report
+	share      float64   // this node's share of the tenant's limits, from 0 to 1
+	receivedAt time.Time // when share was received; zero until the first reply
+	lastUsed   time.Time // time of the tenant's last request
 }
 
 var (
@@ -86,15 +87,15 @@
 const (
 	reportInterval = time.Second
 	reportTimeout  = time.Second
-	// shareLifetime is how long a share is used after its last renewal. After that the
-	// node assumes equal shares for all nodes.
+	// shareLifetime is how long a share is used after it was received.
 	shareLifetime = 10 * time.Second
-	// idleTimeout is how long after its last request a tenant is still reported.
+	// idleTimeout is how long a tenant is reported after its last request.
 	idleTimeout = 5 * time.Second
 )
 
 // Share counts a request of the tenant and returns this node's share of the tenant's
-// limits, from 0 to 1.
+// limits, from 0 to 1. Until the divider has replied, and when the last reply is older
+// than shareLifetime, it returns an equal share for each candidate node of the fleet.
 func (m *Module) Share(tenant string) float64 {
 	now := time.Now()
 	m.mutex.Lock()
@@ -143,8 +144,10 @@
 	}
 }
 
-// report sends this node's demand to the dividers, with one message to each of them,
-// and stores the shares that they return.
+// report sends the demand of this node's tenants to the dividers, with one message to
+// each divider, and stores the shares that they return. The demand is lost if the
+// divider's address is unknown or the call fails. report also removes expired reports
+// that this node has received as a divider.
 func (m *Module) report(ctx context.Context) {
 	view := m.views.View()
 	var reports tasks.Group
@@ -164,6 +167,7 @@
 }
 
 // collect returns the demand since the last report, grouped by divider, and resets it.
+// It removes tenants that have sent no request for idleTimeout.
 func (m *Module) collect(view *fleet.View) map[string][]*wirev1.QuotaEntry {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -186,8 +190,8 @@
 	defer cancel()
 	reply := &wirev1.QuotaMessage{}
 	if err := m.pool.Call(ctx, address, rpc.ClassControl, wirev1.Method_METHOD_QUOTA, message, reply); err != nil {
-		// The current shares remain in use for shareLifetime, and the next report
-		// follows after reportInterval.
+		// Shares stay in use until shareLifetime has passed since they were received;
+		// the next report follows within reportInterval.
 		klog.V(1).InfoS("cannot report the demand of tenants", "peer", address, "tenants", len(message.Entries), "err", err)
 		return
 	}
@@ -201,7 +205,8 @@
 	}
 }
 
-// serve handles a report: it records the node's demand and returns its shares.
+// serve handles a report that a node sends to this node as the divider of its entries'
+// tenants: it records the demand and replies with the node's shares.
 func (m *Module) serve(_ context.Context, stream *rpc.ServerStream) error {
 	var message wirev1.QuotaMessage
 	if err := stream.DecodeRequest(&message); err != nil {
