--- a/internal/configuration/bundle/bucketmap.go
+++ b/internal/configuration/bundle/bucketmap.go
@@ -1,8 +1,7 @@
 package bundle
 
-// bucketCount is the number of buckets of a bundle's documents and keys. A change
-// copies and hashes only the buckets that it touches, which keeps changes of a
-// bundle with many tenants cheap.
+// bucketCount is the number of buckets into which a bundle's documents and API keys
+// are divided. A new generation copies and hashes only the buckets with changes.
 const bucketCount = 256
 
 // bucketMap is an immutable map that is split into buckets. An edited copy shares the
@@ -36,8 +35,8 @@
 	return &bucketEditor[K, V]{result: &copied}
 }
 
-// bucketEditor edits a copy of a bucketMap. It copies each bucket when it is first
-// changed. The result must not be edited after it has been shared.
+// bucketEditor edits a copy of a bucketMap. It copies a bucket before the first change
+// of the bucket. The editor must not be used after its result has been shared.
 type bucketEditor[K comparable, V any] struct {
 	result   *bucketMap[K, V]
 	writable [bucketCount]bool
--- a/internal/configuration/bundle/compile.go
+++ b/internal/configuration/bundle/compile.go
@@ -6,8 +6,9 @@
 	"sort"
 )
 
-// Compile validates documents and builds a snapshot. An invalid field is reported as
-// a *FieldError, an inconsistency between documents as another error.
+// Compile validates documents and builds a snapshot. It returns a *FieldError for an
+// invalid field or for a reference to a model that does not exist, and other errors
+// for content that cannot be decoded or for documents that do not fit together.
 func Compile(generation uint64, documents []Document) (*Snapshot, error) {
 	return newEmptySnapshot().Next(generation, documents, nil)
 }
@@ -72,9 +73,9 @@
 	documents      *bucketEditor[Key, compiledDocument]
 	keys           *bucketEditor[Hash, *CompiledTenant]
 	changedBuckets map[uint8]bool
-	// uncheckedTenants lists the changed tenants, whose references to models have to
-	// be checked. reindex is set when a model or an operator has changed; then the
-	// references of all tenants are checked.
+	// uncheckedTenants lists the changed tenants; finish checks their references to
+	// models. reindex is set when a model or an operator has changed; finish then
+	// rebuilds the indexes and checks the references of all tenants.
 	uncheckedTenants []*CompiledTenant
 	reindex          bool
 }
@@ -164,7 +165,8 @@
 }
 
 // indexModels rebuilds the indexes of models, adapters and operators. It visits every
-// document, so it runs only when one of them has changed.
+// document, so finish calls it only when a model or an operator has changed or the
+// indexes do not exist yet.
 func (s *Snapshot) indexModels() error {
 	s.Models = map[string]*CompiledModel{}
 	s.Operators = map[string]*Operator{}
--- a/internal/configuration/bundle/delta.go
+++ b/internal/configuration/bundle/delta.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// Delta is the stored difference between two generations, or a complete generation
-// if Full is set.
+// Delta is the difference from an older generation to Generation, or, if Full is set,
+// the complete generation. Digest is the digest of the complete generation.
 type Delta struct {
 	Generation uint64     `json:"generation"`
 	Digest     string     `json:"digest"`
@@ -47,8 +47,10 @@
 	}
 }
 
-// Apply applies a delta to the snapshot and checks the digest of the result. The
-// receiver may be nil if the delta is full.
+// Apply returns the snapshot that results from applying the delta to this snapshot. It
+// returns an error if the result is invalid or does not have the delta's digest. A full
+// delta replaces the whole content; the receiver may then be nil. A nil receiver counts
+// as an empty snapshot.
 func (s *Snapshot) Apply(delta *Delta) (*Snapshot, error) {
 	base := s
 	if delta.Full || base == nil {
--- a/internal/configuration/bundle/digest.go
+++ b/internal/configuration/bundle/digest.go
@@ -32,8 +32,8 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Digest returns the digest of documents without compiling them. It equals the
-// Digest of their Snapshot.
+// Digest returns the digest of documents without validating them. For valid documents
+// it equals Snapshot.Digest.
 func Digest(documents []Document) string {
 	s := newEmptySnapshot()
 	editor := s.documents.edit()
--- a/internal/configuration/bundle/document.go
+++ b/internal/configuration/bundle/document.go
@@ -44,8 +44,10 @@
 }
 
 // Parse decodes YAML documents separated by "---". Each document has a kind, a name
-// and the fields of its kind. Parse returns an error that identifies the document if
-// a field is unknown, a value is invalid or a name occurs twice within a kind.
+// and the fields of its kind; empty documents are skipped. Parse returns the documents
+// sorted by kind and name. It returns an error that identifies the document if a field
+// is unknown, a value is invalid or a name occurs twice within a kind. References
+// between documents are checked by Compile.
 func Parse(text []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	var documents []Document
@@ -101,8 +103,9 @@
 	return Canonical(Kind(kind), name, raw)
 }
 
-// Canonical decodes content strictly, fills in defaults, validates it and encodes
-// it again, so that equal documents have equal bytes.
+// Canonical returns the document in canonical form: it decodes the JSON content
+// strictly, fills in defaults, validates the fields and encodes them again, so that
+// equal documents have equal bytes. It does not check the name.
 func Canonical(kind Kind, name string, content []byte) (Document, error) {
 	value, err := decodeSpec(kind, name, content)
 	if err != nil {
--- a/internal/configuration/bundle/head.go
+++ b/internal/configuration/bundle/head.go
@@ -16,7 +16,8 @@
 	Signature string `json:"signature"`
 }
 
-// Head records the newest accepted generation and the progress of its rollout. It is
+// Head records the newest accepted generation and the progress of its rollout. A new
+// generation is not active in any zone until the first roll action. The stored head is
 // replaced only by compare-and-swap, because several operators may change it at the
 // same time.
 //
@@ -27,14 +28,16 @@
 	Generation uint64 `json:"generation"`
 	Digest     string `json:"digest"`
 	// Stages lists the zones of each rollout stage of the generation. Stage is the
-	// number of stages that the rollout has reached.
+	// number of stages that the rollout has reached, 0 after a submission. Halted is
+	// true from a halt until the next roll action next or all.
 	Stages [][]string `json:"stages,omitempty"`
 	Stage  int        `json:"stage"`
 	Halted bool       `json:"halted,omitempty"`
 	// Zones lists the zones with a newer generation than Rolled. A zone keeps its
 	// generation when the next one is submitted.
 	Zones []ZoneRoll `json:"zones,omitempty"`
-	// Rolled is the newest generation that was rolled out to the whole fleet.
+	// Rolled is the newest generation that was rolled out to the whole fleet; 0 means
+	// none.
 	Rolled       uint64    `json:"rolled"`
 	RolledDigest string    `json:"rolled_digest,omitempty"`
 	SignOffs     []SignOff `json:"sign_offs"`
@@ -70,7 +73,8 @@
 }
 
 // GenerationFor returns the generation that is to be active in the zone, and its
-// digest. The generation never decreases from one head to the next.
+// digest. It returns 0 if no generation has been rolled out to the zone yet. The
+// generation never decreases from one head to the next.
 func (h *Head) GenerationFor(zone string) (uint64, string) {
 	generation, digest := h.Rolled, h.RolledDigest
 	for _, rolled := range h.Zones {
@@ -113,10 +117,11 @@
 	return SignOff{Operator: operator, Signature: base64.StdEncoding.EncodeToString(signature)}
 }
 
-// VerifySignOffs checks that enough operators have signed a bundle. The operators
-// and the required number are those of the authority, which is the previous
-// generation, or the bundle itself for the first one. It returns SignatureInvalid
-// if the check fails.
+// VerifySignOffs checks that enough operators have signed a bundle. The operators and
+// the required number come from authority: the snapshot of the previous generation,
+// or, for generation 1, of the bundle itself. VerifySignOffs returns SignatureInvalid
+// if there are too few sign-offs, and also if any sign-off is invalid or its operator
+// is not in authority.
 func VerifySignOffs(authority *Snapshot, cluster string, generation uint64, digest string, signOffs []SignOff) error {
 	message := SigningMessage(cluster, generation, digest)
 	valid := map[string]bool{}
@@ -139,8 +144,8 @@
 
 // Accept validates a submission and returns the next head and the submission's
 // snapshot. It returns BundleInvalid, GenerationConflict or SignatureInvalid if the
-// submission is refused. authority is the snapshot of the current head; both are nil
-// in a cluster without a bundle.
+// submission is refused. authority is the snapshot of current's generation; current
+// and authority are nil in a cluster without a bundle.
 func Accept(current *Head, authority *Snapshot, cluster string, submission *Submission, now time.Time) (*Head, *Snapshot, error) {
 	proposed, err := Compile(submission.Generation, submission.Documents)
 	if err != nil {
@@ -189,8 +194,10 @@
 	RollHalt RollAction = "halt"
 )
 
-// Roll returns the head after the next stage, after all stages, or after a halt of
-// the rollout.
+// Roll returns the head after the action: RollNext reaches the next stage, RollAll
+// reaches all stages, and RollHalt marks the rollout as halted and leaves the zones as
+// they are. RollNext and RollAll also end a halt. Roll returns NotFound if current is
+// nil, and InvalidRequest for any other action.
 func Roll(current *Head, action RollAction, operationID string, now time.Time) (*Head, error) {
 	if current == nil {
 		return nil, result.New(result.NotFound, "no bundle was submitted yet")
@@ -215,8 +222,9 @@
 	return &next, nil
 }
 
-// applyStages assigns the newest generation to the zones of the stages reached. After
-// the last stage the whole fleet has it, including zones that are in no stage.
+// applyStages assigns the newest generation to the zones of the stages reached, or,
+// once the last stage is reached, to the whole fleet, including zones that are in no
+// stage.
 func (h *Head) applyStages() {
 	if h.Stage >= len(h.Stages) {
 		h.Rolled, h.RolledDigest = h.Generation, h.Digest
@@ -230,8 +238,8 @@
 	}
 }
 
-// RollRequest requests a rollout action. An operator of the newest accepted bundle
-// signs it.
+// RollRequest requests a roll action for the newest accepted generation. It is signed
+// by one operator of that generation.
 type RollRequest struct {
 	Action      RollAction `json:"action"`
 	Generation  uint64     `json:"generation"`
@@ -249,8 +257,8 @@
 	r.SignOff = SignOff{Operator: operator, Signature: base64.StdEncoding.EncodeToString(signature)}
 }
 
-// VerifyRoll checks the signature of a roll request against the operators of the
-// authority. It returns SignatureInvalid if the check fails.
+// VerifyRoll checks that an operator in authority, the snapshot of the newest accepted
+// generation, has signed the request. It returns SignatureInvalid if the check fails.
 func VerifyRoll(authority *Snapshot, cluster string, request *RollRequest) error {
 	operator, known := authority.Operators[request.SignOff.Operator]
 	if !known {
--- a/internal/configuration/bundle/schema.go
+++ b/internal/configuration/bundle/schema.go
@@ -1,8 +1,11 @@
 // Package bundle defines the bundle: the versioned configuration that operators
-// sign and roll out. It contains the bundle's schema, validation and canonical
-// form, operators' signatures (sign-offs), the head that records the accepted
-// generation and the zones it is rolled out to, and the compiled snapshot that
-// the request path reads. The package does no I/O and has no state. Plain nodes
+// sign and roll out to the plain nodes. A bundle is a set of documents. Each
+// accepted version of the bundle is a generation, numbered from 1.
+//
+// The package contains the bundle's schema, validation and canonical form, the
+// operators' signatures (sign-offs), the head, which records the accepted
+// generation and the progress of its rollout, and the snapshot, the compiled form
+// that request handlers read. The package does no I/O and has no state. Plain nodes
 // and the operators' commands use it.
 package bundle
 
@@ -56,14 +59,15 @@
 	// SignOffThreshold is the number of operators who must sign the next
 	// generation (default 1).
 	SignOffThreshold int `json:"sign_off_threshold"`
-	// RequestTimeout is the maximum duration of an online request, and the default
-	// for requests that set no timeout (default 60s).
+	// RequestTimeout is the maximum duration of an online request. It also applies to
+	// requests that set no timeout (default 60s).
 	RequestTimeout Duration `json:"request_timeout"`
 	// RetryBudget is the maximum fraction of online traffic that may be retries,
 	// from 0 to 1 (default 0.1).
 	RetryBudget float64 `json:"retry_budget"`
-	// Stages lists, for each rollout stage, the zones that get the generation.
-	// Without stages, a rollout reaches the whole fleet at once.
+	// Stages lists, for each rollout stage, the zones that get the generation. The
+	// last stage reaches the whole fleet, including zones that are in no stage.
+	// Without stages, the first roll action next or all reaches the whole fleet.
 	Stages [][]string `json:"stages,omitempty"`
 	// Batch controls batch work.
 	Batch BatchPolicy `json:"batch"`
@@ -78,8 +82,7 @@
 	// Mode is "managed" (default: preemption and an adaptive concurrency limit),
 	// "static" (batch work has static_slots of each runner for itself),
 	// "priority_only" (batch work fills every slot and relies on the engine's
-	// priorities) or "off". The modes other than managed are baselines for
-	// comparison.
+	// priorities) or "off".
 	Mode string `json:"mode"`
 	// StaticSlots is the number of slots of each runner for batch work in mode
 	// static.
@@ -91,8 +94,8 @@
 	// ReserveSlots is the number of slots of each runner that batch work leaves
 	// free for bursts of online requests (default 1).
 	ReserveSlots int `json:"reserve_slots"`
-	// CompletionWindow is the maximum completion window of a job, and the default
-	// for jobs that set none (default 24h).
+	// CompletionWindow is the maximum completion window of a job. It also applies to
+	// jobs that set none (default 24h).
 	CompletionWindow Duration `json:"completion_window"`
 	// Retention is how long finished jobs, files and claims remain readable
 	// (default 72h).
@@ -128,7 +131,8 @@
 type Tenant struct {
 	// KeyHashes lists the SHA-256 hashes, in hex, of the tenant's API keys.
 	KeyHashes []string `json:"key_hashes"`
-	// Models lists the models that the tenant may call; empty allows all.
+	// Models lists the models and adapters that the tenant may call; empty allows
+	// all. A model in the list does not include its adapters.
 	Models []string `json:"models,omitempty"`
 	// HomeRegion is the region that stores the tenant's jobs and idempotency keys
 	// (default: the first region with disks in alphabetical order).
@@ -157,7 +161,8 @@
 	PublicKey string `json:"public_key"`
 }
 
-// FieldError reports an invalid value in a document.
+// FieldError reports an invalid value of a field in the document with the given kind
+// and name.
 type FieldError struct {
 	Kind    Kind
 	Name    string
@@ -300,7 +305,7 @@
 	return c.err
 }
 
-// Key returns the operator's decoded public key, or nil if it is invalid.
+// Key returns the operator's decoded public key, or nil if it is not valid base64.
 func (o *Operator) Key() ed25519.PublicKey {
 	decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(o.PublicKey))
 	if err != nil {
--- a/internal/configuration/bundle/snapshot.go
+++ b/internal/configuration/bundle/snapshot.go
@@ -18,7 +18,8 @@
 	allowed map[string]bool
 }
 
-// MayCall reports whether the tenant may call the model.
+// MayCall reports whether the tenant may call the model or adapter with the given
+// name. A tenant that lists no models may call all of them.
 func (t *CompiledTenant) MayCall(model string) bool {
 	return len(t.allowed) == 0 || t.allowed[model]
 }
@@ -30,8 +31,9 @@
 	Generation uint64
 	Digest     string
 	Policy     Policy
-	// Models holds the models by name. An adapter's name refers to its model.
-	Models    map[string]*CompiledModel
+	// Models holds the models by their names and by the names of their adapters.
+	Models map[string]*CompiledModel
+	// Operators holds the operators by name.
 	Operators map[string]*Operator
 
 	policies    int
@@ -67,7 +69,7 @@
 // key.
 func HashKey(key string) Hash { return sha256.Sum256([]byte(key)) }
 
-// TenantByKey returns the tenant that has the API key, if there is one.
+// TenantByKey returns the tenant that has the API key, and whether there is one.
 func (s *Snapshot) TenantByKey(key string) (*CompiledTenant, bool) {
 	return s.tenantByKey.get(HashKey(key))
 }
--- a/modules/config/bundles/bundles.go
+++ b/modules/config/bundles/bundles.go
@@ -1,11 +1,13 @@
 // Package bundles keeps this node's active bundle up to date and commits operators'
 // changes to the bundle.
 //
-// A few nodes per region, the watchers, watch the head in the platform's key-value
-// service. A node that gets a new head notifies a few other nodes at once, and these
-// fetch the head and the changed documents from it. Gossip also carries the revision
-// of the head, so that nodes that missed a notice catch up. While the platform is
-// down, the active bundle stays active and a node that starts fetches it from a peer.
+// The head records the newest generation of the bundle and the generation that is to be
+// active in each zone (see bundle.Head). A few nodes per region, the watchers, watch the
+// head in the platform's key-value service. A node that has applied a new head sends a
+// notice to a few other nodes, which then fetch the head and the changed documents from
+// the sender. Gossip also carries the revision of the head, so that nodes that missed a
+// notice catch up. While the platform is down, the active bundle stays active, and a
+// node that starts fetches the bundle from a peer.
 //
 // The module keeps snapshots in memory. The key-value service stores the head and the
 // generations, and the head is changed by compare-and-swap. The module depends on
@@ -69,13 +71,14 @@
 	accepted atomic.Pointer[bundle.Snapshot]
 	head     atomic.Pointer[bundle.Head]
 
-	// updateMutex is held while active, accepted and head are changed.
+	// updateMutex is held while active, accepted, head and previous are changed. They
+	// are read without it.
 	updateMutex sync.Mutex
-	// previous is the snapshot that was active before; peers may still request it.
+	// previous is the snapshot that was active before active; peers may request it.
 	previous          atomic.Pointer[bundle.Snapshot]
 	listeners         []func(*bundle.Snapshot)
 	platformReachable atomic.Bool
-	notices           chan string
+	notices           chan string // addresses of peers that have a newer head
 
 	background tasks.Group
 }
@@ -118,11 +121,14 @@
 // Head returns the newest head that this node knows, or nil if there is none yet.
 func (m *Module) Head() *bundle.Head { return m.head.Load() }
 
-// PlatformReachable reports whether the last call to the key-value service succeeded.
+// PlatformReachable reports whether the last read of the head or of a stored delta from
+// the key-value service succeeded. It is also false after this node failed to apply a
+// head that it had committed, until the next read succeeds.
 func (m *Module) PlatformReachable() bool { return m.platformReachable.Load() }
 
-// OnSnapshot registers a listener that is called whenever a generation becomes
-// active. It must be called while modules are provisioned.
+// OnSnapshot registers a listener that is called whenever a generation becomes active.
+// OnSnapshot must be called while modules are provisioned. The listener is called with
+// updateMutex held and must not call ApplyHead, Submit or Roll.
 func (m *Module) OnSnapshot(listener func(*bundle.Snapshot)) {
 	m.listeners = append(m.listeners, listener)
 }
@@ -141,8 +147,8 @@
 const (
 	// repairInterval is the time between two checks for a peer with a newer head.
 	repairInterval = 500 * time.Millisecond
-	// watchBackoff is the minimum wait after a watch has ended. A random jitter of up
-	// to the same duration is added.
+	// watchBackoff is the minimum wait between two rounds of the watch loop. A random
+	// jitter of up to the same duration is added.
 	watchBackoff = time.Second
 	// fetchTimeout is the timeout of a fetch from a peer.
 	fetchTimeout = 5 * time.Second
@@ -154,8 +160,8 @@
 	return spread.IsWatcher(self, view.Candidates)
 }
 
-// watchLoop watches the head in the key-value service while this node is a watcher.
-// Other nodes read the head repeatedly until they have one.
+// watchLoop watches the head in the key-value service while this node is a watcher. A
+// node that is not a watcher reads the head in each round until it has a head.
 func (m *Module) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if m.isWatcher() || m.head.Load() == nil {
@@ -169,8 +175,8 @@
 	}
 }
 
-// watchOnce reads the head. On a watcher it then watches the head from the revision
-// read until the watch ends.
+// watchOnce reads the head and applies it. On a watcher it then watches the head, from
+// the store's revision at the time of the read, until the watch ends.
 func (m *Module) watchOnce(ctx context.Context) {
 	values, revision, err := m.store.List(ctx, m.headKey())
 	m.platformReachable.Store(err == nil)
@@ -257,7 +263,8 @@
 	}
 }
 
-// fetchHead fetches the newest head from a peer and applies it.
+// fetchHead fetches the head that a peer has, and applies it if it is newer than this
+// node's head.
 func (m *Module) fetchHead(ctx context.Context, peer string) {
 	reply, err := m.callFetch(ctx, peer, 0)
 	if err != nil {
--- a/modules/config/bundles/change.go
+++ b/modules/config/bundles/change.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxCommitAttempts is how often a commit is sent while its outcome is unknown.
+	// maxCommitAttempts is the maximum number of attempts of a commit whose outcome is
+	// unknown.
 	maxCommitAttempts = 4
 	// commitRetryDelay is the time between two attempts of a commit.
 	commitRetryDelay = 300 * time.Millisecond
@@ -21,10 +22,11 @@
 
 // Submit submits a signed bundle as the next generation and returns the new head. Of
 // several concurrent submissions one succeeds and the others return
-// GenerationConflict. Submit also returns BundleInvalid, SignatureInvalid,
-// PlatformUnavailable if nothing was written, and SubmissionUnknown if the outcome is
-// unknown; Operation then tells whether the submission took effect. A repeated
-// submission returns the head that the first one wrote.
+// GenerationConflict. Submit also returns BundleInvalid or SignatureInvalid for a
+// submission that is refused, PlatformUnavailable if nothing was written, and
+// SubmissionUnknown if the outcome is unknown; a call of Operation can then show whether
+// the submission took effect. A submission with the operation ID of an operation that
+// took effect returns the head that this operation wrote.
 func (m *Module) Submit(ctx context.Context, submission *bundle.Submission) (*bundle.Head, error) {
 	current, revision, err := m.readHead(ctx)
 	if err != nil {
@@ -56,7 +58,10 @@
 }
 
 // Roll advances or halts the rollout of the newest generation and returns the new
-// head. It returns the same errors as Submit, and NotFound if there is no bundle yet.
+// head. It returns NotFound if there is no bundle yet, InvalidRequest for an action that
+// does not exist, GenerationConflict if the request is not for the newest generation or
+// another change was accepted first, and otherwise SignatureInvalid,
+// PlatformUnavailable and SubmissionUnknown like Submit.
 func (m *Module) Roll(ctx context.Context, request *bundle.RollRequest) (*bundle.Head, error) {
 	current, revision, err := m.readHead(ctx)
 	if err != nil {
@@ -132,8 +137,8 @@
 	return result.New(result.PlatformUnavailable, "the platform's key-value service does not answer: %v", trace.UserMessage(err)).WithRetryAfter(time.Second)
 }
 
-// Operation returns the head that an operation wrote, or nil if the operation took no
-// effect. It returns PlatformUnavailable if the record cannot be read.
+// Operation returns the head that an operation wrote, or nil if the operation has not
+// taken effect. It returns PlatformUnavailable if the record cannot be read.
 func (m *Module) Operation(ctx context.Context, operation string) (*bundle.Head, error) {
 	value, found, err := m.store.Get(ctx, OperationKey(m.settings.Cluster, operation))
 	if err != nil {
@@ -145,9 +150,10 @@
 	return bundle.DecodeHead(value.Value)
 }
 
-// commitHead replaces the head if it still has the given revision. The same transaction
-// writes the operation's record, so that a lost response can be resolved even when the
-// head has changed again since.
+// commitHead replaces the stored head if its key still has the given revision in the
+// key-value service, and applies the new head to this node. The same transaction writes
+// the operation's record and the puts in more. The record shows whether the operation
+// took effect, also after the head has changed again.
 func (m *Module) commitHead(ctx context.Context, next *bundle.Head, revision int64, more ...ports.Put) (*bundle.Head, error) {
 	puts := append([]ports.Put{
 		{Key: m.headKey(), Value: next.Encode()},
--- a/modules/config/bundles/content.go
+++ b/modules/config/bundles/content.go
@@ -24,18 +24,19 @@
 	return fmt.Sprintf("%s/bundle/generations/%020d", cluster, generation)
 }
 
-// OperationKey returns the key of an operation's record, which exists if the operation
-// took effect.
+// OperationKey returns the key of an operation's record: the head that the operation
+// wrote. The record exists only if the operation took effect.
 func OperationKey(cluster, operation string) string {
 	return cluster + "/bundle/operations/" + operation
 }
 
-// fullGenerationInterval is the number of generations after which one is stored as a full
-// delta. It bounds the number of deltas that a new node reads.
+// fullGenerationInterval is the number of generations from one that is stored as a full
+// delta to the next. It bounds the number of deltas that a new node reads.
 const fullGenerationInterval = 16
 
-// loadSnapshot returns the snapshot of a generation from memory, from the peer or from
-// the key-value service, in this order. The caller must hold updateMutex.
+// loadSnapshot returns the snapshot of a generation with the given digest from memory,
+// from the peer or from the key-value service, in this order. An empty peer is skipped.
+// The caller must hold updateMutex.
 func (m *Module) loadSnapshot(ctx context.Context, generation uint64, digest, peer string) (*bundle.Snapshot, error) {
 	if cached := m.cached(generation); cached != nil && cached.Digest == digest {
 		return cached, nil
@@ -72,8 +73,9 @@
 	return m.accepted.Load().Apply(delta)
 }
 
-// fetchFromPlatform reads stored deltas back to the accepted snapshot, or to a full
-// generation, and applies them.
+// fetchFromPlatform reads the stored deltas from the given generation back to the
+// accepted snapshot or to a full delta, whichever is reached first, and applies them in
+// ascending order.
 func (m *Module) fetchFromPlatform(ctx context.Context, generation uint64) (*bundle.Snapshot, error) {
 	base := m.accepted.Load()
 	var chain []*bundle.Delta
@@ -114,8 +116,9 @@
 	return bundle.DecodeDelta(value.Value)
 }
 
-// serveFetch sends a peer the head and, if the peer asks for a generation, the delta
-// from the peer's own generation.
+// serveFetch replies to a peer with the head. If the peer requests a generation, the
+// reply also contains the delta from the peer's own generation, or a full delta if that
+// generation is not in memory here. The reply is empty if this node has no head yet.
 func (m *Module) serveFetch(_ context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.BundleFetchRequest
 	if err := stream.DecodeRequest(&request); err != nil {
--- a/modules/config/bundles/learn.go
+++ b/modules/config/bundles/learn.go
@@ -13,10 +13,12 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
-// ApplyHead fetches the generations that a head names, activates the generation of
-// this node's zone, and notifies a few other nodes. Older heads are ignored, so that
-// the active generation never decreases. If peer is not empty, the generations are
-// fetched from that address first. On an error the active bundle stays active.
+// ApplyHead loads the head's newest generation as the accepted bundle, activates the
+// generation that the head assigns to this node's zone, and notifies a few other nodes.
+// A head that is not newer than the current one is ignored. If peer is not empty,
+// generations that are not in memory are fetched from that address first. On an error
+// the head and the active bundle stay as they were; the accepted bundle may already be
+// the new one.
 func (m *Module) ApplyHead(ctx context.Context, head *bundle.Head, peer string) error {
 	m.updateMutex.Lock()
 	defer m.updateMutex.Unlock()
@@ -41,9 +43,11 @@
 	return nil
 }
 
-// checkSignOffs verifies the signatures of a head that directly follows the accepted
-// generation. A node that has skipped generations lacks the operators' keys of the
-// generation before, and relies on the nodes that have verified the signatures.
+// checkSignOffs verifies the signatures of a head whose generation directly follows the
+// accepted one, or is generation 1. It returns nil without a check for the accepted
+// generation, unless that is generation 1, and when the accepted bundle is not the
+// generation directly before: this node then lacks the operators' keys of that
+// generation, and relies on the nodes that have verified the signatures.
 func (m *Module) checkSignOffs(head *bundle.Head, accepted *bundle.Snapshot) error {
 	authority := m.accepted.Load()
 	if authority == nil && head.Generation == 1 {
@@ -58,7 +62,9 @@
 	return bundle.VerifySignOffs(authority, m.settings.Cluster, head.Generation, head.Digest, head.SignOffs)
 }
 
-// activate activates the generation that the head assigns to this node's zone.
+// activate activates the generation that the head assigns to this node's zone. It does
+// nothing if the head assigns none, or none newer than the active one. The caller must
+// hold updateMutex.
 func (m *Module) activate(ctx context.Context, head *bundle.Head, peer string) error {
 	generation, digest := head.GenerationFor(m.settings.Node.Zone)
 	current := m.active.Load()
