--- a/modules/callers/openai/api.go
+++ b/modules/callers/openai/api.go
@@ -1,9 +1,12 @@
 // Package openai serves the callers' API: OpenAI's chat completions, completions,
 // models, files and batches. Every error response contains a result code. The module
-// owns the API listener and enforces this node's shares of the tenants' limits, which
-// it keeps in memory. It depends on the active bundle for keys, models and limits, on
-// module serving.router for online responses, and on module batch.directory for files,
-// jobs and claims of idempotency keys. Plain nodes run it.
+// owns the API listener and enforces this node's shares of the tenants' limits; the
+// limiters' state is kept in memory.
+//
+// The module depends on the active bundle for keys, models and limits, on module
+// serving.router for online responses, on module callers.quota for the shares, and on
+// module batch.directory for files, jobs and claims of idempotency keys. A claim records
+// that a request uses an idempotency key. Plain nodes run the module.
 package openai
 
 import (
@@ -40,10 +43,11 @@
 	})
 }
 
-// Snapshots provides the active bundle.
+// Snapshots provides the active bundle, or nil if there is none yet.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
-// Router runs online requests.
+// Router runs online requests. Generate passes the chunks of the response to the
+// function in order and returns after the last chunk or with an error.
 type Router interface {
 	Generate(context.Context, *router.Request, func(router.Chunk) error) (router.Usage, error)
 }
@@ -69,10 +73,10 @@
 	server   *httpserve.Server
 	tls      *tlskeys.Pair
 	draining atomic.Bool
-	inFlight atomic.Int64
+	inFlight atomic.Int64 // requests being processed, including streams being written
 
-	// background runs calls to shards that no caller waits for. startContext, the
-	// context of Start, cancels them.
+	// background runs calls to shards for which no caller waits. They use startContext,
+	// the context of Start, and are cancelled with it.
 	background   tasks.Group
 	startContext context.Context
 }
@@ -151,7 +155,7 @@
 }
 
 const (
-	// readTimeout is the timeout for reading a request, which may be a file's upload.
+	// readTimeout is the timeout for reading a request, including the upload of a file.
 	readTimeout = 5 * time.Minute
 	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout = 90 * time.Second
@@ -170,8 +174,10 @@
 	})
 }
 
-// trackRequest counts requests in flight, records their metrics, and closes the
-// connection after the response while the node drains.
+// trackRequest counts a request as in flight until its handler returns, records its
+// metrics, reads the rest of its body if the handler returns an error, and closes the
+// connection after the response if the node was draining when the request arrived. The
+// recorded duration of a stream ends when its first chunk is available.
 func (m *Module) trackRequest(c fiber.Ctx) error {
 	if m.draining.Load() {
 		c.RequestCtx().SetConnectionClose()
@@ -190,8 +196,8 @@
 	return err
 }
 
-// Ready returns nil if the node can serve callers, or the reason why it cannot:
-// Draining or NotReady.
+// Ready returns nil if the node accepts callers' requests, Draining while it stops, and
+// NotReady while it has no active bundle.
 func (m *Module) Ready() error {
 	if m.draining.Load() {
 		return result.New(result.Draining, "the node is stopping")
@@ -203,13 +209,13 @@
 }
 
 // drainDelay is the time from the announcement that the node leaves until it stops
-// accepting connections. Load balancers and callers need it to notice that the node is
-// not ready.
+// accepting connections. In this time, load balancers and callers notice that the node
+// is not ready.
 const drainDelay = 500 * time.Millisecond
 
-// Drain implements kernel.Drainer. It first notifies the fleet, so that other nodes take
-// over this node's runners, then stops accepting connections, and then waits for the
-// requests in flight.
+// Drain implements kernel.Drainer. It refuses new requests and notifies the fleet, so
+// that other nodes take over this node's runners. After drainDelay it stops accepting
+// connections and waits for the requests in flight, until ctx ends at the latest.
 func (m *Module) Drain(ctx context.Context) {
 	m.draining.Store(true)
 	m.leaver.Leave()
@@ -230,7 +236,8 @@
 	m.background.Wait()
 }
 
-// Address returns the listening address of the callers' API.
+// Address returns the listening address of the callers' API. It must not be called
+// before Start.
 func (m *Module) Address() string { return m.server.Address() }
 
 // handleError writes an error response.
--- a/modules/callers/openai/auth.go
+++ b/modules/callers/openai/auth.go
@@ -11,9 +11,9 @@
 	"cobaltramp.example/cobaltramp/internal/serving/limits"
 )
 
-// callerIdentity is an authenticated caller: its tenant, and the snapshot that serves
-// the request. All steps of a request use this snapshot, so that a request never sees
-// two generations of the bundle.
+// callerIdentity is the authenticated caller of one request: its tenant, and the
+// snapshot of the bundle that contains the tenant. All steps of the request use this
+// snapshot, so that a request never sees two generations of the bundle.
 type callerIdentity struct {
 	snapshot *bundle.Snapshot
 	tenant   *bundle.CompiledTenant
@@ -24,7 +24,7 @@
 const bearer = "Bearer "
 
 // authenticated wraps a handler with authentication: it looks up the tenant of the API
-// key in the active bundle.
+// key in the active bundle. Requests are refused while the node drains or has no bundle.
 func (m *Module) authenticated(next authenticatedHandler) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		if m.draining.Load() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// admit checks a request against this node's share of its tenant's limits. An admitted
-// request must be released with TenantLimiter.Release.
+// admit checks a request against this node's share of its tenant's limits. If it is
+// admitted, the caller must call Release on the returned limiter when the request ends.
 func (m *Module) admit(caller *callerIdentity) (*limits.TenantLimiter, error) {
 	limit := limits.TenantLimits{
 		RequestsPerSecond: caller.tenant.RequestsPerSecond, Burst: caller.tenant.Burst,
--- a/modules/callers/openai/batches.go
+++ b/modules/callers/openai/batches.go
@@ -84,7 +84,8 @@
 	return body
 }
 
-// setResultFiles sets the IDs of the result files of a finished job.
+// setResultFiles sets the IDs of the result files of a finished job: an output file if
+// items completed, and an error file if not all items completed.
 func (b *batchBody) setResultFiles(job *wirev1.JobRecord) {
 	if job.Completed > 0 {
 		id := outputPrefix + job.Spec.JobId
@@ -121,8 +122,9 @@
 	}
 }
 
-// createBatch creates a job from an uploaded file. A repeated request returns the first
-// job; it is recognised by its Idempotency-Key or, without a key, by the file's content.
+// createBatch creates a job from an uploaded file, in the shard of the file. A repeated
+// request returns the first job. The shard recognises a repeated request by its
+// Idempotency-Key or, without a key, by the endpoint and the file's content.
 func (m *Module) createBatch(c fiber.Ctx, caller *callerIdentity) error {
 	raw, err := readBody(c, m.settings.Limits.BodyBytes)
 	if err != nil {
@@ -169,8 +171,8 @@
 	}, nil
 }
 
-// completionWindow returns the completion window that a job requests, limited to the
-// one in the bundle.
+// completionWindow returns the completion window that a job requests, at most the
+// completion window of the bundle's policy. An empty value selects the latter.
 func completionWindow(value string, caller *callerIdentity) (time.Duration, error) {
 	limit := caller.snapshot.Policy.Batch.CompletionWindow.Std()
 	if value == "" {
@@ -246,7 +248,10 @@
 func (b fileBody) listID() string  { return b.ID }
 
 // listShards responds with a page of a tenant's files or jobs. It reads the shards of the
-// tenant's home region in order. The cursor is the last ID of the previous page.
+// tenant's home region in ascending order, from the shard in the cursor on. The cursor,
+// the query parameter after, is the last ID of the previous page; it is passed to the
+// first read only. listShards requests one entry more than the limit, to learn whether
+// another page follows. prefix and kind are those of shardFromID.
 func listShards[T listEntry](c fiber.Ctx, m *Module, caller *callerIdentity, prefix, kind string, read func(shard uint32, after string, limit int) ([]T, error)) error {
 	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListLimit)))
 	if err != nil || limit < 1 || limit > maxListLimit {
--- a/modules/callers/openai/body.go
+++ b/modules/callers/openai/body.go
@@ -8,8 +8,10 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// readLimited copies a request's body, which the server provides as a stream if it is
-// large. It returns BodyTooLarge if the stream is longer than the limit.
+// readLimited returns a copy of a request's body. If the server provides the body as a
+// stream, readLimited returns BodyTooLarge for a stream longer than limit bytes, and
+// InvalidRequest if the stream cannot be read to its end. It does not check the length
+// of a body that the server has already read.
 func readLimited(c fiber.Ctx, limit int) ([]byte, error) {
 	stream := c.RequestCtx().RequestBodyStream()
 	if stream == nil {
@@ -29,9 +31,9 @@
 // request.
 const maxDiscardedBytes = 64 << 20
 
-// discardBody reads the rest of a refused request's body. Closing a connection with
-// unread bytes would reset it, and a caller that is still sending would see the reset
-// instead of the error response.
+// discardBody reads the rest of a refused request's body, up to maxDiscardedBytes.
+// Closing a connection with unread bytes would reset the connection, and a caller that
+// is still sending would see the reset instead of the error response.
 func discardBody(c fiber.Ctx) {
 	if stream := c.RequestCtx().RequestBodyStream(); stream != nil {
 		_, _ = io.CopyN(io.Discard, stream, maxDiscardedBytes) // the error response is sent even if this fails
--- a/modules/callers/openai/disconnect.go
+++ b/modules/callers/openai/disconnect.go
@@ -12,14 +12,15 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// disconnectPollInterval is the time between two checks whether the caller of a waiting
-// request is still connected. fasthttp does not notify a running handler when its caller
+// disconnectPollInterval is the time between two checks whether the caller of a running
+// request is still connected. fasthttp does not notify a handler when the caller
 // disconnects.
 const disconnectPollInterval = 250 * time.Millisecond
 
-// callerContext returns a context that ends at the timeout or when the caller
-// disconnects, whichever is first. The returned function releases the context's
-// resources and must be called.
+// callerContext returns a context that ends after the timeout or when the caller
+// disconnects, whichever is first. Disconnects are detected only if the connection's
+// socket is accessible. The returned function cancels the context and releases its
+// resources; it must be called.
 func callerContext(c fiber.Ctx, timeout time.Duration) (context.Context, func()) {
 	ctx, cancelTimeout := context.WithTimeout(context.Background(), timeout)
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/modules/callers/openai/errors.go
+++ b/modules/callers/openai/errors.go
@@ -22,9 +22,10 @@
 	// Code is the number of the result code. It is a string as in the OpenAI API.
 	Code  string  `json:"code"`
 	Param *string `json:"param"`
-	// Run says whether the work was run: "no", "yes" or "unknown".
-	Run        string `json:"run"`
-	ResendSafe bool   `json:"resend_safe"`
+	// Run says whether the request was run: "no", "yes" or "unknown".
+	Run string `json:"run"`
+	// ResendSafe is true if sending the request again cannot run it twice.
+	ResendSafe bool `json:"resend_safe"`
 }
 
 func newErrorBody(failure *result.Error) errorBody {
@@ -39,7 +40,8 @@
 const (
 	headerResultCode = "X-Result-Code"
 	headerRun        = "X-Run"
-	// headerShouldRetry tells OpenAI's client libraries whether to retry.
+	// headerShouldRetry tells OpenAI's client libraries not to retry. It is set only if
+	// resending is not safe, and its value is then "false".
 	headerShouldRetry = "X-Should-Retry"
 	headerRetryAfter  = "Retry-After"
 )
--- a/modules/callers/openai/files.go
+++ b/modules/callers/openai/files.go
@@ -14,7 +14,9 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// BatchStore reads from and writes to the batch shards.
+// BatchStore reads from and writes to the batch shards. Shards returns the number of
+// shards, 0 while it is unknown. HomeShards returns the shards of a region in ascending
+// order; an empty region selects the default region.
 type BatchStore interface {
 	Shards() uint32
 	HomeShards(region string) []uint32
@@ -49,8 +51,9 @@
 	shardDigits  = 4
 )
 
-// shardFromID returns the shard in an ID, or NotFound if the ID is invalid. kind names
-// the missing object in the error.
+// shardFromID returns the shard in an ID, or NotFound if the ID does not have the prefix
+// or a valid shard. kind is the kind of object that the error message names. While the
+// number of shards is unknown, every shard number is valid.
 func (m *Module) shardFromID(id, prefix, kind string) (uint32, error) {
 	rest, fits := strings.CutPrefix(id, prefix)
 	if fits && len(rest) > shardDigits {
--- a/modules/callers/openai/generate.go
+++ b/modules/callers/openai/generate.go
@@ -35,7 +35,7 @@
 	return m.generate(c, caller, wirev1.Surface_SURFACE_COMPLETION)
 }
 
-// onlineRequest is a validated online request.
+// onlineRequest is a validated online request: a chat completion or a completion.
 type onlineRequest struct {
 	id             string
 	caller         *callerIdentity
@@ -70,7 +70,7 @@
 	return m.respondJSON(c, request, limiter)
 }
 
-// parse validates a request and copies its body, because the server reuses the buffer
+// parse validates a request. It copies the body, because the server reuses the buffer
 // after the handler has returned.
 func (m *Module) parse(c fiber.Ctx, caller *callerIdentity, surface wirev1.Surface) (*onlineRequest, error) {
 	body, err := readBody(c, m.settings.Limits.BodyBytes)
@@ -116,8 +116,10 @@
 	return model, name, nil
 }
 
-// checkContent validates the prompt and returns the body with max_tokens limited to the
-// model's maximum.
+// checkContent validates the messages or the prompt, n and max_tokens, and returns the
+// body with max_tokens set to the requested number of tokens or to the model's maximum,
+// whichever is lower. The requested number is max_tokens or, if that is absent,
+// max_completion_tokens.
 func checkContent(body []byte, surface wirev1.Surface, model *bundle.CompiledModel) ([]byte, error) {
 	if surface == wirev1.Surface_SURFACE_CHAT {
 		messages := gjson.GetBytes(body, "messages")
@@ -179,9 +181,9 @@
 	return min(limit, time.Duration(milliseconds)*time.Millisecond), nil
 }
 
-// prefixBytes is the length of the prefix of the prompt, or of the first message, whose
-// hash selects a runner. Requests with the same prefix go to the same runner and share its
-// prompt cache.
+// prefixBytes is the length of the prefix that prefixHash hashes: the first bytes of the
+// prompt or of the first message. The router uses the hash to send requests with the same
+// model and prefix to the same runner, where they share the prompt cache.
 const prefixBytes = 512
 
 func prefixHash(request *onlineRequest) uint64 {
--- a/modules/callers/openai/once.go
+++ b/modules/callers/openai/once.go
@@ -14,7 +14,7 @@
 	"cobaltramp.example/cobaltramp/internal/serving/limits"
 )
 
-// Claims stores claims of idempotency keys durably.
+// Claims stores claims of idempotency keys durably. Claim sends a command to a shard.
 type Claims interface {
 	Claim(context.Context, uint32, *wirev1.Command) (*wirev1.CommandResult, error)
 }
@@ -31,10 +31,12 @@
 	statusOK   = 200
 )
 
-// generateOnce runs a request that must not run twice. It claims the request's
-// idempotency key in the replicated store before anything is sent to an engine. A
-// repeated request, at any node, finds the claim and gets either the same response or the
-// error InProgress or OutcomeUnknown.
+// generateOnce runs a request of work class once, which must not run twice. It claims the
+// request's idempotency key in the replicated store before anything is sent to an engine.
+// A request with the same key that arrives later, at any node, finds the claim. It gets
+// the stored response or error, InProgress while the first request runs, or
+// OutcomeUnknown, or KeyReused if its model or body differs. If the first request
+// certainly did not run, the later one is run.
 func (m *Module) generateOnce(c fiber.Ctx, request *onlineRequest) error {
 	if request.stream {
 		return result.New(result.InvalidRequest, "work of class once is answered whole; leave out stream")
@@ -60,16 +62,17 @@
 	return m.runClaimed(c, request, shard, limiter)
 }
 
-// claimShard returns the shard of a request's claim. All nodes choose the same shard for
-// a key, so that a repeated request finds the claim.
+// claimShard returns the shard of a request's claim. Nodes that know the same shards
+// choose the same shard for a key, so that a repeated request finds the claim.
 func claimShard(request *onlineRequest, shards []uint32) uint32 {
 	return shards[xxhash.Sum64String(request.caller.tenant.Name+"\x00"+request.idempotencyKey)%uint64(len(shards))]
 }
 
 // claim claims the request's idempotency key, and returns the key's record and whether
-// the claim was granted. If it is unknown whether the claim was stored, the request is
-// refused, which is safe because it has not been dispatched. If the claim was stored, it
-// blocks only its own key until it is resolved or expires.
+// the claim was granted. If it is unknown whether the claim was stored, claim returns
+// StoreUnavailable and releases the key in the background: the request has not been
+// dispatched and may be sent again. A claim that was stored blocks its key until it is
+// resolved or expires.
 func (m *Module) claim(request *onlineRequest, shard uint32) (*wirev1.ClaimRecord, bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
@@ -127,9 +130,10 @@
 	return c.Send(body)
 }
 
-// resolutionOf returns the outcome to store for a failed request. If the engine rejected
-// the request, repeated requests get the same error. If the request certainly did not
-// run, its key becomes free again. Otherwise the outcome is unknown.
+// resolutionOf returns the outcome to store for the claim of a failed request. If the
+// engine rejected the request, repeated requests get the same error. If the request
+// certainly did not run, the key can be claimed again. In all other cases the outcome is
+// unknown.
 func resolutionOf(failure *result.Error) *wirev1.ResolveClaim {
 	entry := failure.Code.Entry()
 	switch {
@@ -142,8 +146,8 @@
 	}
 }
 
-// resolve stores the outcome of a claimed request. If this fails, the claim remains in
-// progress until it expires, and its outcome is unknown from then on.
+// resolve stores the outcome of a claimed request. If resolve cannot store the outcome,
+// the claim remains in progress until it expires, and its outcome is unknown from then on.
 func (m *Module) resolve(ctx context.Context, request *onlineRequest, shard uint32, resolution *wirev1.ResolveClaim) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
--- a/modules/callers/openai/results.go
+++ b/modules/callers/openai/results.go
@@ -15,8 +15,9 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// jobOfResultFile returns the job of an output or error file, and whether the ID is that
-// of the error file. The job is nil if the ID is that of an uploaded file.
+// jobOfResultFile returns the job of an output or error file, and whether the file is the
+// error file. The job is nil, without an error, if the ID has neither prefix of a result
+// file.
 func (m *Module) jobOfResultFile(id string, caller *callerIdentity) (*wirev1.JobRecord, bool, error) {
 	wantErrors := strings.HasPrefix(id, errorsPrefix)
 	if !wantErrors && !strings.HasPrefix(id, outputPrefix) {
@@ -31,7 +32,8 @@
 	return fileBody{ID: id, Object: "file", CreatedAt: job.FinishedUnixMs / 1000, Filename: id + ".jsonl", Purpose: "batch_output", Status: "processed"}
 }
 
-// pageReader returns the next page of lines, or nil after the last one.
+// pageReader returns the next page of lines, or nil after the last page. A page may be
+// empty but not nil.
 type pageReader func() ([]byte, error)
 
 func (m *Module) resultPages(job *wirev1.JobRecord, wantErrors bool) pageReader {
@@ -79,9 +81,9 @@
 }
 
 // streamPages sends pages as they are read. The first page is read before the status is
-// sent, so that its error becomes an error response. If a later page cannot be read, the
-// connection is closed without the final chunk, which tells the client that the download
-// is incomplete.
+// sent, so that a failure of the first read becomes an error response. If a later page
+// cannot be read, the connection is closed without the final HTTP chunk, which tells the
+// client that the download is incomplete.
 func streamPages(c fiber.Ctx, next pageReader) error {
 	first, err := next()
 	if err != nil {
--- a/modules/callers/openai/stream.go
+++ b/modules/callers/openai/stream.go
@@ -24,21 +24,24 @@
 	generating tasks.Group
 }
 
+// outcome is the end of a response: the usage of a complete response, or an error.
 type outcome struct {
 	usage router.Usage
 	err   error
 }
 
 // streamQueueChunks is the number of chunks that are buffered for a caller that reads
-// slowly. While the buffer is full, the node that owns the runner holds the response back.
+// slowly. While the buffer is full, this node accepts no further chunks of the response
+// from the router.
 const streamQueueChunks = 256
 
-// respondStream responds with server-sent events. The status is sent with the first
-// chunk, so that an error before it becomes an ordinary error response.
+// respondStream responds with server-sent events. The status is sent only once the first
+// chunk is available, so that an earlier error becomes an ordinary error response. Later
+// errors are sent as an event.
 func (m *Module) respondStream(c fiber.Ctx, request *onlineRequest, limiter *limits.TenantLimiter) error {
 	ctx, stop := callerContext(c, request.timeout)
 	response := m.startGeneration(ctx, request)
-	first, end := response.wait(ctx)
+	first, end := response.waitForFirstChunk(ctx)
 	if end != nil && end.err != nil {
 		stop()
 		response.generating.Wait()
@@ -81,8 +84,9 @@
 	return response
 }
 
-// wait returns the first chunk, or the outcome if the response has no chunk.
-func (s *responseStream) wait(_ context.Context) (*router.Chunk, *outcome) {
+// waitForFirstChunk waits for the first chunk and returns it, or the outcome if the
+// response ends without a chunk.
+func (s *responseStream) waitForFirstChunk(_ context.Context) (*router.Chunk, *outcome) {
 	chunk, open := <-s.chunks
 	if open {
 		return &chunk, nil
@@ -99,11 +103,13 @@
 }
 
 // keepAliveInterval is the interval at which comment lines are written to the event
-// stream while no token arrives. A failed write shows that the caller has disconnected.
+// stream, after the first chunk. A failed write shows that the caller has disconnected.
 const keepAliveInterval = time.Second
 
-// run writes chunks until the response ends or the caller disconnects, and returns the
-// number of tokens written.
+// run writes chunks until the response ends or a write fails. It returns the number of
+// tokens to charge to the tenant: one for each chunk written, but at least one if there
+// was a first chunk. first is the first chunk, or nil if the response had none; end is
+// the outcome, or nil if the response has not ended yet.
 func (w *eventWriter) run(response *responseStream, first *router.Chunk, end *outcome) int {
 	tokens := 0
 	if first != nil {
--- a/modules/callers/openai/upload.go
+++ b/modules/callers/openai/upload.go
@@ -22,8 +22,9 @@
 	"cobaltramp.example/cobaltramp/internal/configuration/bundle"
 )
 
-// uploadFile reads a multipart upload as a stream and stores its segments in a shard
-// while the rest is still arriving.
+// uploadFile reads a multipart upload as a stream and stores the file's segments in a
+// shard while the rest is still arriving. It reads nothing after the form's field file,
+// so the field purpose must come before it.
 func (m *Module) uploadFile(c fiber.Ctx, caller *callerIdentity) error {
 	if length := c.Request().Header.ContentLength(); int64(length) > m.settings.Limits.FileBytes {
 		return result.New(result.BodyTooLarge, "the file has %d bytes, allowed: %d", length, m.settings.Limits.FileBytes)
@@ -58,12 +59,12 @@
 	}
 }
 
-// maxPurposeBytes is the maximum length read from the form's field purpose.
+// maxPurposeBytes is the maximum number of bytes read from the form's field purpose.
 const maxPurposeBytes = 64
 
 func multipartReader(c fiber.Ctx, limit int64) (*multipart.Reader, error) {
-	kind, parameters, err := mime.ParseMediaType(c.Get(fiber.HeaderContentType))
-	if err != nil || kind != fiber.MIMEMultipartForm || parameters["boundary"] == "" {
+	mediaType, parameters, err := mime.ParseMediaType(c.Get(fiber.HeaderContentType))
+	if err != nil || mediaType != fiber.MIMEMultipartForm || parameters["boundary"] == "" {
 		return nil, result.New(result.InvalidRequest, "send the file as multipart/form-data with fields purpose and file")
 	}
 	stream := c.RequestCtx().RequestBodyStream()
@@ -132,8 +133,8 @@
 	segments uint32
 }
 
-// run stores the file. The file becomes visible only when it is sealed, so a failed
-// upload leaves no visible file.
+// run stores the file in one of the shards. The file becomes visible only when it is
+// sealed, the last step, so that a failed upload leaves no visible file.
 func (u *upload) run(shards []uint32) (*wirev1.FileRecord, error) {
 	first, err := u.reader.Next()
 	if errors.Is(err, io.EOF) {
@@ -142,8 +143,8 @@
 	if err != nil {
 		return nil, uploadError(err)
 	}
-	// The shard is derived from the content, so that a repeated job goes to the shard of
-	// the first one and is recognised there.
+	// The shard is derived from the first segment, so that a repeated upload of a file, and
+	// a repeated job for the file, reach the same shard, which recognises the repeated job.
 	u.shard = shards[segmentHash(u.tenant, first)%uint64(len(shards))]
 	u.fileID = newFileID(u.shard)
 	if err := u.propose(&wirev1.Command{Kind: &wirev1.Command_CreateFile{CreateFile: &wirev1.CreateFile{
@@ -229,13 +230,13 @@
 }
 
 func uploadError(err error) error {
-	var bad *jsonl.LineError
-	if errors.As(err, &bad) {
-		return result.New(result.InvalidRequest, "%v", bad)
+	var lineError *jsonl.LineError
+	if errors.As(err, &lineError) {
+		return result.New(result.InvalidRequest, "%v", lineError)
 	}
-	var known *result.Error
-	if errors.As(err, &known) {
-		return known
+	var resultError *result.Error
+	if errors.As(err, &resultError) {
+		return resultError
 	}
 	return result.New(result.InvalidRequest, "the file broke off: %v", err)
 }
