--- a/internal/configuration/catalog/tenants.go
+++ b/internal/configuration/catalog/tenants.go
@@ -35,7 +35,8 @@
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
 // InvalidTenantError reports an invalid field of a tenant. A version with an invalid
-// tenant is refused as a whole. The error text never contains a key.
+// tenant is refused as a whole. The error text never contains a key; it identifies a
+// key by its position in the tenant's list, counted from 0.
 type InvalidTenantError struct {
 	Tenant, Field, Found, Allowed string
 }
@@ -62,9 +63,9 @@
 func (c *Catalog) addTenant(spec *TenantSpec) error {
 	switch {
 	case !validTenantName(spec.Name):
-		return &InvalidTenantError{spec.Name, "name", "it", "1 to 128 printable characters without a slash, no blank at either end"}
+		return &InvalidTenantError{spec.Name, "name", "an invalid name", "1 to 128 printable characters without a slash, no blank at either end"}
 	case c.tenants[spec.Name] != nil:
-		return &InvalidTenantError{spec.Name, "name", "it twice", "a name of its own for each tenant"}
+		return &InvalidTenantError{spec.Name, "name", "the name twice", "each name once"}
 	case spec.RatePerSecond < 0:
 		return &InvalidTenantError{spec.Name, "rate", fmt.Sprint(spec.RatePerSecond), "0 (no limit) or more"}
 	case spec.Burst < 0:
@@ -74,11 +75,11 @@
 	c.tenants[spec.Name] = &tenant
 	for number, key := range spec.Keys {
 		if key == "" {
-			return &InvalidTenantError{spec.Name, "keys", fmt.Sprintf("an empty one at position %d", number), "keys that are not empty"}
+			return &InvalidTenantError{spec.Name, "keys", fmt.Sprintf("an empty key at position %d", number), "keys that are not empty"}
 		}
 		digest := DigestKey(key)
 		if other := c.keys[digest]; other != nil {
-			found := fmt.Sprintf("the one at position %d also at tenant %q", number, other.Name)
+			found := fmt.Sprintf("the key at position %d also in the keys of tenant %q", number, other.Name)
 			return &InvalidTenantError{spec.Name, "keys", found, "each key once"}
 		}
 		c.keys[digest] = &tenant
--- a/internal/configuration/settings/check.go
+++ b/internal/configuration/settings/check.go
@@ -63,7 +63,7 @@
 	}
 	for _, address := range addresses {
 		if !isIPPort(address.value) {
-			return &FieldError{address.path, address.value, "an IP number and a port, such as 10.0.0.7:7400"}
+			return &FieldError{address.path, address.value, "an IP address and a port, such as 10.0.0.7:7400"}
 		}
 	}
 	return nil
@@ -128,7 +128,7 @@
 	}{{"tls.api", s.TLS.API}, {"tls.nodes", s.TLS.Nodes}}
 	for _, item := range pairs {
 		if item.pair.IsSet() && (item.pair.Certificate == "" || item.pair.Key == "") {
-			return &FieldError{item.path, "one file", "both certificate and key, or neither"}
+			return &FieldError{item.path, "only one of the two paths", "both certificate and key, or neither"}
 		}
 	}
 	if s.TLS.Nodes.IsSet() && s.TLS.NodesAuthority == "" {
--- a/internal/configuration/settings/role.go
+++ b/internal/configuration/settings/role.go
@@ -189,13 +189,13 @@
 		}
 	}
 	if net.ParseIP(r.Address) == nil {
-		return &FieldError{"address", r.Address, "an IP number"}
+		return &FieldError{"address", r.Address, "an IP address"}
 	}
 	if len(r.Ports) == 0 || r.Ports[0] < 1 || r.Ports[0] > 65535 {
 		return &FieldError{"ports", fmt.Sprint(r.Ports), "a list of a first and a last port, 1 to 65535"}
 	}
 	if !isIPPort(r.Store.Address) {
-		return &FieldError{"store.address", r.Store.Address, "an IP number and a port, such as 10.0.0.7:7400"}
+		return &FieldError{"store.address", r.Store.Address, "an IP address and a port, such as 10.0.0.7:7400"}
 	}
 	for _, bound := range []struct {
 		path  string
@@ -217,7 +217,7 @@
 	}
 	for _, address := range addresses {
 		if address.value != "" && !isIPPort(address.value) {
-			return &FieldError{address.path, address.value, "an IP number and a port, or nothing"}
+			return &FieldError{address.path, address.value, "an IP address and a port, or empty"}
 		}
 	}
 	if r.Listen.MetricsPort < 0 || r.Listen.MetricsPort > 65535 {
--- a/internal/configuration/settings/settings_test.go
+++ b/internal/configuration/settings/settings_test.go
@@ -34,7 +34,7 @@
 func TestInvalidSettingsErrorNamesFieldAndAllowedValues(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"unknown key", "cluster:", "clutser:", `unknown field "clutser"`},
-		{"host name", "127.0.0.1:7400", "node7:7400", `line 6: node.internal_address: found "node7:7400", allowed: an IP number and a port`},
+		{"host name", "127.0.0.1:7400", "node7:7400", `line 6: node.internal_address: found "node7:7400", allowed: an IP address and a port`},
 		{"bad URL", "http://127.0.0.1:2379", "127.0.0.1", `line 10: platform.key_value: found "127.0.0.1", allowed: a URL`},
 		{"missing zone", "  zone: gdl-centro\n", "", `node.zone: found "", allowed: 1 to 63 letters`},
 		{"bad duration", "platform:\n", "platform:\n  list_interval: soon\n", "not a duration"},
