--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -25,20 +25,24 @@
 	runs    map[queue.ItemKey]context.CancelFunc
 	// pendingProgress holds progress of runs that has not been proposed yet.
 	pendingProgress queue.ProgressBatch
-	// decided holds the complete results of items whose result is not applied yet.
+	// decided holds, for each item whose result is not applied yet, that result with the
+	// item's whole output.
 	decided map[queue.ItemKey]*wirev1.QueueResult
 	// watched holds a channel for each watched job. It is closed on the job's next change.
 	watched map[string]chan struct{}
 	// acceptedAt holds the acceptance time of each stored job in Unix milliseconds.
 	acceptedAt map[string]int64
-	// pendingTokens holds the tokens of reserved submissions that are not applied yet.
+	// pendingTokens holds the tokens of submissions that are accepted into the limit (see
+	// reserve) but not applied yet.
 	pendingTokens map[queue.TokenAccount]uint64
 	// pendingBytes is the total size of the item bodies of those submissions.
 	pendingBytes int
-	// ledger holds the reports of all shards. It is nil until the first report arrives;
-	// only the leader of ledgerShard receives reports.
+	// ledger holds the waiting tokens that each shard's leader has reported, for limits
+	// across shards. It is nil until the first report arrives; only the leader of
+	// ledgerShard receives reports.
 	ledger *queue.Ledger
-	// allotments grants allotments of the tenants' request limits.
+	// allotments leases shares of the tenants' request limits to nodes and grants single
+	// credits (package allotment).
 	allotments *allotment.Keeper
 	// reportNumber is the number of the last report to the ledger. reportedTotal is the
 	// number of waiting tokens in the last periodic report and reportedAt its time; a zero
@@ -184,19 +188,20 @@
 }
 
 // quorumLossGracePeriod is how long runs continue on a leader without contact with a quorum.
-// Another replica may lead by then, and may have ended the job or started the same item.
+// After that time the runs are canceled, since another replica may lead and may have ended
+// the job or started the same item.
 const quorumLossGracePeriod = 250 * time.Millisecond
 
 // tickLeader does the periodic work of a leader: it proposes progress, starts ready items,
 // gives up expired items, drops expired jobs, and transfers leadership to the preferred
 // member. It does nothing while the leadership is suspended. Without contact with a quorum it
-// only cancels runs; see hasQuorumContact.
+// only cancels runs; see checkQuorumContact.
 func (s *shard) tickLeader(now time.Time) {
 	l := s.leader
 	if l == nil || !l.suspendedAt.IsZero() {
 		return
 	}
-	if !s.hasQuorumContact(now) {
+	if !s.checkQuorumContact(now) {
 		return
 	}
 	s.proposeProgress(now)
@@ -207,10 +212,10 @@
 	s.node.metrics.unfinished.Set(float64(l.table.Len()))
 }
 
-// hasQuorumContact reports whether a write quorum, this replica included, has responded
-// within the election timeout. It cancels all runs once contact has been lost for longer
-// than quorumLossGracePeriod.
-func (s *shard) hasQuorumContact(now time.Time) bool {
+// checkQuorumContact reports whether a write quorum, this replica included, has responded
+// within the election timeout. It records when contact was lost, and cancels all runs once
+// contact has been lost for longer than quorumLossGracePeriod.
+func (s *shard) checkQuorumContact(now time.Time) bool {
 	l := s.leader
 	if s.Replica.LiveMembers(now) >= s.Replica.MemberSet().WriteQuorum() {
 		l.quorumLostAt = time.Time{}
--- a/internal/batch/queuestore/placement.go
+++ b/internal/batch/queuestore/placement.go
@@ -31,9 +31,10 @@
 
 // zoneRank ranks zones by their number of members of a shard, for placement.Rule. Zones with
 // at least one member, but fewer than DiskLosses, come first, so that replication causes less
-// traffic between zones. All other zones are ranked by their number of members, so that in a
-// new member set no zone has more than DiskLosses members if there are enough zones and
-// disks. The shard then keeps a quorum when a zone is lost.
+// traffic between zones. All other zones are ranked by their number of members, zones with
+// the fewest members first, so that in a new member set no zone has more than DiskLosses
+// members if there are enough zones and disks. The shard then keeps a quorum when a zone is
+// lost.
 func (n *StorageNode) zoneRank(members int) int {
 	switch {
 	case members > 0 && members < n.DiskLosses:
