--- a/internal/cluster/informer/informer.go
+++ b/internal/cluster/informer/informer.go
@@ -126,7 +126,7 @@
 // Watched returns the nodes that this node has to probe in order to determine its level.
 func (i *Informer) Watched() []*wirev1.NodeRecord {
 	if follower := i.follower.Load(); follower != nil {
-		return follower.Watched()
+		return follower.NodesToProbe()
 	}
 	return nil
 }
--- a/internal/cluster/relay/merge.go
+++ b/internal/cluster/relay/merge.go
@@ -10,9 +10,10 @@
 // Merger combines the changes that several sources send of the same store and passes them
 // to a sink. A source sends either all changes after the revision that the merger had
 // reached when the stream began, or a selection of the runners and the changes of that
-// selection. While the merger holds a selection it ignores sources that send all runners,
-// and while it holds all runners it ignores sources that send a selection: a source of
-// one kind does not know which changes a source of the other kind has sent.
+// selection. While the merger holds a selection it ignores Apply; while it holds all
+// runners it ignores ApplySelected and a Select with retained runners. A source of one
+// kind does not know which changes a source of the other kind has sent. Reset,
+// ResetToSelection and a Select that retains none switch between the two.
 //
 // Invariant: the revision never decreases, and a change is passed to the sink's Apply only
 // if it is newer than the revision. Reset and Select may repeat values.
@@ -38,8 +39,9 @@
 
 // Select applies events and then a selection of the same revision. It ignores both if the
 // merger has no contents, if the revision is older than the merger's, or if the selection
-// retains runners and the merger holds no selection. Only one source may send selections
-// at a time.
+// retains runners and the merger holds no selection. A selection without retained runners
+// also replaces all runners; the merger then holds a selection. Only one source may send
+// selections at a time.
 func (m *Merger) Select(selection Selection, events []ports.WatchEvent, revision int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/cluster/relay/sink.go
+++ b/internal/cluster/relay/sink.go
@@ -17,7 +17,8 @@
 type Selection struct {
 	// Values holds the entries of the selected runners, without the retained ones.
 	Values []ports.Value
-	// Totals holds the rounded numbers of all runners by service and zone.
+	// Totals holds the rounded number of runners of each service and zone, including those
+	// that are not selected.
 	Totals subset.Totals
 	// Retained is the subset whose runners the node keeps if it holds them already; nil
 	// if the node keeps none. If the new subset is a part of the old one, a source thus
@@ -37,9 +38,9 @@
 	return isRunner && s.retains(id, serviceZone)
 }
 
-// SelectiveSink is a Sink that also accepts selections. After Select its runners are the
-// selected and the retained ones; Apply may then change them. Reset replaces them by all
-// runners.
+// SelectiveSink is a Sink that also accepts selections. After Select the sink holds, of all
+// runners, only the selected and the retained runners; Apply may then change them. Reset
+// replaces all contents and ends the selection; a Select may follow to begin a new one.
 type SelectiveSink interface {
 	Sink
 	Select(selection Selection, revision int64)
--- a/internal/cluster/relay/tree.go
+++ b/internal/cluster/relay/tree.go
@@ -18,22 +18,22 @@
 	minRelays = 3
 	// leafLevel is the level of the nodes that have no followers.
 	leafLevel = 2
-	// maxWatched limits the number of nodes that Watched returns.
-	maxWatched = 12
+	// maxProbed limits the number of nodes that NodesToProbe returns.
+	maxProbed = 12
 )
 
-// watchWeight orders the nodes of a zone; the living node with the highest weight
-// watches the store.
+// watchWeight orders the nodes with disks of a zone. In each zone, the living node with
+// the highest weight watches the store.
 func watchWeight(node *wirev1.NodeRecord) uint64 { return ownership.NodeWeight("store", node.NodeId) }
 
 // byWatchWeight returns nodes with disks by descending watchWeight.
-func byWatchWeight(disks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
+func byWatchWeight(nodesWithDisks []*wirev1.NodeRecord) []*wirev1.NodeRecord {
 	type weightedNode struct {
 		node   *wirev1.NodeRecord
 		weight uint64
 	}
-	list := make([]weightedNode, len(disks))
-	for i, node := range disks {
+	list := make([]weightedNode, len(nodesWithDisks))
+	for i, node := range nodesWithDisks {
 		list[i] = weightedNode{node, watchWeight(node)}
 	}
 	slices.SortFunc(list, func(a, b weightedNode) int { return cmp.Compare(b.weight, a.weight) })
@@ -58,10 +58,10 @@
 }
 
 // candidates returns the nodes with disks as candidates for the node self.
-func candidates(disks []*wirev1.NodeRecord, self *wirev1.NodeRecord) []*candidate {
+func candidates(nodesWithDisks []*wirev1.NodeRecord, self *wirev1.NodeRecord) []*candidate {
 	ranks := map[string]int{}
-	list := make([]*candidate, 0, len(disks))
-	for _, node := range byWatchWeight(disks) {
+	list := make([]*candidate, 0, len(nodesWithDisks))
+	for _, node := range byWatchWeight(nodesWithDisks) {
 		list = append(list, &candidate{
 			node: node, rank: ranks[node.Zone], otherZone: node.Zone != self.Zone, tieBreak: tieBreak(self.NodeId, node.NodeId),
 		})
@@ -109,15 +109,16 @@
 	if held := f.cachedPosition.Load(); held != nil && held.generation == generation {
 		return held
 	}
-	self, disks := f.Nodes.Self(), f.Nodes.Disks()
+	self, nodesWithDisks := f.Nodes.Self(), f.Nodes.Disks()
 	var inZone []*wirev1.NodeRecord
-	for _, node := range disks {
+	for _, node := range nodesWithDisks {
 		if node.Zone == self.Zone {
 			inZone = append(inZone, node)
 		}
 	}
-	// Of other zones, this node knows only the nodes with disks.
-	next := &treePosition{generation: generation, relayCount: relayCount(f.Nodes.Count() - len(disks) + len(inZone))}
+	// The argument of relayCount is the number of nodes of this zone: all known nodes
+	// without a disk are in this zone.
+	next := &treePosition{generation: generation, relayCount: relayCount(f.Nodes.Count() - len(nodesWithDisks) + len(inZone))}
 	for _, node := range byWatchWeight(inZone) {
 		if self.DiskId == "" || watchWeight(node) > watchWeight(self) {
 			next.precedingNodes = append(next.precedingNodes, node)
@@ -127,9 +128,10 @@
 	return next
 }
 
-// Level returns this node's level in the tree of a large fleet, from 0 to leafLevel. The
-// level of a node with a disk depends on how many of the preceding nodes are alive; a node
-// without a disk is always at leafLevel.
+// Level returns this node's level in the tree of a large fleet. A node with a disk is at
+// level 0 if no preceding node is alive, at level 1 if fewer than relayCount preceding
+// nodes are alive, and otherwise at leafLevel. A node without a disk is always at
+// leafLevel.
 func (f *Follower) Level() uint32 {
 	if f.Nodes.Self().DiskId == "" {
 		return leafLevel
@@ -159,11 +161,12 @@
 	return !f.Nodes.Unresponsive(node.NodeId) || f.Nodes.InContactWithin(node.NodeId, time.Now(), f.Timing.orDefault().AliveTimeout)
 }
 
-// Watched returns the nodes that this node has to probe in order to determine its level:
-// the first of the preceding nodes, until they include relayCount nodes that are alive, and
-// at most maxWatched. It returns none if the fleet is not large, if this node has no disk,
-// or if at least relayCount nodes precede it and it has a live source in its zone.
-func (f *Follower) Watched() []*wirev1.NodeRecord {
+// NodesToProbe returns the nodes that this node has to probe in order to determine its
+// level: the first of the preceding nodes, until they include relayCount nodes that are
+// alive, and at most maxProbed. It returns none if the fleet is not large, if this node
+// has no disk, or if at least relayCount nodes precede it and it has a live source in its
+// zone.
+func (f *Follower) NodesToProbe() []*wirev1.NodeRecord {
 	self := f.Nodes.Self()
 	if self.DiskId == "" || !f.Nodes.Large() {
 		return nil
@@ -172,18 +175,18 @@
 	if len(position.precedingNodes) >= position.relayCount && f.hasLiveSourceIn(self.Zone) {
 		return nil
 	}
-	var watched []*wirev1.NodeRecord
+	var toProbe []*wirev1.NodeRecord
 	alive := 0
 	for _, node := range position.precedingNodes {
-		if alive >= position.relayCount || len(watched) >= maxWatched {
+		if alive >= position.relayCount || len(toProbe) >= maxProbed {
 			break
 		}
 		if f.isAlive(node) {
 			alive++
 		}
-		watched = append(watched, node)
+		toProbe = append(toProbe, node)
 	}
-	return watched
+	return toProbe
 }
 
 // hasLiveSourceIn reports whether this node has a live source in a zone.
@@ -217,7 +220,7 @@
 	rankLevelAbove = iota // in the same zone, one level above
 	rankZoneFirst         // in the same zone, two levels above
 	rankOtherZone         // in another zone
-	rankFallback          // no source in the tree, or not alive; tried last
+	rankFallback          // not a source for this node in the tree, or not alive; tried last
 )
 
 // treeRank returns the rank of a living candidate for a node at the given level. It
--- a/internal/cluster/relay/tree_test.go
+++ b/internal/cluster/relay/tree_test.go
@@ -52,17 +52,17 @@
 	return created
 }
 
-// probeWatched lets a node probe the nodes that it watches until their list no longer
-// changes. It returns the largest number of nodes probed in one round.
-func (f *largeFleet) probeWatched(address string) int {
+// probeUntilStable lets a node probe the nodes that NodesToProbe returns until their list
+// no longer changes. It returns the largest number of nodes probed in one round.
+func (f *largeFleet) probeUntilStable(address string) int {
 	follower := f.follower(address)
 	directory := follower.Nodes.(*peers.Directory)
-	maxProbed := 0
+	largestRound := 0
 	for range 1 + len(f.records) {
-		watched := follower.Watched()
-		maxProbed = max(maxProbed, len(watched))
+		toProbe := follower.NodesToProbe()
+		largestRound = max(largestRound, len(toProbe))
 		found := false
-		for _, node := range watched {
+		for _, node := range toProbe {
 			if f.dead[node.Address] && !directory.Unresponsive(node.NodeId) {
 				directory.RecordUnresponsive(node.Address, time.Now())
 				found = true
@@ -72,7 +72,7 @@
 			break
 		}
 	}
-	return maxProbed
+	return largestRound
 }
 
 // source returns the address of the node that a node follows after trying its candidates
@@ -120,7 +120,7 @@
 		}
 		alive := f.alive()
 		for _, address := range alive {
-			f.probeWatched(address)
+			f.probeUntilStable(address)
 		}
 		first := map[string]string{}
 		for _, address := range alive {
@@ -155,7 +155,7 @@
 		f := newLargeFleet(zones, 835*times, 150*times)
 		followers, probed, far := map[string]int{}, 0, 0
 		for _, address := range f.alive() {
-			probed = max(probed, f.probeWatched(address))
+			probed = max(probed, f.probeUntilStable(address))
 			source := f.source(address)
 			if source == "" {
 				continue
@@ -171,7 +171,7 @@
 		}
 		t.Logf("%d nodes: %d sources, the busiest with %d followers, %d followers with a source in another zone; a node probes at most %d others", len(f.records), len(followers), maxFollowers, far, probed)
 		is.True(maxFollowers <= 2*fanOut) // sources are chosen by a hash, so the numbers vary
-		is.True(probed <= maxWatched)
+		is.True(probed <= maxProbed)
 		is.Equal(far, 0)
 	}
 }
@@ -183,7 +183,7 @@
 	f := newLargeFleet(3, 20, 12)
 	var firsts []string
 	for _, address := range f.alive() {
-		f.probeWatched(address)
+		f.probeUntilStable(address)
 		if f.follower(address).Level() == 0 {
 			firsts = append(firsts, address)
 		}
