--- a/internal/batch/queue/saves_test.go
+++ b/internal/batch/queue/saves_test.go
@@ -26,28 +26,28 @@
 	is := is.New(t)
 	now := time.Now()
 	table := waitingTable(50, now)
-	var saves ProgressBatch
+	var batch ProgressBatch
 	for i := range 50 {
-		saves.Add(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{LastEventID: 3, Text: []byte("a\nb\nc")}, now)
-		is.Equal(saves.Flush(table, now.Add(saveBatchDelay-1)), nil)
+		batch.Add(ItemKey{"j", uint32(i)}, fmt.Sprint("i", i), ItemOutput{LastEventID: 3, Text: []byte("a\nb\nc")}, now)
+		is.Equal(batch.Flush(table, now.Add(saveBatchDelay-1)), nil)
 	}
-	is.Equal(len(saves.Flush(table, now.Add(saveBatchDelay)).Results), 50)
-	is.Equal(saves.Flush(table, now.Add(2*saveBatchDelay)), nil) // nothing is left
+	is.Equal(len(batch.Flush(table, now.Add(saveBatchDelay)).Results), 50)
+	is.Equal(batch.Flush(table, now.Add(2*saveBatchDelay)), nil) // nothing is left
 }
 
-// For any order of additions, removals and flushes, the parts in the commands join to
-// the newest output, no part is saved twice, and an item is in no command after its
-// result.
+// For any order of additions, removals and flushes, joining the parts from all commands
+// gives the newest output, and no command contains an item whose result has been proposed
+// or applied.
 func TestBatchedProgressJoinsToTheOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		table := waitingTable(3, now)
-		var saves ProgressBatch
+		var batch ProgressBatch
 		outputs := make([]ItemOutput, 3)
 		kept := make([]ItemOutput, 3)
 		finished := make([]bool, 3)
 		flush := func() {
-			due := saves.Flush(table, now)
+			due := batch.Flush(table, now)
 			if due == nil {
 				return
 			}
@@ -56,7 +56,7 @@
 					t.Fatalf("item %d is saved after its result", part.Item)
 				}
 				if part.From != kept[part.Item].LastEventID {
-					t.Fatalf("item %d: a part after event %d follows event %d", part.Item, part.From, kept[part.Item].LastEventID)
+					t.Fatalf("item %d: part starts after event %d, want %d", part.Item, part.From, kept[part.Item].LastEventID)
 				}
 				text := part.Text
 				if part.From > 0 {
@@ -73,12 +73,12 @@
 			case 0, 1:
 				outputs[i].Append(outputs[i].LastEventID+1, fmt.Append(nil, "e", outputs[i].LastEventID+1))
 				if !finished[i] {
-					saves.Add(key, "i", ItemOutput{LastEventID: outputs[i].LastEventID, Text: append([]byte(nil), outputs[i].Text...)}, now)
+					batch.Add(key, "i", ItemOutput{LastEventID: outputs[i].LastEventID, Text: append([]byte(nil), outputs[i].Text...)}, now)
 				}
 			case 2:
 				flush()
 			case 3:
-				saves.Remove(key)
+				batch.Remove(key)
 				finished[i] = true
 			case 4:
 				table.Finish(key)
@@ -100,8 +100,8 @@
 	is := is.New(t)
 	now := time.Now()
 	table := waitingTable(1, now)
-	var saves ProgressBatch
-	saves.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 2, Text: []byte("a\nb")}, now)
-	saves.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 1, Text: []byte("a")}, now)
-	is.Equal(saves.Flush(table, now.Add(time.Second)).Results[0].Last, int64(2))
+	var batch ProgressBatch
+	batch.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 2, Text: []byte("a\nb")}, now)
+	batch.Add(ItemKey{"j", 0}, "i", ItemOutput{LastEventID: 1, Text: []byte("a")}, now)
+	is.Equal(batch.Flush(table, now.Add(time.Second)).Results[0].Last, int64(2))
 }
