--- a/internal/serving/runnerset/reports.go
+++ b/internal/serving/runnerset/reports.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// SetReporting sets the function that returns whether other nodes report their load at a
-// runner to this node (a reported runner). Without this function, all runners count as
-// reported. The function may be called while the runner's mutex is held, so it must not
-// call methods that lock the mutex.
+// SetReporting sets the function that returns true for a reported runner, which is a
+// runner at which other nodes report their load to this node. Without this function, all
+// runners count as reported. The function may be called while the runner's mutex is held,
+// so it must not call methods that lock the mutex.
 func (s *Set) SetReporting(reporting func(runner *Runner) bool) { s.reporting.Store(&reporting) }
 
 // receivesReports reports whether other nodes report their load at a runner to this
--- a/internal/serving/runnerset/runnerset_test.go
+++ b/internal/serving/runnerset/runnerset_test.go
@@ -78,21 +78,21 @@
 	big := Prompt{Tokens: 9000}
 	s := setOf(record("a", "z"), record("b", "z"))
 	first := s.Pick(&Criteria{Service: "s", Zone: "z", Prompt: big}, now).Runner
-	use := s.Begin(first, big, false, now)
+	inFlight := s.Begin(first, big, false, now)
 	second := pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now)
 	is.True(second != first.ID) // the other runner has no unprocessed tokens
-	use.RecordFirstEvent(now)
-	use.End()
+	inFlight.RecordFirstEvent(now)
+	inFlight.End()
 
 	shared := Prompt{Tokens: 9000, SharedParts: []PromptPart{{ID: 7, Tokens: 8000}}}
 	s.Begin(first, shared, false, now).End()
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: shared}, now), first.ID) // the shared part is in its prefix cache
 
-	far := setOf(record("near", "z"), record("far", "y"))
-	is.Equal(pick(far, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "near")
-	near := far.Pick(&Criteria{Service: "s", Zone: "z"}, now).Runner
-	far.Begin(near, Prompt{Tokens: 20000}, false, now)
-	is.Equal(pick(far, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "far") // another zone costs less than a long wait
+	zones := setOf(record("near", "z"), record("far", "y"))
+	is.Equal(pick(zones, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "near")
+	near := zones.Pick(&Criteria{Service: "s", Zone: "z"}, now).Runner
+	zones.Begin(near, Prompt{Tokens: 20000}, false, now)
+	is.Equal(pick(zones, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "far") // another zone costs less than a long wait
 }
 
 // A peer's report counts like this node's own load, replaces the peer's previous report,
@@ -145,12 +145,12 @@
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "b")
 	is.Equal(pick(s, Criteria{Zone: "z", Excluded: map[string]bool{"b": true}}, now), "a")
 	for range 30 {
-		use := s.Begin(s.byID["a"], Prompt{Tokens: 100}, false, now)
-		use.RecordFirstEvent(now.Add(800 * time.Millisecond))
-		use.End()
-		use = s.Begin(s.byID["b"], Prompt{Tokens: 100}, false, now)
-		use.RecordFirstEvent(now.Add(15 * time.Millisecond))
-		use.End()
+		inFlight := s.Begin(s.byID["a"], Prompt{Tokens: 100}, false, now)
+		inFlight.RecordFirstEvent(now.Add(800 * time.Millisecond))
+		inFlight.End()
+		inFlight = s.Begin(s.byID["b"], Prompt{Tokens: 100}, false, now)
+		inFlight.RecordFirstEvent(now.Add(15 * time.Millisecond))
+		inFlight.End()
 	}
 	is.Equal(pick(s, Criteria{Zone: "z", Prompt: Prompt{Tokens: 100}}, now), "b")
 }
@@ -175,11 +175,11 @@
 	is := is.New(t)
 	now := time.Now()
 	s := setOf(record("a", "z"))
-	use := s.Begin(s.byID["a"], Prompt{Tokens: 500}, true, now)
-	use.RecordFirstEvent(now)
-	use.End()
-	use.End()
-	use.RecordFirstEvent(now)
+	inFlight := s.Begin(s.byID["a"], Prompt{Tokens: 500}, true, now)
+	inFlight.RecordFirstEvent(now)
+	inFlight.End()
+	inFlight.End()
+	inFlight.RecordFirstEvent(now)
 	is.Equal(s.byID["a"].own, NodeLoad{})
 }
 
@@ -214,13 +214,13 @@
 	s := setOf(record("mute", "z"), record("far", "y"))
 	mute, prompt := s.Service("s")[1], Prompt{Tokens: 100}
 	is.Equal(mute.ID, "mute")
-	use := s.Begin(mute, prompt, false, began)
+	inFlight := s.Begin(mute, prompt, false, began)
 	is.Equal(pick(s, Criteria{Zone: "z"}, began.Add(20*time.Millisecond)), "mute") // not yet overdue
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "far")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}, Excluded: map[string]bool{"far": true}}, later), "")
-	use.RecordFirstEvent(later)
+	inFlight.RecordFirstEvent(later)
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "mute")
-	use.End()
+	inFlight.End()
 
 	// A runner that still sends events of running requests is full, not unresponsive.
 	running := s.Begin(mute, prompt, false, later)
@@ -228,7 +228,7 @@
 	s.Begin(mute, prompt, false, later)
 	running.RecordEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "mute")
-	// A runner that has started a later request has dropped the waiting one.
+	// A runner that has started a later request is assumed to have dropped the waiting one.
 	overtaking := s.Begin(mute, prompt, false, later.Add(time.Second))
 	overtaking.RecordFirstEvent(later.Add(2 * time.Second))
 	is.Equal(pick(s, Criteria{Zone: "z"}, later.Add(2*time.Second)), "far")
@@ -258,13 +258,14 @@
 	is.Equal(pick(s, Criteria{Zone: "z"}, now), "mute") // there is no other runner
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now), "")
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now.Add(maxEjection)), "mute")
-	s.Begin(s.Service("s")[0], Prompt{Tokens: 100}, false, time.Now()).End() // the caller left immediately
+	s.Begin(s.Service("s")[0], Prompt{Tokens: 100}, false, time.Now()).End() // the request was canceled at once, before the event was due
 	is.Equal(pick(s, Criteria{Zone: "z", Batch: &BatchLimits{}}, now.Add(maxEjection)), "mute")
 }
 
-// Unreported runners are expected to have the utilization of the reported runners of
-// their zone, or of all zones if theirs has none, until a runner of the zone reports its
-// own load.
+// An unreported runner is a runner at which other nodes do not report their load to this
+// node. It is assumed to have the utilization of the reported runners of its zone, or of
+// all zones if its zone has none, unless a runner of its zone has recently sent its own
+// load to this node.
 func TestUnreportedRunnersAreNotAssumedIdle(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -285,9 +286,9 @@
 	is.Equal(load("far", later), 5.0) // another runner of the zone has reported its load
 	is.Equal(pick(s, Criteria{Zone: "z"}, later), "reported")
 	is.Equal(load("far", later.Add(selfReportedLifetime)), 4.0) // that report has expired, so the mean of the reported runners applies
-	use := s.Begin(s.byID["unreported"], Prompt{Tokens: 10}, false, later)
+	inFlight := s.Begin(s.byID["unreported"], Prompt{Tokens: 10}, false, later)
 	is.Equal(load("unreported", later), 5.0) // this node's own request is added
-	use.End()
+	inFlight.End()
 }
 
 // A reported runner is preferred to an unreported one as long as it has a free slot.
@@ -303,9 +304,10 @@
 	}
 }
 
-// Batch items go only to reported runners, since they are preempted there when other
-// nodes report requests; a node without any reported runner uses all runners.
-func TestBatchItemsPreferReportedRunners(t *testing.T) {
+// If a node has reported runners, its batch items go only to these runners: when another
+// node reports requests at such a runner, the node preempts its batch items there. A node
+// without any reported runner uses all runners.
+func TestBatchItemsUseOnlyReportedRunners(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	criteria := Criteria{Zone: "z", Bytes: 1 << 20, Batch: &BatchLimits{MaxUnread: 1000}} // the size makes traffic to another zone expensive
