--- a/modules/serving/owner/orders.go
+++ b/modules/serving/owner/orders.go
@@ -12,14 +12,15 @@
 )
 
 // orderState is the model that an owned runner should load, and the progress of the
-// load. Orders to an engine name the generation of the bundle as their fence.
+// load. Each order carries the bundle's generation as its fence: the engine rejects an
+// order with a lower fence than it has seen.
 type orderState struct {
 	model      string
 	version    string
 	adapters   []string
 	generation uint64
-	// loaded is set if the runner can run requests of the model: its engine confirmed
-	// the target, or stale is set.
+	// loaded is set if the runner can run requests of the model. It is set when its
+	// engine has confirmed the target, and also while stale is set.
 	loaded bool
 	// stale is set while the runner has an earlier version or set of adapters of the
 	// model loaded and waits for a load slot.
@@ -32,9 +33,10 @@
 }
 
 // setTarget sets the model that the runner should load. After a change of the model, its
-// version or its adapters, the runner is not loaded until its engine confirms the
-// target. An exception is a runner with the same model loaded in another version or with
-// other adapters: it runs requests until it gets a load slot (stale).
+// version or its adapters, the runner is not loaded until recordLoaded records a
+// confirmation by its engine. An exception is a runner with the same model loaded in
+// another version or with other adapters: it runs requests until it gets a load slot
+// (stale).
 func (o *orderState) setTarget(model *bundle.CompiledModel, generation uint64) {
 	same := o.model == model.Name && o.version == model.Version && sameStrings(o.adapters, model.Adapters)
 	if !same {
@@ -157,7 +159,7 @@
 	defer cancel()
 	state, err := m.engines.State(ctx, due.address)
 	if err != nil {
-		m.recordUnloaded(due.id, err)
+		m.recordNotConfirmed(due.id, err)
 		return
 	}
 	missing := missingOrders(&due.target, state)
@@ -165,7 +167,7 @@
 		m.recordLoaded(due.id, due.target, state.Boot)
 		return
 	}
-	m.recordUnloaded(due.id, nil)
+	m.recordNotConfirmed(due.id, nil)
 	if state.Loading {
 		return
 	}
@@ -199,8 +201,10 @@
 }
 
 // recordLoaded records that an engine confirmed the target, unless the model or version
-// has changed since. If the engine has restarted since the last confirmation, its
-// failures are reset.
+// has changed since. It does not compare the adapters: after a change of the adapters
+// alone, a check that began before the change still counts as a confirmation, until the
+// next check. If the engine has restarted since the last confirmation, its failures are
+// reset.
 func (m *Module) recordLoaded(id string, target orderState, boot string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -219,10 +223,10 @@
 	m.signalFreedBatchSlots()
 }
 
-// recordUnloaded records the result of a check that did not confirm the target. With an
-// error, the engine's state is unknown: the check counts as a failure of the runner, and
-// the runner stays loaded if it was.
-func (m *Module) recordUnloaded(id string, err error) {
+// recordNotConfirmed records the result of a check that did not confirm the target. With
+// an error, the engine's state is unknown: the check counts as a failure of the runner,
+// and the runner stays loaded if it was.
+func (m *Module) recordNotConfirmed(id string, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r := m.runners[id]
