--- a/internal/serving/scheduling/framework/framework.go
+++ b/internal/serving/scheduling/framework/framework.go
@@ -26,11 +26,13 @@
 // Candidate is a possible destination of the request.
 type Candidate struct {
 	ID string
-	// Capacity is the number of online streams that the candidate can run.
+	// Capacity is the number of online streams of the request's model that the candidate
+	// can run.
 	Capacity int
-	// Load is the last known number of online streams.
+	// Load is the last known number of online streams of the request's model.
 	Load int
-	// Batch is the last known number of batch streams, which online work would preempt.
+	// Batch is the last known number of batch streams of the request's model, which online
+	// work would preempt.
 	Batch int
 	// Affinity is the candidate's rendezvous weight for the request's prefix.
 	Affinity uint64
--- a/modules/serving/router/router.go
+++ b/modules/serving/router/router.go
@@ -50,7 +50,8 @@
 // RunnerTables returns the runner table.
 type RunnerTables interface{ Table() *fleet.Runners }
 
-// Snapshots returns the active bundle; nil if none has been loaded.
+// Snapshots returns the snapshot of the active bundle, which is its compiled form; nil if
+// no bundle has been loaded.
 type Snapshots interface{ Snapshot() *bundle.Snapshot }
 
 // LocalOwner runs requests on the runners that this node owns.
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner. It waits for the loop, which ends with the context of
-// Start.
+// Cleanup implements kernel.Cleaner. It waits for digestLoop, which ends with the context
+// of Start.
 func (m *Module) Cleanup() { m.background.Wait() }
 
 // owner returns the state of an owner, which it creates if necessary.
