--- a/internal/app/explain/explain.go
+++ b/internal/app/explain/explain.go
@@ -117,11 +117,11 @@
 	messageRequestRefused = "request refused"
 	// messageNotAdmitted is logged for a request that exceeds its tenant's limit.
 	messageNotAdmitted        = "request not admitted"
-	messageJobSubmitted       = "job handed in"
-	messageSubmissionReceived = "job submission"
+	messageJobSubmitted       = "job submission ended"
+	messageSubmissionReceived = "job submission processed"
 	messageItemEnded          = "item run ended"
 	messageItemDecided        = "item decided"
-	messageItemExpired        = "item given up"
+	messageItemExpired        = "item expired"
 	messageJobEnded           = "job end"
 )
 
--- a/internal/app/explain/tenant.go
+++ b/internal/app/explain/tenant.go
@@ -19,9 +19,9 @@
 	Refusal, Keeper *Line
 }
 
-// messageCreditsRefused is logged by the keeper of a tenant's limit when it refuses
-// credits to a node.
-const messageCreditsRefused = "tenant's credits refused"
+// messageCreditsRefused is logged by the keeper of a tenant's limit when it grants a node
+// fewer credits than the node requested.
+const messageCreditsRefused = "credit request of a tenant not fully granted"
 
 // TenantSummaryOf summarises the log lines about a tenant.
 func TenantSummaryOf(tenant string, lines []Line) *TenantSummary {
--- a/internal/app/explain/tenant_test.go
+++ b/internal/app/explain/tenant_test.go
@@ -9,7 +9,7 @@
 
 const tenantLog = `
    1.3400 edge-a-1 I0318 19:03:37.340000   17865 online.go:144] "request ended" id="r1" route="x" tenant="small" outcome="served" runs=1
-   1.3446 storage-a-1 I0318 19:03:37.344624   17932 allotments.go:76] "tenant's credits refused" tenant="small" shard=2 node="edge-a-11" wanted=1 given=0 rate=5 burst=5 lent=0 holders=0 retryAfterMs=93
+   1.3446 storage-a-1 I0318 19:03:37.344624   17932 allotments.go:76] "credit request of a tenant not fully granted" tenant="small" shard=2 node="edge-a-11" wanted=1 given=0 rate=5 burst=5 lent=0 holders=0 retryAfterMs=93
    1.3461 edge-a-11 I0318 19:03:37.346035   17865 gate.go:206] "request not admitted" id="r2" tenant="small" outcome="refused" rate=5 burst=5 share=0 credit=0 retryAfterMs=111
    1.3462 edge-a-11 I0318 19:03:37.346100   17865 online.go:144] "request ended" id="r2" route="x" tenant="small" outcome="tenant_rate_limited" runs=0
    1.3470 edge-a-1 I0318 19:03:37.347000   17865 online.go:144] "request ended" id="r3" route="x" tenant="large" outcome="served" runs=1
--- a/internal/batch/logstore/db.go
+++ b/internal/batch/logstore/db.go
@@ -62,7 +62,7 @@
 	d := &DB{fs: fs, folder: folder, limits: limits}
 	opened, err := d.openChecked(filepath.Join(folder, databaseFolder))
 	if err != nil {
-		klog.ErrorS(err, "database is damaged, moved aside; the disk gets a new identity", "folder", folder)
+		klog.ErrorS(err, "database is damaged; moving it aside and giving the disk a new identity", "folder", folder)
 		if err := d.moveAside(); err != nil {
 			return nil, err
 		}
--- a/internal/batch/queuerun/executor.go
+++ b/internal/batch/queuerun/executor.go
@@ -110,7 +110,7 @@
 	fingerprint := fingerprintOf(work)
 	if remaining, held := e.held(fingerprint); held {
 		wait := min(remaining, maxQuarantineWait)
-		klog.InfoS("item held: runners end under it", "job", work.Key.Job, "item", work.Item.Id, "fingerprint", fingerprint,
+		klog.InfoS("item delayed: its fingerprint is quarantined", "job", work.Key.Job, "item", work.Item.Id, "fingerprint", fingerprint,
 			"heldMs", remaining.Milliseconds(), "waitMs", wait.Milliseconds())
 		return e.tasks.Go(func() { done(queuestore.Outcome{Output: work.Output, RetryDelay: wait, Reason: "quarantined"}) })
 	}
--- a/internal/batch/queuestore/allotments.go
+++ b/internal/batch/queuestore/allotments.go
@@ -75,7 +75,7 @@
 	reply.Credits, reply.WaitMs = uint32(granted), uint32(wait.Milliseconds())
 	if granted < int(request.Credits) {
 		state := l.allotments.State(request.Tenant)
-		klog.InfoS("tenant's credits refused", "tenant", request.Tenant, "shard", s.ID, "node", request.Node, "wanted", request.Credits, "given", granted,
+		klog.InfoS("credit request of a tenant not fully granted", "tenant", request.Tenant, "shard", s.ID, "node", request.Node, "wanted", request.Credits, "given", granted,
 			"rate", limit.Rate, "burst", limit.Burst, "lent", state.InUse, "holders", state.Holders, "retryAfterMs", reply.WaitMs, "keeperMs", now.Sub(l.allotments.Started()).Milliseconds())
 	}
 	return nil
--- a/internal/batch/queuestore/layout.go
+++ b/internal/batch/queuestore/layout.go
@@ -115,7 +115,7 @@
 	}
 	layout := n.initialLayout(disks)
 	committed, err := n.commitInitialLayout(ctx, layout)
-	klog.InfoS("queue layout founded", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
+	klog.InfoS("initial queue layout proposed", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
 }
 
 // initialLayout chooses the members of every shard from the given disks.
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -126,7 +126,7 @@
 	}
 	s.leader = l
 	s.node.metrics.leading.Inc()
-	klog.InfoS("queue shard led", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
+	klog.InfoS("became leader of queue shard", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
 }
 
 // fillTable builds the table from the stored records and the saved progress of runs.
--- a/internal/batch/queuestore/limits.go
+++ b/internal/batch/queuestore/limits.go
@@ -171,7 +171,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.ledgerDisk != member {
-		klog.InfoS("ledger of waiting tokens found", "disk", member, "before", n.ledgerDisk)
+		klog.InfoS("disk of the ledger of waiting tokens changed", "disk", member, "before", n.ledgerDisk)
 		n.ledgerDisk = member
 	}
 }
--- a/internal/batch/queuestore/runs.go
+++ b/internal/batch/queuestore/runs.go
@@ -144,7 +144,7 @@
 
 func (s *shard) expireItems(now time.Time) {
 	for _, entry := range s.leader.table.Expired(now.Add(-expirySlack)) {
-		klog.InfoS("item given up", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
+		klog.InfoS("item expired", "job", entry.Key.Job, "item", entry.ID, "failures", entry.Failures)
 		entry.ExpiresAt = now.Add(expirySlack) // proposed again after this time unless applied
 		s.proposeResult(entry.Key, entry.ID, true, queue.ItemOutput{})
 	}
--- a/internal/batch/queuestore/serve.go
+++ b/internal/batch/queuestore/serve.go
@@ -56,7 +56,7 @@
 		outcome = "known"
 	}
 	n.metrics.jobs.WithLabelValues(outcome).Inc()
-	klog.InfoS("job submission", "job", request.Job.Id, "shard", s.ID, "items", len(request.Job.Items), "outcome", outcome, "err", err)
+	klog.InfoS("job submission processed", "job", request.Job.Id, "shard", s.ID, "items", len(request.Job.Items), "outcome", outcome, "err", err)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/informer/registration.go
+++ b/internal/cluster/informer/registration.go
@@ -81,7 +81,7 @@
 		return
 	}
 	written, err := i.Store.Commit(ctx, []ports.Condition{{Key: key, Revision: existing.Revision}}, []ports.Put{{Key: key, Value: report}})
-	klog.InfoS("emptying of a node reported", "node", node, "state", retirementState(done), "written", written, "err", err)
+	klog.InfoS("retirement state of a node reported", "node", node, "state", retirementState(done), "written", written, "err", err)
 }
 
 // retirementState returns the name of a retirement's state for the log.
--- a/internal/cluster/informer/runners.go
+++ b/internal/cluster/informer/runners.go
@@ -96,7 +96,7 @@
 	entries, c.storedEntries = c.parse(values, now)
 	c.selectedByRelay, c.revision = true, revision
 	if c.set.Select(runnerRecords(entries), selection.Totals, revision, now) {
-		klog.InfoS("selection of runners taken", "runners", len(entries), "of", sumTotals(selection.Totals), "revision", revision)
+		klog.InfoS("runner selection from a relay applied", "runners", len(entries), "of", sumTotals(selection.Totals), "revision", revision)
 	}
 }
 
@@ -214,7 +214,7 @@
 		return
 	}
 	for _, id := range change.Removed {
-		klog.InfoS("runner gone", "runner", id, "revision", revision)
+		klog.InfoS("runner removed", "runner", id, "revision", revision)
 	}
 	for _, entry := range change.Put {
 		record := entry.Value
--- a/internal/cluster/informer/widening.go
+++ b/internal/cluster/informer/widening.go
@@ -24,7 +24,7 @@
 		if !changed {
 			continue
 		}
-		klog.InfoS("draw of runners changed", "factor", factor, "choicesWithoutRoom", fullChoices)
+		klog.InfoS("widening factor of the runner subset changed", "factor", factor, "choicesWithoutRoom", fullChoices)
 		if follower := i.follower.Load(); follower != nil {
 			follower.RenewInterest()
 		}
--- a/internal/cluster/listwatch/reflector.go
+++ b/internal/cluster/listwatch/reflector.go
@@ -203,7 +203,7 @@
 	switch {
 	case err == nil:
 		if r.storeLost {
-			klog.InfoS("store regained", "prefix", r.Prefix, "revision", revision)
+			klog.InfoS("requests to the store succeed again", "prefix", r.Prefix, "revision", revision)
 		}
 		r.storeLost = false
 	case errors.Is(err, errLargeFleet):
@@ -216,7 +216,7 @@
 			r.Contact.recordFailure()
 		}
 		if !r.storeLost {
-			klog.InfoS("store lost", "prefix", r.Prefix, "revision", revision, "err", err)
+			klog.InfoS("requests to the store started failing", "prefix", r.Prefix, "revision", revision, "err", err)
 		}
 		r.storeLost = true
 	}
--- a/internal/cluster/relay/follower.go
+++ b/internal/cluster/relay/follower.go
@@ -121,7 +121,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			klog.InfoS("source of the store's changes left", "address", address, "revision", f.Merger.Revision(), "err", err)
+			klog.InfoS("stream from relay source ended", "address", address, "revision", f.Merger.Revision(), "err", err)
 			f.dropSource(slot, address, !errors.Is(err, errInterestChanged) && !errors.Is(err, errSourceBehind))
 		}
 		wait = min(2*wait, maxRetry)
--- a/internal/serving/admission/questions.go
+++ b/internal/serving/admission/questions.go
@@ -57,7 +57,7 @@
 func (c *Controller) refuseAfterFailure(tenant string, sent time.Time, waiting []chan creditResult, err error) {
 	now := c.now()
 	pause := c.pauseKeeper(tenant, now)
-	klog.InfoS("keeper of a limit did not answer", "tenant", tenant, "waiting", len(waiting),
+	klog.InfoS("call to the keeper of a tenant's limit failed", "tenant", tenant, "waiting", len(waiting),
 		"ms", now.Sub(sent).Milliseconds(), "pauseMs", pause.Milliseconds(), "err", err)
 	refuseAll(waiting)
 }
