--- a/internal/batch/queuestore/layout.go
+++ b/internal/batch/queuestore/layout.go
@@ -122,7 +122,7 @@
 	}
 	layout := n.initialLayout(disks)
 	committed, err := n.commitInitialLayout(ctx, layout)
-	klog.InfoS("queue layout founded", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
+	klog.InfoS("initial queue layout proposed", "committed", committed, "err", err, "shards", len(layout.Shards), "disks", len(disks))
 }
 
 // initialLayout returns a layout whose shards are spread over the given disks.
--- a/internal/batch/queuestore/leader.go
+++ b/internal/batch/queuestore/leader.go
@@ -141,7 +141,7 @@
 	}
 	s.leader = l
 	s.node.metrics.leading.Inc()
-	klog.InfoS("queue shard led", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
+	klog.InfoS("became leader of queue shard", "shard", s.ID, "epoch", l.epoch, "jobs", len(l.acceptedAt), "unfinished", l.table.Len(), "commit", s.Replica.Commit())
 }
 
 // fillTable fills the table and the acceptance times of a new leadership from the stored
