--- a/internal/transport/rpc/clientlink.go
+++ b/internal/transport/rpc/clientlink.go
@@ -27,8 +27,8 @@
 type clientLink struct {
 	link   *link
 	lastID atomic.Uint64
-	// lastUsed is the time at which the last request or notice was sent on the link, as
-	// a duration since processStart.
+	// lastUsed is the time at which the link was dialled, or last used to open a stream
+	// or to queue a notice, in nanoseconds since processStart.
 	lastUsed atomic.Int64
 	// stopPoolWatch unregisters the callback that closes the link together with the pool.
 	stopPoolWatch func() bool
--- a/internal/transport/rpc/clientstream.go
+++ b/internal/transport/rpc/clientstream.go
@@ -10,8 +10,8 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// ClientStream is the client's end of one stream. The queue of received messages has no
-// bound, since the token limit of a request already bounds the length of its stream.
+// ClientStream is the client's end of one stream. Its queue of received messages is
+// unbounded, so a slow reader does not block the other streams of the link.
 type ClientStream struct {
 	owner *clientLink
 	id    uint64
@@ -55,7 +55,9 @@
 //   - a *result.Error if the server ended the stream with an error,
 //   - ErrLinkLost if the link closed before the stream ended.
 //
-// If the context ends while Receive waits, it returns the error of the context.
+// If the context ends while Receive waits, it returns the error of the context. It also
+// fails if the message or the status at the end of the stream cannot be decoded. After
+// Close, the end of the stream is not received, so Receive may wait for the context.
 func (s *ClientStream) Receive(ctx context.Context, message proto.Message) error {
 	for {
 		payload, err := s.pop()
@@ -84,7 +86,8 @@
 	return nil, s.endError
 }
 
-// Close cancels the stream at the server unless the stream has ended.
+// Close cancels the stream at the server unless the stream has ended. The cancellation is
+// not sent if the send queue of the link is full.
 func (s *ClientStream) Close() {
 	if s.owner.remove(s.id) == nil {
 		return
--- a/internal/transport/rpc/counters.go
+++ b/internal/transport/rpc/counters.go
@@ -22,7 +22,8 @@
 	methods sync.Map // of *MethodCount by wirev1.Method
 }
 
-// MethodCount holds the number of messages sent for one method, and their size in bytes.
+// MethodCount holds the number of messages for one method that were passed to a link for
+// sending, including those that could not be sent, and their size in bytes.
 type MethodCount struct{ Messages, Bytes atomic.Uint64 }
 
 func (c *Counters) recordSent(method wirev1.Method, bytes int) {
@@ -37,7 +38,7 @@
 
 // Traffic is a snapshot of a node's Counters.
 type Traffic struct {
-	// Sent and Received count frames.
+	// Sent and Received count frames. Dials counts attempts, including failed ones.
 	Sent, Received, Dials uint64
 	BytesSent             uint64
 	BytesReceived         uint64
@@ -77,8 +78,8 @@
 	return delta
 }
 
-// ByMethod lists the messages and bytes sent for each method, as one line of text. The
-// method with the most messages comes first.
+// ByMethod lists the number of messages and bytes for each method, as one line of text.
+// The method with the most messages comes first. Methods without messages are left out.
 func (t Traffic) ByMethod() string {
 	var methods []wirev1.Method
 	for method, count := range t.messages {
--- a/internal/transport/rpc/frame.go
+++ b/internal/transport/rpc/frame.go
@@ -24,7 +24,7 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// MaxFrameBytes bounds one frame. The largest valid frames carry a batch of log
+// MaxFrameBytes bounds one encoded frame, without its length. The largest valid frames carry a batch of log
 // entries; only a faulty or malicious peer sends a larger one.
 const MaxFrameBytes = 16 << 20
 
--- a/internal/transport/rpc/hello.go
+++ b/internal/transport/rpc/hello.go
@@ -15,7 +15,7 @@
 const handshakeTimeout = 5 * time.Second
 
 // clientHandshake sends this node's Hello on a dialled connection, reads the peer's Hello,
-// and checks that cluster and protocol version match.
+// and checks that cluster and protocol version match. It does not check the peer's node ID.
 func clientHandshake(conn net.Conn, reader *bufio.Reader, own *wirev1.Hello, timeout time.Duration) error {
 	_ = conn.SetDeadline(time.Now().Add(timeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
--- a/internal/transport/rpc/idle.go
+++ b/internal/transport/rpc/idle.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// defaultIdleTimeout is how long an unused link is kept open. It is longer than the
+// defaultIdleTimeout is the minimum time that an unused link is kept open. It is longer than the
 // pauses between messages of nodes that communicate regularly, so that the links between
 // such nodes stay open.
 const defaultIdleTimeout = 15 * time.Second
 
-// closeIdle closes the links that were not used within the idle timeout, and drops peers
-// without an open link.
+// closeIdle closes the links that have no open streams and were not used within the idle
+// timeout. It then calls dropIfIdle for each peer without an open link.
 func (p *Pool) closeIdle() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/transport/rpc/link.go
+++ b/internal/transport/rpc/link.go
@@ -16,7 +16,7 @@
 	// maxQueuedFrames bounds the frames that are queued on one link.
 	maxQueuedFrames = 2048
 	// readBufferBytes is the size of the read buffer that each link holds. Most frames
-	// are far smaller. The body of a larger frame is read past the buffer.
+	// are far smaller. The body of a larger frame is read directly into its own slice.
 	readBufferBytes = 4 << 10
 	// writeBufferBytes is the size of a write buffer. A link holds a write buffer only
 	// while it writes.
@@ -57,7 +57,7 @@
 }
 
 // send queues the frame. It blocks while the queue is full, and fails if the link is
-// closed.
+// closed or the frame exceeds MaxFrameBytes.
 func (l *link) send(frame *wirev1.Frame) error {
 	encoded, err := AppendFrame(nil, frame)
 	if err != nil {
@@ -84,7 +84,7 @@
 func (l *link) tryQueue(encoded []byte) bool { return l.queue.tryPut(encoded) }
 
 // sendMessage encodes the message into a frame of the given stream and sends the frame.
-// The message is counted for the method.
+// The message is counted for the method, also if sending fails.
 func (l *link) sendMessage(stream uint64, method wirev1.Method, kind wirev1.FrameKind, message proto.Message) error {
 	payload, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/transport/rpc/notify.go
+++ b/internal/transport/rpc/notify.go
@@ -9,8 +9,9 @@
 	wirev1 "cobaltramp.example/cobaltramp/api/wire/v1"
 )
 
-// Notify sends a one-way message, which may be lost. It does not block: if there is no
-// open link, the address is dialled in the background.
+// Notify sends a one-way message. It does not block: if there is no open link, the address
+// is dialled in the background. The message is dropped if the dial fails or the send queue
+// of the link is full.
 func (p *Pool) Notify(address string, class Class, method wirev1.Method, message proto.Message) {
 	p.NotifyAll([]string{address}, class, method, message)
 }
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -43,7 +43,8 @@
 // errPoolClosed is returned for calls after Close.
 var errPoolClosed = errors.New("pool closed")
 
-// Pool dials other nodes and keeps one link per address and class.
+// Pool dials other nodes and keeps at most one link per address and class. Idle links are
+// closed.
 type Pool struct {
 	hello    *wirev1.Hello
 	tls      func() *tls.Config
@@ -79,7 +80,8 @@
 }
 
 // NewPool returns a pool for the node nodeID of the cluster. If tlsConfig is not nil, it
-// is called for each dial, so that replaced keys are used without a restart.
+// is called for each dial, so that replaced keys are used without a restart. Links use
+// plain TCP if tlsConfig is nil or returns nil.
 func NewPool(nodeID, cluster string, tlsConfig func() *tls.Config, counters *Counters) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
@@ -108,8 +110,8 @@
 }
 
 // Open starts a stream with the request. If Open returns an error, no frame of the
-// request was queued and the request was not delivered. If the peer cannot be reached,
-// the error has the code PeerUnreachable.
+// request was queued and the request was not delivered. The error has the code
+// PeerUnreachable unless the request cannot be encoded.
 func (p *Pool) Open(ctx context.Context, address string, class Class, method wirev1.Method, request proto.Message) (*ClientStream, error) {
 	for {
 		l, err := p.link(ctx, address, class)
@@ -124,7 +126,8 @@
 	}
 }
 
-// Call opens a stream, reads one reply and closes the stream.
+// Call opens a stream, reads one reply and closes the stream. It returns io.EOF if the
+// server ends the stream without a reply and without an error.
 func (p *Pool) Call(ctx context.Context, address string, class Class, method wirev1.Method, request, reply proto.Message) error {
 	stream, err := p.Open(ctx, address, class, method, request)
 	if err != nil {
@@ -155,7 +158,9 @@
 	return entry
 }
 
-// CloseLinks closes the links to an address, which is no longer that of a member.
+// CloseLinks closes the links to an address and removes them from the pool. It is called
+// for the addresses of nodes that are no longer members. A later call dials the address
+// again.
 func (p *Pool) CloseLinks(address string) {
 	for class := Class(0); class < classCount; class++ {
 		p.mutex.Lock()
@@ -192,12 +197,13 @@
 	return p.peers[key] == entry
 }
 
-// errPeerDropped is returned if a peer was dropped as idle before it was dialled.
-var errPeerDropped = errors.New("peer dropped as idle")
+// errPeerDropped is returned if a peer was removed from the pool before it was dialled.
+var errPeerDropped = errors.New("peer removed from the pool")
 
-// linkToPeer returns the link of a peer, and dials the peer if it has no open link. A
-// peer that was dropped from the pool is not dialled, since the check for idle links
-// would not find the new link.
+// linkToPeer returns the link of a peer, and dials the peer if it has no open link. For
+// dialBackoff after a failed dial, it returns the error of that dial instead. A peer that
+// was removed from the pool is not dialled, since the check for idle links would not find
+// the new link.
 func (p *Pool) linkToPeer(ctx context.Context, key peerKey, entry *peer) (*clientLink, error) {
 	if l := entry.current.Load(); l != nil && l.alive() {
 		return l, nil
--- a/internal/transport/rpc/server.go
+++ b/internal/transport/rpc/server.go
@@ -15,7 +15,7 @@
 
 // StreamHandler serves one stream. The context ends when the client cancels the stream,
 // the client's deadline passes, or the link closes. When the handler returns, the stream
-// ends, and the client receives the result code and message of the error.
+// ends, and the client receives the result code, message and retry delay of the error.
 type StreamHandler func(ctx context.Context, stream *ServerStream) error
 
 // NoticeHandler handles a one-way message of the node with the ID from. It runs on the
@@ -67,8 +67,8 @@
 	s.noticeHandlers[method] = handler
 }
 
-// Serve accepts links until the listener is closed. If tlsConfig is not nil, connections
-// use TLS with that configuration.
+// Serve accepts links until the listener fails or is closed, and returns the listener's
+// error. If tlsConfig is not nil, connections use TLS with that configuration.
 func (s *Server) Serve(listener net.Listener, tlsConfig *tls.Config) error {
 	for {
 		conn, err := listener.Accept()
@@ -84,7 +84,8 @@
 	}
 }
 
-// Close closes all links and waits for the handlers to return.
+// Close closes all links and waits for the handlers to return. It does not close the
+// listener of Serve.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
--- a/internal/transport/rpc/serverstream.go
+++ b/internal/transport/rpc/serverstream.go
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// Send sends one message to the client. It fails if the link is closed.
+// Send queues one message for the client. It blocks while the send queue of the link is
+// full, and fails if the link is closed or the message exceeds MaxFrameBytes.
 func (s *ServerStream) Send(message proto.Message) error {
 	return s.link.sendMessage(s.id, s.method, wirev1.FrameKind_FRAME_KIND_DATA, message)
 }
