--- a/internal/transport/httpcall/client.go
+++ b/internal/transport/httpcall/client.go
@@ -2,8 +2,6 @@
 // never retries, and its errors tell whether any byte of the request was sent.
 //
 // The client uses the request and response codecs of fasthttp on its own connections.
-// The client of fasthttp is not suitable, since it may resend a request if a keep-alive
-// connection turns out to be closed.
 //
 // All programs use the package to call runners, services of the platform and the HTTP
 // interfaces of other programs.
@@ -36,7 +34,7 @@
 // Request describes a request for Client.Do.
 type Request struct {
 	Method string
-	// URL must be absolute.
+	// URL must be absolute and contain a port.
 	URL     string
 	Headers [][2]string
 	Body    []byte
@@ -49,17 +47,19 @@
 	// Host is the value of the Host header. If empty, the address in the URL is sent.
 	Host string
 	// Matches reports whether a response belongs to this request. A response that does
-	// not match is a late response to an earlier request, and is read and dropped. If
-	// nil, every response matches.
+	// not match is a late response to an earlier request on the connection, and is
+	// dropped. If nil, every response matches.
 	Matches func(*fasthttp.ResponseHeader) bool
 	// BeforeWrite is called when the connection is open, right before the first byte is
 	// written. If it returns false, the request is not sent and Do returns a
-	// NotSentError with ErrWithdrawn. It may be nil.
+	// NotSentError with ErrWithdrawn, or with the context's error if the context has
+	// ended. It may be nil.
 	BeforeWrite func() bool
 }
 
-// Do sends the request and reads the header of the response. When the context ends, the
-// connection is closed, and reads of the body fail.
+// Do sends the request and reads the header of the response. Its errors are of type
+// *NotSentError or *NoResponseError. If the context ends before the response is closed,
+// the connection is closed, and reads of the body fail.
 func (c *Client) Do(ctx context.Context, request *Request) (*Response, error) {
 	parsed, err := url.Parse(request.URL)
 	if err != nil || parsed.Host == "" {
--- a/internal/transport/httpcall/connections.go
+++ b/internal/transport/httpcall/connections.go
@@ -104,8 +104,9 @@
 // while the next request is being sent.
 const keepAliveFraction = 0.6
 
-// serverIdleTimeout returns how long a connection may be idle and still be reused, from
-// the Keep-Alive header of the server's response.
+// serverIdleTimeout returns how long a connection may be idle and still be reused:
+// keepAliveFraction of the timeout in the Keep-Alive header of the server's response, but
+// at most idleTimeout. Without that header, it returns idleTimeout.
 func serverIdleTimeout(header *fasthttp.ResponseHeader) time.Duration {
 	for _, part := range strings.Split(string(header.Peek("Keep-Alive")), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -142,7 +143,8 @@
 	return last
 }
 
-// usable reports whether an idle connection is still open and has no unread bytes.
+// usable reports whether an idle connection is still open and has no unread bytes. It
+// returns false if the state of the socket cannot be checked.
 func (c *conn) usable() bool {
 	raw := sockets.Raw(c.Conn)
 	return raw != nil && c.reader.Buffered() == 0 && sockets.Peek(raw) == sockets.Idle
--- a/internal/transport/httpcall/errors.go
+++ b/internal/transport/httpcall/errors.go
@@ -16,7 +16,7 @@
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
 // NoResponseError reports that at least one byte of the request was sent and no complete
-// response header was received.
+// header of a response to the request was received. The server may have run the request.
 type NoResponseError struct{ Cause error }
 
 // Error implements error.
@@ -25,7 +25,8 @@
 // Unwrap returns the cause.
 func (e *NoResponseError) Unwrap() error { return e.Cause }
 
-// ErrWithdrawn is the cause of a NotSentError if Request.BeforeWrite returned false.
+// ErrWithdrawn is the cause of a NotSentError if Request.BeforeWrite returned false and the
+// context had not ended.
 var ErrWithdrawn = errors.New("withdrawn before it was written")
 
 // ErrUnmatchedResponse is the cause of a NoResponseError if only responses to other
--- a/internal/transport/httpcall/response.go
+++ b/internal/transport/httpcall/response.go
@@ -25,11 +25,13 @@
 	stopContextWatch func() bool
 }
 
-// maxUnmatchedResponses bounds how many responses to earlier requests are dropped.
+// maxUnmatchedResponses is the number of responses to earlier requests that may precede the
+// response to a request.
 const maxUnmatchedResponses = 2
 
 // readResponse reads the header of the response to this request. It drops responses that
-// do not match the request.
+// do not match the request. It returns ErrUnmatchedResponse if there are more than
+// maxUnmatchedResponses of them, or if one has no Content-Length.
 func (c *Client) readResponse(connection *conn, request *Request) (*Response, error) {
 	for range maxUnmatchedResponses + 1 {
 		response, err := c.readHeader(connection)
@@ -71,7 +73,8 @@
 }
 
 // Read reads the body. It returns io.EOF only at the end of the body, and an error if the
-// connection closes before the declared end.
+// connection closes before the declared end. A body without a declared length ends when
+// the server closes the connection.
 func (r *Response) Read(buffer []byte) (int, error) {
 	n, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
@@ -100,8 +103,9 @@
 
 func asReader(r *Response) io.Reader { return r }
 
-// Close keeps the connection for reuse if the body was read to its end. Otherwise it closes
-// the connection.
+// Close keeps the connection for reuse if the body was read to its end, the context has not
+// ended, and the server keeps the connection open. Otherwise it closes the connection.
+// Further calls have no effect.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
@@ -139,8 +143,8 @@
 // maxDiscardBytes bounds a body that is read only so that its connection can be reused.
 const maxDiscardBytes = 64 << 10
 
-// Discard closes the response. If the body is short, Discard reads it first, so that the
-// connection can be reused.
+// Discard closes the response. If the response declares a Content-Length of at most
+// maxDiscardBytes, Discard reads the body first, so that the connection can be reused.
 func (r *Response) Discard() {
 	length := r.Header.ContentLength()
 	if length >= 0 && length <= maxDiscardBytes {
