--- a/internal/transport/nethttp/nethttp.go
+++ b/internal/transport/nethttp/nethttp.go
@@ -17,8 +17,8 @@
 	"cobaltramp.example/cobaltramp/internal/transport/sockets"
 )
 
-// RequestLimits are the limits for requests and connections of clients. A zero value means
-// that net/http applies its default.
+// RequestLimits are the limits for requests and connections of clients. A duration of zero
+// means no limit, and HeaderBytes of zero means http.DefaultMaxHeaderBytes.
 type RequestLimits struct {
 	// HeaderTimeout bounds the time for reading the header of a request.
 	HeaderTimeout time.Duration
@@ -35,7 +35,8 @@
 	running tasks.Group
 }
 
-// Start listens on the address and serves requests until Drain or Close is called.
+// Start listens on the address and serves requests in the background until Drain or Close
+// is called. The context applies only to opening the listener.
 func Start(ctx context.Context, address string, handler http.Handler, limits RequestLimits) (*Endpoint, error) {
 	listener, err := sockets.ListenConfig().Listen(ctx, "tcp", address)
 	if err != nil {
@@ -57,9 +58,9 @@
 // Address returns the address of the listener.
 func (e *Endpoint) Address() string { return e.address }
 
-// Drain continues to accept connections and requests during the grace period. It then
-// closes the listener and waits for the running requests. It returns an error if the
-// context ends before all requests have completed.
+// Drain continues to accept connections and requests until the grace period or the context
+// ends. It then closes the listener and waits for the running requests. It returns an error
+// if the context ends before all requests have completed.
 func (e *Endpoint) Drain(ctx context.Context, gracePeriod time.Duration) error {
 	timer := time.NewTimer(gracePeriod)
 	defer timer.Stop()
