--- a/internal/transport/eventstream/eventstream.go
+++ b/internal/transport/eventstream/eventstream.go
@@ -16,8 +16,8 @@
 	// Raw holds the bytes of the event, including the empty line at its end. It is
 	// valid until the next call of Next.
 	Raw []byte
-	// ID is the number in the event's id field. HasID is false if the event has no id
-	// field.
+	// ID is the number in the event's last id field. HasID is false if the event has no
+	// id field.
 	ID    int64
 	HasID bool
 	// Data holds the values of the event's data fields, joined by line feeds. It is
@@ -48,8 +48,10 @@
 	return &Decoder{source: bufio.NewReaderSize(body, bufferBytes)}
 }
 
-// Next reads one event. It returns io.EOF if the body ends between two events, and
-// io.ErrUnexpectedEOF if it ends within an event.
+// Next reads one event. It returns io.EOF if the body ends between two events,
+// io.ErrUnexpectedEOF if the body ends within an event, and a *BrokenError if an event
+// exceeds MaxEventBytes or its id is not a decimal integer. Other errors of the body are
+// returned unchanged.
 func (d *Decoder) Next() (StreamEvent, error) {
 	event := StreamEvent{}
 	d.raw = d.raw[:0]
--- a/internal/transport/eventstream/eventstream_test.go
+++ b/internal/transport/eventstream/eventstream_test.go
@@ -47,7 +47,7 @@
 }
 
 // For any input, the raw bytes of the decoded events are a prefix of the input.
-func FuzzReader(f *testing.F) {
+func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Add([]byte("\n\nid:\n\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
