--- a/internal/transport/httpserve/server.go
+++ b/internal/transport/httpserve/server.go
@@ -54,7 +54,7 @@
 // the context ends.
 func (s *Server) Shutdown(ctx context.Context) {
 	if err := s.App.ShutdownWithContext(ctx); err != nil {
-		klog.V(2).InfoS("HTTP server stopped with running requests", "address", s.Address(), "err", err)
+		klog.V(2).InfoS("HTTP server did not shut down cleanly", "address", s.Address(), "err", err)
 	}
 }
 
