--- a/internal/transport/tlskeys/tlskeys.go
+++ b/internal/transport/tlskeys/tlskeys.go
@@ -17,8 +17,8 @@
 const checkInterval = time.Second
 
 // Pair is a certificate and its private key, which are reloaded when their files change.
-// If the changed files cannot be loaded, an error is logged and the previous pair stays
-// in use.
+// If a file is missing or the changed files cannot be loaded, the previous pair stays in
+// use. Only a failed load is logged.
 type Pair struct {
 	certificate, key string
 
@@ -65,7 +65,8 @@
 	return latest, nil
 }
 
-// Current returns the certificate in use. If the files have changed, it reloads them first.
+// Current returns the certificate in use. At most once per checkInterval, it checks the
+// modification times of the files and reloads the pair if the later time has changed.
 func (p *Pair) Current() *tls.Certificate {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,7 +105,7 @@
 }
 
 // LoadMutualTLS loads the key pair of a node and the certificate of the nodes' certificate
-// authority from files.
+// authority from files. The authority's certificate is not reloaded when its file changes.
 func LoadMutualTLS(certificate, key, authority string) (*MutualTLS, error) {
 	pair, err := LoadPair(certificate, key)
 	if err != nil {
