--- a/modules/roles/cluster/cluster.go
+++ b/modules/roles/cluster/cluster.go
@@ -8,7 +8,8 @@
 //     node runs at runners;
 //   - the quarantine of requests that crash runners.
 //
-// The platform's adapter provides the client of the store and the prober of runners.
+// The platform's adapter provides the client of the store and the prober of runners. Only
+// storage nodes with a data folder keep a mirror of the store's changes for other nodes.
 package cluster
 
 import (
@@ -64,7 +65,7 @@
 	syncer     *peers.Syncer
 	reporter   *loadshare.Reporter
 	quarantine *quarantine.Coordinator
-	archive    *quarantine.HoldWriter
+	holdWriter *quarantine.HoldWriter
 	running    tasks.Group
 }
 
@@ -108,8 +109,8 @@
 	m.reporter = loadshare.New(directory, m.informer.Runners, pool, registry)
 	server.HandleNotice(wirev1.Method_METHOD_RUNNER_USE, m.reporter.ReceiveNotice)
 	server.OnPeerLost(m.reporter.PeerLost)
-	m.archive = quarantine.NewHoldWriter(store)
-	m.quarantine = quarantine.NewCoordinator(directory, pool, prober, m.archive, registry)
+	m.holdWriter = quarantine.NewHoldWriter(store)
+	m.quarantine = quarantine.NewCoordinator(directory, pool, prober, m.holdWriter, registry)
 	m.informer.Quarantine = m.quarantine
 	server.HandleNotice(wirev1.Method_METHOD_QUARANTINE, m.quarantine.ReceiveNotice)
 	server.Handle(wirev1.Method_METHOD_QUARANTINE_ADMIN, m.quarantine.ServeAdmin)
@@ -123,7 +124,7 @@
 
 // Start implements kernel.Starter.
 func (m *Module) Start(ctx context.Context) error {
-	for _, run := range []func(context.Context){m.informer.Run, m.syncer.Run, m.reporter.Run, m.quarantine.Run, m.archive.Run} {
+	for _, run := range []func(context.Context){m.informer.Run, m.syncer.Run, m.reporter.Run, m.quarantine.Run, m.holdWriter.Run} {
 		m.running.Go(func() { run(ctx) })
 	}
 	return nil
