--- a/modules/roles/links/links.go
+++ b/modules/roles/links/links.go
@@ -1,6 +1,7 @@
-// Package links provides the RPC server and the RPC connection pool of a node. It owns the
-// listeners for other nodes. Other modules register their handlers with the server. Edges and
-// storage nodes run it.
+// Package links provides the RPC server and the RPC connection pool of a node, which use
+// plain TCP. It listens for other nodes on the node's peer address and, if set, also on the
+// address in the setting Listen.Peers. Other modules register their handlers with the
+// server. Edges and storage nodes run the package.
 package links
 
 import (
@@ -73,7 +74,7 @@
 		m.listeners = append(m.listeners, listener)
 		m.running.Go(func() {
 			err := m.server.Serve(listener, nil)
-			klog.V(1).InfoS("node listener closed", "address", address, "err", err)
+			klog.V(1).InfoS("accepting links from other nodes ended", "address", address, "err", err)
 		})
 	}
 	m.running.Go(func() { m.logTraffic(ctx) })
@@ -87,16 +88,16 @@
 func (m *Module) logTraffic(ctx context.Context) {
 	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
-	last := m.counters.Traffic()
+	previous := m.counters.Traffic()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		now := m.counters.Traffic()
-		delta := now.Since(last)
-		last = now
+		current := m.counters.Traffic()
+		delta := current.Since(previous)
+		previous = current
 		klog.InfoS("traffic between nodes", "framesSent", delta.Sent, "framesReceived", delta.Received, "bytesSent", delta.BytesSent,
 			"bytesReceived", delta.BytesReceived, "links", delta.Links, "dials", delta.Dials, "sent", delta.ByMethod())
 	}
@@ -105,7 +106,7 @@
 // Cleanup implements kernel.Cleaner.
 func (m *Module) Cleanup() {
 	for _, listener := range m.listeners {
-		_ = listener.Close() // the listener is not used any more
+		_ = listener.Close()
 	}
 	m.pool.Close()
 	m.server.Close()
