--- a/modules/roles/metrics/metrics.go
+++ b/modules/roles/metrics/metrics.go
@@ -63,7 +63,7 @@
 	mux.Handle(Path, promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
 	var err error
 	m.server, err = nethttp.Start(ctx, address, mux, nethttp.RequestLimits{HeaderTimeout: headerTimeout})
-	return trace.Wrap(err, "serving metrics")
+	return trace.Wrap(err, "starting the metrics server")
 }
 
 // Cleanup implements kernel.Cleaner.
