--- a/modules/operators/admin/admin.go
+++ b/modules/operators/admin/admin.go
@@ -194,7 +194,8 @@
 
 func (m *Module) status(c fiber.Ctx) error { return c.JSON(newNodeBody(m.nodeStatus())) }
 
-// fleetStatus responds with the status of all members, which it requests concurrently.
+// fleetStatus responds with the status of all members. It requests the status of members
+// that are not dead concurrently.
 func (m *Module) fleetStatus(c fiber.Ctx) error {
 	members := m.nodeStatus().Members
 	bodies := make([]NodeBody, len(members))
@@ -223,10 +224,11 @@
 // BundleBody is the status of the bundle.
 type BundleBody struct {
 	Head *bundle.Head `json:"head"`
-	// ActiveGenerations holds the active generation of each node, by zone and node ID.
+	// ActiveGenerations holds the active generation of each node, by zone and node ID. It
+	// leaves out nodes that are dead or did not reply.
 	ActiveGenerations map[string]map[string]uint64 `json:"in_force"`
-	// Lagging lists the IDs of nodes whose active generation is older than the
-	// generation that the head requires in their zone.
+	// Lagging lists the IDs of the nodes in ActiveGenerations whose generation is older
+	// than the generation that the head requires in their zone. It is empty without a head.
 	Lagging []string `json:"lagging"`
 }
 
@@ -250,7 +252,8 @@
 	return c.JSON(body)
 }
 
-// HistoryBody is one generation in the history of the bundle.
+// HistoryBody is one generation in the history of the bundle. Changed and Removed list the
+// keys of documents.
 type HistoryBody struct {
 	Generation uint64   `json:"generation"`
 	Digest     string   `json:"digest"`
--- a/modules/operators/admin/body.go
+++ b/modules/operators/admin/body.go
@@ -6,9 +6,12 @@
 
 // NodeBody is the status of a node in responses to operators.
 type NodeBody struct {
-	ID                string       `json:"id"`
-	Region            string       `json:"region"`
-	Zone              string       `json:"zone"`
+	ID     string `json:"id"`
+	Region string `json:"region"`
+	Zone   string `json:"zone"`
+	// State is "ready" or the reason why the node is not ready. If the node is recorded as
+	// dead, or its status could not be fetched, State is "dead" or "unreachable", and only
+	// ID and Zone are set besides.
 	State             string       `json:"state"`
 	Version           string       `json:"version"`
 	APIAddress        string       `json:"api_address"`
@@ -20,6 +23,7 @@
 }
 
 // MemberBody is the status of a member of the fleet, as recorded by the reporting node.
+// State is "alive", "suspect", "leaving" or "dead".
 type MemberBody struct {
 	ID          string `json:"id"`
 	Address     string `json:"address"`
@@ -29,7 +33,8 @@
 	Disk        string `json:"disk,omitempty"`
 }
 
-// RunnerBody is the status of a runner that the node owns.
+// RunnerBody is the status of a runner that the node owns. Online and Batch are the numbers
+// of running online requests and batch items.
 type RunnerBody struct {
 	ID         string `json:"id"`
 	Address    string `json:"address"`
@@ -41,6 +46,7 @@
 }
 
 // ShardBody is the status of the node's replica of a batch shard.
+// Commit and Applied are log indexes. Generation is that of the list of members.
 type ShardBody struct {
 	Shard      uint32   `json:"shard"`
 	Leader     string   `json:"leader"`
