--- a/modules/platform/etcdgateway/etcdgateway.go
+++ b/modules/platform/etcdgateway/etcdgateway.go
@@ -49,7 +49,8 @@
 func (m *Module) Cleanup() { m.client.http.CloseIdle() }
 
 const (
-	// callTimeout bounds one call, including the time it waits for the rate limit.
+	// callTimeout bounds one Get, List or Commit, including the wait for the rate limit. It
+	// does not apply to Watch.
 	callTimeout = 3 * time.Second
 	// maxResponseBytes bounds the body of one response.
 	maxResponseBytes = 64 << 20
@@ -122,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return trace.Wrap(ports.ErrUnavailable, "own rate limit: %v", err)
+		return trace.Wrap(ports.ErrUnavailable, "waiting for the rate limit of the client: %v", err)
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -134,7 +135,7 @@
 	}
 	payload, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		return trace.Wrap(ports.ErrOutcomeUnknown, "reading answer: %v", err)
+		return trace.Wrap(ports.ErrOutcomeUnknown, "reading the response: %v", err)
 	}
 	return decode(response.Status, payload, reply)
 }
@@ -149,8 +150,8 @@
 	return trace.Wrap(ports.ErrOutcomeUnknown, "%v", err)
 }
 
-// HTTP statuses of the gateway. If the status is 429 or 503, the gateway has not executed
-// the call.
+// HTTP statuses of the gateway. With status 429 or 503, the gateway has not executed the
+// call. With any other status except 200, the outcome of the call is unknown.
 const (
 	statusTooManyRequests = 429
 	statusUnavailable     = 503
@@ -160,7 +161,7 @@
 func decode(status int, payload []byte, reply any) error {
 	switch status {
 	case statusOK:
-		return trace.Wrap(json.Unmarshal(payload, reply), "decoding answer")
+		return trace.Wrap(json.Unmarshal(payload, reply), "decoding the response")
 	case statusTooManyRequests, statusUnavailable:
 		return trace.Wrap(ports.ErrUnavailable, "status %d", status)
 	default:
@@ -187,10 +188,10 @@
 	for {
 		var message watchResponse
 		if err := decoder.Decode(&message); err != nil {
-			return trace.Wrap(ports.ErrUnavailable, "watch broke: %v", err)
+			return trace.Wrap(ports.ErrUnavailable, "reading the watch stream: %v", err)
 		}
 		if message.Result.Canceled {
-			return trace.Wrap(ports.ErrUnavailable, "watch cancelled, compacted at %d", message.Result.CompactRevision)
+			return trace.Wrap(ports.ErrUnavailable, "watch cancelled by the gateway, compact revision %d", message.Result.CompactRevision)
 		}
 		for _, event := range message.Result.Events {
 			handle(ports.WatchEvent{Value: toValue(event.KV), Deleted: event.Type == "DELETE"})
