--- a/modules/platform/httpsd/httpsd.go
+++ b/modules/platform/httpsd/httpsd.go
@@ -1,7 +1,9 @@
 // Package httpsd implements ports.Discovery for machine and runner lists in the JSON format
 // of Prometheus HTTP service discovery, which consists of groups of targets with labels.
-// The adapter uses the labels zone, region and state ("live" or "leaving"), and for runners
-// also id and service. The plain node runs it.
+// The adapter uses the labels zone, region and state, and for runners also id and service.
+// Targets with the state "leaving" are leaving; targets with any other state or none are
+// live. The ID of a runner without the label id is its address. The plain node runs the
+// package.
 package httpsd
 
 import (
@@ -127,7 +129,7 @@
 	}
 	var groups []targetGroup
 	if err := json.Unmarshal(body, &groups); err != nil {
-		return nil, trace.Wrap(ports.ErrUnavailable, "decoding: %v", err)
+		return nil, trace.Wrap(ports.ErrUnavailable, "decoding the list: %v", err)
 	}
 	return groups, nil
 }
