--- a/internal/transport/rpc/idle.go
+++ b/internal/transport/rpc/idle.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// defaultIdleTimeout is the minimum time that an unused link is kept open. It is longer than the
-// pauses between messages of nodes that communicate regularly, so that the links between
-// such nodes stay open.
+// defaultIdleTimeout is the minimum time that an unused link is kept open. It is longer
+// than the pauses between messages of nodes that communicate regularly, so that the links
+// between such nodes stay open.
 const defaultIdleTimeout = 15 * time.Second
 
 // closeIdle closes the links that have no open streams and were not used within the idle
--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -71,7 +71,9 @@
 	class   Class
 }
 
-// peer holds the link to one address and class. Its mutex serialises the dials.
+// peer holds the link to one address and class, or nil if the address has not been dialled.
+// Its mutex serialises the dials and guards dialFailedAt and dialError, which describe the
+// last failed dial.
 type peer struct {
 	mutex        sync.Mutex
 	current      atomic.Pointer[clientLink]
@@ -158,9 +160,8 @@
 	return entry
 }
 
-// CloseLinks closes the links to an address and removes them from the pool. It is called
-// for the addresses of nodes that are no longer members. A later call dials the address
-// again.
+// CloseLinks closes the links to an address and drops its peers from the pool. It is called
+// for the addresses of members that died. A later call dials the address again.
 func (p *Pool) CloseLinks(address string) {
 	for class := Class(0); class < classCount; class++ {
 		p.mutex.Lock()
@@ -197,12 +198,12 @@
 	return p.peers[key] == entry
 }
 
-// errPeerDropped is returned if a peer was removed from the pool before it was dialled.
-var errPeerDropped = errors.New("peer removed from the pool")
+// errPeerDropped is returned if a peer was dropped from the pool before it was dialled.
+var errPeerDropped = errors.New("peer dropped from the pool")
 
 // linkToPeer returns the link of a peer, and dials the peer if it has no open link. For
 // dialBackoff after a failed dial, it returns the error of that dial instead. A peer that
-// was removed from the pool is not dialled, since the check for idle links would not find
+// was dropped from the pool is not dialled, since the check for idle links would not find
 // the new link.
 func (p *Pool) linkToPeer(ctx context.Context, key peerKey, entry *peer) (*clientLink, error) {
 	if l := entry.current.Load(); l != nil && l.alive() {
