--- a/internal/transport/httpcall/client_test.go
+++ b/internal/transport/httpcall/client_test.go
@@ -70,9 +70,9 @@
 			is := is.New(t)
 			_, err := get(c.url)
 			var notSent *NotSentError
-			var unanswered *NoResponseError
+			var noResponse *NoResponseError
 			is.Equal(errors.As(err, &notSent), !c.sent)
-			is.Equal(errors.As(err, &unanswered), c.sent)
+			is.Equal(errors.As(err, &noResponse), c.sent)
 		})
 	}
 }
