--- a/internal/transport/rpc/pool.go
+++ b/internal/transport/rpc/pool.go
@@ -71,9 +71,9 @@
 	class   Class
 }
 
-// peer holds the link to one address and class, or nil if the address has not been dialled.
-// Its mutex serialises the dials and guards dialFailedAt and dialError, which describe the
-// last failed dial.
+// peer holds the last link to one address and class: current is nil before the first
+// successful dial, and may be a closed link. The mutex serialises the dials and guards
+// dialFailedAt and dialError, which describe the last failed dial.
 type peer struct {
 	mutex        sync.Mutex
 	current      atomic.Pointer[clientLink]
