--- a/internal/transport/eventstream/eventstream.go
+++ b/internal/transport/eventstream/eventstream.go
@@ -1,7 +1,7 @@
 // Package eventstream decodes server-sent events (text/event-stream, WHATWG HTML
 // section 9.2), whose lines end with a line feed or with a carriage return and a line feed.
-// It returns only complete events, and ignores fields other than id and data. Edges and storage nodes decode the
-// responses of runners with it.
+// It returns only complete events, and ignores fields other than id and data. Edges and
+// storage nodes decode the responses of runners with it.
 package eventstream
 
 import (
