--- a/internal/transport/sockets/sockets.go
+++ b/internal/transport/sockets/sockets.go
@@ -59,7 +59,8 @@
 
 type unwrapper interface{ NetConn() net.Conn }
 
-// Raw returns the socket below connection wrappers such as TLS, or nil if there is none.
+// Raw returns the socket below connection wrappers such as TLS. It returns nil if there is
+// no socket or if the socket cannot be accessed.
 func Raw(conn net.Conn) syscall.RawConn {
 	for {
 		if socket, ok := conn.(syscall.Conn); ok {
@@ -77,8 +78,8 @@
 	}
 }
 
-// Peek returns the state of a socket without blocking and without reading from it. It
-// works also after the read deadline of the connection has passed.
+// Peek returns the state of a socket without blocking and without consuming bytes. The read
+// deadline of the connection has no effect on it.
 func Peek(raw syscall.RawConn) State {
 	state := Closed
 	err := raw.Control(func(descriptor uintptr) {
