--- a/internal/batch/shard/apply.go
+++ b/internal/batch/shard/apply.go
@@ -50,6 +50,8 @@
 	return &wirev1.CommandResult{Code: uint32(code), Message: message}
 }
 
+// applyCreateFile creates a file that is not sealed yet. It returns an existing file with
+// the same id unchanged.
 func applyCreateFile(store KeyStore, command *wirev1.CreateFile) (*wirev1.CommandResult, error) {
 	existing, err := File(store, command.FileId)
 	if err != nil || existing != nil {
@@ -62,7 +64,8 @@
 	return &wirev1.CommandResult{File: record}, save(store, fileKey(command.FileId), record)
 }
 
-// applyAppendSegment stores a segment. Storing the same segment again changes nothing.
+// applyAppendSegment stores a segment of a file that is not sealed. It replaces a stored
+// segment with the same number.
 func applyAppendSegment(store KeyStore, command *wirev1.AppendSegment) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
@@ -77,7 +80,8 @@
 	return &wirev1.CommandResult{}, save(store, segmentKey(command.FileId, command.Segment), command)
 }
 
-// applySealFile makes a file usable if all its segments are stored.
+// applySealFile marks a file as complete if all its segments are stored; only then may jobs
+// use the file. It returns a file that is already sealed unchanged.
 func applySealFile(store KeyStore, command *wirev1.SealFile) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
@@ -103,7 +107,7 @@
 	return &wirev1.CommandResult{File: file}, save(store, fileKey(file.FileId), file)
 }
 
-// applyDeleteFile deletes a file unless a stored job has it as input.
+// applyDeleteFile deletes a file of the tenant unless the file is the input of a stored job.
 func applyDeleteFile(store KeyStore, command *wirev1.DeleteFile) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.FileId)
 	if err != nil {
@@ -126,9 +130,11 @@
 	return trace.Wrap(store.Delete(fileKey(id)))
 }
 
-// applyCreateJob creates a job. It returns an existing job instead if the tenant has already
-// created one with the same idempotency key or, if the command has no key, with the same
-// content and endpoint. It also returns an existing job with the same job id.
+// applyCreateJob creates a job whose input is a sealed file of the tenant. It returns an
+// existing job instead if the tenant has already created a job with the same idempotency
+// key or, if the command has no key, a job without a key with the same content and endpoint.
+// It rejects a key that was used with other content or another endpoint. If none of these
+// cases applies and the job id exists, it returns the job with that id.
 func applyCreateJob(store KeyStore, command *wirev1.CreateJob) (*wirev1.CommandResult, error) {
 	file, err := File(store, command.InputFileId)
 	if err != nil {
@@ -180,6 +186,7 @@
 	return &wirev1.CommandResult{Job: existing, Duplicates: 1}
 }
 
+// createJob stores a new job. A job without items is completed at once.
 func createJob(store KeyStore, command *wirev1.CreateJob, file *wirev1.FileRecord, dedupKey []byte) (*wirev1.CommandResult, error) {
 	record := &wirev1.JobRecord{
 		Spec: command, Status: wirev1.JobStatus_JOB_STATUS_IN_PROGRESS,
@@ -202,6 +209,8 @@
 	return &wirev1.CommandResult{Job: record}, save(store, jobKey(command.JobId), record)
 }
 
+// applyCancelJob starts to cancel a job that is in progress. It returns a job that is being
+// cancelled or was cancelled unchanged, and rejects a job that ended otherwise.
 func applyCancelJob(store KeyStore, command *wirev1.CancelJob) (*wirev1.CommandResult, error) {
 	job, err := Job(store, command.JobId)
 	if err != nil {
@@ -222,8 +231,8 @@
 	}
 }
 
-// endJob moves a job from one status to a final status. A job with any other status does
-// not change.
+// endJob changes a job's status from one given status to a final status. It returns a job
+// with any other status unchanged.
 func endJob(store KeyStore, id string, from, to wirev1.JobStatus, atUnixMs int64) (*wirev1.CommandResult, error) {
 	job, err := Job(store, id)
 	if err != nil {
@@ -240,8 +249,9 @@
 	return &wirev1.CommandResult{Job: job}, save(store, jobKey(id), job)
 }
 
-// applyStartItems marks items of class once as started before they are dispatched. The
-// result lists the items that this command marked; only these may be dispatched.
+// applyStartItems marks items as started. Leaders propose it for items of work class once
+// before they dispatch them; the class is not checked here. The result lists the items that
+// this command marked; only these may be dispatched.
 func applyStartItems(store KeyStore, command *wirev1.StartItems) (*wirev1.CommandResult, error) {
 	commandResult := &wirev1.CommandResult{}
 	for _, key := range command.Items {
@@ -256,6 +266,8 @@
 	return commandResult, nil
 }
 
+// startItem marks one item and returns true. It returns false if the job does not exist or
+// is not in progress, or if the item is already started or done.
 func startItem(store KeyStore, key *wirev1.ItemKey) (bool, error) {
 	job, err := Job(store, key.JobId)
 	if err != nil || job == nil || job.Status != wirev1.JobStatus_JOB_STATUS_IN_PROGRESS {
@@ -270,8 +282,8 @@
 }
 
 // applyCompleteItems stores the first result of each item, whichever attempt it comes
-// from. Further results of the item, and results of ended jobs, are counted as duplicates
-// and discarded.
+// from. It discards all other results and counts them as duplicates: further results of the
+// item, and results of a job or segment that does not exist or of a job that has ended.
 func applyCompleteItems(store KeyStore, command *wirev1.CompleteItems) (*wirev1.CommandResult, error) {
 	commandResult := &wirev1.CommandResult{}
 	batch := &completionBatch{store: store, jobs: map[string]*wirev1.JobRecord{}, progress: map[string]*wirev1.SegmentProgress{}, atUnixMs: command.AtUnixMs}
@@ -289,8 +301,8 @@
 	return commandResult, batch.flush()
 }
 
-// completionBatch caches the records that one command changes, so that each record is
-// written once.
+// completionBatch caches the job and progress records that one command changes, so that
+// each of these records is written once. Results are written directly.
 type completionBatch struct {
 	store         KeyStore
 	jobs          map[string]*wirev1.JobRecord
@@ -327,6 +339,8 @@
 	return progress, nil
 }
 
+// accept stores the result of an item and returns true, or returns false if the result is
+// to be discarded. The last result of a job completes the job.
 func (c *completionBatch) accept(item *wirev1.ItemResult) (bool, error) {
 	job, err := c.job(item.Item.JobId)
 	if err != nil || job == nil || !acceptsCompletions(job.Status) || item.Item.Segment >= job.Segments {
--- a/internal/batch/shard/claim.go
+++ b/internal/batch/shard/claim.go
@@ -9,12 +9,13 @@
 	"cobaltramp.example/cobaltramp/internal/app/result"
 )
 
-// applyClaim grants an idempotency key to the first request that claims it. Other
-// requests with the key get the record of the claim: the stored response, "in progress" or
-// "outcome unknown".
+// applyClaim grants an idempotency key to the first request that claims the key, and to the
+// same request again. Another request with the same fingerprint gets the record of the
+// claim: the stored response, "in progress" or, if the claim expired in progress, "outcome
+// unknown". A request with another fingerprint is rejected.
 //
-// Invariant: a key is granted again only after its claim was resolved as not run.
-// Therefore at most one request with a key runs.
+// Invariant: until retention deletes a claim, its key is granted to another request only
+// after the claim was resolved as not run. Therefore at most one request with a key runs.
 func applyClaim(store KeyStore, claim *wirev1.Claim) (*wirev1.CommandResult, error) {
 	existing, err := IdempotencyClaim(store, claim.Tenant, claim.Key)
 	if err != nil {
@@ -63,6 +64,7 @@
 	return &wirev1.CommandResult{Claim: existing, Accepted: 1}, save(store, claimKey(command.Tenant, command.Key), existing)
 }
 
+// mayResolve reports whether a claim may change from one state to another.
 func mayResolve(from, to wirev1.ClaimState) bool {
 	switch from {
 	case wirev1.ClaimState_CLAIM_STATE_IN_PROGRESS:
@@ -123,8 +125,8 @@
 	return ids, trace.NewAggregate(err, decodeErr)
 }
 
-// HasRecordsPastRetention reports whether a Retain command with the given time would delete
-// anything.
+// HasRecordsPastRetention reports whether a Retain command with the given time and a
+// positive limit would delete a record.
 func HasRecordsPastRetention(reader KeyReader, beforeUnixMs int64) (bool, error) {
 	probe := &wirev1.Retain{FinishedBeforeUnixMs: beforeUnixMs, Limit: 1}
 	jobs, err := jobsPastRetention(reader, probe)
@@ -139,6 +141,7 @@
 	return len(claims) > 0, err
 }
 
+// jobsPastRetention lists jobs that ended before the time in the command.
 func jobsPastRetention(reader KeyReader, command *wirev1.Retain) ([]*wirev1.JobRecord, error) {
 	var ended []*wirev1.JobRecord
 	err := Jobs(reader, func(job *wirev1.JobRecord) bool {
@@ -150,6 +153,8 @@
 	return ended, err
 }
 
+// deleteJob deletes a job, its progress and its results, and the key under which a job sent
+// again finds it. It deletes the job's input file too if no other job uses the file.
 func deleteJob(store KeyStore, job *wirev1.JobRecord) error {
 	id := job.Spec.JobId
 	for _, prefix := range [][]byte{composeKey(prefixProgress, id), composeKey(prefixResult, id)} {
@@ -198,6 +203,8 @@
 	return uint32(len(keys)), nil
 }
 
+// claimsPastRetention lists the keys of claims, in any state, that expired before the time
+// in the command.
 func claimsPastRetention(reader KeyReader, command *wirev1.Retain) ([][]byte, error) {
 	var keys [][]byte
 	prefix := []byte{prefixClaim}
--- a/internal/batch/shard/keys.go
+++ b/internal/batch/shard/keys.go
@@ -2,7 +2,7 @@
 // files, jobs, item results and idempotency claims. Commands come from the shard's
 // replicated log. Replicas that apply the same commands in the same order have the same
 // state and return the same results. The package reads no clock; all times are part of the
-// commands. Plain nodes run it (modules/batch/store).
+// commands. Nodes with a data folder run it (modules/batch/store).
 package shard
 
 import (
@@ -38,7 +38,7 @@
 // of the key and the value.
 const (
 	prefixClaim          = 'c' // tenant, key → ClaimRecord
-	prefixDigest         = 'd' // tenant, digest → job id
+	prefixDigest         = 'd' // tenant, endpoint followed by the file's digest in hex → job id
 	prefixFile           = 'f' // file id → FileRecord
 	prefixIdempotencyKey = 'i' // tenant, idempotency key → job id
 	prefixJob            = 'j' // job id → JobRecord
@@ -91,7 +91,7 @@
 }
 
 // load decodes the value of a key into a message. It returns false if the key does not
-// exist.
+// exist or cannot be read, and true with an error if the value cannot be decoded.
 func load(reader KeyReader, key []byte, into proto.Message) (bool, error) {
 	value, err := reader.Get(key)
 	if err != nil || value == nil {
--- a/internal/batch/shard/read.go
+++ b/internal/batch/shard/read.go
@@ -27,7 +27,7 @@
 }
 
 // TenantFiles lists up to limit sealed files of a tenant in the order of file ids,
-// starting after afterID.
+// starting after afterID or, if afterID is empty, with the first file. limit must be positive.
 func TenantFiles(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.FileRecord, error) {
 	prefix := []byte{prefixFile}
 	from := prefix
@@ -50,7 +50,7 @@
 }
 
 // TenantJobs lists up to limit jobs of a tenant in the order of job ids, starting after
-// afterID.
+// afterID or, if afterID is empty, with the first job. limit must be positive.
 func TenantJobs(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.JobRecord, error) {
 	prefix := composeKey(prefixTenantJob, tenant)
 	from := prefix
