--- a/modules/batch/store/handlers.go
+++ b/modules/batch/store/handlers.go
@@ -12,6 +12,9 @@
 	"cobaltramp.example/cobaltramp/internal/transport/rpc"
 )
 
+// serveShardMap returns the number of shards and the shards that this node leads, also those
+// with items to grant. It returns the regions of the shards only if the caller knows another
+// number of shards, and the layout only on request.
 func (m *Module) serveShardMap(ctx context.Context, stream *rpc.ServerStream) error {
 	var request wirev1.ShardMapRequest
 	if err := stream.DecodeRequest(&request); err != nil {
@@ -66,9 +69,9 @@
 	return stream.Send(commandResult)
 }
 
-// Propose proposes a command to a shard that this node leads. It accepts commands that add
-// work only while at least replica.CopiesWanted members of the shard are alive and this
-// node's disk has free space.
+// Propose proposes a command to a shard that this node leads and waits for the result. It
+// accepts commands that add work only while at least replica.DefaultCopies members of the
+// shard are alive and this node's disk has free space.
 func (m *Module) Propose(ctx context.Context, id uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	local, err := m.requireReplica(id)
 	if err != nil {
@@ -84,6 +87,8 @@
 	return commandResult, err
 }
 
+// addsNewWork reports whether a command creates a file or a job, stores a segment or claims
+// an idempotency key.
 func addsNewWork(command *wirev1.Command) bool {
 	switch command.Kind.(type) {
 	case *wirev1.Command_CreateFile, *wirev1.Command_AppendSegment, *wirev1.Command_CreateJob, *wirev1.Command_Claim:
@@ -157,7 +162,8 @@
 	return stream.Send(reply)
 }
 
-// read returns data from the applied state of a serving leader.
+// read returns data from the applied state of a shard, or a NotLeader error if this node
+// does not lead the shard.
 func (m *Module) read(ctx context.Context, request *wirev1.ReadRequest) (*wirev1.ReadReply, error) {
 	local, err := m.requireReplica(request.Shard)
 	if err != nil {
--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// fetchLayoutFromPeers gets the layout from other nodes with a disk. A node uses it to
-// receive changes of the layout while the platform's store is unavailable.
+// fetchLayoutFromPeers asks all other nodes with a disk for the layout and applies the newest
+// revision.
 func (m *Module) fetchLayoutFromPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, layoutInterval)
 	defer cancel()
@@ -125,8 +125,8 @@
 	}
 }
 
-// applyMemberSet passes the member set to this node's replica of a shard. It starts the
-// replica if the node has become a member.
+// applyMemberSet passes the member set to this node's replica of a shard. If the node
+// has no replica and its disk is a member, it starts a replica.
 func (m *Module) applyMemberSet(id uint32, memberSet replica.MemberSet) {
 	if local := m.replica(id); local != nil {
 		local.observeMemberSet(memberSet)
@@ -141,8 +141,9 @@
 }
 
 // bootstrapRegion adds the shards of this node's region to the layout once the region has
-// had enough disks for bootstrapDelay. Several nodes may try at the same time; the
-// compare-and-swap lets only one of them succeed.
+// had at least replica.DefaultCopies disks for bootstrapDelay. Several nodes may try at the
+// same time; the compare-and-swap lets only one of them succeed. It returns the time since
+// which the region has had enough disks, zero if the region has too few.
 func (m *Module) bootstrapRegion(ctx context.Context, enoughDisksSince time.Time, layout *ClusterLayout) time.Time {
 	region := m.settings.Node.Region
 	disks := regionDisks(m.views.View(), region)
@@ -213,8 +214,10 @@
 	return rule.Choose(shard, candidates, keep, zoneOf)
 }
 
-// swapMemberSet replaces the member set of a shard in the stored layout if it has not
-// changed since the layout was read. It reports whether the change is known to be stored.
+// swapMemberSet replaces the member set of a shard in the stored layout. It returns false if
+// the shard's generation or attempt differs from before, or if the stored layout is newer
+// than this node's; in the second case it reads the layout again. After an error, the change
+// may have been stored.
 func (m *Module) swapMemberSet(ctx context.Context, id uint32, before, after replica.MemberSet) (bool, error) {
 	layout := m.layout.Load()
 	if layout == nil || int(id) >= len(layout.Shards) {
@@ -236,6 +239,8 @@
 	return committed, nil
 }
 
+// reloadLayout reads the stored layout and applies it. It does nothing if the layout cannot
+// be read.
 func (m *Module) reloadLayout(ctx context.Context) {
 	if value, found, err := m.platform.Get(ctx, m.layoutKey()); err == nil && found {
 		m.applyLayout(value)
--- a/modules/batch/store/leader.go
+++ b/modules/batch/store/leader.go
@@ -15,9 +15,9 @@
 
 // This file contains the work of a serving leader, which manages the table of grants.
 
-// FollowLeadership implements shardhost.LeaderWork. It creates the table of grants when
-// this replica starts to serve as leader, and drops the table when the replica is no longer
-// leader.
+// FollowLeadership implements shardhost.LeaderWork. It creates the table of grants once per
+// epoch, when this replica serves as leader and has applied all committed entries. It keeps
+// the table while the replica is leader, and drops it afterwards.
 func (s *shardReplica) FollowLeadership() {
 	serving := s.Replica.Serving() && s.AppliedIndex() >= s.Replica.Commit()
 	if !serving {
@@ -116,8 +116,8 @@
 	retentionLimit    = 64
 )
 
-// tickRetention proposes to delete records whose retention has ended, at most
-// retentionLimit of each kind at a time.
+// tickRetention proposes, every retentionInterval, to delete records whose retention has
+// ended, at most retentionLimit of each kind. It does nothing while the node has no bundle.
 func (s *shardReplica) tickRetention(now time.Time) {
 	snapshot := s.module.snapshots.Snapshot()
 	if s.table == nil || snapshot == nil || now.Sub(s.lastRetention) < retentionInterval {
@@ -164,8 +164,9 @@
 	return result.New(result.NotLeader, "shard %d is not led here", s.ID)
 }
 
-// pull grants items to a node. It returns an item of class once only after the start of the
-// item is committed.
+// pull grants items to a node and takes back the items that the node returns. It returns an
+// item of class once only after the start of the item is committed, now or for an earlier
+// holder that returned the item without running it.
 func (s *shardReplica) pull(ctx context.Context, request *wirev1.PullRequest) (*wirev1.PullReply, error) {
 	session := grants.Session{Node: request.NodeId, ID: request.Session}
 	var offers []grants.Offer
@@ -200,6 +201,8 @@
 	return reply, nil
 }
 
+// adoptHeldItems adds items that a node already holds to the table of a new leader. It skips
+// items that the shard does not contain.
 func (s *shardReplica) adoptHeldItems(table *grants.Table, now time.Time, session grants.Session, held []*wirev1.ItemKey) {
 	view := s.Store.View()
 	for _, key := range held {
@@ -216,7 +219,7 @@
 }
 
 // withTable calls a function with the table of grants on the shard's goroutine. It returns
-// a NotLeader error if this replica does not serve as leader.
+// a NotLeader error if there is no table.
 func (s *shardReplica) withTable(ctx context.Context, callback func(*grants.Table, time.Time) error) error {
 	var callbackErr error
 	err := s.RunInLoop(ctx, func() {
@@ -232,8 +235,8 @@
 	return callbackErr
 }
 
-// recordStarts records the start of the offered items of class once, and returns the offers
-// that may be sent to the node.
+// recordStarts commits the start of the offered items of class once, except those whose
+// start is already recorded, and returns the offers that may be sent to the node.
 func (s *shardReplica) recordStarts(ctx context.Context, session grants.Session, offers []grants.Offer) ([]grants.Offer, error) {
 	var starts []*wirev1.ItemKey
 	for _, offer := range offers {
@@ -309,9 +312,10 @@
 	return &wirev1.CompleteReply{Accepted: commandResult.Accepted, Duplicates: commandResult.Duplicates}, nil
 }
 
-// retryOrFinalize requeues the item of a failed attempt if another attempt is allowed. It
-// returns false if the result is final and has to be committed; if no attempt is left, it
-// changes the result's code to AttemptsSpent.
+// retryOrFinalize requeues the item of a failed attempt if another attempt is allowed, and
+// returns true. It also returns true, without requeueing, if the session no longer holds the
+// item. It returns false if the result is final and has to be committed; if no attempt is
+// left, it changes the result's code to AttemptsSpent.
 func (s *shardReplica) retryOrFinalize(table *grants.Table, session grants.Session, item *wirev1.ItemResult) bool {
 	if !isRetryable(result.Code(item.Code)) {
 		return false
@@ -319,7 +323,7 @@
 	key := grants.KeyFromProto(item.Item)
 	attempt := table.Attempt(session, key)
 	if attempt == 0 {
-		return true // another session holds the item now; the result is dropped
+		return true // the session no longer holds the item; the result is dropped
 	}
 	if int(attempt) < s.maxAttempts() {
 		table.Retry(session, key)
--- a/modules/batch/store/members.go
+++ b/modules/batch/store/members.go
@@ -22,7 +22,9 @@
 var handOverTiming = shardhost.HandOverTiming{CheckInterval: handOverInterval, CatchUpTimeout: handOverTimeout, FreezeTimeout: freezeTimeout, SwapTimeout: swapTimeout}
 
 // NextMembers implements shardhost.MemberPolicy. It replaces members whose disk has been
-// missing for lostDiskTimeout, and adds further disks up to maxReplicas.
+// missing for lostDiskTimeout, and adds further disks up to maxReplicas. It keeps the member
+// set while the node drains or has no layout, and if members are lost without a replacement
+// and fewer than replica.DefaultCopies would be left.
 func (s *shardReplica) NextMembers(now time.Time, memberSet replica.MemberSet) []string {
 	if s.module.layout.Load() == nil || s.module.draining.Load() {
 		return memberSet.Members
@@ -39,13 +41,13 @@
 		return memberSet.Members
 	}
 	if len(next) == len(keep) && len(next) < replica.DefaultCopies {
-		return memberSet.Members // without a replacement, a shard does not shrink below CopiesWanted
+		return memberSet.Members // without a replacement, a shard does not shrink below DefaultCopies
 	}
 	return next
 }
 
-// diskPresent reports whether a member's disk is in the fleet, or was in the fleet during
-// the last lostDiskTimeout.
+// diskPresent reports whether a member's disk is one of the region's disks or was one during
+// the last lostDiskTimeout. This node's own disk is always present.
 func (s *shardReplica) diskPresent(now time.Time, disks []*wirev1.MemberRecord, member string) bool {
 	if member == s.Disk {
 		return true
--- a/modules/batch/store/replica.go
+++ b/modules/batch/store/replica.go
@@ -28,7 +28,7 @@
 	shardhost.NoEvents
 	module *Module
 
-	table         *grants.Table // nil unless this replica serves as leader
+	table         *grants.Table // nil unless this replica is leader; see FollowLeadership
 	tableEpoch    uint64
 	lastRetention time.Time
 	loggedBytes   uint64 // bytes of commands proposed here since the log was last truncated
@@ -109,8 +109,8 @@
 	}
 }
 
-// TruncationPoint implements shardhost.LogPolicy. It truncates the log when the log has at
-// least twice as many entries as are kept.
+// TruncationPoint implements shardhost.LogPolicy. It returns 0, for no truncation, until the
+// log after base has twice as many settled entries as are kept.
 func (s *shardReplica) TruncationPoint(_ time.Time, base, settled uint64) uint64 {
 	kept := uint64(keptLogEntries)
 	if s.loggedBytes > longLogBytes {
--- a/modules/batch/store/replicas.go
+++ b/modules/batch/store/replicas.go
@@ -10,7 +10,8 @@
 )
 
 // sendReplica sends a message to another replica: messages with log entries on the bulk
-// link, all others on the control link. A message may be lost.
+// link, all others on the control link. A message may be lost; it is dropped if no live node
+// has the disk.
 func (m *Module) sendReplica(message *wirev1.ReplicaMessage) {
 	record, known := memberWithDisk(m.views.View(), message.To)
 	if !known {
