--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -32,6 +32,7 @@
 	})
 }
 
+// runItem runs an item and returns it to its shard or queues its result.
 func (m *Module) runItem(ctx context.Context, shard uint32, key grants.Key, grant *wirev1.Grant) {
 	request := &owner.BatchRequest{
 		ID:    fmt.Sprintf("item-%s-%d-%d-%d-%08x", key.Job, key.Segment, key.Offset, grant.Attempt, uint32(m.session)^uint32(time.Now().UnixNano())),
@@ -61,8 +62,8 @@
 }
 
 // mustReturn reports whether an item with this outcome is returned to its shard, which
-// grants it again without counting an attempt. An item of class once is returned only if it
-// is certain that the item did not run.
+// grants the item again with the same attempt number. An item of class once is returned only
+// if it certainly did not run.
 func mustReturn(code result.Code, once bool) bool {
 	switch code {
 	case result.Saturated, result.NoRunner, result.EngineRefused, result.UnknownModel:
@@ -96,9 +97,10 @@
 	return itemResult
 }
 
-// finalCode maps the code of a failure to a code that tells the shard's leader whether to
-// retry the item: the leader retries RunnerLost and EngineFailed, which only repeatable
-// items can have.
+// finalCode maps the code of a failure to the code that is sent to the shard's leader.
+// EngineRejected and InvalidRequest stay. Other failures become OutcomeUnknown for items of
+// class once. For repeatable items they become EngineFailed or RunnerLost, which the leader
+// retries.
 func finalCode(code result.Code, once bool) result.Code {
 	if code == result.EngineRejected || code == result.InvalidRequest {
 		return code
@@ -161,7 +163,7 @@
 
 const (
 	// outboxCapacity is the number of results that may wait for one shard. Runs that end
-	// while the outbox is full wait until it has space.
+	// while the outbox is full wait until the outbox has space.
 	outboxCapacity = 4096
 	// resultBatchDelay is how long the first result of a batch waits for further results.
 	resultBatchDelay = 15 * time.Millisecond
@@ -218,7 +220,8 @@
 	return batch
 }
 
-// deliver sends a batch of results until the shard confirms it or the node stops.
+// deliver sends a batch of results until the shard confirms the batch or the node stops. The
+// node then no longer holds the items.
 func (m *Module) deliver(shard uint32, batch []*wirev1.ItemResult) {
 	request := &wirev1.CompleteRequest{Shard: shard, NodeId: m.settings.Node.ID, Session: m.session, Results: batch}
 	for m.context.Err() == nil {
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker runs batch items in the idle capacity of this node's runners. It pulls
-// items from shard leaders, runs them within the arbiters' limits, returns preempted items
+// items from shard leaders, runs them in the slots that the runners' arbiters grant, returns preempted items
 // to the leaders, and delivers results.
 //
 // It keeps the held items and the unconfirmed results in memory. If they are lost, the
@@ -188,7 +188,7 @@
 }
 
 // dueHeartbeats lists the shards that need a pull: the node holds items of the shard and
-// has not pulled from it for heartbeatInterval, or has items to return to it.
+// has not pulled from the shard for heartbeatInterval, or the node has items to return.
 func (m *Module) dueHeartbeats(now time.Time) []uint32 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -208,6 +208,8 @@
 	return list
 }
 
+// pull sends one Pull request to a shard, cancels the items of cancelled jobs and starts the
+// granted items. If the request fails, the items to return are sent with the next pull.
 func (m *Module) pull(shard uint32, free []*wirev1.ModelRoom, leaders *directory.ShardMap) {
 	request := m.pullRequest(shard, free, leaders.Leaders[shard])
 	ctx, cancel := context.WithTimeout(m.context, pullTimeout)
@@ -247,6 +249,7 @@
 	return request
 }
 
+// requeueReturned keeps items for the next pull, after the pull that returned them failed.
 func (m *Module) requeueReturned(shard uint32, keys []*wirev1.ItemKey) {
 	if len(keys) == 0 {
 		return
@@ -256,6 +259,7 @@
 	m.returned[shard] = append(m.returned[shard], keys...)
 }
 
+// cancelJobs cancels the runs of held items of these jobs.
 func (m *Module) cancelJobs(jobs []string) {
 	if len(jobs) == 0 {
 		return
@@ -273,8 +277,9 @@
 	}
 }
 
-// Drain implements kernel.Drainer. It stops pulling, preempts items that may run again and
-// waits until the node holds no items and has returned the preempted ones.
+// Drain implements kernel.Drainer. It stops requesting new items and preempts items that may
+// run again; items of class once run to their end. It waits until the node holds no items
+// and has returned the preempted items, or until ctx ends. Heartbeats continue.
 func (m *Module) Drain(ctx context.Context) {
 	m.mutex.Lock()
 	m.draining = true
