--- a/modules/batch/directory/directory.go
+++ b/modules/batch/directory/directory.go
@@ -1,7 +1,7 @@
 // Package directory sends commands and reads to the leaders of batch shards from any node.
-// It retries a call if the leader has changed or cannot be reached. Commands are idempotent
-// because of the ids that they contain, so a command that is sent again after a lost
-// response has no further effect.
+// Except for Pull, it retries a call if the leader has changed or cannot be reached, or if the
+// response was lost. Commands contain ids that make them idempotent: a command that is sent
+// again has no further effect.
 //
 // The package keeps the map of shards to leaders in memory and refreshes it from the nodes
 // with a disk, which it finds in the view of the fleet. The plain node runs it.
@@ -43,7 +43,7 @@
 
 // ShardMap is a snapshot of the known shards and their leaders.
 type ShardMap struct {
-	// Regions lists the home region of each shard, in the order of shard numbers.
+	// Regions lists the region of each shard's members, in the order of shard numbers.
 	Regions []string
 	Leaders map[uint32]string // address of the node that leads a shard
 	Pending []uint32          // shards that have items to grant
@@ -88,11 +88,11 @@
 	// refreshTimeout is the timeout of one refresh, which asks all nodes with a disk at
 	// the same time.
 	refreshTimeout = time.Second
-	// maxInitialRefreshes is the maximum number of refreshes that HomeShards makes while
-	// the node knows no shards.
+	// maxInitialRefreshes is the maximum number of refreshes that one call of HomeShards
+	// makes while the node knows no shards.
 	maxInitialRefreshes = 10
 	// minRetryDelay is the shortest delay between two attempts of a call. A random time
-	// of up to minRetryDelay is added.
+	// below minRetryDelay is added, and then the map is refreshed.
 	minRetryDelay = 50 * time.Millisecond
 	// attemptTimeout is the timeout of one attempt. It keeps a caller from waiting until
 	// its own deadline for a leader whose process is suspended.
@@ -124,7 +124,7 @@
 // ShardMap returns the map of the last refresh, which may be stale.
 func (m *Module) ShardMap() *ShardMap { return m.current.Load() }
 
-// refresh asks each node with a disk which shards it leads. It does nothing if the last
+// refresh asks each node with a disk which shards the node leads. It does nothing if the last
 // refresh ended less than a fifth of refreshInterval ago.
 func (m *Module) refresh(ctx context.Context) {
 	m.refreshMutex.Lock()
@@ -151,6 +151,8 @@
 	m.lastRefresh = time.Now()
 }
 
+// mergeReplies returns the map that the replies describe. A reply is nil if the node did not
+// respond; the shards of such a node have no leader in the map.
 func mergeReplies(previous *ShardMap, disks []*wirev1.MemberRecord, replies []*wirev1.ShardMapReply) *ShardMap {
 	next := &ShardMap{Regions: previous.Regions, Leaders: map[uint32]string{}}
 	for i, reply := range replies {
@@ -171,9 +173,10 @@
 // Shards returns the number of shards, 0 while none are known.
 func (m *Module) Shards() uint32 { return uint32(len(m.ShardMap().Regions)) }
 
-// HomeShards lists the shards of a tenant's home region. For a tenant without a home region
-// it uses the first region in alphabetical order, so that all nodes choose the same region.
-// While the node knows no shards, it refreshes the map first.
+// HomeShards lists the shards of a tenant's home region. If region is empty, it uses the
+// first region in alphabetical order, so that all nodes choose the same region. While the
+// node knows no shards, it refreshes the map up to maxInitialRefreshes times and waits
+// between the refreshes. It returns nil if the region has no shards.
 func (m *Module) HomeShards(region string) []uint32 {
 	for attempt := 0; m.Shards() == 0 && attempt < maxInitialRefreshes; attempt++ {
 		m.refresh(context.Background())
@@ -223,6 +226,8 @@
 	}
 }
 
+// callOnce makes one attempt of a call, which ends after attemptTimeout. It returns NotLeader
+// if no leader is known.
 func (m *Module) callOnce(ctx context.Context, shard uint32, class rpc.Class, method wirev1.Method, request, reply proto.Message) error {
 	leader, known := m.ShardMap().Leaders[shard]
 	if !known {
@@ -233,8 +238,9 @@
 	return m.pool.Call(attemptCtx, leader, class, method, request, reply)
 }
 
-// noReplyError returns the error of a call whose context has ended. maybeDelivered means that
-// the leader may have received one of the attempts.
+// noReplyError returns the error of a call whose context has ended: CommitUnknown if
+// maybeDelivered, which means that a leader may have received one of the attempts. Otherwise
+// it returns HomeUnreachable for a shard of another region, or StoreUnavailable.
 func (m *Module) noReplyError(shard uint32, maybeDelivered bool, lastErr error) error {
 	if maybeDelivered {
 		return result.New(result.CommitUnknown, "shard %d did not confirm in time", shard).WithRetryAfter(time.Second)
@@ -247,8 +253,9 @@
 }
 
 // Propose sends a command to the leader of its shard. Its errors have result codes: the code
-// of the command's result, CommitUnknown if the command may have been applied, or
-// StoreUnavailable or HomeUnreachable if no leader could be reached before ctx ended.
+// of the command's result, or an error of the leader that is not retried. If ctx ends first,
+// the code is CommitUnknown if the command may have been applied, otherwise StoreUnavailable,
+// or HomeUnreachable for a shard of another region.
 func (m *Module) Propose(ctx context.Context, shard uint32, command *wirev1.Command) (*wirev1.CommandResult, error) {
 	return m.propose(ctx, shard, rpc.ClassBulk, command)
 }
@@ -271,7 +278,8 @@
 	return commandResult, nil
 }
 
-// Read reads from a shard's leader. It retries like Propose and returns the same errors.
+// Read reads from a shard's leader. It retries like Propose and returns the same kinds of
+// errors. The reply is never nil, but has no meaning after an error.
 func (m *Module) Read(ctx context.Context, request *wirev1.ReadRequest) (*wirev1.ReadReply, error) {
 	reply := &wirev1.ReadReply{}
 	return reply, m.call(ctx, request.Shard, rpc.ClassBulk, wirev1.Method_METHOD_SHARD_READ, request, reply)
