--- a/internal/batch/jsonl/jsonl.go
+++ b/internal/batch/jsonl/jsonl.go
@@ -1,7 +1,7 @@
 // Package jsonl reads batch input files in the OpenAI batch format (one JSON request
 // per line) as a stream and splits them into segments. It defines and enforces the limits
 // of the format. A Reader keeps one segment in memory, and an eight-byte hash of each
-// custom id to check that the ids are unique. The plain node uses the package for uploads.
+// custom id to check that the ids are unique. Plain nodes use the package for uploads.
 package jsonl
 
 import (
@@ -19,12 +19,12 @@
 
 // Limits of the format.
 const (
-	// MaxLineBytes is the maximum length of one line, including its line end.
+	// MaxLineBytes is the maximum length of one line in bytes, including its line end.
 	MaxLineBytes = 1 << 20
 	// MaxItems is the maximum number of items in one file.
 	MaxItems = 500_000
 	// A segment ends when it has SegmentItems items or at least SegmentBytes bytes,
-	// whichever comes first.
+	// whichever comes first. The last segment of a file may be smaller.
 	SegmentItems      = 1000
 	SegmentBytes      = 256 << 10
 	maxCustomIDLength = 512
@@ -41,7 +41,7 @@
 
 // LineError reports the first invalid line of a file.
 type LineError struct {
-	Line    int
+	Line    int // number of the line, from 1
 	Problem string
 }
 
@@ -51,7 +51,7 @@
 // Segment holds the items of consecutive lines.
 type Segment struct {
 	Items []*wirev1.Item
-	Bytes uint64
+	Bytes uint64 // length of the lines without surrounding white space
 }
 
 // Reader splits a file into segments.
@@ -74,14 +74,15 @@
 // Items returns the number of items read so far.
 func (r *Reader) Items() uint64 { return r.items }
 
-// Bytes returns the number of bytes read so far.
+// Bytes returns the number of bytes of the lines read so far, including their line ends and
+// empty lines.
 func (r *Reader) Bytes() uint64 { return r.bytes }
 
 // Endpoint returns the url that all items read so far have, empty if their urls differ.
 func (r *Reader) Endpoint() string { return r.endpoint }
 
-// Next returns the next segment, or io.EOF at the end of the file. It returns a
-// *LineError if a line is invalid; all other errors come from the source.
+// Next returns the next segment, or io.EOF at the end of the file. It skips empty lines. It
+// returns a *LineError if a line is invalid; all other errors come from the source.
 func (r *Reader) Next() (*Segment, error) {
 	segment := &Segment{}
 	for len(segment.Items) < SegmentItems && segment.Bytes < SegmentBytes {
@@ -130,6 +131,7 @@
 	}
 }
 
+// parse checks a line and returns its item.
 func (r *Reader) parse(line []byte) (*wirev1.Item, error) {
 	if !gjson.ValidBytes(line) {
 		return nil, r.lineError("not JSON")
@@ -185,9 +187,10 @@
 	return nil
 }
 
-// addItem counts an item and checks that its custom id is unique. It compares 64-bit
-// hashes of the ids. The probability that a file with MaxItems different ids is rejected
-// because of a hash collision is below 10^-8.
+// addItem counts an item, updates the endpoint, and checks that the custom id is unique and
+// that the file has at most MaxItems items. It compares 64-bit hashes of the ids. The
+// probability that a file with MaxItems different ids is rejected because of a hash
+// collision is below 10^-8.
 func (r *Reader) addItem(item *wirev1.Item) error {
 	hash := xxhash.Sum64String(item.CustomId)
 	if _, duplicate := r.customIDHashes[hash]; duplicate {
