--- a/modules/batch/queues/queues.go
+++ b/modules/batch/queues/queues.go
@@ -52,8 +52,8 @@
 	_ kernel.Cleaner = (*Module)(nil)
 )
 
-// retentionFactor is how long a job is kept, as a multiple of the time that the deployment
-// promises. It is greater than 1 because clients measure the time from their first attempt.
+// retentionFactor is how long a job is kept, as a multiple of the configured result
+// retention. It is greater than 1 because clients measure the time from their first attempt.
 const retentionFactor = 2
 
 // Provision implements kernel.Module.
@@ -101,8 +101,8 @@
 }
 
 const (
-	// logDiskFraction is the fraction of the disk that may hold applied log entries for
-	// lagging replicas; maxLogBytes is an upper limit.
+	// logDiskFraction is the share of the disk that may be used for applied log entries
+	// kept for lagging replicas; maxLogBytes is an upper limit.
 	logDiskFraction = 0.06
 	maxLogBytes     = 48 << 20
 	mebibyte        = 1 << 20
