--- a/modules/batch/disk/disk.go
+++ b/modules/batch/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk opens and closes the database in the data folder of a plain node. Only a few
-// plain nodes have a data folder. A storage node opens its database in modules/batch/queues.
+// Package disk opens and closes the database in the data folder of a plain node. It does
+// nothing on a plain node without a data folder. A storage node opens its database in modules/batch/queues.
 package disk
 
 import (
