--- a/internal/batch/shard/read.go
+++ b/internal/batch/shard/read.go
@@ -78,10 +78,10 @@
 	return jobs, nil
 }
 
-// Outcomes returns the ended items of one segment: the failed items if errors is set, the
+// Outcomes returns the ended items of one segment: the failed items if failed is true, the
 // successful items otherwise. Items that a cancelled or expired job did not complete count
 // as failed, so that each item of an ended job has exactly one outcome.
-func Outcomes(reader KeyReader, job *wirev1.JobRecord, segment uint32, errors bool) ([]*wirev1.ItemOutcome, error) {
+func Outcomes(reader KeyReader, job *wirev1.JobRecord, segment uint32, failed bool) ([]*wirev1.ItemOutcome, error) {
 	items, err := Segment(reader, job.Spec.InputFileId, segment)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		if itemResult == nil {
 			itemResult = resultOfUnfinishedItem(job, segment, uint32(offset))
 		}
-		if itemResult == nil || (itemResult.Code != 0) != errors {
+		if itemResult == nil || (itemResult.Code != 0) != failed {
 			continue
 		}
 		outcomes = append(outcomes, &wirev1.ItemOutcome{CustomId: item.CustomId, Result: itemResult})
