--- a/modules/batch/store/layout.go
+++ b/modules/batch/store/layout.go
@@ -207,8 +207,8 @@
 		}
 	}
 	zoneOf := func(disk string) (string, bool) {
-		zone, known := zones[disk]
-		return zone, known
+		zone, found := zones[disk]
+		return zone, found
 	}
 	rule := placement.Rule{MemberCount: maxReplicas, ZoneRank: placement.FewestFirst}
 	return rule.Choose(shard, candidates, keep, zoneOf)
--- a/modules/batch/store/replicas.go
+++ b/modules/batch/store/replicas.go
@@ -13,8 +13,8 @@
 // link, all others on the control link. A message may be lost; it is dropped if no live node
 // has the disk.
 func (m *Module) sendReplica(message *wirev1.ReplicaMessage) {
-	record, known := memberWithDisk(m.views.View(), message.To)
-	if !known {
+	record, found := memberWithDisk(m.views.View(), message.To)
+	if !found {
 		return
 	}
 	class := rpc.ClassControl
@@ -27,8 +27,8 @@
 
 // peer returns the name and address of the node that has a disk.
 func (m *Module) peer(disk string) (shardhost.Peer, bool) {
-	record, known := memberWithDisk(m.views.View(), disk)
-	if !known {
+	record, found := memberWithDisk(m.views.View(), disk)
+	if !found {
 		return shardhost.Peer{}, false
 	}
 	return shardhost.Peer{Node: record.Id, Address: record.Address}, true
@@ -41,8 +41,8 @@
 	if leader == "" || leader == s.Disk {
 		return
 	}
-	record, known := memberWithDisk(s.module.views.View(), leader)
-	if !known || record.State == wirev1.MemberState_MEMBER_STATE_LEAVING {
+	record, found := memberWithDisk(s.module.views.View(), leader)
+	if !found || record.State == wirev1.MemberState_MEMBER_STATE_LEAVING {
 		s.Replica.LeaderLost(now)
 	}
 }
@@ -51,7 +51,7 @@
 // not leaving.
 func aliveDiskFilter(view *fleet.View) func(disk string) bool {
 	return func(disk string) bool {
-		record, live := memberWithDisk(view, disk)
-		return live && record.State == wirev1.MemberState_MEMBER_STATE_ALIVE
+		record, found := memberWithDisk(view, disk)
+		return found && record.State == wirev1.MemberState_MEMBER_STATE_ALIVE
 	}
 }
