--- a/modules/batch/worker/run.go
+++ b/modules/batch/worker/run.go
@@ -23,8 +23,8 @@
 		return
 	}
 	m.held[key] = &heldItem{shard: shard, cancel: cancel}
-	m.starting[grant.Item.Model]++
-	m.metrics.running.Set(float64(len(m.held)))
+	m.startingCounts[grant.Item.Model]++
+	m.metrics.heldItems.Set(float64(len(m.held)))
 	m.mutex.Unlock()
 	m.tasks.Go(func() {
 		defer cancel()
@@ -40,7 +40,7 @@
 		Once: grant.Item.WorkClass == wirev1.WorkClass_WORK_CLASS_ONCE,
 		StartDecided: func() {
 			m.mutex.Lock()
-			m.starting[grant.Item.Model]--
+			m.startingCounts[grant.Item.Model]--
 			m.mutex.Unlock()
 		},
 	}
@@ -79,7 +79,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	delete(m.held, key)
-	m.metrics.running.Set(float64(len(m.held)))
+	m.metrics.heldItems.Set(float64(len(m.held)))
 	m.returned[shard] = append(m.returned[shard], grant.Key)
 }
 
@@ -237,5 +237,5 @@
 	for _, itemResult := range batch {
 		delete(m.held, grants.KeyFromProto(itemResult.Item))
 	}
-	m.metrics.running.Set(float64(len(m.held)))
+	m.metrics.heldItems.Set(float64(len(m.held)))
 }
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -64,14 +64,14 @@
 	cancel  context.CancelFunc
 	tasks   tasks.Group
 
-	mutex     sync.Mutex
-	held      map[grants.Key]*heldItem
-	returned  map[uint32][]*wirev1.ItemKey // by shard; sent with the next pull
-	starting  map[string]int               // by model; granted, not yet counted by an arbiter
-	leaders   map[uint32]string            // by shard; its leader at the last pull
-	lastPulls map[uint32]time.Time
-	outboxes  map[uint32]chan *wirev1.ItemResult
-	draining  bool
+	mutex          sync.Mutex
+	held           map[grants.Key]*heldItem
+	returned       map[uint32][]*wirev1.ItemKey // by shard; sent with the next pull
+	startingCounts map[string]int               // by model; number of granted items that no arbiter counts yet
+	leaders        map[uint32]string            // by shard; address of its leader at the last successful pull
+	lastPullTimes  map[uint32]time.Time         // by shard; only successful pulls
+	outboxes       map[uint32]chan *wirev1.ItemResult
+	draining       bool
 }
 
 // heldItem is a granted item that has not been returned and whose result its shard has not
@@ -82,8 +82,8 @@
 }
 
 type metrics struct {
-	running prometheus.Gauge
-	runs    *prometheus.CounterVec
+	heldItems prometheus.Gauge
+	runs      *prometheus.CounterVec
 }
 
 var (
@@ -103,16 +103,16 @@
 		return trace.Wrap(err)
 	}
 	m.metrics = &metrics{
-		running: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_worker_items", Help: "Items held by this node."}),
-		runs:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
+		heldItems: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_worker_items", Help: "Items held by this node."}),
+		runs:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
 	}
-	registry.MustRegister(m.metrics.running, m.metrics.runs)
+	registry.MustRegister(m.metrics.heldItems, m.metrics.runs)
 	m.session = rand.Uint64()
 	m.held = map[grants.Key]*heldItem{}
 	m.returned = map[uint32][]*wirev1.ItemKey{}
-	m.starting = map[string]int{}
+	m.startingCounts = map[string]int{}
 	m.leaders = map[uint32]string{}
-	m.lastPulls = map[uint32]time.Time{}
+	m.lastPullTimes = map[uint32]time.Time{}
 	m.outboxes = map[uint32]chan *wirev1.ItemResult{}
 	return nil
 }
@@ -180,7 +180,7 @@
 	}
 	var free []*wirev1.ModelRoom
 	for model, items := range m.owner.FreeBatchSlots() {
-		if count := min(maxPullItems, items-m.starting[model]); count > 0 {
+		if count := min(maxPullItems, items-m.startingCounts[model]); count > 0 {
 			free = append(free, &wirev1.ModelRoom{Model: model, Items: uint32(count)})
 		}
 	}
@@ -194,7 +194,7 @@
 	defer m.mutex.Unlock()
 	due := map[uint32]bool{}
 	for _, item := range m.held {
-		if now.Sub(m.lastPulls[item.shard]) >= heartbeatInterval {
+		if now.Sub(m.lastPullTimes[item.shard]) >= heartbeatInterval {
 			due[item.shard] = true
 		}
 	}
@@ -220,7 +220,7 @@
 		return
 	}
 	m.mutex.Lock()
-	m.lastPulls[shard] = time.Now()
+	m.lastPullTimes[shard] = time.Now()
 	m.leaders[shard] = leaders.Leaders[shard]
 	m.mutex.Unlock()
 	m.cancelJobs(reply.CancelledJobs)
