--- a/modules/batch/directory/directory.go
+++ b/modules/batch/directory/directory.go
@@ -229,8 +229,8 @@
 // callOnce makes one attempt of a call, which ends after attemptTimeout. It returns NotLeader
 // if no leader is known.
 func (m *Module) callOnce(ctx context.Context, shard uint32, class rpc.Class, method wirev1.Method, request, reply proto.Message) error {
-	leader, known := m.ShardMap().Leaders[shard]
-	if !known {
+	leader, found := m.ShardMap().Leaders[shard]
+	if !found {
 		return result.New(result.NotLeader, "no leader of shard %d is known", shard)
 	}
 	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
