--- a/internal/batch/shard/read.go
+++ b/internal/batch/shard/read.go
@@ -27,7 +27,7 @@
 }
 
 // TenantFiles lists up to limit sealed files of a tenant in the order of file ids,
-// starting after afterID.
+// starting after afterID or, if afterID is empty, with the first file. limit must be positive.
 func TenantFiles(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.FileRecord, error) {
 	prefix := []byte{prefixFile}
 	from := prefix
@@ -50,7 +50,7 @@
 }
 
 // TenantJobs lists up to limit jobs of a tenant in the order of job ids, starting after
-// afterID.
+// afterID or, if afterID is empty, with the first job. limit must be positive.
 func TenantJobs(reader KeyReader, tenant, afterID string, limit int) ([]*wirev1.JobRecord, error) {
 	prefix := composeKey(prefixTenantJob, tenant)
 	from := prefix
@@ -78,10 +78,10 @@
 	return jobs, nil
 }
 
-// Outcomes returns the ended items of one segment: the failed items if errors is set, the
+// Outcomes returns the ended items of one segment: the failed items if failed is true, the
 // successful items otherwise. Items that a cancelled or expired job did not complete count
 // as failed, so that each item of an ended job has exactly one outcome.
-func Outcomes(reader KeyReader, job *wirev1.JobRecord, segment uint32, errors bool) ([]*wirev1.ItemOutcome, error) {
+func Outcomes(reader KeyReader, job *wirev1.JobRecord, segment uint32, failed bool) ([]*wirev1.ItemOutcome, error) {
 	items, err := Segment(reader, job.Spec.InputFileId, segment)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		if itemResult == nil {
 			itemResult = resultOfUnfinishedItem(job, segment, uint32(offset))
 		}
-		if itemResult == nil || (itemResult.Code != 0) != errors {
+		if itemResult == nil || (itemResult.Code != 0) != failed {
 			continue
 		}
 		outcomes = append(outcomes, &wirev1.ItemOutcome{CustomId: item.CustomId, Result: itemResult})
--- a/modules/batch/worker/worker.go
+++ b/modules/batch/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker runs batch items in the idle capacity of this node's runners. It pulls
-// items from shard leaders, runs them within the arbiters' limits, returns preempted items
+// items from shard leaders, runs them in the slots that the runners' arbiters grant, returns preempted items
 // to the leaders, and delivers results.
 //
 // It keeps the held items and the unconfirmed results in memory. If they are lost, the
@@ -64,14 +64,14 @@
 	cancel  context.CancelFunc
 	tasks   tasks.Group
 
-	mutex     sync.Mutex
-	held      map[grants.Key]*heldItem
-	returned  map[uint32][]*wirev1.ItemKey // by shard; sent with the next pull
-	starting  map[string]int               // by model; granted, not yet counted by an arbiter
-	leaders   map[uint32]string            // by shard; its leader at the last pull
-	lastPulls map[uint32]time.Time
-	outboxes  map[uint32]chan *wirev1.ItemResult
-	draining  bool
+	mutex          sync.Mutex
+	held           map[grants.Key]*heldItem
+	returned       map[uint32][]*wirev1.ItemKey // by shard; sent with the next pull
+	startingCounts map[string]int               // by model; number of granted items that no arbiter counts yet
+	leaders        map[uint32]string            // by shard; address of its leader at the last successful pull
+	lastPullTimes  map[uint32]time.Time         // by shard; only successful pulls
+	outboxes       map[uint32]chan *wirev1.ItemResult
+	draining       bool
 }
 
 // heldItem is a granted item that has not been returned and whose result its shard has not
@@ -82,8 +82,8 @@
 }
 
 type metrics struct {
-	running prometheus.Gauge
-	runs    *prometheus.CounterVec
+	heldItems prometheus.Gauge
+	runs      *prometheus.CounterVec
 }
 
 var (
@@ -103,16 +103,16 @@
 		return trace.Wrap(err)
 	}
 	m.metrics = &metrics{
-		running: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_worker_items", Help: "Items held by this node."}),
-		runs:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
+		heldItems: prometheus.NewGauge(prometheus.GaugeOpts{Name: "cobaltramp_worker_items", Help: "Items held by this node."}),
+		runs:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cobaltramp_worker_runs_total", Help: "Runs of items by outcome code name."}, []string{"code"}),
 	}
-	registry.MustRegister(m.metrics.running, m.metrics.runs)
+	registry.MustRegister(m.metrics.heldItems, m.metrics.runs)
 	m.session = rand.Uint64()
 	m.held = map[grants.Key]*heldItem{}
 	m.returned = map[uint32][]*wirev1.ItemKey{}
-	m.starting = map[string]int{}
+	m.startingCounts = map[string]int{}
 	m.leaders = map[uint32]string{}
-	m.lastPulls = map[uint32]time.Time{}
+	m.lastPullTimes = map[uint32]time.Time{}
 	m.outboxes = map[uint32]chan *wirev1.ItemResult{}
 	return nil
 }
@@ -180,7 +180,7 @@
 	}
 	var free []*wirev1.ModelRoom
 	for model, items := range m.owner.FreeBatchSlots() {
-		if count := min(maxPullItems, items-m.starting[model]); count > 0 {
+		if count := min(maxPullItems, items-m.startingCounts[model]); count > 0 {
 			free = append(free, &wirev1.ModelRoom{Model: model, Items: uint32(count)})
 		}
 	}
@@ -188,13 +188,13 @@
 }
 
 // dueHeartbeats lists the shards that need a pull: the node holds items of the shard and
-// has not pulled from it for heartbeatInterval, or has items to return to it.
+// has not pulled from the shard for heartbeatInterval, or the node has items to return.
 func (m *Module) dueHeartbeats(now time.Time) []uint32 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	due := map[uint32]bool{}
 	for _, item := range m.held {
-		if now.Sub(m.lastPulls[item.shard]) >= heartbeatInterval {
+		if now.Sub(m.lastPullTimes[item.shard]) >= heartbeatInterval {
 			due[item.shard] = true
 		}
 	}
@@ -208,6 +208,8 @@
 	return list
 }
 
+// pull sends one Pull request to a shard, cancels the items of cancelled jobs and starts the
+// granted items. If the request fails, the items to return are sent with the next pull.
 func (m *Module) pull(shard uint32, free []*wirev1.ModelRoom, leaders *directory.ShardMap) {
 	request := m.pullRequest(shard, free, leaders.Leaders[shard])
 	ctx, cancel := context.WithTimeout(m.context, pullTimeout)
@@ -218,7 +220,7 @@
 		return
 	}
 	m.mutex.Lock()
-	m.lastPulls[shard] = time.Now()
+	m.lastPullTimes[shard] = time.Now()
 	m.leaders[shard] = leaders.Leaders[shard]
 	m.mutex.Unlock()
 	m.cancelJobs(reply.CancelledJobs)
@@ -247,6 +249,7 @@
 	return request
 }
 
+// requeueReturned keeps items for the next pull, after the pull that returned them failed.
 func (m *Module) requeueReturned(shard uint32, keys []*wirev1.ItemKey) {
 	if len(keys) == 0 {
 		return
@@ -256,6 +259,7 @@
 	m.returned[shard] = append(m.returned[shard], keys...)
 }
 
+// cancelJobs cancels the runs of held items of these jobs.
 func (m *Module) cancelJobs(jobs []string) {
 	if len(jobs) == 0 {
 		return
@@ -273,8 +277,9 @@
 	}
 }
 
-// Drain implements kernel.Drainer. It stops pulling, preempts items that may run again and
-// waits until the node holds no items and has returned the preempted ones.
+// Drain implements kernel.Drainer. It stops requesting new items and preempts items that may
+// run again; items of class once run to their end. It waits until the node holds no items
+// and has returned the preempted items, or until ctx ends. Heartbeats continue.
 func (m *Module) Drain(ctx context.Context) {
 	m.mutex.Lock()
 	m.draining = true
