--- a/modules/platform/etcdgateway/etcdgateway.go
+++ b/modules/platform/etcdgateway/etcdgateway.go
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return trace.Wrap(ports.ErrUnavailable, "waiting for the rate limit of the client: %v", err)
+		return trace.Wrap(ports.ErrUnavailable, "own rate limit: %v", err)
 	}
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	payload, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		return trace.Wrap(ports.ErrOutcomeUnknown, "reading the response: %v", err)
+		return trace.Wrap(ports.ErrOutcomeUnknown, "reading answer: %v", err)
 	}
 	return decode(response.Status, payload, reply)
 }
@@ -161,7 +161,7 @@
 func decode(status int, payload []byte, reply any) error {
 	switch status {
 	case statusOK:
-		return trace.Wrap(json.Unmarshal(payload, reply), "decoding the response")
+		return trace.Wrap(json.Unmarshal(payload, reply), "decoding answer")
 	case statusTooManyRequests, statusUnavailable:
 		return trace.Wrap(ports.ErrUnavailable, "status %d", status)
 	default:
